--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -5,9 +5,9 @@
 
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    Absence, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipPace, KeptPart, Load,
-    PartChanges, PartEvent, PartKey, PartListing, PartNamer, PartStore, PartStores, Placement,
-    PlacementRequest, PromptShape, Refusal, place,
+    Absence, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipPace, Load, PartChanges,
+    PartEvent, PartKey, PartListing, PartNamer, PartStore, PartStores, Placement, PlacementRequest,
+    PromptShape, Refusal, StoredPart, place,
 };
 use wisteriahitch_types::{
     AvailabilityZone, DurationUs, EndpointInstance, Incarnation, ModelName, ServiceName, TimeUs,
@@ -173,9 +173,9 @@
     }
 
     /// Takes over what a store has got.
-    pub(super) fn store_told(&mut self, store: SocketAddr, parts: Vec<KeptPart>, now: TimeUs) {
+    pub(super) fn store_told(&mut self, store: SocketAddr, parts: Vec<StoredPart>, now: TimeUs) {
         let events = parts.into_iter().map(|part| PartEvent {
-            is_kept: true,
+            is_stored: true,
             part,
         });
         let changes = PartChanges {
--- a/crates/wisteriahitch-bench/src/fleet/world.rs
+++ b/crates/wisteriahitch-bench/src/fleet/world.rs
@@ -7,8 +7,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    CallKind, Endpoint, EngineTraits, KeptPart, Load, PartKey, PartStore, Placement, PromptPart,
-    PromptShape, Route, UrgencyLevels,
+    CallKind, Endpoint, EngineTraits, Load, PartKey, PartStore, Placement, PromptPart, PromptShape,
+    Route, StoredPart, UrgencyLevels,
 };
 use wisteriahitch_types::{
     ByteCount, DurationUs, EndpointInstance, TimeUs, TokenCount, WeightNumber,
@@ -56,7 +56,7 @@
     /// A daemon hears another one.
     Heard(usize, News),
     /// A part has reached a store.
-    Saved(usize, KeptPart),
+    Saved(usize, StoredPart),
     /// Daemons hear what a store has got.
     StoreTells(usize),
     /// Daemons hear that an engine has come.
@@ -122,7 +122,7 @@
     engines: Vec<Engine>,
     stores: Vec<Store>,
     /// Parts that stores have got and not told of.
-    untold_parts: Vec<Vec<KeptPart>>,
+    untold_parts: Vec<Vec<StoredPart>>,
     calls: Vec<Call>,
     /// Parts that some engine has read.
     known_parts: HashSet<u64>,
@@ -419,7 +419,7 @@
             .collect()
     }
 
-    fn saved(&mut self, store: usize, part: KeptPart) {
+    fn saved(&mut self, store: usize, part: StoredPart) {
         if self.stores[store].save(part.id, part.tokens.get()) {
             self.untold_parts[store].push(part);
         }
@@ -541,7 +541,7 @@
             let store = usize::from(address.port() - FIRST_STORE_PORT);
             let link_mbps = self.stores[store].plan.link_mbps;
             let took_ms = transfer_ms(*tokens, self.plan.engines.token_bytes, link_mbps);
-            let kept = KeptPart {
+            let kept = StoredPart {
                 scope: SCOPE.to_owned(),
                 id: *part,
                 model: self.names.model.clone(),
--- a/crates/wisteriahitch-relay/src/border/call_codec.rs
+++ b/crates/wisteriahitch-relay/src/border/call_codec.rs
@@ -50,7 +50,7 @@
     /// For each part of the prompt the store that is to keep it; empty where none is.
     pub save_to: Vec<Option<SocketAddr>>,
     /// When a fetch that hasn't ended is thrown away, on the clock of stores and engines.
-    pub fetch_until_ms: Option<u64>,
+    pub fetch_deadline_ms: Option<u64>,
     /// Last event that the caller has, if the rest of a stream is asked for.
     pub resume_after: Option<u64>,
 }
@@ -75,7 +75,7 @@
     /// Weights that it answered with.
     pub weights: Option<WeightNumber>,
     /// How long it keeps the connection when it is idle.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Whether it closes the connection after this answer.
     pub is_closing: bool,
 }
@@ -83,26 +83,26 @@
 /// Reads calls and writes answers in a site's format.
 pub trait CallCodec: Send + Sync {
     /// Reads the head of a caller's call.
-    fn call(&self, parts: &request::Parts) -> Result<CallHead, Refusal>;
+    fn decode_call(&self, parts: &request::Parts) -> Result<CallHead, Refusal>;
 
     /// Returns the headers for an endpoint: the caller's own, without those that are the system's
     /// to set, and with what `call` says.
-    fn outgoing(&self, headers: &HeaderMap, call: &OutgoingCall) -> HeaderMap;
+    fn endpoint_headers(&self, headers: &HeaderMap, call: &OutgoingCall) -> HeaderMap;
 
     /// Reads the head of an endpoint's answer.
-    fn answer(&self, parts: &response::Parts) -> AnswerHead;
+    fn decode_answer(&self, parts: &response::Parts) -> AnswerHead;
 
     /// Returns the headers of an endpoint's answer that go on to the caller.
-    fn passed_back(&self, headers: &HeaderMap) -> HeaderMap;
+    fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Writes a refusal.
-    fn refusal(&self, refusal: &Refusal) -> Response<Bytes>;
+    fn encode_refusal(&self, refusal: &Refusal) -> Response<Bytes>;
 
     /// Reads from the query of a question for entry addresses in which region its caller is, if it says so.
     fn caller_region(&self, query: &str) -> Option<Region>;
 
     /// Writes the entry addresses, which count for `valid`.
-    fn entries(&self, addresses: &[SocketAddr], valid: Duration) -> Response<Bytes>;
+    fn encode_entries(&self, addresses: &[SocketAddr], ttl: Duration) -> Response<Bytes>;
 
     /// Returns the path at which the platform asks whether the daemon is ready.
     fn ready_path(&self) -> &'static str;
--- a/crates/wisteriahitch-relay/src/border/engine_control.rs
+++ b/crates/wisteriahitch-relay/src/border/engine_control.rs
@@ -30,7 +30,7 @@
 
 impl EngineReport {
     /// Returns whether it speaks of this life, as far as both say which one they mean.
-    pub(crate) fn is_of(&self, instance: &EndpointInstance) -> bool {
+    pub(crate) fn matches_instance(&self, instance: &EndpointInstance) -> bool {
         self.start.is_none() || instance.start.is_none() || self.start == instance.start
     }
 }
@@ -81,25 +81,25 @@
     ///
     /// The process may be suspended while the connection opens. An order that was allowed before
     /// that would reach the engine after another daemon has taken over.
-    async fn order(
+    async fn send_order(
         &self,
         order: &WeightOrder,
         permit: &(dyn Fn() -> Option<Duration> + Send + Sync),
     ) -> OrderOutcome;
 
     /// Reads an engine's report.
-    async fn report(
+    async fn fetch_report(
         &self,
         endpoint: &EndpointId,
         address: SocketAddr,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<EngineReport, HttpError>;
 
     /// Asks on an open connection for the start of the process at its other end; none where it tells none.
-    async fn start(
+    async fn fetch_start(
         &self,
         endpoint: &EndpointId,
         connection: &mut Connection,
-        wait: Duration,
+        timeout: Duration,
     ) -> Result<Option<EndpointStart>, HttpError>;
 }
--- a/crates/wisteriahitch-relay/src/border/mod.rs
+++ b/crates/wisteriahitch-relay/src/border/mod.rs
@@ -9,7 +9,7 @@
 
 pub use call_codec::{AnswerHead, CallCodec, CallHead, OutgoingCall};
 pub use engine_control::{EngineControl, EngineReport, OrderOutcome, WeightOrder};
-pub use part_store_control::{KeptPart, PartChanges, PartEvent, PartListing, PartStoreControl};
+pub use part_store_control::{PartChanges, PartEvent, PartListing, PartStoreControl, StoredPart};
 pub use refusal::Refusal;
 pub use site_codec::{DecodeError, SiteCodec};
 pub use statement::Statement;
--- a/crates/wisteriahitch-relay/src/border/part_store_control.rs
+++ b/crates/wisteriahitch-relay/src/border/part_store_control.rs
@@ -9,7 +9,7 @@
 
 /// One part as a store keeps it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct KeptPart {
+pub struct StoredPart {
     /// Text under which it was saved.
     pub scope: String,
     /// Id of the part.
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PartEvent {
     /// Whether the part is whole there now, or gone.
-    pub is_kept: bool,
+    pub is_stored: bool,
     /// Part.
-    pub part: KeptPart,
+    pub part: StoredPart,
 }
 
 /// What a store tells of its changes.
@@ -52,7 +52,7 @@
     /// Where to go on with changes.
     pub next: u64,
     /// Whole parts.
-    pub parts: Vec<KeptPart>,
+    pub parts: Vec<StoredPart>,
     /// Tokens that are reserved for parts that aren't whole.
     pub partial_tokens: u64,
 }
@@ -75,7 +75,7 @@
     async fn free(
         &self,
         address: SocketAddr,
-        parts: &[KeptPart],
+        parts: &[StoredPart],
         epoch: u64,
     ) -> Result<(), HttpError>;
 }
--- a/crates/wisteriahitch-relay/src/border/refusal.rs
+++ b/crates/wisteriahitch-relay/src/border/refusal.rs
@@ -12,7 +12,7 @@
     /// When the caller may come back.
     pub retry_after_us: Option<DurationUs>,
     /// The queue that was too long and its bound, for the log.
-    pub queue_us: Option<(DurationUs, DurationUs)>,
+    pub queue_and_bound_us: Option<(DurationUs, DurationUs)>,
 }
 
 impl Refusal {
@@ -21,13 +21,13 @@
         Self {
             code,
             retry_after_us: None,
-            queue_us: None,
+            queue_and_bound_us: None,
         }
     }
 
     /// Adds the queue that was too long, and its bound.
-    pub const fn by_queue(mut self, queue_us: DurationUs, bound_us: DurationUs) -> Self {
-        self.queue_us = Some((queue_us, bound_us));
+    pub const fn with_queue(mut self, queue_us: DurationUs, bound_us: DurationUs) -> Self {
+        self.queue_and_bound_us = Some((queue_us, bound_us));
         self
     }
 
--- a/crates/wisteriahitch-relay/src/border/site_codec.rs
+++ b/crates/wisteriahitch-relay/src/border/site_codec.rs
@@ -19,11 +19,11 @@
 /// Reads a site's objects.
 pub trait SiteCodec: Send + Sync {
     /// Reads the configuration.
-    fn configuration(&self, object: &StoredObject) -> Result<SiteConfig, DecodeError>;
+    fn decode_configuration(&self, object: &StoredObject) -> Result<SiteConfig, DecodeError>;
 
     /// Reads an endpoint's registration.
-    fn endpoint(&self, object: &StoredObject) -> Result<Endpoint, DecodeError>;
+    fn decode_endpoint(&self, object: &StoredObject) -> Result<Endpoint, DecodeError>;
 
     /// Reads what weights are wanted.
-    fn weights(&self, object: &StoredObject) -> Result<WantedWeights, DecodeError>;
+    fn decode_weights(&self, object: &StoredObject) -> Result<WantedWeights, DecodeError>;
 }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
@@ -34,8 +34,12 @@
         for event in events {
             let part = &event.part;
             let key = PartNamer::new(&part.model, &part.scope).key(part.id);
-            let tokens = if event.is_kept { part.tokens.get() } else { 0 };
-            let is_update = match event.is_kept {
+            let tokens = if event.is_stored {
+                part.tokens.get()
+            } else {
+                0
+            };
+            let is_update = match event.is_stored {
                 true => row.parts.kept(key, tokens, now),
                 false => row.parts.evicted(key),
             };
--- a/crates/wisteriahitch-relay/src/decide/part_store_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_store_row.rs
@@ -5,7 +5,7 @@
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 use super::parts::PartKey;
-use crate::border::KeptPart;
+use crate::border::StoredPart;
 use crate::site::PartStore;
 
 /// Age of a store's news after which nothing is fetched from it. Its news is asked for without a
@@ -74,7 +74,7 @@
         }
     }
 
-    pub(super) fn named(&self) -> impl Iterator<Item = &KeptPart> {
+    pub(super) fn named(&self) -> impl Iterator<Item = &StoredPart> {
         self.kept.values().filter_map(|kept| kept.name.as_ref())
     }
 
@@ -91,11 +91,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct Kept {
     pub(super) tokens: u64,
-    pub(super) name: Option<KeptPart>,
+    pub(super) name: Option<StoredPart>,
 }
 
-impl From<KeptPart> for Kept {
-    fn from(part: KeptPart) -> Self {
+impl From<StoredPart> for Kept {
+    fn from(part: StoredPart) -> Self {
         Self {
             tokens: part.tokens.get(),
             name: Some(part),
--- a/crates/wisteriahitch-relay/src/decide/part_stores.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_stores.rs
@@ -17,7 +17,7 @@
 use super::gossip_message::{KeptPartUpdate, StoreUpdate};
 use super::part_store_row::{Kept, NEWS_LIFE_US, StoreRow};
 use super::parts::{PartKey, PartNamer};
-use crate::border::{KeptPart, PartChanges, PartListing};
+use crate::border::{PartChanges, PartListing, StoredPart};
 use crate::site::{AllowedZones, EngineTraits, PartStore};
 
 /// Longest time for a fetch from the sending of its request. A fetch that takes longer is thrown
@@ -72,7 +72,7 @@
     /// Life of the store that the order is for.
     pub epoch: u64,
     /// Parts.
-    pub parts: Vec<KeptPart>,
+    pub parts: Vec<StoredPart>,
 }
 
 impl PartStores {
@@ -131,7 +131,7 @@
         for event in changes.events {
             let part = event.part;
             let key = PartNamer::new(&part.model, &part.scope).key(part.id);
-            match event.is_kept {
+            match event.is_stored {
                 true => {
                     let tokens = part.tokens.get();
                     if row.keep(key, part.into()) {
@@ -362,7 +362,7 @@
         may_be_fetched: impl Fn(&ModelName, WeightNumber) -> bool,
         now: TimeUs,
     ) -> Vec<FreeOrder> {
-        let is_unused = |part: &KeptPart| {
+        let is_unused = |part: &StoredPart| {
             let Some((lowest, since)) = self.lowest_weights.get(&part.model) else {
                 return false;
             };
--- a/crates/wisteriahitch-relay/src/decide/placement.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement.rs
@@ -104,7 +104,7 @@
     let excess_us = late_us.max(queue_us - request.longest_queue_us);
     if excess_us > DurationUs::ZERO {
         let refusal = Refusal::new(Code::DeadlineUnreachable);
-        let refusal = refusal.by_queue(queue_us, request.longest_queue_us);
+        let refusal = refusal.with_queue(queue_us, request.longest_queue_us);
         return Err(refusal.retry_after(retry_after(excess_us, rng)));
     }
     let prompt_tokens = request
--- a/crates/wisteriahitch-relay/src/lib.rs
+++ b/crates/wisteriahitch-relay/src/lib.rs
@@ -13,9 +13,9 @@
 mod site;
 
 pub use border::{
-    AnswerHead, CallCodec, CallHead, DecodeError, EngineControl, EngineReport, KeptPart,
-    OrderOutcome, OutgoingCall, PartChanges, PartEvent, PartListing, PartStoreControl, Refusal,
-    SiteCodec, Statement, WeightOrder,
+    AnswerHead, CallCodec, CallHead, DecodeError, EngineControl, EngineReport, OrderOutcome,
+    OutgoingCall, PartChanges, PartEvent, PartListing, PartStoreControl, Refusal, SiteCodec,
+    Statement, StoredPart, WeightOrder,
 };
 pub use clock::BootClock;
 pub use decide::backlog::{Load, LoadReport};
@@ -52,7 +52,7 @@
 pub use decide::stream_events::{EventFramer, Framed, FramingError};
 pub use decide::suspects::{CRASHES_TO_BLOCK, CrashVerdict, RequestChanges, SuspectTable};
 pub use decide::wanted_weights::{OldWeightsLimits, WantedVersions};
-pub use observe::{BoundedLabel, CallEnded, Event, EventLog, LogBudget, ProcessUse};
+pub use observe::{BoundedLabel, CallEnded, Event, EventLog, LogBudget, ProcessUsage};
 pub use settings::{BoundSettings, Bounds, RelaySettings, SettingsError};
 pub use shell::daemon::{Borders, Daemon};
 pub use site::{
--- a/crates/wisteriahitch-relay/src/observe/bounded_label.rs
+++ b/crates/wisteriahitch-relay/src/observe/bounded_label.rs
@@ -14,29 +14,29 @@
 /// each of them; the first ones are told apart, the rest are counted together.
 #[derive(Debug)]
 pub struct BoundedLabel {
-    known: Mutex<HashSet<String>>,
-    most: usize,
+    distinct_values: Mutex<HashSet<String>>,
+    max_values: usize,
 }
 
 impl BoundedLabel {
     /// Tells at most `most` values apart.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_values: usize) -> Self {
         Self {
-            known: Mutex::default(),
-            most,
+            distinct_values: Mutex::default(),
+            max_values,
         }
     }
 
     /// Returns the value to count `name` under.
     pub fn value<'a>(&self, name: &'a str) -> &'a str {
-        let mut known = self.known.lock();
-        if known.contains(name) {
+        let mut distinct_values = self.distinct_values.lock();
+        if distinct_values.contains(name) {
             return name;
         }
-        if known.len() >= self.most {
+        if distinct_values.len() >= self.max_values {
             return OTHER;
         }
-        known.insert(name.to_owned());
+        distinct_values.insert(name.to_owned());
         name
     }
 }
--- a/crates/wisteriahitch-relay/src/observe/event.rs
+++ b/crates/wisteriahitch-relay/src/observe/event.rs
@@ -212,7 +212,7 @@
 
 impl CallEnded {
     /// Returns whether the caller got a whole answer of an endpoint.
-    pub fn is_good(&self) -> bool {
+    pub fn is_answered(&self) -> bool {
         self.outcome == "answered"
     }
 }
@@ -258,6 +258,6 @@
 
     /// Returns whether the line may be left out among many others like it.
     pub fn is_sampled(&self) -> bool {
-        matches!(self, Event::CallEnded(ended) if ended.is_good())
+        matches!(self, Event::CallEnded(ended) if ended.is_answered())
     }
 }
--- a/crates/wisteriahitch-relay/src/observe/event_log.rs
+++ b/crates/wisteriahitch-relay/src/observe/event_log.rs
@@ -14,10 +14,10 @@
 
 /// Batches that wait for a reader; with batches of a fifth of a second, some seconds of a reader
 /// that has stopped.
-const QUEUED_BATCHES: usize = 32;
+const MAX_QUEUED_BATCHES: usize = 32;
 
 /// Time for the last lines to be written at the end.
-const LAST_LINES_WAIT: Duration = Duration::from_millis(50);
+const FINAL_FLUSH_WAIT: Duration = Duration::from_millis(50);
 
 /// How much may be written a second.
 #[derive(Clone, Copy, Debug)]
@@ -29,8 +29,8 @@
 }
 
 #[derive(Debug, Default)]
-struct Window {
-    began_at_us: TimeUs,
+struct BudgetWindow {
+    started_at_us: TimeUs,
     bytes: u32,
     successes: u32,
     omitted: BTreeMap<&'static str, u64>,
@@ -46,7 +46,7 @@
 pub struct EventLog {
     clock: BootClock,
     budget: LogBudget,
-    window: Mutex<Window>,
+    window: Mutex<BudgetWindow>,
     writer: SyncSender<Vec<u8>>,
     dropped_lines: prometheus::IntCounter,
 }
@@ -66,7 +66,7 @@
         dropped_lines: prometheus::IntCounter,
         mut output: impl Write + Send + 'static,
     ) -> Self {
-        let (writer, batches) = sync_channel::<Vec<u8>>(QUEUED_BATCHES);
+        let (writer, batches) = sync_channel::<Vec<u8>>(MAX_QUEUED_BATCHES);
         std::thread::spawn(move || {
             for batch in batches {
                 // There is nowhere left to tell of a log that can't be written.
@@ -76,7 +76,7 @@
         Self {
             clock: BootClock,
             budget,
-            window: Mutex::new(Window::default()),
+            window: Mutex::new(BudgetWindow::default()),
             writer,
             dropped_lines,
         }
@@ -86,7 +86,7 @@
     pub fn write(&self, event: &Event) {
         let now = self.clock.now();
         let mut window = self.window.lock();
-        window.roll(now);
+        window.start_if_expired(now);
         if event.is_sampled() && window.successes >= self.budget.successes_per_s {
             *window.omitted.entry(event.name()).or_default() += 1;
             return;
@@ -103,7 +103,7 @@
     /// Hands the gathered lines to the writer.
     pub fn flush(&self) {
         let mut window = self.window.lock();
-        window.roll(self.clock.now());
+        window.start_if_expired(self.clock.now());
         if window.lines.is_empty() {
             return;
         }
@@ -117,17 +117,17 @@
     /// Hands over the last lines and gives the writer a moment for them.
     pub fn finish(&self) {
         self.flush();
-        std::thread::sleep(LAST_LINES_WAIT);
+        std::thread::sleep(FINAL_FLUSH_WAIT);
     }
 }
 
-impl Window {
+impl BudgetWindow {
     /// Begins the next second, and tells what was left out in the last one.
-    fn roll(&mut self, now: TimeUs) {
-        if now.since(self.began_at_us).as_ms() < 1_000 {
+    fn start_if_expired(&mut self, now: TimeUs) {
+        if now.since(self.started_at_us).as_ms() < 1_000 {
             return;
         }
-        self.began_at_us = now;
+        self.started_at_us = now;
         self.bytes = 0;
         self.successes = 0;
         let omitted = std::mem::take(&mut self.omitted);
@@ -144,21 +144,21 @@
     }
 
     fn append(&mut self, event: &Event, now: TimeUs) {
-        let wall = SystemTime::now()
+        let wall_clock = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let line = Line {
-            ts_ms: u64::try_from(wall.as_millis()).unwrap_or(u64::MAX),
+            ts_ms: u64::try_from(wall_clock.as_millis()).unwrap_or(u64::MAX),
             up_ms: now.get() / 1_000,
             event,
         };
-        let before = self.lines.len();
+        let length_before = self.lines.len();
         if serde_json::to_writer(&mut self.lines, &line).is_err() {
-            self.lines.truncate(before);
+            self.lines.truncate(length_before);
             return;
         }
         self.lines.push(b'\n');
-        let written = self.lines.len() - before;
+        let written = self.lines.len() - length_before;
         self.bytes = self
             .bytes
             .saturating_add(u32::try_from(written).unwrap_or(u32::MAX));
--- a/crates/wisteriahitch-relay/src/observe/metrics.rs
+++ b/crates/wisteriahitch-relay/src/observe/metrics.rs
@@ -5,7 +5,7 @@
     IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-use super::{BoundedLabel, CallEnded, ProcessUse};
+use super::{BoundedLabel, CallEnded, ProcessUsage};
 
 /// Bounds of latency buckets, in seconds: from a call that is served at once to the longest route.
 const LATENCY_BUCKETS_S: [f64; 12] = [
@@ -171,7 +171,7 @@
     }
 
     /// Counts a call that has ended.
-    pub(crate) fn call_ended(&self, ended: &CallEnded) {
+    pub(crate) fn record_call(&self, ended: &CallEnded) {
         let outcome = ended.outcome;
         self.calls.with_label_values(&[ended.kind, outcome]).inc();
         let route = self.routes.value(&ended.route);
@@ -183,7 +183,7 @@
 
     /// Returns all metrics as text.
     pub(crate) fn text(&self) -> String {
-        let usage = ProcessUse::now();
+        let usage = ProcessUsage::read();
         self.resident_bytes.set(usage.resident_bytes);
         self.descriptors.set(usage.descriptors);
         let tasks = tokio::runtime::Handle::current()
--- a/crates/wisteriahitch-relay/src/observe/mod.rs
+++ b/crates/wisteriahitch-relay/src/observe/mod.rs
@@ -10,4 +10,4 @@
 pub use event::{CallEnded, Event};
 pub use event_log::{EventLog, LogBudget};
 pub(crate) use metrics::Metrics;
-pub use process::ProcessUse;
+pub use process::ProcessUsage;
--- a/crates/wisteriahitch-relay/src/observe/process.rs
+++ b/crates/wisteriahitch-relay/src/observe/process.rs
@@ -2,16 +2,16 @@
 
 /// Memory and descriptors of this process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct ProcessUse {
+pub struct ProcessUsage {
     /// Memory that is resident.
     pub resident_bytes: i64,
     /// Open descriptors.
     pub descriptors: i64,
 }
 
-impl ProcessUse {
+impl ProcessUsage {
     /// Reads it; what can't be read stays zero, which no running process has.
-    pub fn now() -> Self {
+    pub fn read() -> Self {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
         let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         Self {
--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -14,7 +14,7 @@
 use super::in_flight::{AttemptOutcome, InFlightAttempt};
 use super::shared::Shared;
 use super::statements::note_statements;
-use super::transfers::Transfers;
+use super::transfers::PartTransfers;
 use crate::border::{AnswerHead, CallHead, OutgoingCall};
 use crate::decide::placement::Placement;
 use crate::observe::Event;
@@ -26,14 +26,14 @@
 
 /// Longest time for which a kept connection was idle that a call which may run only once is sent
 /// on. If the endpoint closes it just then, nobody knows whether the call has run.
-const MAX_IDLE_ONCE: Duration = Duration::from_millis(2_500);
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(2_500);
 
 /// The same for calls that may be repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(8_000);
 
 /// Connections that are opened at most until one stays open after its endpoint has told its start. Endpoints close
 /// some connections after an answer.
-const MAX_START_QUESTIONS: u32 = 3;
+const MAX_START_QUERIES: u32 = 3;
 
 /// What stays the same over all attempts at a call.
 pub(crate) struct Call {
@@ -54,7 +54,7 @@
     /// Rank in the endpoint's queue.
     pub(crate) priority: u8,
     /// When the answer must be there.
-    pub(crate) due: Instant,
+    pub(crate) deadline: Instant,
     /// Whether it may run more than once.
     pub(crate) may_repeat: bool,
     /// What the engines of its service are, if it has engines.
@@ -64,11 +64,11 @@
 }
 
 /// An answer whose head has come.
-pub(crate) struct Opened {
+pub(crate) struct OpenedAnswer {
     pub(crate) parts: response::Parts,
     pub(crate) body: Incoming,
     pub(crate) connection: Connection,
-    pub(crate) flight: InFlightAttempt,
+    pub(crate) in_flight: InFlightAttempt,
     /// Where it runs.
     pub(crate) placement: Placement,
 }
@@ -89,7 +89,7 @@
     /// No answer came in time; it may have run.
     Timeout,
     /// The answer is no answer to it; it may have run.
-    Nonsense,
+    InvalidAnswer,
     /// The endpoint failed; it has run.
     EndpointFailed,
     /// It was taken back, since endpoints crash under it; it may have run.
@@ -114,7 +114,7 @@
             FailureKind::NotRun | FailureKind::Misdirected => Code::EndpointRefused,
             FailureKind::Lost | FailureKind::EndpointFailed => Code::EndpointLost,
             FailureKind::Timeout => Code::EndpointTimeout,
-            FailureKind::Nonsense => Code::EndpointNonsense,
+            FailureKind::InvalidAnswer => Code::EndpointNonsense,
             FailureKind::Blocked => Code::RequestBlocked,
         }
     }
@@ -128,7 +128,7 @@
             FailureKind::Misdirected => "misdirected",
             FailureKind::Lost => "lost",
             FailureKind::Timeout => "timeout",
-            FailureKind::Nonsense => "nonsense",
+            FailureKind::InvalidAnswer => "nonsense",
             FailureKind::EndpointFailed => "endpoint_failed",
             FailureKind::Blocked => "blocked",
         }
@@ -151,12 +151,12 @@
     }
 
     /// Sorts a failed exchange by what may be concluded about the call.
-    pub(crate) fn of_exchange(error: &HttpError) -> Self {
+    pub(crate) fn from_http_error(error: &HttpError) -> Self {
         let kind = match error.kind() {
             HttpErrorKind::NotSent => FailureKind::NotSent,
             HttpErrorKind::Timeout => FailureKind::Timeout,
             HttpErrorKind::Lost => FailureKind::Lost,
-            HttpErrorKind::Malformed | HttpErrorKind::TooLarge => FailureKind::Nonsense,
+            HttpErrorKind::Malformed | HttpErrorKind::TooLarge => FailureKind::InvalidAnswer,
         };
         Self::new(kind, error.detail())
     }
@@ -166,45 +166,52 @@
 ///
 /// Dropping the future closes the connection, which is what tells the endpoint to stop. Of the last
 /// attempt (`is_last`) an endpoint's failure is passed on as it is.
-pub(crate) async fn open(
+pub(crate) async fn send_attempt(
     shared: &Arc<Shared>,
     call: &Call,
     placement: &Placement,
     resume_after: Option<u64>,
     is_last: bool,
-    until: Instant,
-) -> Result<Opened, Failure> {
-    let flight = InFlightAttempt::start(shared, placement, call.head.prompt.as_ref());
-    let result = exchange(shared, call, placement, resume_after, until).await;
+    deadline: Instant,
+) -> Result<OpenedAnswer, Failure> {
+    let in_flight = InFlightAttempt::start(shared, placement, call.head.prompt.as_ref());
+    let result = exchange(shared, call, placement, resume_after, deadline).await;
     let (parts, body, connection) = match result {
         Ok(answer) => answer,
         Err(failure) => {
-            note_failure(shared, placement, &flight, failure.kind);
+            record_failure(shared, placement, &in_flight, failure.kind);
             return Err(failure);
         }
     };
-    let answer = shared.borders.calls.answer(&parts);
-    note_answer(shared, call, placement, &answer);
+    let answer = shared.borders.calls.decode_answer(&parts);
+    record_answer(shared, call, placement, &answer);
     let checked = check_answer(call, &parts, &answer, is_last);
-    let is_to_the_call = !checked.as_ref().is_err_and(|failure| {
+    let is_for_this_call = !checked.as_ref().is_err_and(|failure| {
         matches!(
             failure.kind,
-            FailureKind::Misdirected | FailureKind::Nonsense
+            FailureKind::Misdirected | FailureKind::InvalidAnswer
         )
     });
-    note_statements(shared, &placement.endpoint, &answer, is_to_the_call);
+    note_statements(shared, &placement.endpoint, &answer, is_for_this_call);
     match checked {
-        Ok(()) => Ok(Opened {
+        Ok(()) => Ok(OpenedAnswer {
             parts,
             body,
             connection,
-            flight,
+            in_flight,
             placement: placement.clone(),
         }),
         Err(failure) => {
-            note_failure(shared, placement, &flight, failure.kind);
-            note_misdirection(shared, placement, &answer, failure.kind);
-            keep_after_refusal(shared, placement, &answer, failure.kind, body, connection);
+            record_failure(shared, placement, &in_flight, failure.kind);
+            record_misdirection(shared, placement, &answer, failure.kind);
+            return_connection_after_refusal(
+                shared,
+                placement,
+                &answer,
+                failure.kind,
+                body,
+                connection,
+            );
             Err(failure)
         }
     }
@@ -215,33 +222,33 @@
     call: &Call,
     placement: &Placement,
     resume_after: Option<u64>,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<(response::Parts, Incoming, Connection), Failure> {
     let max_idle = match call.may_repeat {
         true => MAX_IDLE_REPEATABLE,
-        false => MAX_IDLE_ONCE,
+        false => MAX_IDLE_NON_REPEATABLE,
     };
     // A kept connection that had closed tells that nothing left, and a new one is opened.
-    let mut kept = shared.pool.take(&placement.endpoint, max_idle).await;
+    let mut pooled = shared.pool.take(&placement.endpoint, max_idle).await;
     loop {
-        let (mut connection, is_kept) = match kept.take() {
+        let (mut connection, is_pooled) = match pooled.take() {
             Some(connection) => (connection, true),
-            None => (connect(shared, placement, until).await?, false),
+            None => (connect(shared, placement, deadline).await?, false),
         };
-        let how = if is_kept { "reused" } else { "opened" };
+        let how = if is_pooled { "reused" } else { "opened" };
         shared.metrics.connections.with_label_values(&[how]).inc();
         if !is_admitted(shared, placement) {
             let detail = "the endpoint may get nothing more";
             return Err(Failure::new(FailureKind::NotAdmitted, detail));
         }
         let request = build_request(shared, call, placement, resume_after);
-        match timeout_at(until, connection.send(request)).await {
+        match timeout_at(deadline, connection.send(request)).await {
             Ok(Ok(response)) => {
                 let (parts, body) = response.into_parts();
                 return Ok((parts, body, connection));
             }
-            Ok(Err(error)) if is_kept && error.kind() == HttpErrorKind::NotSent => {}
-            Ok(Err(error)) => return Err(Failure::of_exchange(&error)),
+            Ok(Err(error)) if is_pooled && error.kind() == HttpErrorKind::NotSent => {}
+            Ok(Err(error)) => return Err(Failure::from_http_error(&error)),
             Err(_) => return Err(Failure::new(FailureKind::Timeout, "no head of an answer")),
         }
     }
@@ -255,12 +262,12 @@
 async fn connect(
     shared: &Shared,
     placement: &Placement,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Connection, Failure> {
     let needs_start = shared.endpoints.lock().needs_start(&placement.endpoint);
     let opened = match needs_start {
-        true => connect_to_start(shared, placement, until).await,
-        false => Connection::open(placement.address, connect_wait(until)).await,
+        true => connect_and_query_start(shared, placement, deadline).await,
+        false => Connection::open(placement.address, connect_timeout(deadline)).await,
     };
     opened.map_err(|error| {
         let label = ["failed"];
@@ -270,23 +277,23 @@
     })
 }
 
-fn connect_wait(until: Instant) -> Duration {
-    let left = until.saturating_duration_since(Instant::now());
+fn connect_timeout(deadline: Instant) -> Duration {
+    let left = deadline.saturating_duration_since(Instant::now());
     left.min(CONNECT_TIMEOUT)
 }
 
 /// Opens a connection and asks on it which process is at its other end, so that one which has started again unread is
 /// known to be cold before a call reaches it.
-async fn connect_to_start(
+async fn connect_and_query_start(
     shared: &Shared,
     placement: &Placement,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Connection, HttpError> {
     let engines = &shared.borders.engines;
-    for _ in 0..MAX_START_QUESTIONS {
-        let mut connection = Connection::open(placement.address, connect_wait(until)).await?;
-        let (id, wait) = (&placement.endpoint.id, connect_wait(until));
-        let start = engines.start(id, &mut connection, wait).await?;
+    for _ in 0..MAX_START_QUERIES {
+        let mut connection = Connection::open(placement.address, connect_timeout(deadline)).await?;
+        let (id, timeout) = (&placement.endpoint.id, connect_timeout(deadline));
+        let start = engines.fetch_start(id, &mut connection, timeout).await?;
         let now = shared.now();
         let is_new = {
             let mut endpoints = shared.endpoints.lock();
@@ -313,8 +320,8 @@
     placement: &Placement,
     resume_after: Option<u64>,
 ) -> Request<Bytes> {
-    let left = call.due.saturating_duration_since(Instant::now());
-    let transfers = Transfers::plan(shared, call, placement);
+    let left = call.deadline.saturating_duration_since(Instant::now());
+    let transfers = PartTransfers::plan(shared, call, placement);
     let outgoing = OutgoingCall {
         endpoint: placement.endpoint.id.clone(),
         deadline_us: DurationUs::from(left),
@@ -324,13 +331,16 @@
         cache_scope: placement.cache_scope.clone(),
         fetch_from: transfers.fetch_from,
         save_to: transfers.save_to,
-        fetch_until_ms: transfers.until_ms,
+        fetch_deadline_ms: transfers.fetch_deadline_ms,
         resume_after,
     };
     let mut request = Request::new(call.body.clone());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = shared.borders.calls.outgoing(&call.headers, &outgoing);
+    *request.headers_mut() = shared
+        .borders
+        .calls
+        .endpoint_headers(&call.headers, &outgoing);
     request
 }
 
@@ -346,7 +356,7 @@
         // The late answer to an earlier request on this connection: what became of this request
         // isn't known, and the connection must not be used again.
         return Err(Failure::new(
-            FailureKind::Nonsense,
+            FailureKind::InvalidAnswer,
             "answer to another request",
         ));
     }
@@ -356,11 +366,11 @@
             "another endpoint or other weights",
         ));
     }
-    let is_promise = matches!(parts.status.as_u16(), 408 | 429 | 503);
-    if answer.is_not_run && is_promise {
+    let is_not_run_status = matches!(parts.status.as_u16(), 408 | 429 | 503);
+    if answer.is_not_run && is_not_run_status {
         return Err(Failure::new(FailureKind::NotRun, parts.status.to_string()));
     }
-    if is_promise {
+    if is_not_run_status {
         // A caller would read this status as a promise that the call has not run. The endpoint
         // doesn't promise it.
         return Err(Failure::new(
@@ -374,17 +384,18 @@
             parts.status.to_string(),
         ));
     }
-    let is_foreign = echoed.is_none() || parts.headers.contains_key(http::header::CONTENT_ENCODING);
-    if parts.status.is_success() && is_foreign {
+    let is_not_endpoint_answer =
+        echoed.is_none() || parts.headers.contains_key(http::header::CONTENT_ENCODING);
+    if parts.status.is_success() && is_not_endpoint_answer {
         return Err(Failure::new(
-            FailureKind::Nonsense,
+            FailureKind::InvalidAnswer,
             "not the endpoint's own answer",
         ));
     }
     Ok(())
 }
 
-fn note_answer(shared: &Shared, call: &Call, placement: &Placement, answer: &AnswerHead) {
+fn record_answer(shared: &Shared, call: &Call, placement: &Placement, answer: &AnswerHead) {
     let now = shared.now();
     let mut endpoints = shared.endpoints.lock();
     if let (Some(prompt), Some(weights)) = (&call.head.prompt, answer.weights) {
@@ -396,12 +407,12 @@
 }
 
 /// Time for which an endpoint that refused gets no further requests, unless there is no other.
-const AFTER_REFUSAL_US: DurationUs = DurationUs::from_ms(120);
+const REFUSAL_BACKOFF_US: DurationUs = DurationUs::from_ms(120);
 
-fn note_failure(
+fn record_failure(
     shared: &Shared,
     placement: &Placement,
-    flight: &InFlightAttempt,
+    in_flight: &InFlightAttempt,
     kind: FailureKind,
 ) {
     shared
@@ -410,22 +421,22 @@
         .with_label_values(&[kind.label()])
         .inc();
     match kind {
-        FailureKind::NotSent => flight.finish(AttemptOutcome::Unreachable),
+        FailureKind::NotSent => in_flight.finish(AttemptOutcome::Unreachable),
         // It tells nothing of the endpoint.
         FailureKind::NotAdmitted => {}
         FailureKind::NotRun | FailureKind::Misdirected => {
-            let until: TimeUs = shared.now() + AFTER_REFUSAL_US;
+            let reserved_until: TimeUs = shared.now() + REFUSAL_BACKOFF_US;
             let mut endpoints = shared.endpoints.lock();
             if let Some(row) = endpoints.get_mut(&placement.endpoint) {
-                row.reserved_until_us = row.reserved_until_us.max(until);
+                row.reserved_until_us = row.reserved_until_us.max(reserved_until);
             }
         }
-        _ => flight.finish(AttemptOutcome::Failed),
+        _ => in_flight.finish(AttemptOutcome::Failed),
     }
 }
 
 /// Notes who is at an endpoint's address, where a refusal tells that it is another one.
-fn note_misdirection(
+fn record_misdirection(
     shared: &Shared,
     placement: &Placement,
     answer: &AnswerHead,
@@ -445,11 +456,11 @@
         // The others would find out by a refused call each.
         shared.peers.hurry.notify_one();
     }
-    shared.note_changes(change.into_iter().collect(), 0);
+    shared.record_endpoint_changes(change.into_iter().collect(), 0);
 }
 
 /// Keeps the connection of an endpoint that refused, whose answer is short.
-fn keep_after_refusal(
+fn return_connection_after_refusal(
     shared: &Arc<Shared>,
     placement: &Placement,
     answer: &AnswerHead,
--- a/crates/wisteriahitch-relay/src/shell/attempt_answer.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt_answer.rs
@@ -7,118 +7,118 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::answer_body::AnswerBody;
-use super::attempt::{Failure, FailureKind, Opened};
-use super::crashes::note_answer_end;
+use super::attempt::{Failure, FailureKind, OpenedAnswer};
+use super::crashes::record_answer_end;
 use super::in_flight::AttemptOutcome;
-use super::routed::{Attempted, Routed};
+use super::routed::{AttemptAnswer, RoutedCall};
 use super::shared::Shared;
 use crate::decide::placement::Placement;
 
 /// Largest answer that is taken in whole before it is passed on. What is not yet passed on can
 /// still be asked for again where it breaks.
-pub(super) const WHOLE_ANSWER_BYTES: u64 = 256 * 1024;
+pub(super) const MAX_BUFFERED_ANSWER_BYTES: u64 = 256 * 1024;
 
-impl Routed {
-    pub(super) async fn whole_answer(
+impl RoutedCall {
+    pub(super) async fn buffer_answer(
         &self,
         shared: &Arc<Shared>,
         placement: &Placement,
-        opened: Opened,
-        until: Instant,
-    ) -> Result<Attempted, Failure> {
-        let Opened {
+        opened: OpenedAnswer,
+        deadline: Instant,
+    ) -> Result<AttemptAnswer, Failure> {
+        let OpenedAnswer {
             parts,
             body,
             connection,
-            flight,
+            in_flight,
             ..
         } = opened;
-        let limit = wisteriahitch_types::ByteCount::new(WHOLE_ANSWER_BYTES);
-        let whole = wisteriahitch_wire::http_client::read_body(body, limit);
-        let bytes = match timeout_at(until, whole).await {
+        let limit = wisteriahitch_types::ByteCount::new(MAX_BUFFERED_ANSWER_BYTES);
+        let read = wisteriahitch_wire::http_client::read_body(body, limit);
+        let bytes = match timeout_at(deadline, read).await {
             Ok(Ok(bytes)) => bytes,
             Ok(Err(error)) => {
-                flight.finish(AttemptOutcome::Failed);
-                return Err(Failure::of_exchange(&error));
+                in_flight.finish(AttemptOutcome::Failed);
+                return Err(Failure::from_http_error(&error));
             }
             Err(_) => {
-                flight.finish(AttemptOutcome::Failed);
+                in_flight.finish(AttemptOutcome::Failed);
                 return Err(Failure::new(FailureKind::Timeout, "the answer isn't whole"));
             }
         };
         if parts.status.is_success() {
-            note_answer_end(shared, &self.call, placement, &parts.headers);
+            record_answer_end(shared, &self.call, placement, &parts.headers);
         }
-        flight.finish(match parts.status.is_server_error() {
+        in_flight.finish(match parts.status.is_server_error() {
             true => AttemptOutcome::Failed,
-            false => AttemptOutcome::Good,
+            false => AttemptOutcome::Succeeded,
         });
         shared
             .metrics
             .attempts
             .with_label_values(&["answered"])
             .inc();
-        keep_connection(shared, placement, &parts, connection);
+        return_connection(shared, placement, &parts, connection);
         let status = parts.status.as_u16();
-        let mut response = Response::new(AnswerBody::whole(bytes));
+        let mut response = Response::new(AnswerBody::full(bytes));
         *response.status_mut() = parts.status;
-        *response.headers_mut() = shared.borders.calls.passed_back(&parts.headers);
-        Ok(Attempted::Whole(response, status))
+        *response.headers_mut() = shared.borders.calls.caller_headers(&parts.headers);
+        Ok(AttemptAnswer::Whole(response, status))
     }
 
     /// Waits for the first bytes of a stream before its head is passed on: until then a failure
     /// can still be told by a status of its own, and where it may be, the call sent elsewhere.
-    pub(super) async fn first_event(
+    pub(super) async fn await_first_event(
         &self,
         shared: &Arc<Shared>,
         placement: &Placement,
-        mut opened: Opened,
-        until: Instant,
-    ) -> Result<Attempted, Failure> {
-        let frame = match timeout_at(until, opened.body.frame()).await {
+        mut opened: OpenedAnswer,
+        deadline: Instant,
+    ) -> Result<AttemptAnswer, Failure> {
+        let frame = match timeout_at(deadline, opened.body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
-                opened.flight.finish(AttemptOutcome::Failed);
+                opened.in_flight.finish(AttemptOutcome::Failed);
                 return Err(Failure::new(FailureKind::Lost, error.to_string()));
             }
             Ok(None) => {
-                opened.flight.finish(AttemptOutcome::Failed);
+                opened.in_flight.finish(AttemptOutcome::Failed);
                 return Err(Failure::new(
                     FailureKind::Lost,
                     "the stream ended before an event",
                 ));
             }
             Err(_) => {
-                opened.flight.finish(AttemptOutcome::Failed);
+                opened.in_flight.finish(AttemptOutcome::Failed);
                 return Err(Failure::new(FailureKind::Timeout, "no first event"));
             }
         };
         opened
-            .flight
-            .has_read(placement, self.call.head.prompt.as_ref());
+            .in_flight
+            .record_prompt_read(placement, self.call.head.prompt.as_ref());
         shared
             .metrics
             .attempts
             .with_label_values(&["answered"])
             .inc();
         let first = frame.into_data().ok();
-        Ok(Attempted::Stream(first, Box::new(opened)))
+        Ok(AttemptAnswer::Stream(first, Box::new(opened)))
     }
 }
 
 /// Keeps a connection whose answer was read to its end, unless the endpoint closes it.
-pub(crate) fn keep_connection(
+pub(crate) fn return_connection(
     shared: &Shared,
     placement: &Placement,
     parts: &http::response::Parts,
     mut connection: wisteriahitch_wire::connection_pool::Connection,
 ) {
-    let answer = shared.borders.calls.answer(parts);
+    let answer = shared.borders.calls.decode_answer(parts);
     if answer.is_closing {
         return;
     }
-    if let Some(keep) = answer.keep {
-        connection.set_keep(keep);
+    if let Some(keep_alive) = answer.keep_alive {
+        connection.set_keep(keep_alive);
     }
     shared.pool.put(&placement.endpoint, connection);
 }
--- a/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
+++ b/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
@@ -24,17 +24,17 @@
 pub(super) const BLOCKED_PATH: &str = "/v1/blocked-requests";
 
 /// Pause after a call of the store failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Steps that wait for the store. While it is away there is one for each request that is blocked meanwhile; what
 /// is left out is known to the daemons all the same.
-const MAX_STEPS: usize = 256;
+const MAX_PENDING_CHANGES: usize = 256;
 
 const ROLE: ObjectRole = ObjectRole::BlockedRequests;
 
 /// A change that is to be written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum StoreStep {
+enum StoreChange {
     Write(RequestFingerprint),
     Remove(RequestFingerprint),
 }
@@ -42,20 +42,20 @@
 /// What is to be written, and who waits for requests to be blocked.
 #[derive(Debug, Default)]
 pub(crate) struct BlockedRequests {
-    steps: Mutex<VecDeque<StoreStep>>,
-    has_steps: Notify,
+    pending_changes: Mutex<VecDeque<StoreChange>>,
+    has_pending_changes: Notify,
     /// Wakes the calls that are under way when a request is blocked.
-    changed: Notify,
+    request_blocked: Notify,
 }
 
 impl BlockedRequests {
-    fn add(&self, step: StoreStep) {
-        let mut steps = self.steps.lock();
-        if steps.len() < MAX_STEPS {
-            steps.push_back(step);
+    fn add(&self, change: StoreChange) {
+        let mut pending_changes = self.pending_changes.lock();
+        if pending_changes.len() < MAX_PENDING_CHANGES {
+            pending_changes.push_back(change);
         }
-        drop(steps);
-        self.has_steps.notify_one();
+        drop(pending_changes);
+        self.has_pending_changes.notify_one();
     }
 }
 
@@ -63,13 +63,13 @@
     /// Waits until a request is blocked.
     ///
     /// Copies of it wait in the queues of endpoints when it is; each would end one more endpoint once it begins.
-    pub(crate) async fn request_blocked(&self, request: RequestFingerprint) {
+    pub(crate) async fn wait_until_blocked(&self, request: RequestFingerprint) {
         loop {
-            let changed = self.blocked_requests.changed.notified();
+            let request_blocked = self.blocked_requests.request_blocked.notified();
             if self.suspects.lock().is_blocked(request) {
                 return;
             }
-            changed.await;
+            request_blocked.await;
         }
     }
 }
@@ -123,49 +123,53 @@
 
 /// Follows a request being blocked: calls under way end, the others hear of it at once, and who saw a crash writes it
 /// down.
-pub(super) fn note_blocked(shared: &Shared, request: RequestFingerprint, source: BlockSource) {
+pub(super) fn record_blocked(shared: &Shared, request: RequestFingerprint, source: BlockSource) {
     shared.log.write(&Event::RequestBlocked {
         fingerprint: request.to_string(),
         source: source.label(),
     });
-    shared.blocked_requests.changed.notify_waiters();
+    shared.blocked_requests.request_blocked.notify_waiters();
     shared.peers.hurry.notify_one();
     if source == BlockSource::Own {
-        shared.blocked_requests.add(StoreStep::Write(request));
+        shared.blocked_requests.add(StoreChange::Write(request));
     }
-    count(shared);
+    update_gauge(shared);
 }
 
 /// Follows a request being sent again. Who ended the block takes it out of the store.
-pub(super) fn note_unblocked(shared: &Shared, request: RequestFingerprint, reason: UnblockReason) {
+pub(super) fn record_unblocked(
+    shared: &Shared,
+    request: RequestFingerprint,
+    reason: UnblockReason,
+) {
     shared.log.write(&Event::RequestUnblocked {
         fingerprint: request.to_string(),
         reason: reason.label(),
     });
     if reason != UnblockReason::Peer {
-        shared.blocked_requests.add(StoreStep::Remove(request));
+        shared.blocked_requests.add(StoreChange::Remove(request));
     }
-    count(shared);
+    update_gauge(shared);
 }
 
-fn count(shared: &Shared) {
+fn update_gauge(shared: &Shared) {
     let count = shared.suspects.lock().blocked_count();
     let gauge = &shared.metrics.blocked_requests;
     gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
 }
 
 /// Ends blocks of requests that haven't come for long.
-pub(super) fn tick(shared: &Shared) {
+pub(super) fn expire_blocks(shared: &Shared) {
     let now = shared.now();
-    let over = shared.suspects.lock().tick(now);
-    for request in over {
+    let expired = shared.suspects.lock().tick(now);
+    for request in expired {
         // All daemons end it at about the same time, and one of them takes it out of the store.
         let is_first = shared.peers.place_in_turn(ROLE, shared.settings.ip, now) == 0;
         let reason = match is_first {
             true => UnblockReason::Absent,
             false => UnblockReason::Peer,
         };
-        note_unblocked(shared, request, reason);
+        record_unblocked(shared, request, reason);
     }
 }
 
@@ -173,17 +177,17 @@
 pub(crate) async fn run_blocked_requests(shared: Arc<Shared>) {
     restore(&shared).await;
     loop {
-        let step = shared.blocked_requests.steps.lock().pop_front();
-        let Some(step) = step else {
-            shared.blocked_requests.has_steps.notified().await;
+        let change = shared.blocked_requests.pending_changes.lock().pop_front();
+        let Some(change) = change else {
+            shared.blocked_requests.has_pending_changes.notified().await;
             continue;
         };
-        while let Err(error) = carry_out(&shared, step).await {
+        while let Err(error) = apply_change(&shared, change).await {
             shared.log.write(&Event::Failure {
                 what: "writing down a blocked request",
                 detail: error.to_string(),
             });
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(STORE_RETRY_INTERVAL).await;
         }
     }
 }
@@ -197,20 +201,20 @@
                 detail: error.to_string(),
             }),
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(STORE_RETRY_INTERVAL).await;
     };
     note_skipped(shared, ROLE, &listing.skipped);
     for object in listing.objects {
-        let Some(request) = named(shared, &object) else {
+        let Some(request) = parse_name(shared, &object) else {
             continue;
         };
         if shared.suspects.lock().restored(request, shared.now()) {
-            note_blocked(shared, request, BlockSource::Store);
+            record_blocked(shared, request, BlockSource::Store);
         }
     }
 }
 
-fn named(shared: &Shared, object: &StoredObject) -> Option<RequestFingerprint> {
+fn parse_name(shared: &Shared, object: &StoredObject) -> Option<RequestFingerprint> {
     match object.name.parse() {
         Ok(request) => Some(request),
         Err(error) => {
@@ -221,10 +225,10 @@
     }
 }
 
-async fn carry_out(shared: &Shared, step: StoreStep) -> Result<(), PlatformError> {
-    match step {
-        StoreStep::Write(request) => write(shared, request).await,
-        StoreStep::Remove(request) => remove(shared, request).await,
+async fn apply_change(shared: &Shared, change: StoreChange) -> Result<(), PlatformError> {
+    match change {
+        StoreChange::Write(request) => write(shared, request).await,
+        StoreChange::Remove(request) => remove(shared, request).await,
     }
 }
 
@@ -257,8 +261,8 @@
 /// Shows the blocked requests, and for how long each hasn't come.
 pub(super) fn blocked_list(shared: &Shared) -> Vec<Value> {
     let blocked = shared.suspects.lock().blocked(shared.now());
-    let show = |(request, absent_us): (RequestFingerprint, DurationUs)| json!({"fingerprint": request.to_string(), "absent_ms": absent_us.as_ms()});
-    blocked.into_iter().map(show).collect()
+    let to_json = |(request, absent_us): (RequestFingerprint, DurationUs)| json!({"fingerprint": request.to_string(), "absent_ms": absent_us.as_ms()});
+    blocked.into_iter().map(to_json).collect()
 }
 
 /// Carries out an operator's order to send a request again; nothing where the path names no blocked one.
@@ -269,7 +273,7 @@
     if !was_blocked {
         return None;
     }
-    note_unblocked(shared, request, UnblockReason::Lifted);
+    record_unblocked(shared, request, UnblockReason::Lifted);
     shared.peers.hurry.notify_one();
     Some(Bytes::new())
 }
--- a/crates/wisteriahitch-relay/src/shell/budgets.rs
+++ b/crates/wisteriahitch-relay/src/shell/budgets.rs
@@ -12,13 +12,13 @@
 ///
 /// Each daemon earns retries from its own requests and may save up its part of the common slack.
 /// Without a common bound, a fault of all endpoints would be multiplied by every daemon's retries.
-pub(crate) struct Budgets {
+pub(crate) struct RetryBudgets {
     settings: RetrySettings,
     by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
     max_saved: Mutex<f64>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Starts with empty budgets.
     pub(crate) fn new(settings: RetrySettings) -> Self {
         Self {
@@ -29,7 +29,7 @@
     }
 
     /// Divides the common slack among so many daemons.
-    pub(crate) fn set_daemons(&self, daemons: usize) {
+    pub(crate) fn set_daemon_count(&self, daemons: usize) {
         let max_saved = self.settings.slack / daemons.max(1) as f64;
         *self.max_saved.lock() = max_saved;
         for budget in self.by_service.lock().values_mut() {
@@ -38,21 +38,25 @@
     }
 
     /// Counts a caller's request.
-    pub(crate) fn request(&self, service: &ServiceName) {
-        self.with(service, RetryBudget::request);
+    pub(crate) fn record_request(&self, service: &ServiceName) {
+        self.with_budget(service, RetryBudget::request);
     }
 
     /// Takes one retry, if there is one left.
     pub(crate) fn try_take(&self, service: &ServiceName) -> bool {
-        self.with(service, RetryBudget::try_take)
+        self.with_budget(service, RetryBudget::try_take)
     }
 
     /// Returns how many retries are left.
-    pub(crate) fn left(&self, service: &ServiceName) -> f64 {
-        self.with(service, |budget| budget.left())
+    pub(crate) fn remaining(&self, service: &ServiceName) -> f64 {
+        self.with_budget(service, |budget| budget.left())
     }
 
-    fn with<T>(&self, service: &ServiceName, change: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with_budget<T>(
+        &self,
+        service: &ServiceName,
+        change: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
         let max_saved = *self.max_saved.lock();
         let mut budgets = self.by_service.lock();
         if let Some(budget) = budgets.get_mut(service) {
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -12,7 +12,7 @@
 use wisteriahitch_types::EndpointInstance;
 
 use super::attempt::Call;
-use super::blocked_requests::{BlockSource, UnblockReason, note_blocked, note_unblocked};
+use super::blocked_requests::{BlockSource, UnblockReason, record_blocked, record_unblocked};
 use super::shared::Shared;
 use crate::decide::crash_evidence::{BreakMeaning, ConnectFailure};
 use crate::decide::endpoint_row::EndpointLife;
@@ -25,36 +25,36 @@
 
 /// Longest wait for an endpoint to accept or refuse a connection. Either takes a round trip; what takes longer is a
 /// link that was cut, and proves nothing.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(400);
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time within which a process that is ending closes a connection that it has just accepted. Processes hold some
 /// thousand descriptors, which the system closes in some milliseconds.
-const CLOSES_WITHIN: Duration = Duration::from_millis(100);
+const PROBE_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Pause before another connection is tried at a process that closes each.
-const LOOK_PAUSE: Duration = Duration::from_millis(25);
+const PROBE_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Connections that are tried there: a tenth of a second, within which a process has ended.
-const MAX_LOOKS: u32 = 5;
+const MAX_PROBES: u32 = 5;
 
 /// Says what proved that an endpoint's process has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Proof {
+pub(super) enum EvidenceKind {
     /// Nothing listens at its address right after its connections broke.
     Refused,
     /// Its next start has registered, or another endpoint at its address.
     Replaced,
     /// Another daemon says so.
-    Told,
+    Reported,
 }
 
-impl Proof {
+impl EvidenceKind {
     /// Returns the word for the log.
     const fn label(self) -> &'static str {
         match self {
-            Proof::Refused => "refused",
-            Proof::Replaced => "replaced",
-            Proof::Told => "told",
+            EvidenceKind::Refused => "refused",
+            EvidenceKind::Replaced => "replaced",
+            EvidenceKind::Reported => "told",
         }
     }
 }
@@ -62,7 +62,7 @@
 /// Notes that the connection of a call broke, and looks whether its endpoint is still there.
 ///
 /// An endpoint that has announced its leaving, or whose registration is gone, ends as planned.
-pub(super) fn note_broken(shared: &Arc<Shared>, call: &Call, placement: &Placement) {
+pub(super) fn record_broken_connection(shared: &Arc<Shared>, call: &Call, placement: &Placement) {
     let is_leaving = {
         let endpoints = shared.endpoints.lock();
         let row = endpoints.get(&placement.endpoint);
@@ -71,19 +71,19 @@
     if is_leaving {
         return;
     }
-    let life = life_name(&placement.endpoint);
+    let instance_name = life_name(&placement.endpoint);
     let meaning = {
         let mut evidence = shared.crash_evidence.lock();
-        evidence.broke(life, call.fingerprint, shared.now())
+        evidence.broke(instance_name, call.fingerprint, shared.now())
     };
     match meaning {
-        BreakMeaning::Crashed => record_crash_suspects(shared, &[call.fingerprint], life),
+        BreakMeaning::Crashed => record_crash_suspects(shared, &[call.fingerprint], instance_name),
         BreakMeaning::Look(after_us) => {
             let (endpoint, address) = (placement.endpoint.clone(), placement.address);
-            let looking = look(Arc::clone(shared), endpoint, address);
+            let probe = probe_endpoint(Arc::clone(shared), endpoint, address);
             tokio::spawn(async move {
                 tokio::time::sleep(after_us.into()).await;
-                looking.await;
+                probe.await;
             });
         }
         BreakMeaning::Unknown => {}
@@ -95,66 +95,72 @@
 /// A process that ends closes its connections and its listener one after the other. Taken for alive by who looks in
 /// between, it would be known to have crashed only when it is back, and the request would end another one
 /// meanwhile; one would notice by `replaced` as the proof of every crash.
-async fn look(shared: Arc<Shared>, endpoint: EndpointInstance, address: SocketAddr) {
-    let life = life_name(&endpoint);
-    for _ in 0..MAX_LOOKS {
-        if shared.crash_evidence.lock().has_crashed(life) {
+async fn probe_endpoint(shared: Arc<Shared>, probed: EndpointInstance, address: SocketAddr) {
+    let instance_name = life_name(&probed);
+    for _ in 0..MAX_PROBES {
+        if shared.crash_evidence.lock().has_crashed(instance_name) {
             return;
         }
-        let looked_at = shared.now();
-        let Ok(opened) = timeout(LOOK_TIMEOUT, TcpStream::connect(address)).await else {
+        let probe_started_at_us = shared.now();
+        let Ok(opened) = timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             return;
         };
         match opened.map_err(|error| ConnectFailure::of(error.kind())) {
             Ok(connection) => {
                 if !closes_soon(connection).await {
                     let mut evidence = shared.crash_evidence.lock();
-                    return evidence.found_alive(life, looked_at);
+                    return evidence.found_alive(instance_name, probe_started_at_us);
                 }
             }
-            Err(ConnectFailure::Gone) => return note_crash(&shared, &endpoint, Proof::Refused),
+            Err(ConnectFailure::Gone) => return on_crash(&shared, &probed, EvidenceKind::Refused),
             Err(ConnectFailure::Ending) => {}
             Err(ConnectFailure::Unknown) => return,
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
 /// Returns whether an endpoint closes a connection on which nothing was sent.
 async fn closes_soon(mut connection: TcpStream) -> bool {
     let mut byte = [0; 1];
-    let closed = timeout(CLOSES_WITHIN, connection.read(&mut byte)).await;
+    let closed = timeout(PROBE_CLOSE_TIMEOUT, connection.read(&mut byte)).await;
     matches!(closed, Ok(Ok(0) | Err(_)))
 }
 
 /// Notes that an endpoint's process has ended without a word.
-pub(super) fn note_crash(shared: &Shared, endpoint: &EndpointInstance, proof: Proof) {
-    note_crash_of(shared, life_name(endpoint), &endpoint.to_string(), proof);
+pub(super) fn on_crash(shared: &Shared, endpoint: &EndpointInstance, evidence: EvidenceKind) {
+    on_named_crash(shared, life_name(endpoint), &endpoint.to_string(), evidence);
 }
 
 /// Holds a crash against all calls of this daemon that were on board.
-fn note_crash_of(shared: &Shared, life: u32, endpoint: &str, proof: Proof) {
-    let on_board = shared.crash_evidence.lock().crashed(life, shared.now());
-    let Some(on_board) = on_board.filter(|calls| !calls.is_empty()) else {
+fn on_named_crash(shared: &Shared, instance_name: u32, endpoint: &str, evidence: EvidenceKind) {
+    let calls_in_flight = shared
+        .crash_evidence
+        .lock()
+        .crashed(instance_name, shared.now());
+    let Some(calls_in_flight) = calls_in_flight.filter(|calls| !calls.is_empty()) else {
         return;
     };
     let crashes = &shared.metrics.endpoint_crashes;
-    crashes.with_label_values(&[proof.label()]).inc();
+    crashes.with_label_values(&[evidence.label()]).inc();
     shared.log.write(&Event::EndpointCrashed {
         endpoint: endpoint.to_owned(),
-        proof: proof.label(),
-        calls: on_board.len(),
+        proof: evidence.label(),
+        calls: calls_in_flight.len(),
     });
-    record_crash_suspects(shared, &on_board, life);
+    record_crash_suspects(shared, &calls_in_flight, instance_name);
 }
 
 /// Holds a crash that this daemon saw against requests, and tells the others at once.
-fn record_crash_suspects(shared: &Shared, requests: &[RequestFingerprint], life: u32) {
+fn record_crash_suspects(shared: &Shared, requests: &[RequestFingerprint], instance_name: u32) {
     let now = shared.now();
     for request in requests {
-        let verdict = shared.suspects.lock().crashed(*request, life, true, now);
+        let verdict = shared
+            .suspects
+            .lock()
+            .crashed(*request, instance_name, true, now);
         if let CrashVerdict::Blocked { .. } = verdict {
-            note_blocked(shared, *request, BlockSource::Own);
+            record_blocked(shared, *request, BlockSource::Own);
         }
     }
     shared.peers.hurry.notify_one();
@@ -163,21 +169,21 @@
 /// Takes over what another daemon tells of requests under which endpoints crash.
 ///
 /// That an endpoint has crashed says the same of this daemon's calls that broke there.
-pub(super) fn apply_request_update(shared: &Shared, news: &RequestUpdate) {
-    for crash in &news.crashes {
+pub(super) fn apply_request_update(shared: &Shared, update: &RequestUpdate) {
+    for crash in &update.crashes {
         let endpoint = format!("{:08x}", crash.endpoint);
-        note_crash_of(shared, crash.endpoint, &endpoint, Proof::Told);
+        on_named_crash(shared, crash.endpoint, &endpoint, EvidenceKind::Reported);
     }
-    let changes = shared.suspects.lock().told(news, shared.now());
+    let changes = shared.suspects.lock().told(update, shared.now());
     for (request, is_own) in changes.blocked {
         let source = match is_own {
             true => BlockSource::Own,
             false => BlockSource::Peer,
         };
-        note_blocked(shared, request, source);
+        record_blocked(shared, request, source);
     }
     for request in changes.unblocked {
-        note_unblocked(shared, request, UnblockReason::Peer);
+        record_unblocked(shared, request, UnblockReason::Peer);
     }
 }
 
@@ -186,7 +192,7 @@
 /// One without a length ends with its connection, as it does with its process: the request that ends endpoints would
 /// seem to be answered by each, and be cleared each time. So it says nothing for the request, and its end is looked at
 /// like a connection that broke.
-pub(super) fn note_answer_end(
+pub(super) fn record_answer_end(
     shared: &Arc<Shared>,
     call: &Call,
     placement: &Placement,
@@ -195,14 +201,14 @@
     let is_delimited =
         headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
     match is_delimited {
-        true => note_answered(shared, call.fingerprint),
-        false => note_broken(shared, call, placement),
+        true => record_answered(shared, call.fingerprint),
+        false => record_broken_connection(shared, call, placement),
     }
 }
 
-fn note_answered(shared: &Shared, request: RequestFingerprint) {
+fn record_answered(shared: &Shared, request: RequestFingerprint) {
     let was_blocked = shared.suspects.lock().answered(request, shared.now());
     if was_blocked {
-        note_unblocked(shared, request, UnblockReason::Answered);
+        record_unblocked(shared, request, UnblockReason::Answered);
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -18,10 +18,10 @@
 
 pub use super::shared::Borders;
 
-use super::blocked_requests::{BlockedRequests, blocked_list, run_blocked_requests, tick};
-use super::budgets::Budgets;
+use super::blocked_requests::{BlockedRequests, blocked_list, expire_blocks, run_blocked_requests};
+use super::budgets::RetryBudgets;
 use super::drain::Drain;
-use super::durations::Durations;
+use super::durations::CallDurations;
 use super::engine_memory_watch::{run_engine_memory_watch, take_over};
 use super::entries::EntrySide;
 use super::lease::lease_table;
@@ -30,7 +30,7 @@
 use super::peer_server::PeerSide;
 use super::peer_state::PeerState;
 use super::peers::run_gossip;
-use super::pipeline::CallerSide;
+use super::pipeline::CallerHandler;
 use super::registration::run_registration;
 use super::server::{bind, serve};
 use super::shared::Shared;
@@ -113,15 +113,15 @@
             blocked_requests: BlockedRequests::default(),
             peers: PeerState::default(),
             pool: ConnectionPool::default(),
-            life_ended: Notify::new(),
+            instance_ended: Notify::new(),
             followed_engines: Mutex::default(),
-            budgets: Budgets::new(settings.retry.clone()),
-            durations: Durations::default(),
+            budgets: RetryBudgets::new(settings.retry.clone()),
+            durations: CallDurations::default(),
             watches: WatchStates::default(),
             leases: Mutex::new(lease_table(&settings, incarnation)),
             rollout: Mutex::new(Rollout::new(pace_options(&settings, &bounds))),
             drain: Drain::default(),
-            body_bytes: AtomicUsize::new(0),
+            reserved_body_bytes: AtomicUsize::new(0),
             log,
             metrics,
             regions: RegionMap::new(settings.regions.clone()),
@@ -179,7 +179,7 @@
     let socket = UdpSocket::bind(peer_address).await;
     let socket = socket.with_context(|| format!("peers can't be heard on {peer_address}"))?;
     tokio::spawn(run_gossip(Arc::clone(shared), socket));
-    let callers = Arc::new(CallerSide {
+    let callers = Arc::new(CallerHandler {
         shared: Arc::clone(shared),
     });
     let entries = Arc::new(EntrySide {
@@ -226,7 +226,7 @@
     shared.peers.hurry.notify_one();
     let in_flight = shared.drain.in_flight();
     shared.log.write(&Event::DrainStarted { in_flight });
-    shared.drain.finished(&shared.settings).await;
+    shared.drain.wait_until_finished(&shared.settings).await;
     shared.log.write(&Event::Stopped {
         in_flight: shared.drain.in_flight(),
         waited_ms: u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
@@ -240,9 +240,9 @@
     loop {
         tokio::time::sleep(HOUSEKEEPING).await;
         let changes = shared.endpoints.lock().tick(shared.now());
-        shared.note_changes(changes, 0);
+        shared.record_endpoint_changes(changes, 0);
         shared.pool.sweep();
-        tick(&shared);
+        expire_blocks(&shared);
         let is_ready = shared.phase() == MemberPhase::Ready;
         if is_ready != was_ready {
             was_ready = is_ready;
--- a/crates/wisteriahitch-relay/src/shell/drain.rs
+++ b/crates/wisteriahitch-relay/src/shell/drain.rs
@@ -11,25 +11,25 @@
 use crate::settings::RelaySettings;
 
 /// What is left of the grace when the process ends whatever is under way.
-const LAST_MOMENT: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// Callers keep a list of entries for up to so many times its validity.
-const LIST_LIVES: u32 = 3;
+const ENTRY_LIST_TTLS: u32 = 3;
 
 /// Time for a request that is on its way when the last list naming this daemon runs out.
-const LATE_REQUEST: Duration = Duration::from_millis(300);
+const LATE_REQUEST_ALLOWANCE: Duration = Duration::from_millis(300);
 
 /// Time that a stream takes at most, but for a few: long prompts under full load.
-const STREAM_TIME: Duration = Duration::from_millis(3_900);
+const MAX_STREAM_TIME: Duration = Duration::from_millis(3_900);
 
 /// Time that a plain call takes at most, but for a few.
-const CALL_TIME: Duration = Duration::from_millis(1_000);
+const MAX_CALL_TIME: Duration = Duration::from_millis(1_000);
 
 /// Counts calls and tells when the process may end.
 #[derive(Debug, Default)]
 pub(crate) struct Drain {
     /// When it began.
-    begun: OnceLock<Instant>,
+    started_at: OnceLock<Instant>,
     in_flight: AtomicUsize,
     idle: Notify,
     /// Cancelled when the process leaves.
@@ -39,7 +39,7 @@
 impl Drain {
     /// Returns whether the process is leaving.
     pub(crate) fn is_draining(&self) -> bool {
-        self.begun.get().is_some()
+        self.started_at.get().is_some()
     }
 
     /// Returns whether a new call can still be finished before the process is killed.
@@ -47,21 +47,25 @@
     /// Callers come for a while with lists from before. One whose answer would be cut off by the
     /// end is better told at once that it hasn't run.
     pub(crate) fn accepts(&self, settings: &RelaySettings, is_stream: bool) -> bool {
-        let Some(begun) = self.begun.get() else {
+        let Some(started_at) = self.started_at.get() else {
             return true;
         };
-        let needed = if is_stream { STREAM_TIME } else { CALL_TIME };
+        let needed = if is_stream {
+            MAX_STREAM_TIME
+        } else {
+            MAX_CALL_TIME
+        };
         let grace = Duration::from_secs_f64(settings.drain.grace_s);
-        begun.elapsed() + needed + LAST_MOMENT < grace
+        started_at.elapsed() + needed + EXIT_MARGIN < grace
     }
 
     /// Counts a call.
-    pub(crate) fn enter(&self) {
+    pub(crate) fn record_call_start(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Notes that a call has ended.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn record_call_end(&self) {
         if self.in_flight.fetch_sub(1, Ordering::Relaxed) == 1 {
             self.idle.notify_waiters();
         }
@@ -74,7 +78,7 @@
 
     /// Begins to leave: callers are told of other daemons, and those that come are still served.
     pub(crate) fn start(&self) {
-        self.begun.get_or_init(Instant::now);
+        self.started_at.get_or_init(Instant::now);
         self.started.cancel();
     }
 
@@ -82,15 +86,16 @@
     ///
     /// Callers go on using a list that they were given before. If the process ended with its last
     /// request, they would meet a closed port for seconds.
-    pub(crate) async fn finished(&self, settings: &RelaySettings) {
-        let begun = *self.begun.get_or_init(Instant::now);
+    pub(crate) async fn wait_until_finished(&self, settings: &RelaySettings) {
+        let started_at = *self.started_at.get_or_init(Instant::now);
         let grace = Duration::from_secs_f64(settings.drain.grace_s);
-        let end = begun + grace.saturating_sub(LAST_MOMENT);
-        let lists_over = begun + settings.entry_ttl() * LIST_LIVES + LATE_REQUEST;
-        tokio::time::sleep_until(lists_over.min(end)).await;
+        let latest_exit = started_at + grace.saturating_sub(EXIT_MARGIN);
+        let lists_expired_at =
+            started_at + settings.entry_ttl() * ENTRY_LIST_TTLS + LATE_REQUEST_ALLOWANCE;
+        tokio::time::sleep_until(lists_expired_at.min(latest_exit)).await;
         while self.in_flight() > 0 {
             let idle = self.idle.notified();
-            if tokio::time::timeout_at(end, idle).await.is_err() {
+            if tokio::time::timeout_at(latest_exit, idle).await.is_err() {
                 return;
             }
         }
--- a/crates/wisteriahitch-relay/src/shell/durations.rs
+++ b/crates/wisteriahitch-relay/src/shell/durations.rs
@@ -7,14 +7,14 @@
 use wisteriahitch_types::{DurationUs, ServiceName};
 
 /// What a call is taken to last until one has ended: a short answer of an engine that isn't full.
-const FIRST_GUESS_US: f64 = 800_000.0;
+const INITIAL_ESTIMATE_US: f64 = 800_000.0;
 
 /// Weight of the newest call in the moving mean.
-const NEWEST_WEIGHT: f64 = 0.05;
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.05;
 
 /// Moving means by service, from the sending of a call to its end.
 #[derive(Debug, Default)]
-pub(crate) struct Durations(Mutex<HashMap<ServiceName, Means>>);
+pub(crate) struct CallDurations(Mutex<HashMap<ServiceName, Means>>);
 
 #[derive(Clone, Copy, Debug)]
 struct Means {
@@ -27,30 +27,30 @@
 impl Default for Means {
     fn default() -> Self {
         Self {
-            call_us: FIRST_GUESS_US,
-            token_us: FIRST_GUESS_US,
+            call_us: INITIAL_ESTIMATE_US,
+            token_us: INITIAL_ESTIMATE_US,
             tokens: 1.0,
         }
     }
 }
 
-impl Durations {
+impl CallDurations {
     /// Notes a call that has ended well and kept so many tokens in memory.
-    pub(crate) fn note(&self, service: &ServiceName, taken: Duration, tokens: u64) {
-        let taken_us = taken.as_micros() as f64;
+    pub(crate) fn record(&self, service: &ServiceName, elapsed: Duration, tokens: u64) {
+        let elapsed_us = elapsed.as_micros() as f64;
         let tokens = tokens as f64 + 1.0;
         let mut means = self.0.lock();
         let mean = means.entry(service.clone()).or_default();
-        mean.call_us += (taken_us - mean.call_us) * NEWEST_WEIGHT;
-        mean.tokens += (tokens - mean.tokens) * NEWEST_WEIGHT;
-        let weight = (NEWEST_WEIGHT * tokens / mean.tokens).min(1.0);
-        mean.token_us += (taken_us - mean.token_us) * weight;
+        mean.call_us += (elapsed_us - mean.call_us) * NEWEST_SAMPLE_WEIGHT;
+        mean.tokens += (tokens - mean.tokens) * NEWEST_SAMPLE_WEIGHT;
+        let weight = (NEWEST_SAMPLE_WEIGHT * tokens / mean.tokens).min(1.0);
+        mean.token_us += (elapsed_us - mean.token_us) * weight;
     }
 
     /// Returns how long a call keeps a slot, and how long a token stays in memory.
-    pub(crate) fn of(&self, service: &ServiceName) -> (DurationUs, DurationUs) {
+    pub(crate) fn estimate(&self, service: &ServiceName) -> (DurationUs, DurationUs) {
         let mean = self.0.lock().get(service).copied().unwrap_or_default();
-        let span = |us: f64| DurationUs::from_secs_f64(us / 1_000_000.0);
-        (span(mean.call_us), span(mean.token_us))
+        let from_us = |us: f64| DurationUs::from_secs_f64(us / 1_000_000.0);
+        (from_us(mean.call_us), from_us(mean.token_us))
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/entries.rs
+++ b/crates/wisteriahitch-relay/src/shell/entries.rs
@@ -12,7 +12,7 @@
 use wisteriahitch_types::Region;
 
 use super::answer_body::AnswerBody;
-use super::server::{Answers, ConnectionLimits};
+use super::server::{ConnectionLimits, RequestHandler};
 use super::shared::Shared;
 use crate::decide::gossip_message::MemberPhase;
 use crate::decide::members::Entry;
@@ -30,8 +30,8 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for EntrySide {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+impl RequestHandler for EntrySide {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let shared = &self.shared;
         let calls = &shared.borders.calls;
         let path = request.uri().path();
@@ -44,12 +44,12 @@
                     .query()
                     .and_then(|query| calls.caller_region(query));
                 let entries = entries(shared, region.as_ref());
-                calls.entries(&entries, shared.settings.entry_ttl())
+                calls.encode_entries(&entries, shared.settings.entry_ttl())
             }
         } else {
             status(StatusCode::NOT_FOUND)
         };
-        response.map(AnswerBody::whole)
+        response.map(AnswerBody::full)
     }
 
     fn limits(&self) -> ConnectionLimits {
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -20,14 +20,14 @@
     shared: Arc<Shared>,
     endpoint: EndpointInstance,
     load: Load,
-    began: Instant,
+    started_at: Instant,
 }
 
 /// Says how an attempt ended, as far as its endpoint's good name is concerned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AttemptOutcome {
     /// It answered.
-    Good,
+    Succeeded,
     /// It failed.
     Failed,
     /// It can't be reached.
@@ -59,13 +59,17 @@
             shared: Arc::clone(shared),
             endpoint: placement.endpoint.clone(),
             load,
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     /// Notes the first event: the prompt has been read, and its parts are kept now.
-    pub(crate) fn has_read(&mut self, placement: &Placement, prompt: Option<&PromptShape>) {
-        let read = Load {
+    pub(crate) fn record_prompt_read(
+        &mut self,
+        placement: &Placement,
+        prompt: Option<&PromptShape>,
+    ) {
+        let prompt_load = Load {
             unread_tokens: std::mem::take(&mut self.load.unread_tokens),
             ..Load::default()
         };
@@ -74,8 +78,8 @@
         let Some(row) = endpoints.get_mut(&self.endpoint) else {
             return;
         };
-        row.own.sub(read);
-        note_fetch(&mut endpoints, placement, self.began.elapsed(), now);
+        row.own.sub(prompt_load);
+        record_fetch(&mut endpoints, placement, self.started_at.elapsed(), now);
         let Some(row) = endpoints.get_mut(&self.endpoint) else {
             return;
         };
@@ -86,7 +90,7 @@
         if row.weights(&prompt.model) != placement.weights {
             return;
         }
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         let keys = part_keys(scope, prompt);
         let last = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.into_iter().enumerate() {
@@ -94,14 +98,14 @@
             if !row.parts.used(key, tokens, now) || index == last {
                 continue;
             }
-            news.push(PartUpdate {
+            updates.push(PartUpdate {
                 endpoint: row.short_name,
                 part: key.0,
                 tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
             });
         }
         drop(endpoints);
-        self.shared.peers.tell_parts(news);
+        self.shared.peers.tell_parts(updates);
     }
 
     /// Notes how the attempt ended.
@@ -113,7 +117,7 @@
             return;
         };
         let is_changed = match outcome {
-            AttemptOutcome::Good => row.outlier.succeeded(&options),
+            AttemptOutcome::Succeeded => row.outlier.succeeded(&options),
             AttemptOutcome::Failed => row.outlier.failed(&options, now),
             AttemptOutcome::Unreachable => {
                 let was_ejected = row.outlier.is_ejected(now);
@@ -129,7 +133,7 @@
         if is_changed {
             self.shared.log.write(&Event::EndpointEjected {
                 endpoint: self.endpoint.to_string(),
-                is_ejected: outcome != AttemptOutcome::Good,
+                is_ejected: outcome != AttemptOutcome::Succeeded,
                 failure_rate,
             });
         }
@@ -138,18 +142,23 @@
 
 /// Notes how long the parts took that a call has fetched: what is left of the time to its first event
 /// after everything else that was expected.
-fn note_fetch(endpoints: &mut EndpointTable, placement: &Placement, took: Duration, now: TimeUs) {
+fn record_fetch(
+    endpoints: &mut EndpointTable,
+    placement: &Placement,
+    elapsed: Duration,
+    now: TimeUs,
+) {
     let Some(fetch) = placement.main_fetch else {
         return;
     };
-    let rest_us = placement.expected_us - fetch.expected_us;
-    let took_us = DurationUs::from(took) - rest_us;
+    let other_us = placement.expected_us - fetch.expected_us;
+    let fetch_us = DurationUs::from(elapsed) - other_us;
     let links = &mut endpoints.links;
     links.fetched(
         fetch.source,
         placement.address,
         fetch.usual_us,
-        took_us,
+        fetch_us,
         now,
     );
 }
--- a/crates/wisteriahitch-relay/src/shell/next_step.rs
+++ b/crates/wisteriahitch-relay/src/shell/next_step.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NextStep {
     /// Another attempt follows.
-    Again,
+    Retry,
     /// The caller no longer waits.
     NoTimeLeft,
     /// No more endpoints are tried to connect to.
@@ -23,7 +23,7 @@
     /// Returns the word for the log.
     pub(crate) const fn label(self) -> &'static str {
         match self {
-            NextStep::Again => "again",
+            NextStep::Retry => "again",
             NextStep::NoTimeLeft => "no_time_left",
             NextStep::TooManyConnects => "too_many_connects",
             NextStep::MayHaveRun => "may_have_run",
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -237,7 +237,9 @@
     let report = match address {
         Some(address) => {
             let engines = &shared.borders.engines;
-            let report = engines.report(&endpoint.id, address, REPORT_TIMEOUT).await;
+            let report = engines
+                .fetch_report(&endpoint.id, address, REPORT_TIMEOUT)
+                .await;
             if let Err(error) = &report {
                 shared.log.write(&Event::Failure {
                     what: "reading an engine's report",
@@ -246,7 +248,9 @@
             }
             // Another life's report counts its own orders. By its numbers an order that was decided
             // for this one could be carried out there, or never.
-            report.ok().filter(|report| report.is_of(endpoint))
+            report
+                .ok()
+                .filter(|report| report.matches_instance(endpoint))
         }
         None => None,
     };
@@ -283,7 +287,7 @@
         leases.handle(LeaseEvent::OrderDone(GROUP), shared.now(), members);
         (again.fence >= grant.fence).then(|| Duration::from(again.timeout_us))
     };
-    let outcome = shared.borders.engines.order(&order, &permit).await;
+    let outcome = shared.borders.engines.send_order(&order, &permit).await;
     let now = shared.now();
     shared
         .leases
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -14,7 +14,7 @@
 use super::answer_body::AnswerBody;
 use super::blocked_requests::{BLOCKED_PATH, blocked_list, lift};
 use super::peer_client::{ENGINES_PATH, OBJECTS_PATH, PARTS_PATH, Takeover};
-use super::server::{Answers, ConnectionLimits};
+use super::server::{ConnectionLimits, RequestHandler};
 use super::shared::Shared;
 use super::watch_state::{WATCHED, kind_name};
 
@@ -23,8 +23,8 @@
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for PeerSide {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+impl RequestHandler for PeerSide {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let path = request.uri().path();
         let body = match *request.method() {
             Method::DELETE => lift(&self.shared, path),
@@ -34,7 +34,7 @@
             Some(_) => StatusCode::OK,
             None => StatusCode::NOT_FOUND,
         };
-        let mut response = Response::new(AnswerBody::whole(body.unwrap_or_default()));
+        let mut response = Response::new(AnswerBody::full(body.unwrap_or_default()));
         *response.status_mut() = status;
         response
     }
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -108,7 +108,7 @@
     *shared.peers.plan.lock() = plan;
     share_permits(shared, now);
     shared.peers.daemons.store(count + 1, Ordering::Relaxed);
-    shared.budgets.set_daemons(count + 1);
+    shared.budgets.set_daemon_count(count + 1);
     // One that follows the store itself soon hears the same from it.
     let patience = if follows {
         shared.bounds.catch_up_delay()
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -12,29 +12,29 @@
 use super::answer_body::AnswerBody;
 use super::attempt::Call;
 use super::request_body::read_body;
-use super::routed::{Attempted, Routed};
-use super::server::{Answers, ConnectionLimits};
+use super::routed::{AttemptAnswer, RoutedCall};
+use super::server::{ConnectionLimits, RequestHandler};
 use super::shared::Shared;
-use super::stream_body::{StreamStart, stream};
+use super::stream_body::{StreamStart, stream_answer};
 use super::trace::CallTrace;
 use crate::border::Refusal;
 use crate::site::{AllowedZones, CallKind, RequestFingerprint, Route, SiteConfig, Workspace};
 
 /// When a caller may come back to a daemon that knows too little yet.
-const NOT_READY_RETRY_US: DurationUs = DurationUs::from_ms(300);
+const NOT_READY_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(300);
 
 /// When a caller may come back to another daemon after this one has nearly left.
-const DRAINING_RETRY_US: DurationUs = DurationUs::from_ms(20);
+const DRAINING_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(20);
 
 /// Answers callers.
-pub(crate) struct CallerSide {
+pub(crate) struct CallerHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for CallerSide {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+impl RequestHandler for CallerHandler {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let shared = &self.shared;
-        let mut response = answer(shared, request).await;
+        let mut response = answer_call(shared, request).await;
         if shared.drain.is_draining() {
             let headers = response.headers_mut();
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
@@ -44,98 +44,99 @@
 
     fn limits(&self) -> ConnectionLimits {
         /// Bounds that hold until a configuration is known.
-        const FIRST: ConnectionLimits = ConnectionLimits {
+        const UNCONFIGURED_LIMITS: ConnectionLimits = ConnectionLimits {
             header_bytes: 16_384,
             idle_timeout: Duration::from_secs(15),
         };
         self.shared
             .site
             .config()
-            .map_or(FIRST, |config| ConnectionLimits {
+            .map_or(UNCONFIGURED_LIMITS, |config| ConnectionLimits {
                 header_bytes: config.limits.header_bytes,
                 idle_timeout: config.limits.idle_timeout,
             })
     }
 }
 
-async fn answer(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer_call(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<AnswerBody> {
     let mut trace = CallTrace::new(shared);
-    match run(shared, request, &mut trace).await {
-        Ok(Answered::Whole(response, status)) => {
-            trace.first_event();
-            trace.answered(status);
+    match process_call(shared, request, &mut trace).await {
+        Ok(CallAnswer::Whole(response, status)) => {
+            trace.record_first_event();
+            trace.record_answered(status);
             response
         }
-        Ok(Answered::Stream(start)) => {
-            trace.first_event();
-            stream(shared, *start, trace)
+        Ok(CallAnswer::Stream(start)) => {
+            trace.record_first_event();
+            stream_answer(shared, *start, trace)
         }
         Err(refusal) => {
-            trace.refused(&refusal);
+            trace.record_refusal(&refusal);
             shared
                 .borders
                 .calls
-                .refusal(&refusal)
-                .map(AnswerBody::whole)
+                .encode_refusal(&refusal)
+                .map(AnswerBody::full)
         }
     }
 }
 
 /// What a call gets.
-enum Answered {
+enum CallAnswer {
     Whole(Response<AnswerBody>, u16),
     Stream(Box<StreamStart>),
 }
 
-async fn run(
+async fn process_call(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
     trace: &mut CallTrace,
-) -> Result<Answered, Refusal> {
+) -> Result<CallAnswer, Refusal> {
     let (parts, body) = request.into_parts();
-    let began = trace.began();
-    let head = shared.borders.calls.call(&parts)?;
-    trace.story().request = head.request_id.to_string();
+    let started_at = trace.started_at();
+    let head = shared.borders.calls.decode_call(&parts)?;
+    trace.log_entry().request = head.request_id.to_string();
     let config = shared.site.config();
-    let config = config.ok_or(Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US))?;
-    trace.story().config_version = config.version.get();
-    trace.story().config_age_ms = shared
+    let config =
+        config.ok_or(Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER_US))?;
+    trace.log_entry().config_version = config.version.get();
+    trace.log_entry().config_age_ms = shared
         .watches
         .age_ms(ObjectRole::Configuration, shared.now());
     let route = config.routes.find(&head.host, parts.uri.path()).cloned();
-    let route = route.ok_or_else(|| unknown(shared, Code::UnknownPath))?;
-    trace.story().route = route.name.to_string();
-    trace.story().kind = route.kind.label();
+    let route = route.ok_or_else(|| unknown_refusal(shared, Code::UnknownPath))?;
+    trace.log_entry().route = route.name.to_string();
+    trace.log_entry().kind = route.kind.label();
     if !shared
         .drain
         .accepts(&shared.settings, route.kind == CallKind::Stream)
     {
-        return Err(Refusal::new(Code::Draining).retry_after(DRAINING_RETRY_US));
+        return Err(Refusal::new(Code::Draining).retry_after(DRAINING_RETRY_AFTER_US));
     }
-    let workspace = workspace_of(shared, &config, &route, head.key.as_deref())?;
+    let workspace = find_workspace(shared, &config, &route, head.key.as_deref())?;
     let deadline_us = head
         .deadline_us
         .unwrap_or(route.timeout_us)
         .min(route.timeout_us);
-    trace.story().deadline_ms = deadline_us.as_ms();
-    let due = began + Duration::from(deadline_us);
-    let body = read_body(shared, body, config.limits.body_bytes, due).await?;
+    trace.log_entry().deadline_ms = deadline_us.as_ms();
+    let deadline = started_at + Duration::from(deadline_us);
+    let body = read_body(shared, body, config.limits.body_bytes, deadline).await?;
     let id = workspace.as_ref().map(|workspace| workspace.id.clone());
     let fingerprint = RequestFingerprint::of(id.as_ref(), parts.uri.path(), &body.bytes);
     check_blocked(shared, fingerprint, trace)?;
     let service = route.target(rand::random()).cloned();
     let service = service.ok_or(Refusal::new(Code::NoEndpoint))?;
-    shared.budgets.request(&service);
-    let workspace_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
-    trace.story().workspace = id.as_ref().map_or(String::new(), ToString::to_string);
-    let priority = workspace_rank.unwrap_or(route.priority);
+    shared.budgets.record_request(&service);
+    let workspace_priority = workspace.as_ref().and_then(|workspace| workspace.priority);
+    trace.log_entry().workspace = id.as_ref().map_or(String::new(), ToString::to_string);
+    let priority = workspace_priority.unwrap_or(route.priority);
     let longest_queue_us = match route.kind {
         CallKind::Stream => config
             .urgency
             .longest_queue(&service, priority, route.target_us),
         _ => DurationUs::MAX,
     };
-    let mut routed = Routed {
+    let mut routed = RoutedCall {
         call: Call {
             fingerprint,
             method: parts.method,
@@ -144,7 +145,7 @@
             body: body.bytes.clone(),
             workspace: id,
             priority,
-            due,
+            deadline,
             may_repeat: route.may_repeat(),
             allowed_zones: allowed_zones(shared, &route, workspace.as_deref()),
             engine: config
@@ -157,14 +158,14 @@
         service,
         workspace,
         longest_queue_us,
-        tried: Vec::new(),
-        sent: 0,
+        tried_endpoints: Vec::new(),
+        sent_attempts: 0,
         _body: body,
     };
-    let answered = routed.run(shared, trace).await?;
+    let answered = routed.run_attempts(shared, trace).await?;
     Ok(match answered {
-        Attempted::Whole(response, status) => Answered::Whole(response, status),
-        Attempted::Stream(first, opened) => Answered::Stream(Box::new(StreamStart {
+        AttemptAnswer::Whole(response, status) => CallAnswer::Whole(response, status),
+        AttemptAnswer::Stream(first, opened) => CallAnswer::Stream(Box::new(StreamStart {
             routed,
             opened: *opened,
             first,
@@ -174,8 +175,8 @@
 
 /// Returns the zones in which a call may run.
 fn allowed_zones(shared: &Shared, route: &Route, workspace: Option<&Workspace>) -> AllowedZones {
-    let of_workspace = workspace.map_or(&[][..], |workspace| &workspace.permitted_regions);
-    AllowedZones::of(&route.permitted_regions, of_workspace, &shared.regions)
+    let workspace_regions = workspace.map_or(&[][..], |workspace| &workspace.permitted_regions);
+    AllowedZones::of(&route.permitted_regions, workspace_regions, &shared.regions)
 }
 
 /// Refuses a request under which endpoints crash, before anything is spent on it.
@@ -190,7 +191,7 @@
     if !shared.suspects.lock().came(fingerprint, shared.now()) {
         return Ok(());
     }
-    trace.story().fingerprint = Some(fingerprint.to_string());
+    trace.log_entry().fingerprint = Some(fingerprint.to_string());
     Err(Refusal::new(Code::RequestBlocked))
 }
 
@@ -198,27 +199,27 @@
 ///
 /// A newer configuration may name the route or the key where nobody has confirmed for a while that there is
 /// none. A caller that is told "unknown" doesn't come back; so it is asked to.
-fn unknown(shared: &Shared, code: Code) -> Refusal {
+fn unknown_refusal(shared: &Shared, code: Code) -> Refusal {
     let limits = shared.bounds.staleness(ObjectRole::Configuration);
     match shared.watches.is_final(&limits, shared.now()) {
         true => Refusal::new(code),
-        false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US),
+        false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER_US),
     }
 }
 
 /// Finds whose call it is; the key alone decides, whatever else the caller says of itself.
-fn workspace_of(
+fn find_workspace(
     shared: &Shared,
     config: &SiteConfig,
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
-    let Some(by_key) = &config.workspaces_by_key else {
+    let Some(workspaces) = &config.workspaces_by_key else {
         return Ok(None);
     };
-    match key.and_then(|key| by_key.get(key)) {
+    match key.and_then(|key| workspaces.get(key)) {
         Some(workspace) => Ok(Some(Arc::clone(workspace))),
         None if route.is_public => Ok(None),
-        None => Err(unknown(shared, Code::UnknownKey)),
+        None => Err(unknown_refusal(shared, Code::UnknownKey)),
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/request_body.rs
+++ b/crates/wisteriahitch-relay/src/shell/request_body.rs
@@ -13,20 +13,20 @@
 use crate::border::Refusal;
 
 /// When a caller may come back to a daemon that holds as many bodies as it may.
-const FULL_RETRY_US: DurationUs = DurationUs::from_ms(300);
+const BODIES_FULL_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(300);
 
 /// A request's body, counted as held until it is dropped.
-pub(super) struct HeldBody {
+pub(super) struct BufferedBody {
     shared: Arc<Shared>,
     pub(super) bytes: Bytes,
-    held: usize,
+    reserved_bytes: usize,
 }
 
-impl Drop for HeldBody {
+impl Drop for BufferedBody {
     fn drop(&mut self) {
         self.shared
-            .body_bytes
-            .fetch_sub(self.held, Ordering::Relaxed);
+            .reserved_body_bytes
+            .fetch_sub(self.reserved_bytes, Ordering::Relaxed);
     }
 }
 
@@ -35,38 +35,38 @@
     shared: &Arc<Shared>,
     mut body: Incoming,
     limit: usize,
-    due: Instant,
-) -> Result<HeldBody, Refusal> {
-    let mut held = HeldBody {
+    deadline: Instant,
+) -> Result<BufferedBody, Refusal> {
+    let mut buffered = BufferedBody {
         shared: Arc::clone(shared),
         bytes: Bytes::new(),
-        held: 0,
+        reserved_bytes: 0,
     };
     if body.is_end_stream() {
-        return Ok(held);
+        return Ok(buffered);
     }
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > limit {
         return Err(Refusal::new(Code::BodyTooLarge));
     }
-    let mut gathered = BytesMut::new();
+    let mut received = BytesMut::new();
     loop {
-        let frame = timeout_at(due, body.frame()).await;
+        let frame = timeout_at(deadline, body.frame()).await;
         let frame = frame.map_err(|_| Refusal::new(Code::SlowSender))?;
         let Some(frame) = frame else { break };
         let frame = frame.map_err(|_| Refusal::new(Code::BadHttp))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if gathered.len() + data.len() > limit {
+        if received.len() + data.len() > limit {
             return Err(Refusal::new(Code::BodyTooLarge));
         }
-        if !shared.try_hold_body(data.len()) {
-            return Err(Refusal::new(Code::StreamsFull).retry_after(FULL_RETRY_US));
+        if !shared.try_reserve_body_bytes(data.len()) {
+            return Err(Refusal::new(Code::StreamsFull).retry_after(BODIES_FULL_RETRY_AFTER_US));
         }
-        held.held += data.len();
-        gathered.extend_from_slice(&data);
+        buffered.reserved_bytes += data.len();
+        received.extend_from_slice(&data);
     }
-    held.bytes = gathered.freeze();
-    Ok(held)
+    buffered.bytes = received.freeze();
+    Ok(buffered)
 }
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -12,11 +12,11 @@
 };
 
 use super::answer_body::AnswerBody;
-use super::attempt::{Call, Failure, FailureKind, Opened, open};
-use super::attempt_answer::WHOLE_ANSWER_BYTES;
-use super::crashes::note_broken;
+use super::attempt::{Call, Failure, FailureKind, OpenedAnswer, send_attempt};
+use super::attempt_answer::MAX_BUFFERED_ANSWER_BYTES;
+use super::crashes::record_broken_connection;
 use super::next_step::NextStep;
-use super::request_body::HeldBody;
+use super::request_body::BufferedBody;
 use super::shared::Shared;
 use super::trace::CallTrace;
 use crate::border::Refusal;
@@ -33,24 +33,24 @@
 
 /// Time that the first attempt at a repeatable call gets, in multiples of its target, while another
 /// attempt is left.
-const FIRST_ATTEMPT_TARGETS: f64 = 2.5;
+const FIRST_ATTEMPT_TARGET_FACTOR: f64 = 2.5;
 
 /// Least part of the time left that an attempt gets.
 const MIN_ATTEMPT_SHARE: f64 = 0.35;
 
 /// When a caller may come back after endpoints refused its call.
-const REFUSED_RETRY_US: DurationUs = DurationUs::from_ms(250);
+const REFUSED_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(250);
 
 /// Gap after which callers give a stream up: the longest of two seconds, four times the target
 /// and eight times the longest good pause.
-fn patience(route: &Route) -> DurationUs {
+fn stream_patience(route: &Route) -> DurationUs {
     let targets = route.target_us.get().saturating_mul(4);
     let gaps = route.max_gap_us.get().saturating_mul(8);
     DurationUs::new(targets.max(gaps)).max(DurationUs::from_ms(2_000))
 }
 
 /// A call with what was decided about it before its first attempt.
-pub(crate) struct Routed {
+pub(crate) struct RoutedCall {
     pub(crate) call: Call,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
@@ -58,68 +58,70 @@
     /// Longest queue that the call joins.
     pub(super) longest_queue_us: DurationUs,
     /// Endpoints that were tried.
-    pub(crate) tried: Vec<EndpointInstance>,
+    pub(crate) tried_endpoints: Vec<EndpointInstance>,
     /// Attempts that an endpoint got to see.
-    pub(crate) sent: u32,
+    pub(crate) sent_attempts: u32,
     /// The body that `call` sends; counted as held for as long as it may be sent again.
-    pub(super) _body: HeldBody,
+    pub(super) _body: BufferedBody,
 }
 
 /// An answer to pass on.
-pub(super) enum Attempted {
+pub(super) enum AttemptAnswer {
     /// All of it, and its status.
     Whole(Response<AnswerBody>, u16),
     /// A stream, with its first bytes where they have come.
-    Stream(Option<Bytes>, Box<Opened>),
+    Stream(Option<Bytes>, Box<OpenedAnswer>),
 }
 
-impl Routed {
+impl RoutedCall {
     /// Makes attempts until one brings an answer to pass on, or there is nothing left to try.
-    pub(super) async fn run(
+    pub(super) async fn run_attempts(
         &mut self,
         shared: &Arc<Shared>,
         trace: &mut CallTrace,
-    ) -> Result<Attempted, Refusal> {
-        let mut connects = 0;
-        let mut last: Option<FailureKind> = None;
+    ) -> Result<AttemptAnswer, Refusal> {
+        let mut connect_attempts = 0;
+        let mut worst_failure: Option<FailureKind> = None;
         loop {
             if shared.suspects.lock().is_blocked(self.call.fingerprint) {
                 let refusal = Refusal::new(Code::RequestBlocked);
-                return Err(self.final_refusal(refusal, last));
+                return Err(self.final_refusal(refusal, worst_failure));
             }
             let placement = match self.place(shared, None) {
                 Ok(placement) => placement,
-                Err(refusal) => return Err(self.final_refusal(refusal, last)),
+                Err(refusal) => return Err(self.final_refusal(refusal, worst_failure)),
             };
-            trace.placed(&placement);
+            trace.record_placement(&placement);
             let failure = match self.attempt(shared, &placement, trace).await {
                 Ok(attempted) => return Ok(attempted),
                 Err(failure) => failure,
             };
-            self.tried.push(placement.endpoint.clone());
-            self.note_broken(shared, &placement, failure.kind);
-            connects += 1;
-            let next = self.next(shared, &placement, failure.kind, connects);
+            self.tried_endpoints.push(placement.endpoint.clone());
+            self.record_broken_connection(shared, &placement, failure.kind);
+            connect_attempts += 1;
+            let next = self.next_step(shared, &placement, failure.kind, connect_attempts);
             self.log_failure(shared, &placement, &failure, next);
-            last = Some(worse(last, failure.kind));
-            if next != NextStep::Again {
+            worst_failure = Some(less_certain(worst_failure, failure.kind));
+            if next != NextStep::Retry {
                 let refusal = Refusal::new(failure.kind.code());
-                let refusal = refusal.retry_after(self.time_to_return(shared));
-                return Err(self.final_refusal(refusal, last));
+                let refusal = refusal.retry_after(self.retry_delay(shared));
+                return Err(self.final_refusal(refusal, worst_failure));
             }
         }
     }
 
     /// Returns when a caller may come back whose call has no attempt left: once an endpoint takes calls again.
-    fn time_to_return(&self, shared: &Shared) -> DurationUs {
+    fn retry_delay(&self, shared: &Shared) -> DurationUs {
         let now = shared.now();
-        let takes_at = {
+        let accepts_at_us = {
             let endpoints = shared.endpoints.lock();
             endpoints.takes_calls_at(&self.service, now)
         };
-        match takes_at {
-            Some(takes_at) if takes_at > now => retry_after(takes_at.since(now), &mut rand::rng()),
-            _ => REFUSED_RETRY_US,
+        match accepts_at_us {
+            Some(accepts_at_us) if accepts_at_us > now => {
+                retry_after(accepts_at_us.since(now), &mut rand::rng())
+            }
+            _ => REFUSED_RETRY_AFTER_US,
         }
     }
 
@@ -130,27 +132,27 @@
         required_weights: Option<WeightNumber>,
     ) -> Result<Placement, Refusal> {
         let now = shared.now();
-        let left = self.call.due.saturating_duration_since(Instant::now());
+        let left = self.call.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(Refusal::new(Code::DeadlineUnreachable));
         }
         let prompt = self.call.head.prompt.as_ref();
         let is_stream = self.route.kind == CallKind::Stream;
         let patience_us = match is_stream {
-            true => DurationUs::from(left).min(patience(&self.route)),
+            true => DurationUs::from(left).min(stream_patience(&self.route)),
             false => DurationUs::from(left),
         };
-        let wall = self
+        let isolated_workspace = self
             .workspace
             .as_ref()
             .filter(|workspace| workspace.is_isolated);
-        let (duration_us, memory_duration_us) = shared.durations.of(&self.service);
+        let (duration_us, memory_duration_us) = shared.durations.estimate(&self.service);
         let wanted = prompt.and_then(|prompt| shared.site.wanted(&prompt.model));
         let request = PlacementRequest {
             service: &self.service,
             engine: self.call.engine.as_ref(),
             prompt,
-            wall: wall.map(|workspace| &workspace.id),
+            wall: isolated_workspace.map(|workspace| &workspace.id),
             zone: &shared.settings.zone,
             daemons: shared.peers.daemons(),
             duration_us,
@@ -158,7 +160,7 @@
             patience_us,
             longest_queue_us: self.longest_queue_us,
             allowed_zones: &self.call.allowed_zones,
-            excluded: &self.tried,
+            excluded: &self.tried_endpoints,
             is_isolated: shared.suspects.lock().is_isolated(self.call.fingerprint),
             required_weights,
             wanted_weights: wanted.as_ref(),
@@ -177,32 +179,32 @@
         shared: &Arc<Shared>,
         placement: &Placement,
         trace: &mut CallTrace,
-    ) -> Result<Attempted, Failure> {
+    ) -> Result<AttemptAnswer, Failure> {
         let prompt = self.call.head.prompt.as_ref();
         let prompt = prompt.filter(|_| self.route.kind == CallKind::Stream);
         let model = prompt.map(|prompt| prompt.model.clone());
-        let sent_before = self.sent;
+        let sent_attempts_before = self.sent_attempts;
         let fingerprint = self.call.fingerprint;
         let failure = tokio::select! {
             result = self.exchange(shared, placement, trace) => return result,
-            () = Self::weights_over(shared, model.as_ref(), placement.weights) => {
+            () = Self::wait_until_weights_expire(shared, model.as_ref(), placement.weights) => {
                 let metrics = &shared.metrics.attempts;
                 metrics.with_label_values(&["weights_over"]).inc();
                 Failure::new(FailureKind::Timeout, "its weights went out of use")
             }
-            () = shared.life_over(&placement.endpoint) => {
+            () = shared.wait_for_instance_end(&placement.endpoint) => {
                 let metrics = &shared.metrics.attempts;
                 metrics.with_label_values(&["life_over"]).inc();
                 Failure::new(FailureKind::Lost, "the endpoint has started again")
             }
-            () = shared.request_blocked(fingerprint) => {
+            () = shared.wait_until_blocked(fingerprint) => {
                 let metrics = &shared.metrics.attempts;
                 metrics.with_label_values(&["blocked"]).inc();
                 Failure::new(FailureKind::Blocked, "endpoints crash under it")
             }
         };
-        self.sent = sent_before + 1;
-        trace.story().attempts = self.sent;
+        self.sent_attempts = sent_attempts_before + 1;
+        trace.log_entry().attempts = self.sent_attempts;
         Err(failure)
     }
 
@@ -211,43 +213,54 @@
         shared: &Arc<Shared>,
         placement: &Placement,
         trace: &mut CallTrace,
-    ) -> Result<Attempted, Failure> {
-        let until = self.attempt_end(shared, placement);
+    ) -> Result<AttemptAnswer, Failure> {
+        let deadline = self.attempt_deadline(shared, placement);
         let resume_after = self.call.head.resume_after;
-        let is_last = !self.may_go_on(shared);
-        let opened = open(shared, &self.call, placement, resume_after, is_last, until).await;
+        let is_last = !self.may_retry(shared);
+        let opened = send_attempt(
+            shared,
+            &self.call,
+            placement,
+            resume_after,
+            is_last,
+            deadline,
+        )
+        .await;
         if !opened
             .as_ref()
             .is_err_and(|failure| failure.kind.is_unsent())
         {
-            self.sent += 1;
-            trace.story().attempts = self.sent;
+            self.sent_attempts += 1;
+            trace.log_entry().attempts = self.sent_attempts;
         }
         let opened = opened?;
         if self.route.kind == CallKind::Stream && opened.parts.status.is_success() {
-            return self.first_event(shared, placement, opened, until).await;
+            return self
+                .await_first_event(shared, placement, opened, deadline)
+                .await;
         }
         let size = opened.body.size_hint().exact();
-        if size.is_some_and(|size| size > WHOLE_ANSWER_BYTES) {
-            return Ok(Attempted::Stream(None, Box::new(opened)));
+        if size.is_some_and(|size| size > MAX_BUFFERED_ANSWER_BYTES) {
+            return Ok(AttemptAnswer::Stream(None, Box::new(opened)));
         }
-        self.whole_answer(shared, placement, opened, until).await
+        self.buffer_answer(shared, placement, opened, deadline)
+            .await
     }
 
     /// Returns when an attempt is given up.
     ///
     /// A repeatable call doesn't wait its whole time for an endpoint that doesn't answer, as long
     /// as it could still be sent to another one.
-    fn attempt_end(&self, shared: &Shared, placement: &Placement) -> Instant {
-        let due = self.call.due;
-        if !self.may_go_on(shared) {
-            return due;
+    fn attempt_deadline(&self, shared: &Shared, placement: &Placement) -> Instant {
+        let call_deadline = self.call.deadline;
+        if !self.may_retry(shared) {
+            return call_deadline;
         }
         let now = Instant::now();
-        let left = due.saturating_duration_since(now);
-        let target = Duration::from(self.route.target_us).mul_f64(FIRST_ATTEMPT_TARGETS);
+        let left = call_deadline.saturating_duration_since(now);
+        let target = Duration::from(self.route.target_us).mul_f64(FIRST_ATTEMPT_TARGET_FACTOR);
         let wait = Duration::from(placement.expected_us) + target;
-        due.min(now + wait.max(left.mul_f64(MIN_ATTEMPT_SHARE)))
+        call_deadline.min(now + wait.max(left.mul_f64(MIN_ATTEMPT_SHARE)))
     }
 
     /// Waits until a stream must have begun at its endpoint, if the weights there are or get replaced.
@@ -255,7 +268,7 @@
     /// Calls that are less urgent may wait there for seconds longer than was expected. Without this
     /// one would begin on weights that are out of use by then; taken back, it begins at another
     /// endpoint, or where it may not be sent again its caller is told so at once.
-    async fn weights_over(
+    async fn wait_until_weights_expire(
         shared: &Shared,
         model: Option<&ModelName>,
         weights: Option<WeightNumber>,
@@ -266,10 +279,10 @@
         loop {
             let changed = shared.site.wanted_changed();
             let wanted = shared.site.wanted(model);
-            let by = wanted.and_then(|wanted| wanted.must_begin_by(weights));
-            match by {
-                Some(by) => {
-                    return tokio::time::sleep(by.since(shared.now()).into()).await;
+            let begin_by = wanted.and_then(|wanted| wanted.must_begin_by(weights));
+            match begin_by {
+                Some(begin_by) => {
+                    return tokio::time::sleep(begin_by.since(shared.now()).into()).await;
                 }
                 None => changed.await,
             }
@@ -277,21 +290,21 @@
     }
 
     /// Returns whether the call could be sent to another endpoint after the next attempt.
-    fn may_go_on(&self, shared: &Shared) -> bool {
+    fn may_retry(&self, shared: &Shared) -> bool {
         self.call.may_repeat
-            && self.sent + 1 < self.route.max_attempts
-            && shared.budgets.left(&self.service) >= 1.0
+            && self.sent_attempts + 1 < self.route.max_attempts
+            && shared.budgets.remaining(&self.service) >= 1.0
     }
 
     /// Notes a connection that broke, which may tell of a crash.
-    pub(crate) fn note_broken(
+    pub(crate) fn record_broken_connection(
         &self,
         shared: &Arc<Shared>,
         placement: &Placement,
         kind: FailureKind,
     ) {
         if kind == FailureKind::Lost {
-            note_broken(shared, &self.call, placement);
+            record_broken_connection(shared, &self.call, placement);
         }
     }
 
@@ -317,29 +330,29 @@
     }
 
     /// Decides what follows a failed attempt.
-    fn next(
+    fn next_step(
         &self,
         shared: &Shared,
         placement: &Placement,
         kind: FailureKind,
-        connects: u32,
+        connect_attempts: u32,
     ) -> NextStep {
-        if self.call.due <= Instant::now() {
+        if self.call.deadline <= Instant::now() {
             return NextStep::NoTimeLeft;
         }
         if self.is_suspect(shared, placement, kind) {
             return NextStep::Suspect;
         }
         if kind.is_unsent() {
-            return match connects < MAX_CONNECTS {
-                true => NextStep::Again,
+            return match connect_attempts < MAX_CONNECTS {
+                true => NextStep::Retry,
                 false => NextStep::TooManyConnects,
             };
         }
         if !kind.is_not_run() && !self.call.may_repeat {
             return NextStep::MayHaveRun;
         }
-        if self.sent >= self.route.max_attempts {
+        if self.sent_attempts >= self.route.max_attempts {
             return NextStep::AttemptsUsedUp;
         }
         if !shared.budgets.try_take(&self.service) {
@@ -347,12 +360,12 @@
             return NextStep::BudgetUsedUp;
         }
         shared.metrics.retries.with_label_values(&["yes"]).inc();
-        NextStep::Again
+        NextStep::Retry
     }
 
     /// Makes a refusal true: where an attempt may have run, it can't say "not run".
-    fn final_refusal(&self, refusal: Refusal, worst: Option<FailureKind>) -> Refusal {
-        match worst {
+    fn final_refusal(&self, refusal: Refusal, worst_failure: Option<FailureKind>) -> Refusal {
+        match worst_failure {
             Some(kind) if !kind.is_not_run() => Refusal::new(kind.code()),
             _ => refusal,
         }
@@ -369,18 +382,18 @@
             request: self.call.head.request_id.to_string(),
             fingerprint: self.call.fingerprint.to_string(),
             endpoint: placement.endpoint.to_string(),
-            attempt: self.sent,
+            attempt: self.sent_attempts,
             reason: failure.kind.label(),
             detail: failure.detail.clone(),
             may_have_run: !failure.kind.is_not_run(),
             next: next.label(),
-            budget_left: shared.budgets.left(&self.service),
+            budget_left: shared.budgets.remaining(&self.service),
         });
     }
 }
 
 /// Returns which of two failures says less about what hasn't run.
-fn worse(known: Option<FailureKind>, new: FailureKind) -> FailureKind {
+fn less_certain(known: Option<FailureKind>, new: FailureKind) -> FailureKind {
     match known {
         Some(known) if !known.is_not_run() => known,
         _ => new,
--- a/crates/wisteriahitch-relay/src/shell/server.rs
+++ b/crates/wisteriahitch-relay/src/shell/server.rs
@@ -18,17 +18,17 @@
 
 /// Connections that wait to be accepted. The kernel's usual 128 overflow when many callers come
 /// back at once; the opening packet of the others is then lost and sent again after a second.
-const LISTEN_QUEUE: u32 = 2_048;
+const LISTEN_BACKLOG: u32 = 2_048;
 
 /// How long the listener rests after an accept fails, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Smallest header buffer that the HTTP library takes.
 const MIN_HEADER_BYTES: usize = 8_192;
 
 /// How long an idle connection stays open after the daemon began to leave, for a request that is
 /// on its way.
-const LAST_REQUEST_GRACE: Duration = Duration::from_millis(2_500);
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Bounds of a connection.
 #[derive(Clone, Copy, Debug)]
@@ -40,9 +40,9 @@
 }
 
 /// Answers requests; every failure is an answer too.
-pub(crate) trait Answers: Send + Sync + 'static {
+pub(crate) trait RequestHandler: Send + Sync + 'static {
     /// Answers one request.
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send;
@@ -57,39 +57,39 @@
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(LISTEN_QUEUE)
+        socket.listen(LISTEN_BACKLOG)
     };
     listen().with_context(|| format!("{side} can't listen on {address}"))
 }
 
 /// Serves connections until the process ends; once `leaving` is cancelled, idle ones are closed.
-pub(crate) async fn serve<A: Answers>(
+pub(crate) async fn serve<A: RequestHandler>(
     listener: TcpListener,
-    answers: Arc<A>,
+    handler: Arc<A>,
     leaving: CancellationToken,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let answers = Arc::clone(&answers);
-                tokio::spawn(serve_connection(stream, answers, leaving.clone()));
+                let handler = Arc::clone(&handler);
+                tokio::spawn(serve_connection(stream, handler, leaving.clone()));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
         }
     }
 }
 
-async fn serve_connection<A: Answers>(
+async fn serve_connection<A: RequestHandler>(
     stream: TcpStream,
-    answers: Arc<A>,
+    handler: Arc<A>,
     leaving: CancellationToken,
 ) {
     // Without it answers wait for the confirmation of the one before; a failure only costs time.
     let _ = stream.set_nodelay(true);
-    let limits = answers.limits();
+    let limits = handler.limits();
     let service = service_fn(move |request| {
-        let answers = Arc::clone(&answers);
-        async move { Ok::<_, Infallible>(answers.answer(request).await) }
+        let handler = Arc::clone(&handler);
+        async move { Ok::<_, Infallible>(handler.handle(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -98,14 +98,14 @@
         .auto_date_header(false)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let left = async {
+    let idle_close = async {
         leaving.cancelled().await;
-        tokio::time::sleep(LAST_REQUEST_GRACE).await;
+        tokio::time::sleep(IDLE_CLOSE_DELAY).await;
     };
     // How a connection ends is the affair of its calls, which have their own lines in the log.
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = left => {
+        () = idle_close => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
--- a/crates/wisteriahitch-relay/src/shell/shared.rs
+++ b/crates/wisteriahitch-relay/src/shell/shared.rs
@@ -12,10 +12,10 @@
 use wisteriahitch_wire::object_store::ObjectStore;
 
 use super::blocked_requests::BlockedRequests;
-use super::budgets::Budgets;
-use super::crashes::{Proof, note_crash};
+use super::budgets::RetryBudgets;
+use super::crashes::{EvidenceKind, on_crash};
 use super::drain::Drain;
-use super::durations::Durations;
+use super::durations::CallDurations;
 use super::peer_state::PeerState;
 use super::site_state::SiteState;
 use super::watch_state::WatchStates;
@@ -71,15 +71,15 @@
     /// Engines whose memory this daemon follows for all.
     pub(crate) followed_engines: Mutex<HashSet<EndpointInstance>>,
     /// Wakes those who wait for the end of an endpoint's life.
-    pub(crate) life_ended: Notify,
-    pub(crate) budgets: Budgets,
-    pub(crate) durations: Durations,
+    pub(crate) instance_ended: Notify,
+    pub(crate) budgets: RetryBudgets,
+    pub(crate) durations: CallDurations,
     pub(crate) watches: WatchStates,
     pub(crate) leases: Mutex<LeaseTable>,
     pub(crate) rollout: Mutex<Rollout>,
     pub(crate) drain: Drain,
     /// Bytes of requests' bodies that are held now.
-    pub(crate) body_bytes: AtomicUsize,
+    pub(crate) reserved_body_bytes: AtomicUsize,
     pub(crate) log: EventLog,
     pub(crate) metrics: Metrics,
 }
@@ -97,18 +97,18 @@
     }
 
     /// Takes room for a body, or returns false where too many are held.
-    pub(crate) fn try_hold_body(&self, bytes: usize) -> bool {
+    pub(crate) fn try_reserve_body_bytes(&self, bytes: usize) -> bool {
         let limit = self.settings.body_bytes();
-        let held = self.body_bytes.fetch_add(bytes, Ordering::Relaxed);
-        if held + bytes <= limit {
+        let reserved_before = self.reserved_body_bytes.fetch_add(bytes, Ordering::Relaxed);
+        if reserved_before + bytes <= limit {
             return true;
         }
-        self.body_bytes.fetch_sub(bytes, Ordering::Relaxed);
+        self.reserved_body_bytes.fetch_sub(bytes, Ordering::Relaxed);
         false
     }
 
     /// Logs changes of endpoints and closes the connections of those that are gone.
-    pub(crate) fn note_changes(&self, changes: Vec<EndpointChange>, revision: u64) {
+    pub(crate) fn record_endpoint_changes(&self, changes: Vec<EndpointChange>, revision: u64) {
         for change in changes {
             let (instance, change) = match change {
                 EndpointChange::Seen(instance) => (instance, "seen"),
@@ -117,13 +117,13 @@
                 EndpointChange::Unreadable(instance) => (instance, "unreadable"),
                 EndpointChange::Displaced(instance) => {
                     self.pool.forget(&instance);
-                    note_crash(self, &instance, Proof::Replaced);
+                    on_crash(self, &instance, EvidenceKind::Replaced);
                     (instance, "displaced")
                 }
                 EndpointChange::Ended(instance) => {
                     self.pool.forget(&instance);
-                    note_crash(self, &instance, Proof::Replaced);
-                    self.life_ended.notify_waiters();
+                    on_crash(self, &instance, EvidenceKind::Replaced);
+                    self.instance_ended.notify_waiters();
                     (instance, "ended")
                 }
                 EndpointChange::Gone(instance) => {
@@ -155,9 +155,9 @@
     /// A process that crashed behind a partition closes no connection: a call there would hang until
     /// its own deadline although the next life of the endpoint has registered, and its caller would be
     /// told nothing that wasn't known long before.
-    pub(crate) async fn life_over(&self, instance: &EndpointInstance) {
+    pub(crate) async fn wait_for_instance_end(&self, instance: &EndpointInstance) {
         loop {
-            let ended = self.life_ended.notified();
+            let ended = self.instance_ended.notified();
             if self.endpoints.lock().has_ended(instance) {
                 return;
             }
--- a/crates/wisteriahitch-relay/src/shell/statements.rs
+++ b/crates/wisteriahitch-relay/src/shell/statements.rs
@@ -72,7 +72,7 @@
             source,
         });
     }
-    shared.note_changes(change.into_iter().collect(), 0);
+    shared.record_endpoint_changes(change.into_iter().collect(), 0);
     is_news
 }
 
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -71,7 +71,7 @@
             let registrations = objects.filter_map(|object| registration(shared, object));
             let registrations = registrations.collect();
             let changes = shared.endpoints.lock().listed(registrations, absence, now);
-            shared.note_changes(changes, listing.revision.0);
+            shared.record_endpoint_changes(changes, listing.revision.0);
         }
         ObjectRole::Evacuations => apply_evacuations(shared, source),
         _ => {
@@ -196,17 +196,17 @@
         ObjectRole::Endpoints => {
             if let Some(registration) = registration(shared, object) {
                 let changes = shared.endpoints.lock().registered(registration, now);
-                shared.note_changes(changes, object.revision.0);
+                shared.record_endpoint_changes(changes, object.revision.0);
             }
         }
         ObjectRole::Configuration => {
-            let config = readable(shared, role, object, site.configuration(object));
+            let config = readable(shared, role, object, site.decode_configuration(object));
             if let Some(config) = config {
                 adopt(shared, config, object.revision, source);
             }
         }
         ObjectRole::Weights => {
-            let wanted = readable(shared, role, object, site.weights(object));
+            let wanted = readable(shared, role, object, site.decode_weights(object));
             let Some(wanted) = wanted else { return };
             let (model, version) = (wanted.model.to_string(), wanted.version.get());
             if shared.site.want(wanted, age_us, now) {
@@ -271,7 +271,7 @@
         .endpoints
         .lock()
         .unregistered(&id, absence, shared.now());
-    shared.note_changes(change.into_iter().collect(), revision.0);
+    shared.record_endpoint_changes(change.into_iter().collect(), revision.0);
 }
 
 fn adopt(shared: &Arc<Shared>, config: SiteConfig, revision: Revision, source: &str) {
@@ -330,7 +330,7 @@
 /// Reads a registration. One that can't be read still tells that the endpoint of its name is no
 /// longer registered as it was; one under a name that no endpoint can have tells nothing.
 fn registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
-    let endpoint = shared.borders.site.endpoint(object);
+    let endpoint = shared.borders.site.decode_endpoint(object);
     match readable(shared, ObjectRole::Endpoints, object, endpoint) {
         Some(endpoint) => Some(Registration::Good(endpoint)),
         None => {
--- a/crates/wisteriahitch-relay/src/shell/stream_body.rs
+++ b/crates/wisteriahitch-relay/src/shell/stream_body.rs
@@ -9,13 +9,13 @@
 use tokio::time::{Instant, timeout_at};
 use wisteriahitch_types::Code;
 
-use super::answer_body::{AnswerBody, BrokenOff};
-use super::attempt::{Failure, FailureKind, Opened, open};
-use super::attempt_answer::keep_connection;
-use super::crashes::note_answer_end;
+use super::answer_body::{AnswerAborted, AnswerBody};
+use super::attempt::{Failure, FailureKind, OpenedAnswer, send_attempt};
+use super::attempt_answer::return_connection;
+use super::crashes::record_answer_end;
 use super::in_flight::AttemptOutcome;
 use super::next_step::NextStep;
-use super::routed::Routed;
+use super::routed::RoutedCall;
 use super::shared::Shared;
 use super::trace::CallTrace;
 use crate::decide::placement::Placement;
@@ -25,17 +25,17 @@
 
 /// A stream whose first bytes have come.
 pub(crate) struct StreamStart {
-    pub(crate) routed: Routed,
-    pub(crate) opened: Opened,
+    pub(crate) routed: RoutedCall,
+    pub(crate) opened: OpenedAnswer,
     pub(crate) first: Option<Bytes>,
 }
 
-struct Streaming {
+struct StreamForwarder {
     shared: Arc<Shared>,
-    routed: Routed,
+    routed: RoutedCall,
     placement: Placement,
     /// Nothing once the stream has ended.
-    opened: Option<Opened>,
+    opened: Option<OpenedAnswer>,
     first: Option<Bytes>,
     framer: Option<EventFramer>,
     trace: CallTrace,
@@ -47,7 +47,7 @@
 ///
 /// The stream is polled by the caller's connection itself: when the caller leaves, everything is
 /// dropped with it, and the endpoint's connection closes at once.
-pub(crate) fn stream(
+pub(crate) fn stream_answer(
     shared: &Arc<Shared>,
     start: StreamStart,
     trace: CallTrace,
@@ -57,11 +57,11 @@
     *response.headers_mut() = shared
         .borders
         .calls
-        .passed_back(&start.opened.parts.headers);
+        .caller_headers(&start.opened.parts.headers);
     let status = start.opened.parts.status.as_u16();
     let has_events = start.routed.route.kind == CallKind::Stream;
     let resume_after = start.routed.call.head.resume_after;
-    let streaming = Streaming {
+    let forwarder = StreamForwarder {
         shared: Arc::clone(shared),
         routed: start.routed,
         placement: start.opened.placement.clone(),
@@ -72,20 +72,20 @@
         status,
         last_event: Instant::now(),
     };
-    let pieces = stream::unfold(streaming, |mut streaming| async move {
-        let piece = streaming.next().await?;
-        Some((piece, streaming))
+    let chunks = stream::unfold(forwarder, |mut forwarder| async move {
+        let chunk = forwarder.next_chunk().await?;
+        Some((chunk, forwarder))
     });
-    response.map(|()| AnswerBody::Stream(Box::pin(pieces)))
+    response.map(|()| AnswerBody::Stream(Box::pin(chunks)))
 }
 
-impl Streaming {
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+impl StreamForwarder {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, AnswerAborted>> {
         loop {
             self.opened.as_ref()?;
-            match self.whole_events().await {
+            match self.next_events().await {
                 Ok(Some(events)) => {
-                    self.note_gap();
+                    self.record_event_gap();
                     return Some(Ok(events));
                 }
                 Ok(None) => {
@@ -94,27 +94,27 @@
                 }
                 Err(failure) => {
                     if let Err(code) = self.resume(failure).await {
-                        self.trace.broken_off(code);
+                        self.trace.record_abort(code);
                         self.opened = None;
-                        return Some(Err(BrokenOff));
+                        return Some(Err(AnswerAborted));
                     }
                 }
             }
         }
     }
 
-    fn note_gap(&mut self) {
+    fn record_event_gap(&mut self) {
         let now = Instant::now();
         let gap = now - std::mem::replace(&mut self.last_event, now);
         self.shared.metrics.event_gap_s.observe(gap.as_secs_f64());
     }
 
     /// Returns the next whole events, or nothing at the stream's end.
-    async fn whole_events(&mut self) -> Result<Option<Bytes>, Failure> {
+    async fn next_events(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
-            let Some(bytes) = self.bytes().await? else {
-                let is_cut = self.framer.as_ref().is_some_and(|f| !f.is_between_events());
-                return match is_cut {
+            let Some(bytes) = self.next_bytes().await? else {
+                let is_truncated = self.framer.as_ref().is_some_and(|f| !f.is_between_events());
+                return match is_truncated {
                     true => Err(Failure::new(
                         FailureKind::Lost,
                         "the stream ended in an event",
@@ -126,25 +126,27 @@
                 return Ok(Some(bytes));
             };
             let framed = framer.push(bytes);
-            match framed.map_err(|error| Failure::new(FailureKind::Nonsense, error.to_string()))? {
+            match framed
+                .map_err(|error| Failure::new(FailureKind::InvalidAnswer, error.to_string()))?
+            {
                 Some(framed) => return Ok(Some(framed.events)),
                 None => continue,
             }
         }
     }
 
-    async fn bytes(&mut self) -> Result<Option<Bytes>, Failure> {
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, Failure> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
-        let due = self.routed.call.due;
+        let deadline = self.routed.call.deadline;
         let Some(opened) = &mut self.opened else {
             return Ok(None);
         };
         loop {
             let frame = tokio::select! {
-                frame = timeout_at(due, opened.body.frame()) => frame,
-                () = self.shared.life_over(&self.placement.endpoint) => {
+                frame = timeout_at(deadline, opened.body.frame()) => frame,
+                () = self.shared.wait_for_instance_end(&self.placement.endpoint) => {
                     let detail = "the endpoint has started again";
                     return Err(Failure::new(FailureKind::Lost, detail));
                 }
@@ -167,23 +169,23 @@
         let Some(opened) = self.opened.take() else {
             return;
         };
-        opened.flight.finish(AttemptOutcome::Good);
+        opened.in_flight.finish(AttemptOutcome::Succeeded);
         if opened.parts.status.is_success() {
             let headers = &opened.parts.headers;
-            note_answer_end(&self.shared, &self.routed.call, &self.placement, headers);
+            record_answer_end(&self.shared, &self.routed.call, &self.placement, headers);
         }
-        let taken = self.trace.began().elapsed();
+        let call_duration = self.trace.started_at().elapsed();
         let prompt = self.routed.call.head.prompt.as_ref();
         let tokens = prompt.map_or(0, PromptShape::memory_tokens);
         let durations = &self.shared.durations;
-        durations.note(&self.routed.service, taken, tokens);
-        keep_connection(
+        durations.record(&self.routed.service, call_duration, tokens);
+        return_connection(
             &self.shared,
             &self.placement,
             &opened.parts,
             opened.connection,
         );
-        self.trace.answered(self.status);
+        self.trace.record_answered(self.status);
     }
 
     /// Goes on at another endpoint after the last whole event, where the route allows it.
@@ -192,30 +194,30 @@
     /// neither's.
     async fn resume(&mut self, failure: Failure) -> Result<(), Code> {
         let opened = self.opened.take().ok_or(Code::StreamIncomplete)?;
-        opened.flight.finish(AttemptOutcome::Failed);
+        opened.in_flight.finish(AttemptOutcome::Failed);
         drop(opened);
         let placement = self.placement.clone();
         self.routed
-            .note_broken(&self.shared, &placement, failure.kind);
+            .record_broken_connection(&self.shared, &placement, failure.kind);
         let next = self.next_step(failure.kind);
         self.routed
             .log_failure(&self.shared, &placement, &failure, next);
-        if next != NextStep::Again {
+        if next != NextStep::Retry {
             return Err(Code::StreamIncomplete);
         }
-        self.routed.tried.push(placement.endpoint);
+        self.routed.tried_endpoints.push(placement.endpoint);
         let placed = self.routed.place(&self.shared, placement.weights);
         let placement = placed.map_err(|refusal| refusal.code)?;
         let last_id = self.framer.as_ref().and_then(EventFramer::last_id);
-        let due = self.routed.call.due;
-        self.routed.sent += 1;
-        let opened = open(
+        let deadline = self.routed.call.deadline;
+        self.routed.sent_attempts += 1;
+        let opened = send_attempt(
             &self.shared,
             &self.routed.call,
             &placement,
             last_id,
             true,
-            due,
+            deadline,
         )
         .await;
         let mut opened = opened.map_err(|failure| failure.kind.code())?;
@@ -223,7 +225,7 @@
             return Err(Code::StreamIncomplete);
         }
         let prompt = self.routed.call.head.prompt.as_ref();
-        opened.flight.has_read(&placement, prompt);
+        opened.in_flight.record_prompt_read(&placement, prompt);
         self.shared.log.write(&Event::StreamResumed {
             request: self.routed.call.head.request_id.to_string(),
             endpoint: placement.endpoint.to_string(),
@@ -245,11 +247,11 @@
         if kind == FailureKind::Timeout {
             return NextStep::NoTimeLeft;
         }
-        if self.routed.sent >= self.routed.route.max_attempts {
+        if self.routed.sent_attempts >= self.routed.route.max_attempts {
             return NextStep::AttemptsUsedUp;
         }
         match self.shared.budgets.try_take(&self.routed.service) {
-            true => NextStep::Again,
+            true => NextStep::Retry,
             false => NextStep::BudgetUsedUp,
         }
     }
--- a/crates/wisteriahitch-relay/src/shell/trace.rs
+++ b/crates/wisteriahitch-relay/src/shell/trace.rs
@@ -13,19 +13,19 @@
 /// Gathers what happens to a call and writes one line at its end, also where the caller leaves.
 pub(crate) struct CallTrace {
     shared: Arc<Shared>,
-    began: Instant,
-    ended: CallEnded,
+    started_at: Instant,
+    entry: CallEnded,
 }
 
 impl CallTrace {
     /// Begins with a call that has just arrived.
     pub(crate) fn new(shared: &Arc<Shared>) -> Self {
         shared.metrics.in_flight.inc();
-        shared.drain.enter();
+        shared.drain.record_call_start();
         Self {
             shared: Arc::clone(shared),
-            began: Instant::now(),
-            ended: CallEnded {
+            started_at: Instant::now(),
+            entry: CallEnded {
                 // Whatever ends the call without a word is the caller's leaving.
                 outcome: "caller_left",
                 ..CallEnded::default()
@@ -34,24 +34,24 @@
     }
 
     /// Returns what is to be told, to add to it.
-    pub(crate) fn story(&mut self) -> &mut CallEnded {
-        &mut self.ended
+    pub(crate) fn log_entry(&mut self) -> &mut CallEnded {
+        &mut self.entry
     }
 
     /// Returns when the call arrived.
-    pub(crate) fn began(&self) -> Instant {
-        self.began
+    pub(crate) fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// Notes where an attempt goes.
-    pub(crate) fn placed(&mut self, placement: &Placement) {
-        self.ended.endpoint = placement.endpoint.to_string();
-        self.ended.weights = placement.weights.map_or(0, |weights| weights.get());
-        self.ended.candidates = placement.candidates;
-        self.ended.cached_tokens = placement.cached_tokens;
-        self.ended.fetched_tokens = placement.fetched_tokens;
-        self.ended.unread_tokens = placement.unread_tokens;
-        self.ended.expected_ms = placement.expected_us.as_ms();
+    pub(crate) fn record_placement(&mut self, placement: &Placement) {
+        self.entry.endpoint = placement.endpoint.to_string();
+        self.entry.weights = placement.weights.map_or(0, |weights| weights.get());
+        self.entry.candidates = placement.candidates;
+        self.entry.cached_tokens = placement.cached_tokens;
+        self.entry.fetched_tokens = placement.fetched_tokens;
+        self.entry.unread_tokens = placement.unread_tokens;
+        self.entry.expected_ms = placement.expected_us.as_ms();
         let metrics = &self.shared.metrics;
         metrics.queue_s.observe(placement.queue_us.as_secs_f64());
         let tokens = &self.shared.metrics.prompt_tokens;
@@ -67,25 +67,25 @@
     }
 
     /// Notes the first event, or the answer.
-    pub(crate) fn first_event(&mut self) {
-        let taken = self.began.elapsed();
-        self.ended.first_event_ms = Some(DurationUs::from(taken).as_ms());
+    pub(crate) fn record_first_event(&mut self) {
+        let elapsed = self.started_at.elapsed();
+        self.entry.first_event_ms = Some(DurationUs::from(elapsed).as_ms());
         let histogram = &self.shared.metrics.first_event_s;
-        let seconds = taken.as_secs_f64();
+        let seconds = elapsed.as_secs_f64();
         histogram
-            .with_label_values(&[self.ended.kind])
+            .with_label_values(&[self.entry.kind])
             .observe(seconds);
     }
 
     /// Notes a refusal.
-    pub(crate) fn refused(&mut self, refusal: &Refusal) {
-        self.ended.outcome = "refused";
-        self.ended.code = Some(refusal.code.number());
-        self.ended.status = refusal.code.http_status();
-        self.ended.retry_after_ms = refusal.retry_after_us.map(DurationUs::as_ms);
-        if let Some((queue_us, bound_us)) = refusal.queue_us {
-            self.ended.queue_ms = Some(queue_us.as_ms());
-            self.ended.longest_queue_ms = Some(bound_us.as_ms());
+    pub(crate) fn record_refusal(&mut self, refusal: &Refusal) {
+        self.entry.outcome = "refused";
+        self.entry.code = Some(refusal.code.number());
+        self.entry.status = refusal.code.http_status();
+        self.entry.retry_after_ms = refusal.retry_after_us.map(DurationUs::as_ms);
+        if let Some((queue_us, bound_us)) = refusal.queue_and_bound_us {
+            self.entry.queue_ms = Some(queue_us.as_ms());
+            self.entry.longest_queue_ms = Some(bound_us.as_ms());
         }
         let label = refusal.code.to_string();
         self.shared
@@ -96,25 +96,25 @@
     }
 
     /// Notes a stream that couldn't be finished.
-    pub(crate) fn broken_off(&mut self, code: Code) {
-        self.ended.outcome = "broken_off";
-        self.ended.code = Some(code.number());
+    pub(crate) fn record_abort(&mut self, code: Code) {
+        self.entry.outcome = "broken_off";
+        self.entry.code = Some(code.number());
     }
 
     /// Notes that the whole answer was passed on.
-    pub(crate) fn answered(&mut self, status: u16) {
-        self.ended.outcome = "answered";
-        self.ended.status = status;
+    pub(crate) fn record_answered(&mut self, status: u16) {
+        self.entry.outcome = "answered";
+        self.entry.status = status;
     }
 }
 
 impl Drop for CallTrace {
     fn drop(&mut self) {
-        self.ended.total_ms = DurationUs::from(self.began.elapsed()).as_ms();
-        self.shared.metrics.call_ended(&self.ended);
+        self.entry.total_ms = DurationUs::from(self.started_at.elapsed()).as_ms();
+        self.shared.metrics.record_call(&self.entry);
         self.shared.metrics.in_flight.dec();
-        self.shared.drain.leave();
-        let ended = std::mem::take(&mut self.ended);
+        self.shared.drain.record_call_end();
+        let ended = std::mem::take(&mut self.entry);
         self.shared.log.write(&Event::CallEnded(ended));
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/transfers.rs
+++ b/crates/wisteriahitch-relay/src/shell/transfers.rs
@@ -9,13 +9,13 @@
 
 /// What the engine is to fetch and to save for a call.
 #[derive(Default)]
-pub(super) struct Transfers {
+pub(super) struct PartTransfers {
     pub(super) fetch_from: Vec<Option<SocketAddr>>,
     pub(super) save_to: Vec<Option<SocketAddr>>,
-    pub(super) until_ms: Option<u64>,
+    pub(super) fetch_deadline_ms: Option<u64>,
 }
 
-impl Transfers {
+impl PartTransfers {
     /// Names for each shared part where it can be fetched, as the placement found it, and where it
     /// is to be saved if no store keeps it yet.
     ///
@@ -31,7 +31,7 @@
         let mut transfers = Self {
             fetch_from: placement.fetch_from.clone(),
             save_to: Vec::new(),
-            until_ms: stores.fetch_until_ms(now),
+            fetch_deadline_ms: stores.fetch_until_ms(now),
         };
         if newest.is_some_and(|newest| placement.weights != Some(newest)) {
             return transfers;
@@ -39,11 +39,11 @@
         let keys = part_keys(scope, prompt);
         let shared_parts = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.iter().enumerate() {
-            let save = match index < shared_parts {
+            let store = match index < shared_parts {
                 true => stores.save(*key, *tokens, &call.allowed_zones, now),
                 false => None,
             };
-            transfers.save_to.push(save);
+            transfers.save_to.push(store);
         }
         transfers
     }
--- a/crates/wisteriahitch-relay/tests/all/engine_memory.rs
+++ b/crates/wisteriahitch-relay/tests/all/engine_memory.rs
@@ -1,7 +1,7 @@
 //! What engines keep: as they tell it, and as daemons that start hear of it.
 
 use wisteriahitch_relay::{
-    EndpointTable, KeptPart, Load, PartEvent, PartKey, PartNamer, PartUpdate,
+    EndpointTable, Load, PartEvent, PartKey, PartNamer, PartUpdate, StoredPart,
 };
 use wisteriahitch_types::{DurationUs, TimeUs, TokenCount};
 
@@ -9,10 +9,10 @@
 
 const SCOPE: &str = "w1";
 
-fn event(is_kept: bool, part: u64, tokens: u64) -> PartEvent {
+fn event(is_stored: bool, part: u64, tokens: u64) -> PartEvent {
     PartEvent {
-        is_kept,
-        part: KeptPart {
+        is_stored,
+        part: StoredPart {
             scope: SCOPE.to_owned(),
             id: part,
             model: model(),
--- a/crates/wisteriahitch-relay/tests/all/metrics.rs
+++ b/crates/wisteriahitch-relay/tests/all/metrics.rs
@@ -1,6 +1,6 @@
 //! Bounds of what metrics cost.
 
-use wisteriahitch_relay::{BoundedLabel, ProcessUse};
+use wisteriahitch_relay::{BoundedLabel, ProcessUsage};
 
 /// Symptom: a daemon's memory grows with each configuration. Sequence: an operator adds and renames
 /// routes by the thousand; each name that ever was is a series of its own. Cause: labels took any name.
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_running_process_uses_memory_and_descriptors() {
-    let usage = ProcessUse::now();
+    let usage = ProcessUsage::read();
     assert!(usage.resident_bytes > 100_000, "{usage:?}");
     assert!(usage.descriptors > 2, "{usage:?}");
 }
--- a/crates/wisteriahitch-relay/tests/all/part_sources.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_sources.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    EndpointTable, KeptPart, Load, PartListing, PartNamer, PartStore, PartStores, PlacementRequest,
-    PromptShape, WantedVersions, place,
+    EndpointTable, Load, PartListing, PartNamer, PartStore, PartStores, PlacementRequest,
+    PromptShape, StoredPart, WantedVersions, place,
 };
 use wisteriahitch_types::{TimeUs, TokenCount, WeightNumber, WorkspaceId};
 
@@ -63,7 +63,7 @@
             is_managed: true,
         };
         self.stores.configured(std::iter::once(store));
-        let part = KeptPart {
+        let part = StoredPart {
             scope: scope.to_owned(),
             id: shape().parts[0].id,
             model: model(),
--- a/crates/wisteriahitch-relay/tests/all/part_stores.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_stores.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use wisteriahitch_relay::{
-    AllowedZones, KeptPart, PartChanges, PartEvent, PartListing, PartNamer, PartStore, PartStores,
+    AllowedZones, PartChanges, PartEvent, PartListing, PartNamer, PartStore, PartStores, StoredPart,
 };
 use wisteriahitch_types::{TimeUs, TokenCount, WeightNumber};
 
@@ -23,8 +23,8 @@
     }
 }
 
-fn part(id: u64, tokens: u64) -> KeptPart {
-    KeptPart {
+fn part(id: u64, tokens: u64) -> StoredPart {
+    StoredPart {
         scope: SCOPE.to_owned(),
         id,
         model: model(),
@@ -36,7 +36,7 @@
     PartNamer::new(&model(), SCOPE).key(id)
 }
 
-fn listed(parts: &[KeptPart]) -> PartStores {
+fn listed(parts: &[StoredPart]) -> PartStores {
     let mut stores = PartStores::default();
     stores.configured([store(1, 100_000)].into_iter());
     let listing = PartListing {
@@ -101,7 +101,7 @@
             what: "freed",
             change: |stores| {
                 let event = PartEvent {
-                    is_kept: false,
+                    is_stored: false,
                     part: part(1, 0),
                 };
                 stores.changed(address(1), changes(5, vec![event]), at_ms(10));
@@ -162,7 +162,7 @@
     );
     assert!(!can_fetch(&stores, 1, at_ms(30)));
     let event = PartEvent {
-        is_kept: true,
+        is_stored: true,
         part: part(1, 1_000),
     };
     stores.changed(address(1), changes(5, vec![event]), at_ms(40));
