--- a/crates/wisteriahitch-relay/src/border/call_codec.rs
+++ b/crates/wisteriahitch-relay/src/border/call_codec.rs
@@ -1,4 +1,4 @@
-//! How calls and their answers look.
+//! Decoding of calls and encoding of answers in a site's wire format.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,100 +13,104 @@
 use crate::decide::backlog::LoadReport;
 use crate::site::PromptShape;
 
-/// What a caller says of its call.
+/// Head of a caller's call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallHead {
-    /// Id of this call; each of a caller's own repeats has another one.
+    /// Id of this call. When a caller repeats a call, the repeat has another id.
     pub request_id: RequestId,
-    /// Host that the caller asks for.
+    /// Host that the call is addressed to.
     pub host: String,
-    /// How long the caller will wait.
+    /// Time for which the caller waits for the answer, if it sent one.
     pub deadline_us: Option<DurationUs>,
-    /// Key that names the caller's workspace.
+    /// Key that identifies the caller's workspace.
     pub key: Option<String>,
-    /// Prompt, if the call carries one.
+    /// Shape of the prompt, if the call carries one.
     pub prompt: Option<PromptShape>,
-    /// Last event that the caller has, if it asks for the rest of a stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// What the daemon tells an endpoint besides the caller's own message.
+/// What the daemon sends to an endpoint in addition to the caller's own request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OutgoingCall {
-    /// Endpoint that the call is for; any other one must refuse it.
+    /// Endpoint that the call is for. Any other endpoint must refuse it.
     pub endpoint: EndpointId,
     /// Time that is left for the call.
     pub deadline_us: DurationUs,
     /// Workspace that the caller's key belongs to.
     pub workspace: Option<WorkspaceId>,
-    /// Rank in the endpoint's queue, 0 first.
+    /// Priority in the endpoint's queue; 0 is first.
     pub priority: Option<u8>,
-    /// Weights that the call was decided for; an endpoint with others must refuse it.
+    /// Weights that the placement assumed. An endpoint with other weights must refuse the call.
     pub weights: Option<WeightNumber>,
-    /// Text under which the endpoint finds and keeps cached parts.
+    /// Namespace in which the endpoint looks up and caches parts of the prompt.
     pub cache_scope: Option<String>,
-    /// For each part of the prompt where it can be fetched; empty where none can.
+    /// For each part of the prompt, the address that it can be fetched from. Empty if none can be
+    /// fetched.
     pub fetch_from: Vec<Option<SocketAddr>>,
-    /// For each part of the prompt the store that is to keep it; empty where none is.
+    /// For each part of the prompt, the store that the endpoint saves it to. Empty if none is
+    /// saved.
     pub save_to: Vec<Option<SocketAddr>>,
-    /// When a fetch that hasn't ended is thrown away, on the clock of stores and engines.
+    /// Time at which unfinished fetches are discarded, in milliseconds on the clock of stores and
+    /// engines.
     pub fetch_deadline_ms: Option<u64>,
-    /// Last event that the caller has, if the rest of a stream is asked for.
+    /// Id of the last event that the caller received, if the call resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// What an endpoint says in the head of its answer.
+/// What an endpoint states in the head of its answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerHead {
-    /// Request that the answer is for.
+    /// Id of the request that the answer belongs to.
     pub request_id: Option<RequestId>,
-    /// Whether the endpoint says that it didn't run the request.
+    /// Whether the endpoint states that it didn't run the request.
     pub is_not_run: bool,
-    /// Endpoint that answered, where it says so.
+    /// Endpoint that answered, if it identifies itself.
     pub endpoint: Option<EndpointId>,
-    /// Load that it tells.
+    /// Load that it reports.
     pub load: Option<LoadReport>,
-    /// Calls that it takes from all daemons together, for as long as it says so.
+    /// Maximum rate of calls from all daemons together that it accepts, for as long as its answers
+    /// state one.
     pub limit: Statement<CallRate>,
-    /// Whether it leaves.
+    /// Whether the endpoint is leaving.
     pub is_leaving: Statement<bool>,
-    /// How long it wants nothing from this daemon, where it turned the request away.
+    /// Time for which it wants no further calls from this daemon, if it refused the request.
     pub rest_us: Statement<DurationUs>,
-    /// Weights that it answered with.
+    /// Weights that produced the answer.
     pub weights: Option<WeightNumber>,
-    /// How long it keeps the connection when it is idle.
+    /// Time for which it keeps an idle connection open.
     pub keep_alive: Option<Duration>,
     /// Whether it closes the connection after this answer.
     pub is_closing: bool,
 }
 
-/// Reads calls and writes answers in a site's format.
+/// Decodes calls and encodes answers in a site's wire format.
 pub trait CallCodec: Send + Sync {
-    /// Reads the head of a caller's call.
+    /// Decodes the head of a caller's call.
     fn decode_call(&self, parts: &request::Parts) -> Result<CallHead, Refusal>;
 
-    /// Returns the headers for an endpoint: the caller's own, without those that are the system's
-    /// to set, and with what `call` says.
+    /// Returns the headers of the request to an endpoint: those of the caller, without the ones
+    /// that only the system sets, and those for the fields of `call`.
     fn endpoint_headers(&self, headers: &HeaderMap, call: &OutgoingCall) -> HeaderMap;
 
-    /// Reads the head of an endpoint's answer.
+    /// Decodes the head of an endpoint's answer.
     fn decode_answer(&self, parts: &response::Parts) -> AnswerHead;
 
-    /// Returns the headers of an endpoint's answer that go on to the caller.
+    /// Returns the headers of an endpoint's answer that are passed on to the caller.
     fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// Writes a refusal.
+    /// Encodes a refusal.
     fn encode_refusal(&self, refusal: &Refusal) -> Response<Bytes>;
 
-    /// Reads from the query of a question for entry addresses in which region its caller is, if it says so.
+    /// Returns the region of a caller that requests entry addresses, if the query names it.
     fn caller_region(&self, query: &str) -> Option<Region>;
 
-    /// Writes the entry addresses, which count for `valid`.
+    /// Encodes the entry addresses, which callers may use for `ttl`.
     fn encode_entries(&self, addresses: &[SocketAddr], ttl: Duration) -> Response<Bytes>;
 
-    /// Returns the path at which the platform asks whether the daemon is ready.
+    /// Returns the path of the platform's readiness probe.
     fn ready_path(&self) -> &'static str;
 
-    /// Returns the path at which callers ask for entry addresses.
+    /// Returns the path at which callers request entry addresses.
     fn entries_path(&self) -> &'static str;
 }
--- a/crates/wisteriahitch-relay/src/border/engine_control.rs
+++ b/crates/wisteriahitch-relay/src/border/engine_control.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and their reports.
+//! Orders to engines, and reports from them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,25 +11,26 @@
 use wisteriahitch_wire::connection_pool::Connection;
 use wisteriahitch_wire::http_client::HttpError;
 
-/// What an engine reports of itself; it lags by some hundred milliseconds.
+/// State that an engine reports. It lags by a few hundred milliseconds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineReport {
-    /// Start of the life that reports, where it tells it.
+    /// Start of the reporting process, if it reports one.
     pub start: Option<EndpointStart>,
     /// Weights of each model.
     pub weights: BTreeMap<ModelName, WeightNumber>,
-    /// Whether it carries out an order.
+    /// Whether it is carrying out an order.
     pub is_busy: bool,
-    /// Orders that it has accepted since its start.
+    /// Number of orders that it has accepted since its start.
     pub accepted_orders: u64,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
 }
 
 impl EngineReport {
-    /// Returns whether it speaks of this life, as far as both say which one they mean.
+    /// Returns whether the report can come from this instance: false only if both have a start and
+    /// the starts differ.
     pub(crate) fn matches_instance(&self, instance: &EndpointInstance) -> bool {
         self.start.is_none() || instance.start.is_none() || self.start == instance.start
     }
@@ -38,56 +39,57 @@
 /// An order to load new weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WeightOrder {
-    /// Endpoint that is meant; any other one must refuse.
+    /// Endpoint that the order is for. Any other endpoint must refuse it.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Model.
+    /// Model whose weights are loaded.
     pub model: ModelName,
-    /// Version to load.
+    /// Version of the weights to load.
     pub version: WeightNumber,
-    /// Who gives the order.
+    /// Daemon that holds the lease for giving orders.
     pub holder: String,
-    /// Orders the holders.
+    /// Fence number of the lease. An endpoint refuses orders with a lower number than it has seen.
     pub fence: FenceNumber,
-    /// The order is void once the endpoint has accepted another number of orders than this.
+    /// Number of orders that the endpoint must have accepted so far; otherwise it doesn't accept
+    /// this one.
     pub expected_orders: u64,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
     /// The endpoint carries it out.
     Accepted,
-    /// What it asks for is so already.
+    /// The endpoint already has what the order asks for.
     AlreadyDone,
-    /// Another order came first.
+    /// The endpoint accepted another order first.
     Conflict,
-    /// A holder with a higher number has given orders.
+    /// A lease holder with a higher fence number has given orders.
     Fenced,
-    /// The endpoint will not carry it out.
+    /// The endpoint refused it with this HTTP status.
     Refused(u16),
-    /// No byte of it left.
+    /// No byte of it was sent; the text says why.
     NotSent(String),
-    /// Whether it is or will be carried out isn't known.
+    /// It is unknown whether it is or will be carried out; the text says why.
     Unknown(String),
 }
 
-/// Gives orders to engines and reads their reports.
+/// Sends orders to engines and fetches their reports.
 #[async_trait]
 pub trait EngineControl: Send + Sync {
-    /// Gives an order, if `permit` still allows it right before its first byte leaves, and waits for
-    /// its answer for as long as the permit says.
+    /// Sends an order if `permit` still allows it right before the first byte is sent, and waits
+    /// for the answer for as long as the permit says.
     ///
-    /// The process may be suspended while the connection opens. An order that was allowed before
-    /// that would reach the engine after another daemon has taken over.
+    /// The process may be suspended while the connection opens. With an earlier check, the order
+    /// could reach the engine after another daemon has acquired the lease.
     async fn send_order(
         &self,
         order: &WeightOrder,
         permit: &(dyn Fn() -> Option<Duration> + Send + Sync),
     ) -> OrderOutcome;
 
-    /// Reads an engine's report.
+    /// Fetches an engine's report.
     async fn fetch_report(
         &self,
         endpoint: &EndpointId,
@@ -95,7 +97,8 @@
         timeout: Duration,
     ) -> Result<EngineReport, HttpError>;
 
-    /// Asks on an open connection for the start of the process at its other end; none where it tells none.
+    /// Queries, on an open connection, the start of the process at the other end. Returns `None` if
+    /// it reports none.
     async fn fetch_start(
         &self,
         endpoint: &EndpointId,
--- a/crates/wisteriahitch-relay/src/border/mod.rs
+++ b/crates/wisteriahitch-relay/src/border/mod.rs
@@ -1,4 +1,4 @@
-//! The traits behind which a site's wire formats stand.
+//! Traits that separate the daemon from a site's wire formats.
 
 mod call_codec;
 mod engine_control;
--- a/crates/wisteriahitch-relay/src/border/part_store_control.rs
+++ b/crates/wisteriahitch-relay/src/border/part_store_control.rs
@@ -1,4 +1,4 @@
-//! Stores that keep parts of prompts.
+//! Access to stores of prompt parts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,60 +7,60 @@
 use wisteriahitch_types::{ModelName, TokenCount};
 use wisteriahitch_wire::http_client::HttpError;
 
-/// One part as a store keeps it.
+/// A part in a store.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct StoredPart {
-    /// Text under which it was saved.
+    /// Namespace that it was saved in.
     pub scope: String,
     /// Id of the part.
     pub id: u64,
-    /// Model that made it.
+    /// Model whose engine computed it.
     pub model: ModelName,
-    /// Size; zero where it was freed.
+    /// Size in tokens; zero if it was freed.
     pub tokens: TokenCount,
 }
 
-/// A change of what a store keeps.
+/// A change of a store's contents.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PartEvent {
-    /// Whether the part is whole there now, or gone.
+    /// Whether the part is now complete in the store (true) or was removed (false).
     pub is_stored: bool,
-    /// Part.
+    /// Part that changed.
     pub part: StoredPart,
 }
 
-/// What a store tells of its changes.
+/// Changes of a store's contents.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PartChanges {
-    /// Life of the store; another one means that it came back empty.
+    /// Epoch of the store. A different epoch means that the store restarted empty.
     pub epoch: u64,
-    /// Where to go on.
+    /// Position to request the next changes from.
     pub next: u64,
-    /// Whether changes are missing.
+    /// Whether changes are missing before `events`.
     pub has_gap: bool,
-    /// Changes.
+    /// Changes, oldest first.
     pub events: Vec<PartEvent>,
-    /// The clock of stores and engines, in milliseconds.
+    /// Time on the clock of stores and engines, in milliseconds.
     pub clock_ms: Option<u64>,
 }
 
-/// All that a store keeps.
+/// All contents of a store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PartListing {
-    /// Life of the store.
+    /// Epoch of the store; see [`PartChanges::epoch`].
     pub epoch: u64,
-    /// Where to go on with changes.
+    /// Position to request later changes from.
     pub next: u64,
-    /// Whole parts.
+    /// Complete parts.
     pub parts: Vec<StoredPart>,
-    /// Tokens that are reserved for parts that aren't whole.
+    /// Tokens that are reserved for incomplete parts.
     pub partial_tokens: u64,
 }
 
-/// Reads what stores keep, and frees it.
+/// Reads the contents of stores and frees parts.
 #[async_trait]
 pub trait PartStoreControl: Send + Sync {
-    /// Waits for changes after `since`, at most for `wait`.
+    /// Waits for changes after the position `since`, for at most `wait`.
     async fn changes(
         &self,
         address: SocketAddr,
@@ -68,10 +68,10 @@
         wait: Duration,
     ) -> Result<PartChanges, HttpError>;
 
-    /// Lists everything.
+    /// Lists all contents.
     async fn list(&self, address: SocketAddr) -> Result<PartListing, HttpError>;
 
-    /// Frees parts, if the store still lives the life `epoch`.
+    /// Frees parts, if the store is still in the epoch `epoch`.
     async fn free(
         &self,
         address: SocketAddr,
--- a/crates/wisteriahitch-relay/src/border/site_codec.rs
+++ b/crates/wisteriahitch-relay/src/border/site_codec.rs
@@ -1,29 +1,29 @@
-//! How a site's objects look.
+//! Decoding of a site's stored objects.
 
 use wisteriahitch_wire::object_store::{StoredObject, UnreadableKind};
 
 use crate::site::{Endpoint, SiteConfig, WantedWeights};
 
-/// Reports an object whose content isn't what its kind should hold.
+/// An object whose content isn't valid for its kind.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("object {name} can't be read: {reason}")]
 pub struct DecodeError {
     /// Name of the object.
     pub name: String,
-    /// Kind of the fault.
+    /// Kind of the error.
     pub kind: UnreadableKind,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// Reads a site's objects.
+/// Decodes a site's stored objects.
 pub trait SiteCodec: Send + Sync {
-    /// Reads the configuration.
+    /// Decodes the configuration.
     fn decode_configuration(&self, object: &StoredObject) -> Result<SiteConfig, DecodeError>;
 
-    /// Reads an endpoint's registration.
+    /// Decodes an endpoint's registration.
     fn decode_endpoint(&self, object: &StoredObject) -> Result<Endpoint, DecodeError>;
 
-    /// Reads what weights are wanted.
+    /// Decodes the wanted weights of a model.
     fn decode_weights(&self, object: &StoredObject) -> Result<WantedWeights, DecodeError>;
 }
