--- a/crates/wisteriahitch-relay/src/observe/bounded_label.rs
+++ b/crates/wisteriahitch-relay/src/observe/bounded_label.rs
@@ -1,17 +1,17 @@
-//! Labels whose values come from a configuration.
+//! Metric labels with a bounded number of values.
 
 use std::collections::HashSet;
 
 use parking_lot::Mutex;
 
-/// Label for everything beyond the bound.
+/// Value under which everything beyond the bound is counted.
 const OTHER: &str = "other";
 
-/// Keeps the number of a label's values bounded.
+/// Bounds the number of values of a metric label.
 ///
-/// Routes and workspaces are named by operators, by the thousand where a configuration has grown.
-/// Each value is a series in memory for as long as the process lives, and a scrape that grows with
-/// each of them; the first ones are told apart, the rest are counted together.
+/// Operators name routes and workspaces, by the thousand in a large configuration. Each value is a
+/// time series that takes memory for the rest of the process and lengthens every scrape. The first
+/// values get series of their own; all others are counted together.
 #[derive(Debug)]
 pub struct BoundedLabel {
     distinct_values: Mutex<HashSet<String>>,
@@ -19,7 +19,7 @@
 }
 
 impl BoundedLabel {
-    /// Tells at most `most` values apart.
+    /// Creates a label with at most `max_values` values of its own.
     pub fn new(max_values: usize) -> Self {
         Self {
             distinct_values: Mutex::default(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the value to count `name` under.
+    /// Returns the label value to count `name` under.
     pub fn value<'a>(&self, name: &'a str) -> &'a str {
         let mut distinct_values = self.distinct_values.lock();
         if distinct_values.contains(name) {
--- a/crates/wisteriahitch-relay/src/observe/event.rs
+++ b/crates/wisteriahitch-relay/src/observe/event.rs
@@ -1,11 +1,11 @@
-//! Every line that the log can hold.
+//! Events of the log.
 
 use serde::Serialize;
 
-/// One event; `docs/LOGS.md` explains each.
+/// An event; `docs/LOGS.md` explains each.
 ///
-/// An event is a decision that touches a request, or a change of what the daemon believes. Its
-/// fields are the inputs that decided, with their age or version, and the outcome.
+/// An event is a decision about a request, or a change of the daemon's state. Its fields are the
+/// inputs of the decision, with their age or version, and the outcome.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 #[allow(missing_docs, reason = "docs/LOGS.md explains the fields")]
@@ -18,17 +18,17 @@
         peer_port: u16,
         ignored_settings: Vec<String>,
     },
-    /// The process is told to leave.
+    /// The process was told to exit and starts to drain.
     DrainStarted { in_flight: usize },
-    /// The process ends.
+    /// The process exits.
     Stopped { in_flight: usize, waited_ms: u64 },
-    /// The settings were read again.
+    /// The settings file was read again.
     SettingsReloaded { is_valid: bool, detail: String },
-    /// The daemon has all it needs to serve, or no longer.
+    /// The daemon became ready to serve, or is no longer ready.
     ReadyChanged { is_ready: bool, endpoints: usize },
-    /// A call has ended, however it did.
+    /// A call has ended, with any outcome.
     CallEnded(CallEnded),
-    /// An attempt at a call failed, and what was decided about the next one.
+    /// An attempt at a call failed; `next` is what was decided about the next one.
     AttemptFailed {
         request: String,
         fingerprint: String,
@@ -40,81 +40,82 @@
         next: &'static str,
         budget_left: f64,
     },
-    /// A stream goes on at another endpoint.
+    /// A stream was resumed at another endpoint.
     StreamResumed {
         request: String,
         endpoint: String,
         after_event: Option<u64>,
     },
-    /// What is known of an endpoint has changed.
+    /// The state of an endpoint has changed.
     EndpointChanged {
         endpoint: String,
         change: &'static str,
         service: String,
         revision: u64,
     },
-    /// An endpoint's process ended while calls of this daemon were under way there.
+    /// An endpoint's process ended while calls of this daemon were in flight there.
     EndpointCrashed {
         endpoint: String,
         proof: &'static str,
         calls: usize,
     },
-    /// A process answers at an endpoint's address that has another start than the registered one, or tells none; the
-    /// endpoint counts as cold since.
+    /// The process at an endpoint's address has another start than the registered one, or reports
+    /// none. The endpoint counts as cold from then on.
     EndpointRestartSeen {
         endpoint: String,
         start_unix_ms: Option<u64>,
     },
-    /// An endpoint names another limit than before, or none any more.
+    /// An endpoint states another rate limit than before, or no longer states one.
     EndpointLimitChanged {
         endpoint: String,
         calls_per_s: Option<f64>,
         source: &'static str,
         age_ms: u64,
     },
-    /// An endpoint has said in an answer that it leaves.
+    /// An endpoint stated in an answer that it is leaving.
     EndpointLeaving {
         endpoint: String,
         source: &'static str,
     },
-    /// An endpoint turned a call away and wants nothing more from this daemon for a while.
+    /// An endpoint refused a call and wants no further calls from this daemon for a while.
     EndpointResting { endpoint: String, rest_ms: u64 },
-    /// An answer says something of its endpoint that can't be read, for the first time in this life of the endpoint.
+    /// A statement of an endpoint about itself can't be parsed, for the first time in this instance
+    /// of the endpoint.
     EndpointStatementMalformed {
         endpoint: String,
         statement: &'static str,
     },
-    /// A request is sent to no endpoint any more, since endpoints crash under it.
+    /// A request is no longer sent to any endpoint, because endpoints crash under it.
     RequestBlocked {
         fingerprint: String,
         source: &'static str,
     },
-    /// A request is sent to endpoints again.
+    /// A blocked request is sent to endpoints again.
     RequestUnblocked {
         fingerprint: String,
         reason: &'static str,
     },
-    /// An endpoint gets no requests for a while, or gets them again.
+    /// An endpoint was ejected for a while, or is used again.
     EndpointEjected {
         endpoint: String,
         is_ejected: bool,
         failure_rate: f64,
     },
-    /// A configuration is in force.
+    /// A configuration was adopted.
     ConfigAdopted {
         version: u64,
         revision: u64,
         source: String,
         routes: usize,
     },
-    /// An availability zone is evacuated, or no longer is.
+    /// The evacuation of an availability zone has started or ended.
     EvacuationChanged {
         zone: String,
         is_evacuated: bool,
         source: String,
     },
-    /// An object can't be read. A configuration and wanted weights stay in force as they were; an
-    /// endpoint of this name gets no new calls.
+    /// An object can't be decoded. A configuration and wanted weights stay in force as they were;
+    /// an endpoint of this name gets no new calls.
     ObjectUnreadable {
         kind: &'static str,
         name: String,
@@ -123,12 +124,12 @@
     },
     /// New weights are wanted.
     WeightsWanted { model: String, version: u64 },
-    /// Another daemon is heard, or is no longer.
+    /// Another daemon joined or was lost.
     MemberChanged {
         member: String,
         change: &'static str,
     },
-    /// The store answers again, or no longer does.
+    /// The store became reachable or unreachable.
     StoreReachable {
         kind: &'static str,
         is_reachable: bool,
@@ -136,15 +137,15 @@
         silent_ms: Option<u64>,
         detail: String,
     },
-    /// Objects were taken over from another daemon, since the store didn't tell them.
+    /// Objects were fetched from another daemon because the store didn't send them.
     CaughtUp {
         kind: &'static str,
         from: String,
         revision: u64,
     },
-    /// The right to give orders changed hands.
+    /// The lease for giving orders changed hands.
     LeaseChanged { phase: String, fence: u64 },
-    /// An order was given.
+    /// An order was given to an endpoint.
     OrderGiven {
         endpoint: String,
         model: String,
@@ -153,7 +154,7 @@
         fence: u64,
         outcome: String,
     },
-    /// A rollout isn't expected to end within its bound.
+    /// A rollout isn't expected to finish within its bound.
     RolloutLate {
         behind: usize,
         parallel: usize,
@@ -161,21 +162,21 @@
         left_ms: u64,
         needed_ms: u64,
     },
-    /// A store of prompt parts answers again, or no longer does.
+    /// A store of prompt parts became reachable or unreachable.
     PartStoreReachable {
         store: String,
         is_reachable: bool,
         detail: String,
     },
-    /// Parts of replaced weights were freed at a store.
+    /// Parts of replaced weights were freed in a store.
     PartsFreed {
         store: String,
         parts: usize,
         outcome: String,
     },
-    /// Lines were counted instead of written.
+    /// Lines were omitted; they are counted by event name.
     LinesOmitted { counts: Vec<(String, u64)> },
-    /// Something that has no line of its own failed.
+    /// An operation failed that has no event of its own.
     Failure { what: &'static str, detail: String },
 }
 
@@ -211,7 +212,7 @@
 }
 
 impl CallEnded {
-    /// Returns whether the caller got a whole answer of an endpoint.
+    /// Returns whether the caller got a complete answer of an endpoint.
     pub fn is_answered(&self) -> bool {
         self.outcome == "answered"
     }
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Returns whether the line may be left out among many others like it.
+    /// Returns whether lines of this event may be omitted when there are many of them.
     pub fn is_sampled(&self) -> bool {
         matches!(self, Event::CallEnded(ended) if ended.is_answered())
     }
--- a/crates/wisteriahitch-relay/src/observe/event_log.rs
+++ b/crates/wisteriahitch-relay/src/observe/event_log.rs
@@ -1,4 +1,4 @@
-//! The log: JSON lines on standard output, bounded, and never in the way of a request.
+//! Event log: JSON lines on standard output, limited in rate, that never block a request.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,19 +12,19 @@
 use super::Event;
 use crate::clock::BootClock;
 
-/// Batches that wait for a reader; with batches of a fifth of a second, some seconds of a reader
-/// that has stopped.
+/// Maximum number of batches that wait to be written. With a batch every fifth of a second, this
+/// covers a reader that stops for some seconds.
 const MAX_QUEUED_BATCHES: usize = 32;
 
-/// Time for the last lines to be written at the end.
+/// Time that the writer gets to write the last lines before the process exits.
 const FINAL_FLUSH_WAIT: Duration = Duration::from_millis(50);
 
-/// How much may be written a second.
+/// Limits of the log per second.
 #[derive(Clone, Copy, Debug)]
 pub struct LogBudget {
-    /// Bytes of all lines.
+    /// Maximum size of all lines.
     pub bytes_per_s: u32,
-    /// Lines of calls that ended well.
+    /// Maximum number of lines of calls that were answered.
     pub successes_per_s: u32,
 }
 
@@ -37,11 +37,11 @@
     lines: Vec<u8>,
 }
 
-/// Writes events.
+/// Writes events to the log.
 ///
-/// Lines are gathered and handed to a thread a few times a second. A reader of standard output
-/// that stops reading blocks that thread alone; on the thread of the requests one would notice by
-/// every caller waiting for the log's reader.
+/// Lines are collected and handed to a writer thread a few times a second. If the reader of
+/// standard output stops reading, only that thread blocks. If request threads wrote the log, every
+/// caller would wait for its reader.
 #[derive(Debug)]
 pub struct EventLog {
     clock: BootClock,
@@ -60,7 +60,7 @@
 }
 
 impl EventLog {
-    /// Starts the writer's thread; `output` is standard output but for tests.
+    /// Starts the writer thread. `output` is standard output, except in tests.
     pub fn start(
         budget: LogBudget,
         dropped_lines: prometheus::IntCounter,
@@ -69,7 +69,7 @@
         let (writer, batches) = sync_channel::<Vec<u8>>(MAX_QUEUED_BATCHES);
         std::thread::spawn(move || {
             for batch in batches {
-                // There is nowhere left to tell of a log that can't be written.
+                // There is no other place to report that the log can't be written.
                 let _ = output.write_all(&batch).and_then(|()| output.flush());
             }
         });
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes an event; it is written with the next batch, or counted where the budget is used up.
+    /// Adds an event to the next batch, or only counts it if the budget is used up.
     pub fn write(&self, event: &Event) {
         let now = self.clock.now();
         let mut window = self.window.lock();
@@ -100,7 +100,7 @@
         window.append(event, now);
     }
 
-    /// Hands the gathered lines to the writer.
+    /// Hands the collected lines to the writer thread.
     pub fn flush(&self) {
         let mut window = self.window.lock();
         window.start_if_expired(self.clock.now());
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Hands over the last lines and gives the writer a moment for them.
+    /// Hands over the last lines and gives the writer thread a moment to write them.
     pub fn finish(&self) {
         self.flush();
         std::thread::sleep(FINAL_FLUSH_WAIT);
@@ -122,7 +122,8 @@
 }
 
 impl BudgetWindow {
-    /// Begins the next second, and tells what was left out in the last one.
+    /// Starts a new window if a second has passed, and logs the number of lines omitted in the last
+    /// one.
     fn start_if_expired(&mut self, now: TimeUs) {
         if now.since(self.started_at_us).as_ms() < 1_000 {
             return;
--- a/crates/wisteriahitch-relay/src/observe/metrics.rs
+++ b/crates/wisteriahitch-relay/src/observe/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms; `docs/METRICS.md` explains each.
+//! Metrics; `docs/METRICS.md` explains each.
 
 use prometheus::{
     Gauge, GaugeVec, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
@@ -7,18 +7,20 @@
 
 use super::{BoundedLabel, CallEnded, ProcessUsage};
 
-/// Bounds of latency buckets, in seconds: from a call that is served at once to the longest route.
+/// Bounds of the latency buckets in seconds, from a call that is answered at once to the longest
+/// route.
 const LATENCY_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.4, 0.8, 1.6, 3.2, 8.0, 15.0,
 ];
 
-/// Bounds of buckets for pauses between two events of a stream, in seconds.
+/// Bounds of the buckets for the time between two events of a stream, in seconds.
 const GAP_BUCKETS_S: [f64; 8] = [0.01, 0.025, 0.052, 0.1, 0.2, 0.4, 1.0, 2.0];
 
-/// Routes that are told apart; a site has about twenty, a grown one some hundred.
+/// Maximum number of routes with series of their own. A site has about twenty, a large one some
+/// hundred.
 const MAX_ROUTES: usize = 64;
 
-/// Workspaces that are told apart.
+/// Maximum number of workspaces with series of their own.
 const MAX_WORKSPACES: usize = 64;
 
 /// All metrics of a daemon.
@@ -27,11 +29,11 @@
     registry: Registry,
     /// Calls by kind and outcome.
     pub(crate) calls: IntCounterVec,
-    /// Time to the first event or the answer, by kind.
+    /// Time to the first event or to the answer, by kind.
     pub(crate) first_event_s: HistogramVec,
-    /// Pauses between two events of a stream.
+    /// Time between two events of a stream.
     pub(crate) event_gap_s: Histogram,
-    /// Estimated wait for the work of others when a call is placed, in seconds.
+    /// Estimated wait for earlier calls at the endpoint when a call is placed, in seconds.
     pub(crate) queue_s: Histogram,
     route_calls: IntCounterVec,
     routes: BoundedLabel,
@@ -44,50 +46,50 @@
     pub(crate) refusals: IntCounterVec,
     /// Attempts by outcome.
     pub(crate) attempts: IntCounterVec,
-    /// Retries by whether the budget allowed them.
+    /// Retries by whether the retry budget allowed them.
     pub(crate) retries: IntCounterVec,
-    /// Connections to endpoints, opened and used again.
+    /// Connections to endpoints, by whether they were opened, reused or failed.
     pub(crate) connections: IntCounterVec,
-    /// Endpoints by life.
+    /// Endpoints by state.
     pub(crate) endpoints: IntGaugeVec,
-    /// Calls under way.
+    /// Calls in flight.
     pub(crate) in_flight: IntGauge,
-    /// Calls of the store by kind and result.
+    /// Calls to the store by kind and result.
     pub(crate) store_calls: IntCounterVec,
-    /// Objects that couldn't be read, by kind and reason.
+    /// Objects that couldn't be decoded, by kind and reason.
     pub(crate) unreadable_objects: IntCounterVec,
-    /// Crashes of endpoints with calls of this daemon on board, by what proved them.
+    /// Crashes of endpoints with calls of this daemon in flight, by kind of evidence.
     pub(crate) endpoint_crashes: IntCounterVec,
-    /// Requests that are sent to no endpoint.
+    /// Blocked requests.
     pub(crate) blocked_requests: IntGauge,
-    /// Availability zones whose endpoints get nothing more.
+    /// Availability zones that are evacuated.
     pub(crate) evacuated_zones: IntGauge,
-    /// Endpoints that bear few calls yet.
+    /// Endpoints that are still cold and get only few calls.
     pub(crate) cold_endpoints: IntGauge,
-    /// Endpoints that name a limit.
+    /// Endpoints that state a rate limit.
     pub(crate) limited_endpoints: IntGauge,
-    /// Endpoints that have said in an answer that they leave.
+    /// Endpoints that stated in an answer that they are leaving.
     pub(crate) leaving_endpoints: IntGauge,
-    /// Endpoints that want nothing from this daemon for a while.
+    /// Endpoints that want no calls from this daemon for a while.
     pub(crate) resting_endpoints: IntGauge,
-    /// Statements of endpoints about themselves that can't be read, by what they are about.
+    /// Statements of endpoints about themselves that can't be parsed, by statement.
     pub(crate) malformed_statements: IntCounterVec,
     /// Orders by outcome.
     pub(crate) orders: IntCounterVec,
-    /// Time by which a rollout is expected to miss its bound, in seconds; 0 while it isn't.
+    /// Time by which a rollout is expected to miss its bound, in seconds; 0 if it is on time.
     pub(crate) rollout_late_s: Gauge,
-    /// Prompt tokens that were kept, and that had to be read.
+    /// Prompt tokens that were cached, fetched, or had to be read.
     pub(crate) prompt_tokens: IntCounterVec,
     /// Version of the configuration in force.
     pub(crate) config_version: IntGauge,
-    /// Time since the store was known to hold nothing newer of a kind, in seconds.
+    /// Time since the store was last known to have nothing newer of a kind, in seconds.
     pub(crate) store_age_s: GaugeVec,
-    /// Log lines that the budget or a slow reader left out.
+    /// Log lines that were dropped because of the budget or a slow reader.
     pub(crate) dropped_lines: IntCounter,
 }
 
 impl Metrics {
-    /// Registers everything.
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let counters =
@@ -181,7 +183,7 @@
         self.workspace_calls.with_label_values(&labels).inc();
     }
 
-    /// Returns all metrics as text.
+    /// Encodes all metrics in the text format.
     pub(crate) fn text(&self) -> String {
         let usage = ProcessUsage::read();
         self.resident_bytes.set(usage.resident_bytes);
--- a/crates/wisteriahitch-relay/src/observe/mod.rs
+++ b/crates/wisteriahitch-relay/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What the daemon tells of itself: events in its log, and metrics.
+//! Observability: the event log and metrics.
 
 mod bounded_label;
 mod event;
--- a/crates/wisteriahitch-relay/src/observe/process.rs
+++ b/crates/wisteriahitch-relay/src/observe/process.rs
@@ -1,16 +1,16 @@
-//! What the process uses, as the system's own files tell.
+//! Resource usage of the process, read from `/proc`.
 
 /// Memory and descriptors of this process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ProcessUsage {
-    /// Memory that is resident.
+    /// Resident memory, in bytes.
     pub resident_bytes: i64,
-    /// Open descriptors.
+    /// Number of open descriptors.
     pub descriptors: i64,
 }
 
 impl ProcessUsage {
-    /// Reads it; what can't be read stays zero, which no running process has.
+    /// Reads the current usage. A value that can't be read is zero, which no running process has.
     pub fn read() -> Self {
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
         let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
--- a/crates/wisteriahitch-relay/tests/all/docs.rs
+++ b/crates/wisteriahitch-relay/tests/all/docs.rs
@@ -1,4 +1,4 @@
-//! The tables of the docs hold what the source holds.
+//! Checks that the tables of the documentation list what the source defines.
 
 use std::collections::BTreeSet;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn every_field_of_an_ended_call_is_named() {
+fn every_field_of_an_ended_call_is_documented() {
     let struct_text = EVENTS.split("pub struct CallEnded {").nth(1).unwrap();
     let fields = struct_text
         .lines()
--- a/crates/wisteriahitch-relay/tests/all/metrics.rs
+++ b/crates/wisteriahitch-relay/tests/all/metrics.rs
@@ -1,9 +1,9 @@
-//! Bounds of what metrics cost.
+//! The cost of metrics is bounded.
 
 use wisteriahitch_relay::{BoundedLabel, ProcessUsage};
 
-/// Symptom: a daemon's memory grows with each configuration. Sequence: an operator adds and renames
-/// routes by the thousand; each name that ever was is a series of its own. Cause: labels took any name.
+/// A daemon's memory grew with each configuration: labels accepted any name, so each name of a
+/// route that ever existed, by the thousand, stayed a time series of its own.
 #[test]
 fn a_label_has_a_bounded_number_of_values() {
     let label = BoundedLabel::new(2);
