--- a/crates/wisteriahitch-relay/src/shell/answer_body.rs
+++ b/crates/wisteriahitch-relay/src/shell/answer_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Bodies of answers to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,22 +7,22 @@
 use futures_util::Stream;
 use hyper::body::{Body, Frame, SizeHint};
 
-/// Ends a caller's connection in the middle of an answer.
+/// Error that aborts an answer by closing the caller's connection.
 ///
-/// An answer that can't be finished must not look complete: the connection is closed without the
-/// mark of its end.
+/// An answer that can't be finished must not look complete, so the connection is closed without the
+/// end of the body.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the answer can't be finished")]
+#[error("the answer was aborted because it can't be completed")]
 pub(crate) struct AnswerAborted;
 
-/// Bytes of a stream as they come.
+/// Chunks of a body, in the order in which they arrive.
 pub(crate) type AnswerChunks = Pin<Box<dyn Stream<Item = Result<Bytes, AnswerAborted>> + Send>>;
 
 /// Body of an answer to a caller.
 pub(crate) enum AnswerBody {
-    /// All of it is here; taken when it was sent.
+    /// A complete body; `None` once it has been sent, or if it is empty.
     Full(Option<Bytes>),
-    /// It comes in pieces.
+    /// A body that is passed on as it arrives.
     Stream(AnswerChunks),
 }
 
--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a call, up to the head of the endpoint's answer.
+//! One attempt at a call: sends it to an endpoint and checks the head of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,94 +20,97 @@
 use crate::observe::Event;
 use crate::site::{AllowedZones, EngineTraits, RequestFingerprint};
 
-/// Longest wait for a connection to an endpoint. One takes some milliseconds; an opening packet
-/// that is lost is sent again after a second, and another endpoint is there sooner.
+/// Maximum time to connect to an endpoint. A connection normally takes a few milliseconds. A lost
+/// SYN packet is sent again only after a second; another endpoint can be reached sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time for which a kept connection was idle that a call which may run only once is sent
-/// on. If the endpoint closes it just then, nobody knows whether the call has run.
+/// Maximum idle time of a pooled connection that a non-repeatable call is sent on. If the endpoint
+/// closes the connection at that moment, it is unknown whether the call has run.
 const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(2_500);
 
-/// The same for calls that may be repeated.
+/// Maximum idle time of a pooled connection that a repeatable call is sent on.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(8_000);
 
-/// Connections that are opened at most until one stays open after its endpoint has told its start. Endpoints close
-/// some connections after an answer.
+/// Maximum number of connections that are opened until one stays open after the endpoint has
+/// reported its start. Endpoints close some connections after an answer.
 const MAX_START_QUERIES: u32 = 3;
 
-/// What stays the same over all attempts at a call.
+/// A call with everything that is the same for all of its attempts.
 pub(crate) struct Call {
-    /// What the caller says of it.
+    /// Head of the call as the caller sent it.
     pub(crate) head: CallHead,
-    /// Method.
     pub(crate) method: Method,
-    /// Path and query.
+    /// Path and query of the caller's request.
     pub(crate) uri: Uri,
-    /// The caller's headers.
+    /// Headers of the caller's request.
     pub(crate) headers: HeaderMap,
-    /// Whole body.
+    /// Complete body of the caller's request.
     pub(crate) body: Bytes,
-    /// What stays the same when its caller repeats it.
+    /// Identifies the request across repeats by its caller.
     pub(crate) fingerprint: RequestFingerprint,
-    /// Workspace.
+    /// Workspace of the caller, if the call belongs to one.
     pub(crate) workspace: Option<WorkspaceId>,
-    /// Rank in the endpoint's queue.
+    /// Priority in the endpoint's queue; 0 is first.
     pub(crate) priority: u8,
-    /// When the answer must be there.
+    /// Time by which the answer must be complete.
     pub(crate) deadline: Instant,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub(crate) may_repeat: bool,
-    /// What the engines of its service are, if it has engines.
+    /// Properties of the engines of its service, if the service has engines.
     pub(crate) engine: Option<EngineTraits>,
-    /// Zones in which it may run, and to whose stores parts of its prompt may be saved.
+    /// Zones in which the call may run and in whose stores parts of its prompt may be saved.
     pub(crate) allowed_zones: AllowedZones,
 }
 
-/// An answer whose head has come.
+/// An answer whose head has been received and accepted.
 pub(crate) struct OpenedAnswer {
     pub(crate) parts: response::Parts,
+    /// Rest of the answer, not yet read.
     pub(crate) body: Incoming,
+    /// Connection that the body is read from.
     pub(crate) connection: Connection,
+    /// Counts the attempt as load of its endpoint until the answer has ended.
     pub(crate) in_flight: InFlightAttempt,
-    /// Where it runs.
+    /// Where the call was sent.
     pub(crate) placement: Placement,
 }
 
-/// Says what is known of an attempt that brought no answer to pass on.
+/// Reason why an attempt brought no answer that can be passed on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum FailureKind {
-    /// No byte of it left.
+    /// No byte of the call was sent.
     NotSent,
-    /// Its endpoint may get nothing more since it was placed there; no byte of it left.
+    /// The endpoint stopped accepting calls after the call was placed there; no byte of the call
+    /// was sent.
     NotAdmitted,
-    /// The endpoint says that it didn't run it.
+    /// The endpoint answered that it didn't run the call.
     NotRun,
-    /// Another endpoint, or other weights, are at that address; it wasn't run.
+    /// Another endpoint, or one with other weights, is at that address; it didn't run the call.
     Misdirected,
-    /// The connection broke; it may have run.
+    /// The connection broke; the call may have run.
     Lost,
-    /// No answer came in time; it may have run.
+    /// No answer arrived in time; the call may have run.
     Timeout,
-    /// The answer is no answer to it; it may have run.
+    /// The answer doesn't belong to the call or isn't valid; the call may have run.
     InvalidAnswer,
-    /// The endpoint failed; it has run.
+    /// The endpoint failed; the call has run.
     EndpointFailed,
-    /// It was taken back, since endpoints crash under it; it may have run.
+    /// The attempt was cancelled because endpoints crash under this request; the call may have run.
     Blocked,
 }
 
 impl FailureKind {
-    /// Returns whether no byte of the call left.
+    /// Returns whether no byte of the call was sent.
     pub(crate) const fn is_unsent(self) -> bool {
         matches!(self, FailureKind::NotSent | FailureKind::NotAdmitted)
     }
 
-    /// Returns whether the call certainly has not run.
+    /// Returns whether the call certainly hasn't run.
     pub(crate) const fn is_not_run(self) -> bool {
         self.is_unsent() || matches!(self, FailureKind::NotRun | FailureKind::Misdirected)
     }
 
-    /// Returns the code for a caller where this was the last attempt.
+    /// Returns the code for the caller if this was the last attempt.
     pub(crate) const fn code(self) -> Code {
         match self {
             FailureKind::NotSent | FailureKind::NotAdmitted => Code::NoEndpoint,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Returns the word for logs and metrics.
+    /// Returns the label for logs and metrics.
     pub(crate) const fn label(self) -> &'static str {
         match self {
             FailureKind::NotSent => "not_sent",
@@ -135,7 +138,7 @@
     }
 }
 
-/// A failed attempt.
+/// A failed attempt: its kind and a detail for the log.
 #[derive(Clone, Debug)]
 pub(crate) struct Failure {
     pub(crate) kind: FailureKind,
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Sorts a failed exchange by what may be concluded about the call.
+    /// Classifies an HTTP error by what it implies for the call.
     pub(crate) fn from_http_error(error: &HttpError) -> Self {
         let kind = match error.kind() {
             HttpErrorKind::NotSent => FailureKind::NotSent,
@@ -162,10 +165,11 @@
     }
 }
 
-/// Sends a call to the endpoint of a placement and waits for the head of its answer until `until`.
+/// Sends a call to the endpoint of a placement and waits for the head of its answer until
+/// `deadline`.
 ///
-/// Dropping the future closes the connection, which is what tells the endpoint to stop. Of the last
-/// attempt (`is_last`) an endpoint's failure is passed on as it is.
+/// Dropping the future closes the connection, which tells the endpoint to stop. If this is the last
+/// attempt (`is_last`), a server error of the endpoint is passed on as it is.
 pub(crate) async fn send_attempt(
     shared: &Arc<Shared>,
     call: &Call,
@@ -228,7 +232,7 @@
         true => MAX_IDLE_REPEATABLE,
         false => MAX_IDLE_NON_REPEATABLE,
     };
-    // A kept connection that had closed tells that nothing left, and a new one is opened.
+    // If a pooled connection turns out to be closed, nothing was sent, and a new one is opened.
     let mut pooled = shared.pool.take(&placement.endpoint, max_idle).await;
     loop {
         let (mut connection, is_pooled) = match pooled.take() {
@@ -238,7 +242,7 @@
         let how = if is_pooled { "reused" } else { "opened" };
         shared.metrics.connections.with_label_values(&[how]).inc();
         if !is_admitted(shared, placement) {
-            let detail = "the endpoint may get nothing more";
+            let detail = "the endpoint no longer accepts calls";
             return Err(Failure::new(FailureKind::NotAdmitted, detail));
         }
         let request = build_request(shared, call, placement, resume_after);
@@ -249,7 +253,7 @@
             }
             Ok(Err(error)) if is_pooled && error.kind() == HttpErrorKind::NotSent => {}
             Ok(Err(error)) => return Err(Failure::from_http_error(&error)),
-            Err(_) => return Err(Failure::new(FailureKind::Timeout, "no head of an answer")),
+            Err(_) => return Err(Failure::new(FailureKind::Timeout, "no head in time")),
         }
     }
 }
@@ -272,7 +276,7 @@
     opened.map_err(|error| {
         let label = ["failed"];
         shared.metrics.connections.with_label_values(&label).inc();
-        // Nothing of the call has left, whatever became of the question before it.
+        // Only the query for the endpoint's start may have been sent, nothing of the call itself.
         Failure::new(FailureKind::NotSent, error.detail())
     })
 }
@@ -282,8 +286,10 @@
     left.min(CONNECT_TIMEOUT)
 }
 
-/// Opens a connection and asks on it which process is at its other end, so that one which has started again unread is
-/// known to be cold before a call reaches it.
+/// Opens a connection and asks on it for the start of the process at the other end.
+///
+/// A process that has restarted without its registration having been read is then known to be cold
+/// before a call reaches it.
 async fn connect_and_query_start(
     shared: &Shared,
     placement: &Placement,
@@ -309,11 +315,11 @@
             return Ok(connection);
         }
     }
-    let detail = "the connection is closed after each answer";
+    let detail = "the endpoint closes the connection after each answer";
     Err(HttpError::new(HttpErrorKind::NotSent, detail))
 }
 
-/// Builds the message; the time that is left is taken now, when its bytes leave.
+/// Builds the request. Its remaining time is computed here, right before it is sent.
 fn build_request(
     shared: &Shared,
     call: &Call,
@@ -344,7 +350,7 @@
     request
 }
 
-/// Decides whether an answer may be passed on.
+/// Checks whether an answer may be passed on to the caller.
 fn check_answer(
     call: &Call,
     parts: &response::Parts,
@@ -353,17 +359,17 @@
 ) -> Result<(), Failure> {
     let echoed = answer.request_id.as_ref();
     if echoed.is_some_and(|id| *id != call.head.request_id) {
-        // The late answer to an earlier request on this connection: what became of this request
-        // isn't known, and the connection must not be used again.
+        // This is the late answer to an earlier request on the same connection. What became of this
+        // request is unknown, and the connection must not be used again.
         return Err(Failure::new(
             FailureKind::InvalidAnswer,
-            "answer to another request",
+            "the answer has the id of another request",
         ));
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
         return Err(Failure::new(
             FailureKind::Misdirected,
-            "another endpoint or other weights",
+            "another endpoint or other weights are at this address",
         ));
     }
     let is_not_run_status = matches!(parts.status.as_u16(), 408 | 429 | 503);
@@ -371,8 +377,8 @@
         return Err(Failure::new(FailureKind::NotRun, parts.status.to_string()));
     }
     if is_not_run_status {
-        // A caller would read this status as a promise that the call has not run. The endpoint
-        // doesn't promise it.
+        // A caller reads this status as a guarantee that the call hasn't run, which the endpoint
+        // doesn't give.
         return Err(Failure::new(
             FailureKind::EndpointFailed,
             parts.status.to_string(),
@@ -389,7 +395,7 @@
     if parts.status.is_success() && is_not_endpoint_answer {
         return Err(Failure::new(
             FailureKind::InvalidAnswer,
-            "not the endpoint's own answer",
+            "no request id or a content encoding: not the endpoint's own answer",
         ));
     }
     Ok(())
@@ -406,7 +412,8 @@
     }
 }
 
-/// Time for which an endpoint that refused gets no further requests, unless there is no other.
+/// Time for which an endpoint that refused a call gets no further requests, unless there is no
+/// other endpoint.
 const REFUSAL_BACKOFF_US: DurationUs = DurationUs::from_ms(120);
 
 fn record_failure(
@@ -422,7 +429,7 @@
         .inc();
     match kind {
         FailureKind::NotSent => in_flight.finish(AttemptOutcome::Unreachable),
-        // It tells nothing of the endpoint.
+        // Says nothing about the state of the endpoint.
         FailureKind::NotAdmitted => {}
         FailureKind::NotRun | FailureKind::Misdirected => {
             let reserved_until: TimeUs = shared.now() + REFUSAL_BACKOFF_US;
@@ -435,7 +442,8 @@
     }
 }
 
-/// Notes who is at an endpoint's address, where a refusal tells that it is another one.
+/// Records which endpoint answered at an address if it refused a call that was meant for another
+/// one.
 fn record_misdirection(
     shared: &Shared,
     placement: &Placement,
@@ -453,13 +461,14 @@
         endpoints.misdirected(&placement.endpoint, found)
     };
     if change.is_some() {
-        // The others would find out by a refused call each.
+        // Other daemons would otherwise learn it only from a refused call of their own.
         shared.peers.hurry.notify_one();
     }
     shared.record_endpoint_changes(change.into_iter().collect(), 0);
 }
 
-/// Keeps the connection of an endpoint that refused, whose answer is short.
+/// Returns the connection of an endpoint that refused a call to the pool if its answer has no body
+/// left to read.
 fn return_connection_after_refusal(
     shared: &Arc<Shared>,
     placement: &Placement,
--- a/crates/wisteriahitch-relay/src/shell/attempt_answer.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt_answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one attempt, up to where it can be passed on.
+//! Receives the answer to one attempt until it can be passed on to the caller.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 use super::shared::Shared;
 use crate::decide::placement::Placement;
 
-/// Largest answer that is taken in whole before it is passed on. What is not yet passed on can
-/// still be asked for again where it breaks.
+/// Maximum size of an answer that is buffered completely before it is passed on. If the connection
+/// breaks before anything was passed on, the call can still be sent again.
 pub(super) const MAX_BUFFERED_ANSWER_BYTES: u64 = 256 * 1024;
 
 impl RoutedCall {
@@ -43,7 +43,10 @@
             }
             Err(_) => {
                 in_flight.finish(AttemptOutcome::Failed);
-                return Err(Failure::new(FailureKind::Timeout, "the answer isn't whole"));
+                return Err(Failure::new(
+                    FailureKind::Timeout,
+                    "the answer was incomplete at the deadline",
+                ));
             }
         };
         if parts.status.is_success() {
@@ -66,8 +69,9 @@
         Ok(AttemptAnswer::Whole(response, status))
     }
 
-    /// Waits for the first bytes of a stream before its head is passed on: until then a failure
-    /// can still be told by a status of its own, and where it may be, the call sent elsewhere.
+    /// Waits for the first bytes of a stream before its head is passed on. Until then a failure can
+    /// still be reported by a status of its own, or the call be sent to another endpoint if it may
+    /// be repeated.
     pub(super) async fn await_first_event(
         &self,
         shared: &Arc<Shared>,
@@ -85,12 +89,15 @@
                 opened.in_flight.finish(AttemptOutcome::Failed);
                 return Err(Failure::new(
                     FailureKind::Lost,
-                    "the stream ended before an event",
+                    "the stream ended before its first event",
                 ));
             }
             Err(_) => {
                 opened.in_flight.finish(AttemptOutcome::Failed);
-                return Err(Failure::new(FailureKind::Timeout, "no first event"));
+                return Err(Failure::new(
+                    FailureKind::Timeout,
+                    "no first event before the deadline",
+                ));
             }
         };
         opened
@@ -106,7 +113,8 @@
     }
 }
 
-/// Keeps a connection whose answer was read to its end, unless the endpoint closes it.
+/// Returns a connection whose answer was read completely to the pool, unless the endpoint closes
+/// it.
 pub(crate) fn return_connection(
     shared: &Shared,
     placement: &Placement,
--- a/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
+++ b/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
@@ -1,7 +1,8 @@
-//! Writing down which requests are blocked, so that it outlasts all daemons, and an operator's way to lift that.
+//! Stores which requests are blocked, so that blocks survive a restart of all daemons, and lets
+//! operators lift them.
 //!
-//! Daemons tell each other of blocked requests all the time; the store is read at the start alone and written once
-//! for each.
+//! Daemons gossip blocked requests continuously. The store is read only at startup and written once
+//! for each block.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,31 +21,35 @@
 use crate::observe::Event;
 use crate::site::RequestFingerprint;
 
-/// Path of the blocked requests on the peers' side; with a fingerprint behind it, of one.
+/// Path of the blocked requests on the peer server. Followed by `/` and a fingerprint, it names one
+/// of them.
 pub(super) const BLOCKED_PATH: &str = "/v1/blocked-requests";
 
-/// Pause after a call of the store failed.
+/// Interval between retries of a failed store call.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Steps that wait for the store. While it is away there is one for each request that is blocked meanwhile; what
-/// is left out is known to the daemons all the same.
+/// Maximum number of changes that wait to be written. While the store is unavailable, there is one
+/// for each request that is blocked. Changes beyond this are dropped, but the daemons still know
+/// the blocks by gossip.
 const MAX_PENDING_CHANGES: usize = 256;
 
 const ROLE: ObjectRole = ObjectRole::BlockedRequests;
 
-/// A change that is to be written.
+/// A change that is to be written to the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum StoreChange {
     Write(RequestFingerprint),
     Remove(RequestFingerprint),
 }
 
-/// What is to be written, and who waits for requests to be blocked.
+/// Changes to be written, and the notification of new blocks.
 #[derive(Debug, Default)]
 pub(crate) struct BlockedRequests {
+    /// Oldest first; at most [`MAX_PENDING_CHANGES`].
     pending_changes: Mutex<VecDeque<StoreChange>>,
+    /// Wakes the task that writes the changes.
     has_pending_changes: Notify,
-    /// Wakes the calls that are under way when a request is blocked.
+    /// Notified whenever a request is blocked, so that calls in flight re-check theirs.
     request_blocked: Notify,
 }
 
@@ -60,9 +65,10 @@
 }
 
 impl Shared {
-    /// Waits until a request is blocked.
+    /// Waits until `request` is blocked.
     ///
-    /// Copies of it wait in the queues of endpoints when it is; each would end one more endpoint once it begins.
+    /// When a request is blocked, copies of it may still wait in the queues of endpoints. Each of
+    /// them would crash one more endpoint once it begins.
     pub(crate) async fn wait_until_blocked(&self, request: RequestFingerprint) {
         loop {
             let request_blocked = self.blocked_requests.request_blocked.notified();
@@ -74,19 +80,19 @@
     }
 }
 
-/// Says how a daemon got to know that a request is blocked.
+/// How this daemon learned that a request is blocked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum BlockSource {
-    /// It saw one of the crashes itself.
+    /// This daemon observed one of the crashes itself.
     Own,
-    /// Others told it.
+    /// Another daemon reported it.
     Peer,
-    /// It is written in the store.
+    /// It was read from the store.
     Store,
 }
 
 impl BlockSource {
-    /// Returns the word for the log.
+    /// Returns the label for the log.
     const fn label(self) -> &'static str {
         match self {
             BlockSource::Own => "own",
@@ -96,21 +102,21 @@
     }
 }
 
-/// Says why a request is no longer blocked.
+/// Why a request is no longer blocked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum UnblockReason {
-    /// An endpoint has answered it.
+    /// An endpoint answered it.
     Answered,
-    /// An operator has ordered it.
+    /// An operator lifted the block.
     Lifted,
-    /// It hasn't come for long.
+    /// The request hasn't arrived for a long time.
     Absent,
-    /// Another daemon told so.
+    /// Another daemon reported that the block has ended.
     Peer,
 }
 
 impl UnblockReason {
-    /// Returns the word for the log.
+    /// Returns the label for the log.
     const fn label(self) -> &'static str {
         match self {
             UnblockReason::Answered => "answered",
@@ -121,8 +127,8 @@
     }
 }
 
-/// Follows a request being blocked: calls under way end, the others hear of it at once, and who saw a crash writes it
-/// down.
+/// Applies a new block: cancels calls in flight, gossips the block at once and, if this daemon
+/// observed a crash itself, queues the write to the store.
 pub(super) fn record_blocked(shared: &Shared, request: RequestFingerprint, source: BlockSource) {
     shared.log.write(&Event::RequestBlocked {
         fingerprint: request.to_string(),
@@ -136,7 +142,7 @@
     update_gauge(shared);
 }
 
-/// Follows a request being sent again. Who ended the block takes it out of the store.
+/// Applies the end of a block. The daemon that ended it removes it from the store.
 pub(super) fn record_unblocked(
     shared: &Shared,
     request: RequestFingerprint,
@@ -158,12 +164,13 @@
     gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
 }
 
-/// Ends blocks of requests that haven't come for long.
+/// Ends blocks of requests that haven't arrived for a long time.
 pub(super) fn expire_blocks(shared: &Shared) {
     let now = shared.now();
     let expired = shared.suspects.lock().tick(now);
     for request in expired {
-        // All daemons end it at about the same time, and one of them takes it out of the store.
+        // All daemons expire the block at about the same time; only one of them removes it from the
+        // store.
         let is_first = shared.peers.place_in_turn(ROLE, shared.settings.ip, now) == 0;
         let reason = match is_first {
             true => UnblockReason::Absent,
@@ -173,7 +180,7 @@
     }
 }
 
-/// Takes over what is written, and then writes what changes, for as long as the process lives.
+/// Restores the stored blocks, then writes changes to the store until the process ends.
 pub(crate) async fn run_blocked_requests(shared: Arc<Shared>) {
     restore(&shared).await;
     loop {
@@ -184,7 +191,7 @@
         };
         while let Err(error) = apply_change(&shared, change).await {
             shared.log.write(&Event::Failure {
-                what: "writing down a blocked request",
+                what: "storing a change of a blocked request",
                 detail: error.to_string(),
             });
             tokio::time::sleep(STORE_RETRY_INTERVAL).await;
@@ -239,7 +246,7 @@
     let store = &shared.borders.store;
     let content = json!({"daemon": shared.settings.id});
     match store.create(ROLE, &request.to_string(), content).await {
-        // Another daemon saw a crash too.
+        // Another daemon observed a crash as well and wrote it first.
         Err(error) if error.kind() == PlatformErrorKind::AlreadyExists => Ok(()),
         created => created.map(|_| ()),
     }
@@ -252,20 +259,21 @@
         return Ok(());
     };
     match store.delete(ROLE, &name, object.revision).await {
-        // Another daemon was first.
+        // Another daemon removed it first.
         Err(error) if error.kind() == PlatformErrorKind::NotFound => Ok(()),
         deleted => deleted,
     }
 }
 
-/// Shows the blocked requests, and for how long each hasn't come.
+/// Lists the blocked requests and how long ago each last arrived.
 pub(super) fn blocked_list(shared: &Shared) -> Vec<Value> {
     let blocked = shared.suspects.lock().blocked(shared.now());
     let to_json = |(request, absent_us): (RequestFingerprint, DurationUs)| json!({"fingerprint": request.to_string(), "absent_ms": absent_us.as_ms()});
     blocked.into_iter().map(to_json).collect()
 }
 
-/// Carries out an operator's order to send a request again; nothing where the path names no blocked one.
+/// Lifts the block of the request that `path` names, on an operator's order. Returns `None` if it
+/// names no blocked request.
 pub(super) fn lift(shared: &Shared, path: &str) -> Option<Bytes> {
     let request = path.strip_prefix(BLOCKED_PATH)?.strip_prefix('/')?;
     let request: RequestFingerprint = request.parse().ok()?;
--- a/crates/wisteriahitch-relay/src/shell/budgets.rs
+++ b/crates/wisteriahitch-relay/src/shell/budgets.rs
@@ -1,4 +1,4 @@
-//! Retry budgets by service.
+//! Retry budgets of all services.
 
 use std::collections::HashMap;
 
@@ -8,18 +8,20 @@
 
 use crate::settings::RetrySettings;
 
-/// Holds this daemon's part of the retries that all daemons together may make at each service.
+/// This daemon's part of the retries that all daemons together may make at each service.
 ///
 /// Each daemon earns retries from its own requests and may save up its part of the common slack.
-/// Without a common bound, a fault of all endpoints would be multiplied by every daemon's retries.
+/// Without a common bound, every daemon's retries would multiply the load of an outage of all
+/// endpoints.
 pub(crate) struct RetryBudgets {
     settings: RetrySettings,
     by_service: Mutex<HashMap<ServiceName, RetryBudget>>,
+    /// Maximum number of retries that one service's budget may save up.
     max_saved: Mutex<f64>,
 }
 
 impl RetryBudgets {
-    /// Starts with empty budgets.
+    /// Creates empty budgets.
     pub(crate) fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Divides the common slack among so many daemons.
+    /// Divides the common slack among the given number of daemons.
     pub(crate) fn set_daemon_count(&self, daemons: usize) {
         let max_saved = self.settings.slack / daemons.max(1) as f64;
         *self.max_saved.lock() = max_saved;
@@ -37,17 +39,17 @@
         }
     }
 
-    /// Counts a caller's request.
+    /// Counts a caller's request, which earns a fraction of a retry.
     pub(crate) fn record_request(&self, service: &ServiceName) {
         self.with_budget(service, RetryBudget::request);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Takes one retry if the budget has one left.
     pub(crate) fn try_take(&self, service: &ServiceName) -> bool {
         self.with_budget(service, RetryBudget::try_take)
     }
 
-    /// Returns how many retries are left.
+    /// Returns how many retries the budget has left.
     pub(crate) fn remaining(&self, service: &ServiceName) -> f64 {
         self.with_budget(service, |budget| budget.left())
     }
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -1,4 +1,4 @@
-//! Finding out whether an endpoint crashed with calls on board, and what that says of them.
+//! Finds out whether an endpoint crashed with calls in flight, and records those calls as suspects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,33 +23,34 @@
 use crate::observe::Event;
 use crate::site::RequestFingerprint;
 
-/// Longest wait for an endpoint to accept or refuse a connection. Either takes a round trip; what takes longer is a
-/// link that was cut, and proves nothing.
+/// Maximum time for an endpoint to accept or refuse a probe connection. Either takes one round
+/// trip. A longer wait points to a broken link and is no evidence of a crash.
 const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time within which a process that is ending closes a connection that it has just accepted. Processes hold some
-/// thousand descriptors, which the system closes in some milliseconds.
+/// Time within which a process that is ending closes a connection that it has just accepted.
+/// Processes hold some thousand descriptors, which the system closes within milliseconds.
 const PROBE_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Pause before another connection is tried at a process that closes each.
+/// Interval between probes of a process that closes each connection.
 const PROBE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Connections that are tried there: a tenth of a second, within which a process has ended.
+/// Maximum number of probes. Together they take a tenth of a second, within which an ending process
+/// is gone.
 const MAX_PROBES: u32 = 5;
 
-/// Says what proved that an endpoint's process has ended.
+/// Evidence that an endpoint's process has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum EvidenceKind {
     /// Nothing listens at its address right after its connections broke.
     Refused,
-    /// Its next start has registered, or another endpoint at its address.
+    /// A newer instance of it, or another endpoint at its address, has registered.
     Replaced,
-    /// Another daemon says so.
+    /// Another daemon reported the crash.
     Reported,
 }
 
 impl EvidenceKind {
-    /// Returns the word for the log.
+    /// Returns the label for logs and metrics.
     const fn label(self) -> &'static str {
         match self {
             EvidenceKind::Refused => "refused",
@@ -59,9 +60,11 @@
     }
 }
 
-/// Notes that the connection of a call broke, and looks whether its endpoint is still there.
+/// Records that the connection of a call broke, and probes whether the endpoint's process still
+/// runs.
 ///
-/// An endpoint that has announced its leaving, or whose registration is gone, ends as planned.
+/// An endpoint that has announced that it is leaving, or whose registration was removed, ends as
+/// planned and isn't counted as a crash.
 pub(super) fn record_broken_connection(shared: &Arc<Shared>, call: &Call, placement: &Placement) {
     let is_leaving = {
         let endpoints = shared.endpoints.lock();
@@ -90,11 +93,13 @@
     }
 }
 
-/// Looks whether a process listens at an endpoint's address, for as long as it seems to be ending.
+/// Probes whether a process listens at an endpoint's address, and repeats the probe while the
+/// process seems to be ending.
 ///
-/// A process that ends closes its connections and its listener one after the other. Taken for alive by who looks in
-/// between, it would be known to have crashed only when it is back, and the request would end another one
-/// meanwhile; one would notice by `replaced` as the proof of every crash.
+/// An ending process closes its connections and its listener one after the other. If a single probe
+/// in between took it for alive, the crash would be known only after the endpoint has restarted,
+/// and the request would crash another endpoint meanwhile. This would show as `replaced` in the
+/// field `proof` of every crash.
 async fn probe_endpoint(shared: Arc<Shared>, probed: EndpointInstance, address: SocketAddr) {
     let instance_name = life_name(&probed);
     for _ in 0..MAX_PROBES {
@@ -127,12 +132,12 @@
     matches!(closed, Ok(Ok(0) | Err(_)))
 }
 
-/// Notes that an endpoint's process has ended without a word.
+/// Records that an endpoint's process ended without announcing it.
 pub(super) fn on_crash(shared: &Shared, endpoint: &EndpointInstance, evidence: EvidenceKind) {
     on_named_crash(shared, life_name(endpoint), &endpoint.to_string(), evidence);
 }
 
-/// Holds a crash against all calls of this daemon that were on board.
+/// Records a crash against all calls of this daemon that were in flight at the endpoint.
 fn on_named_crash(shared: &Shared, instance_name: u32, endpoint: &str, evidence: EvidenceKind) {
     let calls_in_flight = shared
         .crash_evidence
@@ -151,7 +156,7 @@
     record_crash_suspects(shared, &calls_in_flight, instance_name);
 }
 
-/// Holds a crash that this daemon saw against requests, and tells the others at once.
+/// Counts a crash that this daemon observed against requests, and gossips it at once.
 fn record_crash_suspects(shared: &Shared, requests: &[RequestFingerprint], instance_name: u32) {
     let now = shared.now();
     for request in requests {
@@ -166,9 +171,10 @@
     shared.peers.hurry.notify_one();
 }
 
-/// Takes over what another daemon tells of requests under which endpoints crash.
+/// Applies another daemon's report of requests under which endpoints crash.
 ///
-/// That an endpoint has crashed says the same of this daemon's calls that broke there.
+/// A reported crash also counts against the calls of this daemon whose connections broke at that
+/// endpoint.
 pub(super) fn apply_request_update(shared: &Shared, update: &RequestUpdate) {
     for crash in &update.crashes {
         let endpoint = format!("{:08x}", crash.endpoint);
@@ -187,11 +193,12 @@
     }
 }
 
-/// Notes the end of an endpoint's good answer.
+/// Records the end of a successful answer of an endpoint.
 ///
-/// One without a length ends with its connection, as it does with its process: the request that ends endpoints would
-/// seem to be answered by each, and be cleared each time. So it says nothing for the request, and its end is looked at
-/// like a connection that broke.
+/// An answer without a length ends when its connection closes, which a crash does as well. If such
+/// an end counted as an answer, a request that crashes endpoints would seem to be answered by each
+/// of them and be cleared each time. So it doesn't clear the request and is handled like a broken
+/// connection.
 pub(super) fn record_answer_end(
     shared: &Arc<Shared>,
     call: &Call,
--- a/crates/wisteriahitch-relay/src/shell/drain.rs
+++ b/crates/wisteriahitch-relay/src/shell/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving without cutting anybody off.
+//! Graceful shutdown that cuts off no call.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,42 +10,42 @@
 
 use crate::settings::RelaySettings;
 
-/// What is left of the grace when the process ends whatever is under way.
+/// Time before the end of the grace period at which the process exits even if calls are in flight.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// Callers keep a list of entries for up to so many times its validity.
+/// Maximum time for which callers use a list of entries, in multiples of its TTL.
 const ENTRY_LIST_TTLS: u32 = 3;
 
-/// Time for a request that is on its way when the last list naming this daemon runs out.
+/// Allowance for a request that is on its way when the last list with this daemon expires.
 const LATE_REQUEST_ALLOWANCE: Duration = Duration::from_millis(300);
 
-/// Time that a stream takes at most, but for a few: long prompts under full load.
+/// Time within which nearly all streams end, also long prompts under full load.
 const MAX_STREAM_TIME: Duration = Duration::from_millis(3_900);
 
-/// Time that a plain call takes at most, but for a few.
+/// Time within which nearly all other calls end.
 const MAX_CALL_TIME: Duration = Duration::from_millis(1_000);
 
-/// Counts calls and tells when the process may end.
+/// Counts calls in flight and decides when a draining process may exit.
 #[derive(Debug, Default)]
 pub(crate) struct Drain {
-    /// When it began.
+    /// Start of the drain, if it has started.
     started_at: OnceLock<Instant>,
     in_flight: AtomicUsize,
     idle: Notify,
-    /// Cancelled when the process leaves.
+    /// Cancelled when the drain starts.
     pub(crate) started: CancellationToken,
 }
 
 impl Drain {
-    /// Returns whether the process is leaving.
+    /// Returns whether the process is draining.
     pub(crate) fn is_draining(&self) -> bool {
         self.started_at.get().is_some()
     }
 
-    /// Returns whether a new call can still be finished before the process is killed.
+    /// Returns whether a new call can still finish before the process is killed.
     ///
-    /// Callers come for a while with lists from before. One whose answer would be cut off by the
-    /// end is better told at once that it hasn't run.
+    /// Callers keep using older entry lists for a while. A call that the exit would cut off is
+    /// better refused at once, as not run.
     pub(crate) fn accepts(&self, settings: &RelaySettings, is_stream: bool) -> bool {
         let Some(started_at) = self.started_at.get() else {
             return true;
@@ -59,33 +59,32 @@
         started_at.elapsed() + needed + EXIT_MARGIN < grace
     }
 
-    /// Counts a call.
     pub(crate) fn record_call_start(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes that a call has ended.
     pub(crate) fn record_call_end(&self) {
         if self.in_flight.fetch_sub(1, Ordering::Relaxed) == 1 {
             self.idle.notify_waiters();
         }
     }
 
-    /// Returns how many calls are under way.
+    /// Returns the number of calls in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Begins to leave: callers are told of other daemons, and those that come are still served.
+    /// Starts the drain: callers are pointed to other daemons, but calls that still arrive are
+    /// served.
     pub(crate) fn start(&self) {
         self.started_at.get_or_init(Instant::now);
         self.started.cancel();
     }
 
-    /// Waits until the process may end.
+    /// Waits until the process may exit.
     ///
-    /// Callers go on using a list that they were given before. If the process ended with its last
-    /// request, they would meet a closed port for seconds.
+    /// Callers keep using an entry list that they already have. If the process exited with its last
+    /// request, they would find a closed port for seconds.
     pub(crate) async fn wait_until_finished(&self, settings: &RelaySettings) {
         let started_at = *self.started_at.get_or_init(Instant::now);
         let grace = Duration::from_secs_f64(settings.drain.grace_s);
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -1,4 +1,4 @@
-//! The accounting of one attempt at an endpoint.
+//! Accounting of one attempt at an endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,18 +19,19 @@
 pub(crate) struct InFlightAttempt {
     shared: Arc<Shared>,
     endpoint: EndpointInstance,
+    /// Load of the attempt that isn't released yet.
     load: Load,
     started_at: Instant,
 }
 
-/// Says how an attempt ended, as far as its endpoint's good name is concerned.
+/// Outcome of an attempt for outlier detection of its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AttemptOutcome {
-    /// It answered.
+    /// The endpoint answered.
     Succeeded,
-    /// It failed.
+    /// The endpoint failed.
     Failed,
-    /// It can't be reached.
+    /// No connection to the endpoint could be opened.
     Unreachable,
 }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Notes the first event: the prompt has been read, and its parts are kept now.
+    /// Records the first event: the engine has now read the prompt and caches its parts.
     pub(crate) fn record_prompt_read(
         &mut self,
         placement: &Placement,
@@ -86,7 +87,7 @@
         let (Some(prompt), Some(scope)) = (prompt, &placement.cache_scope) else {
             return;
         };
-        // A change of weights in between has emptied the endpoint's memory.
+        // The weights changed in between, which has emptied the endpoint's cache.
         if row.weights(&prompt.model) != placement.weights {
             return;
         }
@@ -94,7 +95,7 @@
         let keys = part_keys(scope, prompt);
         let last = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.into_iter().enumerate() {
-            // The last part is this request's or its session's own, which others don't ask for.
+            // The last part belongs to this request or its session; no other request asks for it.
             if !row.parts.used(key, tokens, now) || index == last {
                 continue;
             }
@@ -108,7 +109,7 @@
         self.shared.peers.tell_parts(updates);
     }
 
-    /// Notes how the attempt ended.
+    /// Records the outcome of the attempt for outlier detection.
     pub(crate) fn finish(&self, outcome: AttemptOutcome) {
         let now = self.shared.now();
         let mut endpoints = self.shared.endpoints.lock();
@@ -140,8 +141,8 @@
     }
 }
 
-/// Notes how long the parts took that a call has fetched: what is left of the time to its first event
-/// after everything else that was expected.
+/// Records how long a call's fetch of prompt parts took: the time to its first event minus
+/// everything else that was expected.
 fn record_fetch(
     endpoints: &mut EndpointTable,
     placement: &Placement,
--- a/crates/wisteriahitch-relay/src/shell/next_step.rs
+++ b/crates/wisteriahitch-relay/src/shell/next_step.rs
@@ -1,26 +1,26 @@
 //! What follows a failed attempt.
 
-/// Says whether a call is tried again, or why not.
+/// Whether a failed call is sent again, or why not.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NextStep {
     /// Another attempt follows.
     Retry,
-    /// The caller no longer waits.
+    /// The call's deadline has passed.
     NoTimeLeft,
-    /// No more endpoints are tried to connect to.
+    /// The maximum number of endpoints that a call tries to connect to is reached.
     TooManyConnects,
-    /// It may have run, and may run once only.
+    /// The call may have run and isn't repeatable.
     MayHaveRun,
-    /// The route allows no more attempts.
+    /// The route's maximum number of attempts is reached.
     AttemptsUsedUp,
-    /// Endpoints have crashed under it before, and may crash under it again.
+    /// Endpoints have crashed under this request before; another one could.
     Suspect,
-    /// All daemons together have made as many retries as they may.
+    /// The retry budget, shared by all daemons, is used up.
     BudgetUsedUp,
 }
 
 impl NextStep {
-    /// Returns the word for the log.
+    /// Returns the label for the log.
     pub(crate) const fn label(self) -> &'static str {
         match self {
             NextStep::Retry => "again",
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -1,4 +1,4 @@
-//! The way of a call up to its first attempt: route, workspace, body.
+//! Handles a call up to its first attempt: finds its route and workspace, and reads its body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::border::Refusal;
 use crate::site::{AllowedZones, CallKind, RequestFingerprint, Route, SiteConfig, Workspace};
 
-/// When a caller may come back to a daemon that knows too little yet.
-const NOT_READY_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(300);
+/// Retry delay for callers of a daemon that hasn't loaded enough of its state yet.
+const NOT_READY_RETRY_US: DurationUs = DurationUs::from_ms(300);
 
-/// When a caller may come back to another daemon after this one has nearly left.
-const DRAINING_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(20);
+/// Retry delay for callers of a daemon that is about to exit; they retry at another one.
+const DRAINING_RETRY_US: DurationUs = DurationUs::from_ms(20);
 
-/// Answers callers.
+/// Handles requests of callers.
 pub(crate) struct CallerHandler {
     pub(crate) shared: Arc<Shared>,
 }
@@ -43,7 +43,7 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        /// Bounds that hold until a configuration is known.
+        /// Limits that apply until a configuration has been loaded.
         const UNCONFIGURED_LIMITS: ConnectionLimits = ConnectionLimits {
             header_bytes: 16_384,
             idle_timeout: Duration::from_secs(15),
@@ -81,7 +81,7 @@
     }
 }
 
-/// What a call gets.
+/// Answer to a call.
 enum CallAnswer {
     Whole(Response<AnswerBody>, u16),
     Stream(Box<StreamStart>),
@@ -97,8 +97,7 @@
     let head = shared.borders.calls.decode_call(&parts)?;
     trace.log_entry().request = head.request_id.to_string();
     let config = shared.site.config();
-    let config =
-        config.ok_or(Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER_US))?;
+    let config = config.ok_or(Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US))?;
     trace.log_entry().config_version = config.version.get();
     trace.log_entry().config_age_ms = shared
         .watches
@@ -111,7 +110,7 @@
         .drain
         .accepts(&shared.settings, route.kind == CallKind::Stream)
     {
-        return Err(Refusal::new(Code::Draining).retry_after(DRAINING_RETRY_AFTER_US));
+        return Err(Refusal::new(Code::Draining).retry_after(DRAINING_RETRY_US));
     }
     let workspace = find_workspace(shared, &config, &route, head.key.as_deref())?;
     let deadline_us = head
@@ -173,16 +172,16 @@
     })
 }
 
-/// Returns the zones in which a call may run.
 fn allowed_zones(shared: &Shared, route: &Route, workspace: Option<&Workspace>) -> AllowedZones {
     let workspace_regions = workspace.map_or(&[][..], |workspace| &workspace.permitted_regions);
     AllowedZones::of(&route.permitted_regions, workspace_regions, &shared.regions)
 }
 
-/// Refuses a request under which endpoints crash, before anything is spent on it.
+/// Refuses a request under which endpoints crash, before it uses any resources.
 ///
-/// Sent on, it would end one more endpoint with all that runs there; one would notice by endpoints that go down one
-/// after the other, each with the same fingerprint among its broken calls.
+/// Sent on, it would crash one more endpoint with all calls in flight there. This would show as
+/// endpoints that go down one after the other, with the same fingerprint among the broken calls of
+/// each.
 fn check_blocked(
     shared: &Shared,
     fingerprint: RequestFingerprint,
@@ -195,19 +194,20 @@
     Err(Refusal::new(Code::RequestBlocked))
 }
 
-/// Refuses what this daemon doesn't know.
+/// Returns the refusal for a route or key that this daemon doesn't know.
 ///
-/// A newer configuration may name the route or the key where nobody has confirmed for a while that there is
-/// none. A caller that is told "unknown" doesn't come back; so it is asked to.
+/// If nobody has confirmed for a while that the configuration is current, a newer one may contain
+/// the route or key. Callers don't retry after "unknown", so in that case they are asked to retry.
 fn unknown_refusal(shared: &Shared, code: Code) -> Refusal {
     let limits = shared.bounds.staleness(ObjectRole::Configuration);
     match shared.watches.is_final(&limits, shared.now()) {
         true => Refusal::new(code),
-        false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER_US),
+        false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US),
     }
 }
 
-/// Finds whose call it is; the key alone decides, whatever else the caller says of itself.
+/// Returns the workspace of a call. Only the key decides, whatever else the caller sends about
+/// itself.
 fn find_workspace(
     shared: &Shared,
     config: &SiteConfig,
--- a/crates/wisteriahitch-relay/src/shell/request_body.rs
+++ b/crates/wisteriahitch-relay/src/shell/request_body.rs
@@ -1,4 +1,4 @@
-//! Taking a caller's body in, bounded.
+//! Reads callers' bodies within size and time limits.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,13 +12,14 @@
 use super::shared::Shared;
 use crate::border::Refusal;
 
-/// When a caller may come back to a daemon that holds as many bodies as it may.
-const BODIES_FULL_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(300);
+/// Retry delay for callers of a daemon that buffers as many bytes of bodies as it may.
+const BODIES_FULL_RETRY_US: DurationUs = DurationUs::from_ms(300);
 
-/// A request's body, counted as held until it is dropped.
+/// A request's body. Its bytes count against the limit of all buffered bodies until it is dropped.
 pub(super) struct BufferedBody {
     shared: Arc<Shared>,
     pub(super) bytes: Bytes,
+    /// Bytes that this body counts against the limit.
     reserved_bytes: usize,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Reads a body to its end, at most `limit` bytes until `due`.
+/// Reads a body of at most `limit` bytes to its end, until `deadline`.
 pub(super) async fn read_body(
     shared: &Arc<Shared>,
     mut body: Incoming,
@@ -62,7 +63,7 @@
             return Err(Refusal::new(Code::BodyTooLarge));
         }
         if !shared.try_reserve_body_bytes(data.len()) {
-            return Err(Refusal::new(Code::StreamsFull).retry_after(BODIES_FULL_RETRY_AFTER_US));
+            return Err(Refusal::new(Code::StreamsFull).retry_after(BODIES_FULL_RETRY_US));
         }
         buffered.reserved_bytes += data.len();
         received.extend_from_slice(&data);
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -1,4 +1,4 @@
-//! The attempts at one call.
+//! Runs the attempts of one call.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,60 +27,61 @@
 use crate::observe::Event;
 use crate::site::{CallKind, Route, Workspace};
 
-/// Endpoints that one call tries to connect to; an attempt that sends nothing costs an endpoint
-/// nothing, but the caller waits.
+/// Maximum number of endpoints that one call tries to connect to. A failed connection attempt sends
+/// nothing and costs an endpoint nothing, but the caller waits.
 const MAX_CONNECTS: u32 = 4;
 
-/// Time that the first attempt at a repeatable call gets, in multiples of its target, while another
-/// attempt is left.
+/// Time that an attempt at a repeatable call gets beyond its expected time while another attempt is
+/// left, in multiples of the route's target.
 const FIRST_ATTEMPT_TARGET_FACTOR: f64 = 2.5;
 
-/// Least part of the time left that an attempt gets.
+/// Minimum part of the remaining time that an attempt gets.
 const MIN_ATTEMPT_SHARE: f64 = 0.35;
 
-/// When a caller may come back after endpoints refused its call.
-const REFUSED_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(250);
+/// Retry delay for callers whose call was refused by endpoints.
+const REFUSED_RETRY_US: DurationUs = DurationUs::from_ms(250);
 
-/// Gap after which callers give a stream up: the longest of two seconds, four times the target
-/// and eight times the longest good pause.
+/// Returns the gap between events after which callers give up a stream: the longest of two seconds,
+/// four times the target and eight times the longest acceptable gap.
 fn stream_patience(route: &Route) -> DurationUs {
     let targets = route.target_us.get().saturating_mul(4);
     let gaps = route.max_gap_us.get().saturating_mul(8);
     DurationUs::new(targets.max(gaps)).max(DurationUs::from_ms(2_000))
 }
 
-/// A call with what was decided about it before its first attempt.
+/// A call with the decisions that were made about it before its first attempt.
 pub(crate) struct RoutedCall {
     pub(crate) call: Call,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceName,
     pub(crate) workspace: Option<Arc<Workspace>>,
-    /// Longest queue that the call joins.
+    /// Maximum estimated queue of an endpoint that the call is placed at.
     pub(super) longest_queue_us: DurationUs,
-    /// Endpoints that were tried.
+    /// Endpoints that were already tried; they are excluded from the next placement.
     pub(crate) tried_endpoints: Vec<EndpointInstance>,
-    /// Attempts that an endpoint got to see.
+    /// Number of attempts that may have reached an endpoint.
     pub(crate) sent_attempts: u32,
-    /// The body that `call` sends; counted as held for as long as it may be sent again.
+    /// The body that `call` sends. It stays counted as buffered for as long as it may be sent
+    /// again.
     pub(super) _body: BufferedBody,
 }
 
-/// An answer to pass on.
+/// An answer that can be passed on.
 pub(super) enum AttemptAnswer {
-    /// All of it, and its status.
+    /// A complete answer and its status.
     Whole(Response<AnswerBody>, u16),
-    /// A stream, with its first bytes where they have come.
+    /// A stream, with its first bytes if they have been received.
     Stream(Option<Bytes>, Box<OpenedAnswer>),
 }
 
 impl RoutedCall {
-    /// Makes attempts until one brings an answer to pass on, or there is nothing left to try.
+    /// Makes attempts until one brings an answer that can be passed on, or no retry is allowed.
     pub(super) async fn run_attempts(
         &mut self,
         shared: &Arc<Shared>,
         trace: &mut CallTrace,
     ) -> Result<AttemptAnswer, Refusal> {
-        let mut connect_attempts = 0;
+        let mut failed_attempts = 0;
         let mut worst_failure: Option<FailureKind> = None;
         loop {
             if shared.suspects.lock().is_blocked(self.call.fingerprint) {
@@ -98,8 +99,8 @@
             };
             self.tried_endpoints.push(placement.endpoint.clone());
             self.record_broken_connection(shared, &placement, failure.kind);
-            connect_attempts += 1;
-            let next = self.next_step(shared, &placement, failure.kind, connect_attempts);
+            failed_attempts += 1;
+            let next = self.next_step(shared, &placement, failure.kind, failed_attempts);
             self.log_failure(shared, &placement, &failure, next);
             worst_failure = Some(less_certain(worst_failure, failure.kind));
             if next != NextStep::Retry {
@@ -110,7 +111,9 @@
         }
     }
 
-    /// Returns when a caller may come back whose call has no attempt left: once an endpoint takes calls again.
+    /// Returns the retry delay for a call that has no attempt left: about the time until
+    /// an endpoint accepts calls again, or [`REFUSED_RETRY_US`] if one accepts them now or none ever
+    /// will.
     fn retry_delay(&self, shared: &Shared) -> DurationUs {
         let now = shared.now();
         let accepts_at_us = {
@@ -121,11 +124,11 @@
             Some(accepts_at_us) if accepts_at_us > now => {
                 retry_after(accepts_at_us.since(now), &mut rand::rng())
             }
-            _ => REFUSED_RETRY_AFTER_US,
+            _ => REFUSED_RETRY_US,
         }
     }
 
-    /// Chooses an endpoint for the next attempt.
+    /// Chooses an endpoint for the next attempt and reserves its permits.
     pub(crate) fn place(
         &self,
         shared: &Shared,
@@ -172,8 +175,8 @@
         Ok(placement)
     }
 
-    /// Makes one attempt, and takes it back where the endpoint's weights go out of use before it
-    /// has begun.
+    /// Makes one attempt. Cancels it if the endpoint's weights expire before the stream begins, if
+    /// the endpoint has restarted, or if the request is blocked.
     async fn attempt(
         &mut self,
         shared: &Arc<Shared>,
@@ -247,10 +250,10 @@
             .await
     }
 
-    /// Returns when an attempt is given up.
+    /// Returns the deadline of an attempt.
     ///
-    /// A repeatable call doesn't wait its whole time for an endpoint that doesn't answer, as long
-    /// as it could still be sent to another one.
+    /// While a repeatable call could still be sent to another endpoint, it doesn't spend all of its
+    /// time waiting for one that doesn't answer.
     fn attempt_deadline(&self, shared: &Shared, placement: &Placement) -> Instant {
         let call_deadline = self.call.deadline;
         if !self.may_retry(shared) {
@@ -263,11 +266,12 @@
         call_deadline.min(now + wait.max(left.mul_f64(MIN_ATTEMPT_SHARE)))
     }
 
-    /// Waits until a stream must have begun at its endpoint, if the weights there are or get replaced.
+    /// Waits until the latest time at which a stream may begin on `weights`. There is one only
+    /// while they are being replaced; otherwise this waits for that.
     ///
-    /// Calls that are less urgent may wait there for seconds longer than was expected. Without this
-    /// one would begin on weights that are out of use by then; taken back, it begins at another
-    /// endpoint, or where it may not be sent again its caller is told so at once.
+    /// Less urgent calls may wait at an endpoint seconds longer than expected. Without this limit,
+    /// such a call would begin on weights that have expired by then. Once cancelled, it begins at
+    /// another endpoint or, if it may not be repeated, its caller gets the failure at once.
     async fn wait_until_weights_expire(
         shared: &Shared,
         model: Option<&ModelName>,
@@ -289,14 +293,14 @@
         }
     }
 
-    /// Returns whether the call could be sent to another endpoint after the next attempt.
+    /// Returns whether the call could be sent to another endpoint if the next attempt fails.
     fn may_retry(&self, shared: &Shared) -> bool {
         self.call.may_repeat
             && self.sent_attempts + 1 < self.route.max_attempts
             && shared.budgets.remaining(&self.service) >= 1.0
     }
 
-    /// Notes a connection that broke, which may tell of a crash.
+    /// Records a broken connection, which may be the sign of a crash.
     pub(crate) fn record_broken_connection(
         &self,
         shared: &Arc<Shared>,
@@ -308,10 +312,11 @@
         }
     }
 
-    /// Returns whether another attempt might cost another endpoint.
+    /// Returns whether another attempt might crash another endpoint.
     ///
-    /// One crash is no reason: all that were on board have seen it, and most of them end well elsewhere. Of one under
-    /// which endpoints have crashed before, a further attempt of the same call would end one more before anybody knows.
+    /// A single crash is no reason to stop: it affects all calls that were in flight there, and
+    /// most of them succeed elsewhere. If endpoints have crashed under this request before, another
+    /// attempt of the same call would crash one more before any daemon has noticed.
     pub(crate) fn is_suspect(
         &self,
         shared: &Shared,
@@ -321,9 +326,9 @@
         match kind {
             FailureKind::Blocked => true,
             FailureKind::Lost => {
-                let life = life_name(&placement.endpoint);
+                let instance_name = life_name(&placement.endpoint);
                 let suspects = shared.suspects.lock();
-                suspects.crashes_elsewhere(self.call.fingerprint, life) > 0
+                suspects.crashes_elsewhere(self.call.fingerprint, instance_name) > 0
             }
             _ => false,
         }
@@ -335,7 +340,7 @@
         shared: &Shared,
         placement: &Placement,
         kind: FailureKind,
-        connect_attempts: u32,
+        failed_attempts: u32,
     ) -> NextStep {
         if self.call.deadline <= Instant::now() {
             return NextStep::NoTimeLeft;
@@ -344,7 +349,7 @@
             return NextStep::Suspect;
         }
         if kind.is_unsent() {
-            return match connect_attempts < MAX_CONNECTS {
+            return match failed_attempts < MAX_CONNECTS {
                 true => NextStep::Retry,
                 false => NextStep::TooManyConnects,
             };
@@ -363,7 +368,7 @@
         NextStep::Retry
     }
 
-    /// Makes a refusal true: where an attempt may have run, it can't say "not run".
+    /// Keeps refusals accurate: if an attempt may have run, the caller isn't told "not run".
     fn final_refusal(&self, refusal: Refusal, worst_failure: Option<FailureKind>) -> Refusal {
         match worst_failure {
             Some(kind) if !kind.is_not_run() => Refusal::new(kind.code()),
@@ -392,10 +397,10 @@
     }
 }
 
-/// Returns which of two failures says less about what hasn't run.
-fn less_certain(known: Option<FailureKind>, new: FailureKind) -> FailureKind {
-    match known {
-        Some(known) if !known.is_not_run() => known,
+/// Returns whichever of two failures leaves it less certain that the call hasn't run.
+fn less_certain(previous: Option<FailureKind>, new: FailureKind) -> FailureKind {
+    match previous {
+        Some(previous) if !previous.is_not_run() => previous,
         _ => new,
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/server.rs
+++ b/crates/wisteriahitch-relay/src/shell/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! HTTP server: accepts connections and serves requests on them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,42 +16,42 @@
 
 use super::answer_body::AnswerBody;
 
-/// Connections that wait to be accepted. The kernel's usual 128 overflow when many callers come
-/// back at once; the opening packet of the others is then lost and sent again after a second.
+/// Length of the accept queue. The kernel's usual 128 overflow when many callers reconnect at once;
+/// the SYN packets of the others are then lost and sent again after a second.
 const LISTEN_BACKLOG: u32 = 2_048;
 
-/// How long the listener rests after an accept fails, such as for want of descriptors.
+/// Pause after a failed accept, for example when no descriptors are left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Smallest header buffer that the HTTP library takes.
+/// Minimum size of the header buffer that the HTTP library accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
 
-/// How long an idle connection stays open after the daemon began to leave, for a request that is
-/// on its way.
+/// Time for which idle connections stay open after the drain has started, for requests that are on
+/// their way.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Bounds of a connection.
+/// Limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Size of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub(crate) header_bytes: usize,
-    /// Time for which a connection may wait for the head of a request.
+    /// Maximum wait for the head of a request.
     pub(crate) idle_timeout: Duration,
 }
 
-/// Answers requests; every failure is an answer too.
+/// Handles requests; failures are returned as answers as well.
 pub(crate) trait RequestHandler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send;
 
-    /// Returns the bounds that hold for connections now.
+    /// Returns the limits for new connections.
     fn limits(&self) -> ConnectionLimits;
 }
 
-/// Listens on an address.
+/// Listens on an address; `side` names the server in error messages.
 pub(crate) fn bind(address: SocketAddr, side: &str) -> anyhow::Result<TcpListener> {
     let listen = || {
         let socket = TcpSocket::new_v4()?;
@@ -62,7 +62,7 @@
     listen().with_context(|| format!("{side} can't listen on {address}"))
 }
 
-/// Serves connections until the process ends; once `leaving` is cancelled, idle ones are closed.
+/// Accepts connections until the process ends. Once `leaving` is cancelled, idle ones are closed.
 pub(crate) async fn serve<A: RequestHandler>(
     listener: TcpListener,
     handler: Arc<A>,
@@ -84,7 +84,8 @@
     handler: Arc<A>,
     leaving: CancellationToken,
 ) {
-    // Without it answers wait for the confirmation of the one before; a failure only costs time.
+    // With Nagle's algorithm, small answers would wait for the acknowledgement of the one before. A
+    // failure here only costs latency.
     let _ = stream.set_nodelay(true);
     let limits = handler.limits();
     let service = service_fn(move |request| {
@@ -102,7 +103,7 @@
         leaving.cancelled().await;
         tokio::time::sleep(IDLE_CLOSE_DELAY).await;
     };
-    // How a connection ends is the affair of its calls, which have their own lines in the log.
+    // Errors of the connection are ignored: its calls write log lines of their own.
     tokio::select! {
         _ = connection.as_mut() => {}
         () = idle_close => {
--- a/crates/wisteriahitch-relay/src/shell/shared.rs
+++ b/crates/wisteriahitch-relay/src/shell/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a daemon share.
+//! State that all tasks of a daemon share.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -32,45 +32,46 @@
 use crate::settings::{Bounds, RelaySettings};
 use crate::site::RegionMap;
 
-/// The implementations of the traits of `border`.
+/// Implementations of the traits in `border`.
 pub struct Borders {
-    /// Calls and answers.
+    /// Decodes calls and encodes answers.
     pub calls: Box<dyn CallCodec>,
-    /// Objects.
+    /// Decodes the site's objects.
     pub site: Box<dyn SiteCodec>,
-    /// The platform's store.
+    /// The platform's object store.
     pub store: Arc<dyn ObjectStore>,
-    /// Engines' orders and reports.
+    /// Sends orders to engines and fetches their reports.
     pub engines: Box<dyn EngineControl>,
-    /// Stores of prompt parts.
+    /// Reads and frees prompt parts in part stores.
     pub part_stores: Box<dyn PartStoreControl>,
 }
 
 pub(crate) struct Shared {
     pub(crate) settings: RelaySettings,
-    /// Regions of the zones.
+    /// Maps zones to regions.
     pub(crate) regions: RegionMap,
-    /// What decisions take from the deployment's bounds.
+    /// Bounds of the deployment on which decisions depend.
     pub(crate) bounds: Bounds,
     pub(crate) clock: BootClock,
     pub(crate) incarnation: Incarnation,
     pub(crate) started_at_us: TimeUs,
     pub(crate) borders: Borders,
     pub(crate) site: SiteState,
-    /// Locked for one step at a time and never across an await, as every table here.
+    /// Table of endpoints. Like all tables here, it is locked for one step at a time and never
+    /// across an await.
     pub(crate) endpoints: Mutex<EndpointTable>,
     pub(crate) part_stores: Mutex<PartStores>,
-    /// Which permits of endpoints whose calls are bounded this daemon holds.
+    /// This daemon's permits for endpoints whose call rate is limited.
     pub(crate) permit_shares: Mutex<PermitShares>,
     pub(crate) crash_evidence: Mutex<CrashEvidence>,
     pub(crate) suspects: Mutex<SuspectTable>,
     pub(crate) blocked_requests: BlockedRequests,
     pub(crate) peers: PeerState,
-    /// Connections to endpoints, each to one life.
+    /// Pooled connections to endpoints, each to one instance.
     pub(crate) pool: ConnectionPool<EndpointInstance>,
-    /// Engines whose memory this daemon follows for all.
+    /// Engines whose memory this daemon follows on behalf of all daemons.
     pub(crate) followed_engines: Mutex<HashSet<EndpointInstance>>,
-    /// Wakes those who wait for the end of an endpoint's life.
+    /// Notified when an instance of an endpoint has ended.
     pub(crate) instance_ended: Notify,
     pub(crate) budgets: RetryBudgets,
     pub(crate) durations: CallDurations,
@@ -78,14 +79,14 @@
     pub(crate) leases: Mutex<LeaseTable>,
     pub(crate) rollout: Mutex<Rollout>,
     pub(crate) drain: Drain,
-    /// Bytes of requests' bodies that are held now.
+    /// Bytes of all request bodies that are buffered now.
     pub(crate) reserved_body_bytes: AtomicUsize,
     pub(crate) log: EventLog,
     pub(crate) metrics: Metrics,
 }
 
 impl Shared {
-    /// Returns what this daemon tells of itself.
+    /// Returns the phase that this daemon reports to others.
     pub(crate) fn phase(&self) -> MemberPhase {
         if self.drain.is_draining() {
             return MemberPhase::Draining;
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Takes room for a body, or returns false where too many are held.
+    /// Reserves memory for `bytes` more of a body. Returns false if this would exceed the limit of
+    /// all bodies.
     pub(crate) fn try_reserve_body_bytes(&self, bytes: usize) -> bool {
         let limit = self.settings.body_bytes();
         let reserved_before = self.reserved_body_bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -107,7 +109,7 @@
         false
     }
 
-    /// Logs changes of endpoints and closes the connections of those that are gone.
+    /// Logs changes of endpoints and closes pooled connections to instances that have ended.
     pub(crate) fn record_endpoint_changes(&self, changes: Vec<EndpointChange>, revision: u64) {
         for change in changes {
             let (instance, change) = match change {
@@ -145,16 +147,16 @@
         }
     }
 
-    /// Returns whether this daemon follows an engine's memory for all.
+    /// Returns whether this daemon follows an engine's memory on behalf of all daemons.
     pub(crate) fn follows_engine(&self, instance: &EndpointInstance) -> bool {
         self.followed_engines.lock().contains(instance)
     }
 
-    /// Waits until the life of an endpoint that a call was sent to is known to have ended.
+    /// Waits until the instance of an endpoint is known to have ended.
     ///
-    /// A process that crashed behind a partition closes no connection: a call there would hang until
-    /// its own deadline although the next life of the endpoint has registered, and its caller would be
-    /// told nothing that wasn't known long before.
+    /// A process that crashed behind a network partition closes no connection. A call there would
+    /// wait until its own deadline although a new instance has already registered,
+    /// and its caller would get a failure that could have been reported much earlier.
     pub(crate) async fn wait_for_instance_end(&self, instance: &EndpointInstance) {
         loop {
             let ended = self.instance_ended.notified();
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Returns the rate of the VM's link, as it is told to others.
+    /// Returns the rate of the VM's link in Mbit/s, as it is reported to other daemons.
     pub(crate) fn link_mbps(&self) -> u16 {
         self.settings
             .limits
@@ -173,7 +175,6 @@
             .clamp(1.0, f64::from(u16::MAX)) as u16
     }
 
-    /// Returns the time now.
     pub(crate) fn now(&self) -> TimeUs {
         self.clock.now()
     }
--- a/crates/wisteriahitch-relay/src/shell/stream_body.rs
+++ b/crates/wisteriahitch-relay/src/shell/stream_body.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on, event by event.
+//! Forwards a stream to the caller, event by event.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 use crate::observe::Event;
 use crate::site::{CallKind, PromptShape};
 
-/// A stream whose first bytes have come.
+/// A stream that is ready to be forwarded to the caller.
 pub(crate) struct StreamStart {
     pub(crate) routed: RoutedCall,
     pub(crate) opened: OpenedAnswer,
@@ -34,19 +34,22 @@
     shared: Arc<Shared>,
     routed: RoutedCall,
     placement: Placement,
-    /// Nothing once the stream has ended.
+    /// `None` once the stream has ended.
     opened: Option<OpenedAnswer>,
+    /// First bytes, until they are forwarded.
     first: Option<Bytes>,
+    /// Splits the stream into events; `None` for an answer without events.
     framer: Option<EventFramer>,
     trace: CallTrace,
     status: u16,
+    /// When events were last forwarded.
     last_event: Instant,
 }
 
-/// Builds the answer that passes a stream on.
+/// Builds the answer that forwards a stream.
 ///
-/// The stream is polled by the caller's connection itself: when the caller leaves, everything is
-/// dropped with it, and the endpoint's connection closes at once.
+/// The stream is polled by the caller's connection itself. If the caller disconnects, everything is
+/// dropped with it, and the connection to the endpoint closes at once.
 pub(crate) fn stream_answer(
     shared: &Arc<Shared>,
     start: StreamStart,
@@ -109,7 +112,7 @@
         self.shared.metrics.event_gap_s.observe(gap.as_secs_f64());
     }
 
-    /// Returns the next whole events, or nothing at the stream's end.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next_events(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
             let Some(bytes) = self.next_bytes().await? else {
@@ -117,7 +120,7 @@
                 return match is_truncated {
                     true => Err(Failure::new(
                         FailureKind::Lost,
-                        "the stream ended in an event",
+                        "the stream ended within an event",
                     )),
                     false => Ok(None),
                 };
@@ -188,10 +191,11 @@
         self.trace.record_answered(self.status);
     }
 
-    /// Goes on at another endpoint after the last whole event, where the route allows it.
+    /// Resumes the stream at another endpoint after the last complete event, if the route allows
+    /// it.
     ///
-    /// The rest must come from the same weights: joined from two versions, the answer would be
-    /// neither's.
+    /// The rest must come from the same weights: an answer joined from two versions would belong to
+    /// neither.
     async fn resume(&mut self, failure: Failure) -> Result<(), Code> {
         let opened = self.opened.take().ok_or(Code::StreamIncomplete)?;
         opened.in_flight.finish(AttemptOutcome::Failed);
--- a/crates/wisteriahitch-relay/src/shell/trace.rs
+++ b/crates/wisteriahitch-relay/src/shell/trace.rs
@@ -1,4 +1,4 @@
-//! The story of one call, told when it ends.
+//! Collects the log entry and metrics of one call.
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 use crate::decide::placement::Placement;
 use crate::observe::{CallEnded, Event};
 
-/// Gathers what happens to a call and writes one line at its end, also where the caller leaves.
+/// Collects what happens to a call and writes one log line when it ends, even if the caller
+/// disconnects.
 pub(crate) struct CallTrace {
     shared: Arc<Shared>,
     started_at: Instant,
@@ -18,7 +19,7 @@
 }
 
 impl CallTrace {
-    /// Begins with a call that has just arrived.
+    /// Starts the entry of a call that has just arrived.
     pub(crate) fn new(shared: &Arc<Shared>) -> Self {
         shared.metrics.in_flight.inc();
         shared.drain.record_call_start();
@@ -26,14 +27,14 @@
             shared: Arc::clone(shared),
             started_at: Instant::now(),
             entry: CallEnded {
-                // Whatever ends the call without a word is the caller's leaving.
+                // A call that ends without another outcome was abandoned by its caller.
                 outcome: "caller_left",
                 ..CallEnded::default()
             },
         }
     }
 
-    /// Returns what is to be told, to add to it.
+    /// Returns the log entry, to fill in its fields.
     pub(crate) fn log_entry(&mut self) -> &mut CallEnded {
         &mut self.entry
     }
@@ -43,7 +44,7 @@
         self.started_at
     }
 
-    /// Notes where an attempt goes.
+    /// Records where an attempt is sent.
     pub(crate) fn record_placement(&mut self, placement: &Placement) {
         self.entry.endpoint = placement.endpoint.to_string();
         self.entry.weights = placement.weights.map_or(0, |weights| weights.get());
@@ -66,7 +67,7 @@
             .inc_by(placement.unread_tokens);
     }
 
-    /// Notes the first event, or the answer.
+    /// Records the time of the first event, or of the answer.
     pub(crate) fn record_first_event(&mut self) {
         let elapsed = self.started_at.elapsed();
         self.entry.first_event_ms = Some(DurationUs::from(elapsed).as_ms());
@@ -77,7 +78,6 @@
             .observe(seconds);
     }
 
-    /// Notes a refusal.
     pub(crate) fn record_refusal(&mut self, refusal: &Refusal) {
         self.entry.outcome = "refused";
         self.entry.code = Some(refusal.code.number());
@@ -95,13 +95,13 @@
             .inc();
     }
 
-    /// Notes a stream that couldn't be finished.
+    /// Records an answer that was aborted.
     pub(crate) fn record_abort(&mut self, code: Code) {
         self.entry.outcome = "broken_off";
         self.entry.code = Some(code.number());
     }
 
-    /// Notes that the whole answer was passed on.
+    /// Records that the whole answer was passed on.
     pub(crate) fn record_answered(&mut self, status: u16) {
         self.entry.outcome = "answered";
         self.entry.status = status;
--- a/crates/wisteriahitch-relay/src/shell/transfers.rs
+++ b/crates/wisteriahitch-relay/src/shell/transfers.rs
@@ -1,4 +1,4 @@
-//! Which parts of a prompt an engine is to fetch, and which to save.
+//! Plans which parts of a prompt an engine fetches, and which it saves.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,21 @@
 /// What the engine is to fetch and to save for a call.
 #[derive(Default)]
 pub(super) struct PartTransfers {
+    /// For each part, the address that it can be fetched from.
     pub(super) fetch_from: Vec<Option<SocketAddr>>,
+    /// For each part, the store that it is to be saved to.
     pub(super) save_to: Vec<Option<SocketAddr>>,
+    /// Time at which unfinished fetches are discarded, in milliseconds on the clock of stores and
+    /// engines.
     pub(super) fetch_deadline_ms: Option<u64>,
 }
 
 impl PartTransfers {
-    /// Names for each shared part where it can be fetched, as the placement found it, and where it
-    /// is to be saved if no store keeps it yet.
+    /// Plans, for each shared part, the source that the placement found and the store that it is to
+    /// be saved in if no store has it yet.
     ///
-    /// Parts are saved only under the weights that are wanted: others are of no use soon.
+    /// Parts are saved only under the newest wanted weights, since those of older weights are soon
+    /// useless.
     pub(super) fn plan(shared: &Shared, call: &Call, placement: &Placement) -> Self {
         let (Some(prompt), Some(scope)) = (&call.head.prompt, &placement.cache_scope) else {
             return Self::default();
