--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -190,7 +190,7 @@
     });
     // Only callers' connections are closed when the daemon leaves: the others go on asking it.
     let stay = CancellationToken::new();
-    let leaving = shared.drain.started.clone();
+    let leaving = shared.drain.start_signal.clone();
     tokio::spawn(serve(
         bind(listen.callers, "the callers' side")?,
         callers,
--- a/crates/wisteriahitch-relay/src/shell/drain.rs
+++ b/crates/wisteriahitch-relay/src/shell/drain.rs
@@ -33,7 +33,7 @@
     in_flight: AtomicUsize,
     idle: Notify,
     /// Cancelled when the drain starts.
-    pub(crate) started: CancellationToken,
+    pub(crate) start_signal: CancellationToken,
 }
 
 impl Drain {
@@ -78,7 +78,7 @@
     /// served.
     pub(crate) fn start(&self) {
         self.started_at.get_or_init(Instant::now);
-        self.started.cancel();
+        self.start_signal.cancel();
     }
 
     /// Waits until the process may exit.
