--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a call, up to the head of the endpoint's answer.
+//! One attempt at a call: sends it to an endpoint and checks the head of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,112 +14,115 @@
 use super::in_flight::{AttemptOutcome, InFlightAttempt};
 use super::shared::Shared;
 use super::statements::note_statements;
-use super::transfers::Transfers;
+use super::transfers::PartTransfers;
 use crate::border::{AnswerHead, CallHead, OutgoingCall};
 use crate::decide::placement::Placement;
 use crate::observe::Event;
 use crate::site::{AllowedZones, EngineTraits, RequestFingerprint};
 
-/// Longest wait for a connection to an endpoint. One takes some milliseconds; an opening packet
-/// that is lost is sent again after a second, and another endpoint is there sooner.
+/// Maximum time to connect to an endpoint. A connection normally takes a few milliseconds. A lost
+/// SYN packet is sent again only after a second; another endpoint can be reached sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time for which a kept connection was idle that a call which may run only once is sent
-/// on. If the endpoint closes it just then, nobody knows whether the call has run.
-const MAX_IDLE_ONCE: Duration = Duration::from_millis(2_500);
+/// Maximum idle time of a pooled connection that a non-repeatable call is sent on. If the endpoint
+/// closes the connection at that moment, it is unknown whether the call has run.
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(2_500);
 
-/// The same for calls that may be repeated.
+/// Maximum idle time of a pooled connection that a repeatable call is sent on.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_millis(8_000);
 
-/// Connections that are opened at most until one stays open after its endpoint has told its start. Endpoints close
-/// some connections after an answer.
-const MAX_START_QUESTIONS: u32 = 3;
+/// Maximum number of connections that are opened until one stays open after the endpoint has
+/// reported its start. Endpoints close some connections after an answer.
+const MAX_START_QUERIES: u32 = 3;
 
-/// What stays the same over all attempts at a call.
+/// A call with everything that is the same for all of its attempts.
 pub(crate) struct Call {
-    /// What the caller says of it.
+    /// Head of the call as the caller sent it.
     pub(crate) head: CallHead,
-    /// Method.
     pub(crate) method: Method,
-    /// Path and query.
+    /// Path and query of the caller's request.
     pub(crate) uri: Uri,
-    /// The caller's headers.
+    /// Headers of the caller's request.
     pub(crate) headers: HeaderMap,
-    /// Whole body.
+    /// Complete body of the caller's request.
     pub(crate) body: Bytes,
-    /// What stays the same when its caller repeats it.
+    /// Identifies the request across repeats by its caller.
     pub(crate) fingerprint: RequestFingerprint,
-    /// Workspace.
+    /// Workspace of the caller, if the call belongs to one.
     pub(crate) workspace: Option<WorkspaceId>,
-    /// Rank in the endpoint's queue.
+    /// Priority in the endpoint's queue; 0 is first.
     pub(crate) priority: u8,
-    /// When the answer must be there.
-    pub(crate) due: Instant,
-    /// Whether it may run more than once.
+    /// Time by which the answer must be complete.
+    pub(crate) deadline: Instant,
+    /// Whether the call may run more than once.
     pub(crate) may_repeat: bool,
-    /// What the engines of its service are, if it has engines.
+    /// Properties of the engines of its service, if the service has engines.
     pub(crate) engine: Option<EngineTraits>,
-    /// Zones in which it may run, and to whose stores parts of its prompt may be saved.
+    /// Zones in which the call may run and in whose stores parts of its prompt may be saved.
     pub(crate) allowed_zones: AllowedZones,
 }
 
-/// An answer whose head has come.
-pub(crate) struct Opened {
+/// An answer whose head has been received and accepted.
+pub(crate) struct OpenedAnswer {
     pub(crate) parts: response::Parts,
+    /// Rest of the answer, not yet read.
     pub(crate) body: Incoming,
+    /// Connection that the body is read from.
     pub(crate) connection: Connection,
-    pub(crate) flight: InFlightAttempt,
-    /// Where it runs.
+    /// Counts the attempt as load of its endpoint until the answer has ended.
+    pub(crate) in_flight: InFlightAttempt,
+    /// Where the call was sent.
     pub(crate) placement: Placement,
 }
 
-/// Says what is known of an attempt that brought no answer to pass on.
+/// Reason why an attempt brought no answer that can be passed on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum FailureKind {
-    /// No byte of it left.
+    /// No byte of the call was sent.
     NotSent,
-    /// Its endpoint may get nothing more since it was placed there; no byte of it left.
+    /// The endpoint stopped accepting calls after the call was placed there; no byte of the call
+    /// was sent.
     NotAdmitted,
-    /// The endpoint says that it didn't run it.
+    /// The endpoint answered that it didn't run the call.
     NotRun,
-    /// Another endpoint, or other weights, are at that address; it wasn't run.
+    /// Another endpoint, or one with other weights, is at that address; it didn't run the call.
     Misdirected,
-    /// The connection broke; it may have run.
+    /// The connection broke; the call may have run.
     Lost,
-    /// No answer came in time; it may have run.
+    /// No answer arrived in time; the call may have run.
     Timeout,
-    /// The answer is no answer to it; it may have run.
-    Nonsense,
-    /// The endpoint failed; it has run.
+    /// The answer doesn't belong to the call or isn't valid; the call may have run.
+    InvalidAnswer,
+    /// The endpoint failed; the call has run.
     EndpointFailed,
-    /// It was taken back, since endpoints crash under it; it may have run.
+    /// The attempt was cancelled because endpoints crash under this request; the call may have run.
     Blocked,
 }
 
 impl FailureKind {
-    /// Returns whether no byte of the call left.
+    /// Returns whether no byte of the call was sent.
     pub(crate) const fn is_unsent(self) -> bool {
         matches!(self, FailureKind::NotSent | FailureKind::NotAdmitted)
     }
 
-    /// Returns whether the call certainly has not run.
+    /// Returns whether the call certainly hasn't run.
     pub(crate) const fn is_not_run(self) -> bool {
         self.is_unsent() || matches!(self, FailureKind::NotRun | FailureKind::Misdirected)
     }
 
-    /// Returns the code for a caller where this was the last attempt.
+    /// Returns the code for the caller if this was the last attempt.
     pub(crate) const fn code(self) -> Code {
         match self {
             FailureKind::NotSent | FailureKind::NotAdmitted => Code::NoEndpoint,
             FailureKind::NotRun | FailureKind::Misdirected => Code::EndpointRefused,
             FailureKind::Lost | FailureKind::EndpointFailed => Code::EndpointLost,
             FailureKind::Timeout => Code::EndpointTimeout,
-            FailureKind::Nonsense => Code::EndpointNonsense,
+            FailureKind::InvalidAnswer => Code::EndpointNonsense,
             FailureKind::Blocked => Code::RequestBlocked,
         }
     }
 
-    /// Returns the word for logs and metrics.
+    /// Returns the label for logs and metrics.
     pub(crate) const fn label(self) -> &'static str {
         match self {
             FailureKind::NotSent => "not_sent",
@@ -128,14 +131,14 @@
             FailureKind::Misdirected => "misdirected",
             FailureKind::Lost => "lost",
             FailureKind::Timeout => "timeout",
-            FailureKind::Nonsense => "nonsense",
+            FailureKind::InvalidAnswer => "nonsense",
             FailureKind::EndpointFailed => "endpoint_failed",
             FailureKind::Blocked => "blocked",
         }
     }
 }
 
-/// A failed attempt.
+/// A failed attempt: its kind and a detail for the log.
 #[derive(Clone, Debug)]
 pub(crate) struct Failure {
     pub(crate) kind: FailureKind,
@@ -150,61 +153,69 @@
         }
     }
 
-    /// Sorts a failed exchange by what may be concluded about the call.
-    pub(crate) fn of_exchange(error: &HttpError) -> Self {
+    /// Classifies an HTTP error by what it implies for the call.
+    pub(crate) fn from_http_error(error: &HttpError) -> Self {
         let kind = match error.kind() {
             HttpErrorKind::NotSent => FailureKind::NotSent,
             HttpErrorKind::Timeout => FailureKind::Timeout,
             HttpErrorKind::Lost => FailureKind::Lost,
-            HttpErrorKind::Malformed | HttpErrorKind::TooLarge => FailureKind::Nonsense,
+            HttpErrorKind::Malformed | HttpErrorKind::TooLarge => FailureKind::InvalidAnswer,
         };
         Self::new(kind, error.detail())
     }
 }
 
-/// Sends a call to the endpoint of a placement and waits for the head of its answer until `until`.
+/// Sends a call to the endpoint of a placement and waits for the head of its answer until
+/// `deadline`.
 ///
-/// Dropping the future closes the connection, which is what tells the endpoint to stop. Of the last
-/// attempt (`is_last`) an endpoint's failure is passed on as it is.
-pub(crate) async fn open(
+/// Dropping the future closes the connection, which tells the endpoint to stop. If this is the last
+/// attempt (`is_last`), a server error of the endpoint is passed on as it is.
+pub(crate) async fn send_attempt(
     shared: &Arc<Shared>,
     call: &Call,
     placement: &Placement,
     resume_after: Option<u64>,
     is_last: bool,
-    until: Instant,
-) -> Result<Opened, Failure> {
-    let flight = InFlightAttempt::start(shared, placement, call.head.prompt.as_ref());
-    let result = exchange(shared, call, placement, resume_after, until).await;
+    deadline: Instant,
+) -> Result<OpenedAnswer, Failure> {
+    let in_flight = InFlightAttempt::start(shared, placement, call.head.prompt.as_ref());
+    let result = exchange(shared, call, placement, resume_after, deadline).await;
     let (parts, body, connection) = match result {
         Ok(answer) => answer,
         Err(failure) => {
-            note_failure(shared, placement, &flight, failure.kind);
+            record_failure(shared, placement, &in_flight, failure.kind);
             return Err(failure);
         }
     };
-    let answer = shared.borders.calls.answer(&parts);
-    note_answer(shared, call, placement, &answer);
+    let answer = shared.borders.calls.decode_answer(&parts);
+    record_answer(shared, call, placement, &answer);
     let checked = check_answer(call, &parts, &answer, is_last);
-    let is_to_the_call = !checked.as_ref().is_err_and(|failure| {
+    let is_for_this_call = !checked.as_ref().is_err_and(|failure| {
         matches!(
             failure.kind,
-            FailureKind::Misdirected | FailureKind::Nonsense
+            FailureKind::Misdirected | FailureKind::InvalidAnswer
         )
     });
-    note_statements(shared, &placement.endpoint, &answer, is_to_the_call);
+    note_statements(shared, &placement.endpoint, &answer, is_for_this_call);
     match checked {
-        Ok(()) => Ok(Opened {
+        Ok(()) => Ok(OpenedAnswer {
             parts,
             body,
             connection,
-            flight,
+            in_flight,
             placement: placement.clone(),
         }),
         Err(failure) => {
-            note_failure(shared, placement, &flight, failure.kind);
-            note_misdirection(shared, placement, &answer, failure.kind);
-            keep_after_refusal(shared, placement, &answer, failure.kind, body, connection);
+            record_failure(shared, placement, &in_flight, failure.kind);
+            record_misdirection(shared, placement, &answer, failure.kind);
+            return_connection_after_refusal(
+                shared,
+                placement,
+                &answer,
+                failure.kind,
+                body,
+                connection,
+            );
             Err(failure)
         }
     }
@@ -215,34 +226,34 @@
     call: &Call,
     placement: &Placement,
     resume_after: Option<u64>,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<(response::Parts, Incoming, Connection), Failure> {
     let max_idle = match call.may_repeat {
         true => MAX_IDLE_REPEATABLE,
-        false => MAX_IDLE_ONCE,
+        false => MAX_IDLE_NON_REPEATABLE,
     };
-    // A kept connection that had closed tells that nothing left, and a new one is opened.
-    let mut kept = shared.pool.take(&placement.endpoint, max_idle).await;
+    // If a pooled connection turns out to be closed, nothing was sent, and a new one is opened.
+    let mut pooled = shared.pool.take(&placement.endpoint, max_idle).await;
     loop {
-        let (mut connection, is_kept) = match kept.take() {
+        let (mut connection, is_pooled) = match pooled.take() {
             Some(connection) => (connection, true),
-            None => (connect(shared, placement, until).await?, false),
+            None => (connect(shared, placement, deadline).await?, false),
         };
-        let how = if is_kept { "reused" } else { "opened" };
+        let how = if is_pooled { "reused" } else { "opened" };
         shared.metrics.connections.with_label_values(&[how]).inc();
         if !is_admitted(shared, placement) {
-            let detail = "the endpoint may get nothing more";
+            let detail = "the endpoint no longer accepts calls";
             return Err(Failure::new(FailureKind::NotAdmitted, detail));
         }
         let request = build_request(shared, call, placement, resume_after);
-        match timeout_at(until, connection.send(request)).await {
+        match timeout_at(deadline, connection.send(request)).await {
             Ok(Ok(response)) => {
                 let (parts, body) = response.into_parts();
                 return Ok((parts, body, connection));
             }
-            Ok(Err(error)) if is_kept && error.kind() == HttpErrorKind::NotSent => {}
-            Ok(Err(error)) => return Err(Failure::of_exchange(&error)),
-            Err(_) => return Err(Failure::new(FailureKind::Timeout, "no head of an answer")),
+            Ok(Err(error)) if is_pooled && error.kind() == HttpErrorKind::NotSent => {}
+            Ok(Err(error)) => return Err(Failure::from_http_error(&error)),
+            Err(_) => return Err(Failure::new(FailureKind::Timeout, "no head in time")),
         }
     }
 }
@@ -255,38 +266,40 @@
 async fn connect(
     shared: &Shared,
     placement: &Placement,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Connection, Failure> {
     let needs_start = shared.endpoints.lock().needs_start(&placement.endpoint);
     let opened = match needs_start {
-        true => connect_to_start(shared, placement, until).await,
-        false => Connection::open(placement.address, connect_wait(until)).await,
+        true => connect_and_query_start(shared, placement, deadline).await,
+        false => Connection::open(placement.address, connect_timeout(deadline)).await,
     };
     opened.map_err(|error| {
         let label = ["failed"];
         shared.metrics.connections.with_label_values(&label).inc();
-        // Nothing of the call has left, whatever became of the question before it.
+        // Only the query for the endpoint's start may have been sent, nothing of the call itself.
         Failure::new(FailureKind::NotSent, error.detail())
     })
 }
 
-fn connect_wait(until: Instant) -> Duration {
-    let left = until.saturating_duration_since(Instant::now());
+fn connect_timeout(deadline: Instant) -> Duration {
+    let left = deadline.saturating_duration_since(Instant::now());
     left.min(CONNECT_TIMEOUT)
 }
 
-/// Opens a connection and asks on it which process is at its other end, so that one which has started again unread is
-/// known to be cold before a call reaches it.
-async fn connect_to_start(
+/// Opens a connection and asks on it for the start of the process at the other end.
+///
+/// A process that has restarted without its registration having been read is then known to be cold
+/// before a call reaches it.
+async fn connect_and_query_start(
     shared: &Shared,
     placement: &Placement,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Connection, HttpError> {
     let engines = &shared.borders.engines;
-    for _ in 0..MAX_START_QUESTIONS {
-        let mut connection = Connection::open(placement.address, connect_wait(until)).await?;
-        let (id, wait) = (&placement.endpoint.id, connect_wait(until));
-        let start = engines.start(id, &mut connection, wait).await?;
+    for _ in 0..MAX_START_QUERIES {
+        let mut connection = Connection::open(placement.address, connect_timeout(deadline)).await?;
+        let (id, timeout) = (&placement.endpoint.id, connect_timeout(deadline));
+        let start = engines.fetch_start(id, &mut connection, timeout).await?;
         let now = shared.now();
         let is_new = {
             let mut endpoints = shared.endpoints.lock();
@@ -302,19 +315,19 @@
             return Ok(connection);
         }
     }
-    let detail = "the connection is closed after each answer";
+    let detail = "the endpoint closes the connection after each answer";
     Err(HttpError::new(HttpErrorKind::NotSent, detail))
 }
 
-/// Builds the message; the time that is left is taken now, when its bytes leave.
+/// Builds the request. Its remaining time is computed here, right before it is sent.
 fn build_request(
     shared: &Shared,
     call: &Call,
     placement: &Placement,
     resume_after: Option<u64>,
 ) -> Request<Bytes> {
-    let left = call.due.saturating_duration_since(Instant::now());
-    let transfers = Transfers::plan(shared, call, placement);
+    let left = call.deadline.saturating_duration_since(Instant::now());
+    let transfers = PartTransfers::plan(shared, call, placement);
     let outgoing = OutgoingCall {
         endpoint: placement.endpoint.id.clone(),
         deadline_us: DurationUs::from(left),
@@ -324,17 +337,20 @@
         cache_scope: placement.cache_scope.clone(),
         fetch_from: transfers.fetch_from,
         save_to: transfers.save_to,
-        fetch_until_ms: transfers.until_ms,
+        fetch_deadline_ms: transfers.fetch_deadline_ms,
         resume_after,
     };
     let mut request = Request::new(call.body.clone());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = shared.borders.calls.outgoing(&call.headers, &outgoing);
+    *request.headers_mut() = shared
+        .borders
+        .calls
+        .endpoint_headers(&call.headers, &outgoing);
     request
 }
 
-/// Decides whether an answer may be passed on.
+/// Checks whether an answer may be passed on to the caller.
 fn check_answer(
     call: &Call,
     parts: &response::Parts,
@@ -343,26 +359,26 @@
 ) -> Result<(), Failure> {
     let echoed = answer.request_id.as_ref();
     if echoed.is_some_and(|id| *id != call.head.request_id) {
-        // The late answer to an earlier request on this connection: what became of this request
-        // isn't known, and the connection must not be used again.
+        // This is the late answer to an earlier request on the same connection. What became of this
+        // request is unknown, and the connection must not be used again.
         return Err(Failure::new(
-            FailureKind::Nonsense,
-            "answer to another request",
+            FailureKind::InvalidAnswer,
+            "the answer has the id of another request",
         ));
     }
     if parts.status == StatusCode::MISDIRECTED_REQUEST {
         return Err(Failure::new(
             FailureKind::Misdirected,
-            "another endpoint or other weights",
+            "another endpoint or other weights are at this address",
         ));
     }
-    let is_promise = matches!(parts.status.as_u16(), 408 | 429 | 503);
-    if answer.is_not_run && is_promise {
+    let is_not_run_status = matches!(parts.status.as_u16(), 408 | 429 | 503);
+    if answer.is_not_run && is_not_run_status {
         return Err(Failure::new(FailureKind::NotRun, parts.status.to_string()));
     }
-    if is_promise {
-        // A caller would read this status as a promise that the call has not run. The endpoint
-        // doesn't promise it.
+    if is_not_run_status {
+        // A caller reads this status as a guarantee that the call hasn't run, which the endpoint
+        // doesn't give.
         return Err(Failure::new(
             FailureKind::EndpointFailed,
             parts.status.to_string(),
@@ -374,17 +390,18 @@
             parts.status.to_string(),
         ));
     }
-    let is_foreign = echoed.is_none() || parts.headers.contains_key(http::header::CONTENT_ENCODING);
-    if parts.status.is_success() && is_foreign {
+    let is_not_endpoint_answer =
+        echoed.is_none() || parts.headers.contains_key(http::header::CONTENT_ENCODING);
+    if parts.status.is_success() && is_not_endpoint_answer {
         return Err(Failure::new(
-            FailureKind::Nonsense,
-            "not the endpoint's own answer",
+            FailureKind::InvalidAnswer,
+            "no request id or a content encoding: not the endpoint's own answer",
         ));
     }
     Ok(())
 }
 
-fn note_answer(shared: &Shared, call: &Call, placement: &Placement, answer: &AnswerHead) {
+fn record_answer(shared: &Shared, call: &Call, placement: &Placement, answer: &AnswerHead) {
     let now = shared.now();
     let mut endpoints = shared.endpoints.lock();
     if let (Some(prompt), Some(weights)) = (&call.head.prompt, answer.weights) {
@@ -395,13 +412,14 @@
     }
 }
 
-/// Time for which an endpoint that refused gets no further requests, unless there is no other.
-const AFTER_REFUSAL_US: DurationUs = DurationUs::from_ms(120);
+/// Time for which an endpoint that refused a call gets no further requests, unless there is no
+/// other endpoint.
+const REFUSAL_BACKOFF_US: DurationUs = DurationUs::from_ms(120);
 
-fn note_failure(
+fn record_failure(
     shared: &Shared,
     placement: &Placement,
-    flight: &InFlightAttempt,
+    in_flight: &InFlightAttempt,
     kind: FailureKind,
 ) {
     shared
@@ -410,22 +428,23 @@
         .with_label_values(&[kind.label()])
         .inc();
     match kind {
-        FailureKind::NotSent => flight.finish(AttemptOutcome::Unreachable),
-        // It tells nothing of the endpoint.
+        FailureKind::NotSent => in_flight.finish(AttemptOutcome::Unreachable),
+        // Says nothing about the state of the endpoint.
         FailureKind::NotAdmitted => {}
         FailureKind::NotRun | FailureKind::Misdirected => {
-            let until: TimeUs = shared.now() + AFTER_REFUSAL_US;
+            let reserved_until: TimeUs = shared.now() + REFUSAL_BACKOFF_US;
             let mut endpoints = shared.endpoints.lock();
             if let Some(row) = endpoints.get_mut(&placement.endpoint) {
-                row.reserved_until_us = row.reserved_until_us.max(until);
+                row.reserved_until_us = row.reserved_until_us.max(reserved_until);
             }
         }
-        _ => flight.finish(AttemptOutcome::Failed),
+        _ => in_flight.finish(AttemptOutcome::Failed),
     }
 }
 
-/// Notes who is at an endpoint's address, where a refusal tells that it is another one.
-fn note_misdirection(
+/// Records which endpoint answered at an address if it refused a call that was meant for another
+/// one.
+fn record_misdirection(
     shared: &Shared,
     placement: &Placement,
     answer: &AnswerHead,
@@ -442,14 +461,15 @@
         endpoints.misdirected(&placement.endpoint, found)
     };
     if change.is_some() {
-        // The others would find out by a refused call each.
+        // Other daemons would otherwise learn it only from a refused call of their own.
         shared.peers.hurry.notify_one();
     }
-    shared.note_changes(change.into_iter().collect(), 0);
+    shared.record_endpoint_changes(change.into_iter().collect(), 0);
 }
 
-/// Keeps the connection of an endpoint that refused, whose answer is short.
-fn keep_after_refusal(
+/// Returns the connection of an endpoint that refused a call to the pool if its answer has no body
+/// left to read.
+fn return_connection_after_refusal(
     shared: &Arc<Shared>,
     placement: &Placement,
     answer: &AnswerHead,
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -1,4 +1,4 @@
-//! The accounting of one attempt at an endpoint.
+//! Accounting of one attempt at an endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,18 +19,19 @@
 pub(crate) struct InFlightAttempt {
     shared: Arc<Shared>,
     endpoint: EndpointInstance,
+    /// Load of the attempt that isn't released yet.
     load: Load,
-    began: Instant,
+    started_at: Instant,
 }
 
-/// Says how an attempt ended, as far as its endpoint's good name is concerned.
+/// Outcome of an attempt for outlier detection of its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AttemptOutcome {
-    /// It answered.
-    Good,
-    /// It failed.
+    /// The endpoint answered.
+    Succeeded,
+    /// The endpoint failed.
     Failed,
-    /// It can't be reached.
+    /// No connection to the endpoint could be opened.
     Unreachable,
 }
 
@@ -59,13 +60,17 @@
             shared: Arc::clone(shared),
             endpoint: placement.endpoint.clone(),
             load,
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
-    /// Notes the first event: the prompt has been read, and its parts are kept now.
-    pub(crate) fn has_read(&mut self, placement: &Placement, prompt: Option<&PromptShape>) {
-        let read = Load {
+    /// Records the first event: the engine has now read the prompt and caches its parts.
+    pub(crate) fn record_prompt_read(
+        &mut self,
+        placement: &Placement,
+        prompt: Option<&PromptShape>,
+    ) {
+        let prompt_load = Load {
             unread_tokens: std::mem::take(&mut self.load.unread_tokens),
             ..Load::default()
         };
@@ -74,37 +79,37 @@
         let Some(row) = endpoints.get_mut(&self.endpoint) else {
             return;
         };
-        row.own.sub(read);
-        note_fetch(&mut endpoints, placement, self.began.elapsed(), now);
+        row.own.sub(prompt_load);
+        record_fetch(&mut endpoints, placement, self.started_at.elapsed(), now);
         let Some(row) = endpoints.get_mut(&self.endpoint) else {
             return;
         };
         let (Some(prompt), Some(scope)) = (prompt, &placement.cache_scope) else {
             return;
         };
-        // A change of weights in between has emptied the endpoint's memory.
+        // The weights changed in between, which has emptied the endpoint's cache.
         if row.weights(&prompt.model) != placement.weights {
             return;
         }
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         let keys = part_keys(scope, prompt);
         let last = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.into_iter().enumerate() {
-            // The last part is this request's or its session's own, which others don't ask for.
+            // The last part belongs to this request or its session; no other request asks for it.
             if !row.parts.used(key, tokens, now) || index == last {
                 continue;
             }
-            news.push(PartUpdate {
+            updates.push(PartUpdate {
                 endpoint: row.short_name,
                 part: key.0,
                 tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
             });
         }
         drop(endpoints);
-        self.shared.peers.tell_parts(news);
+        self.shared.peers.tell_parts(updates);
     }
 
-    /// Notes how the attempt ended.
+    /// Records the outcome of the attempt for outlier detection.
     pub(crate) fn finish(&self, outcome: AttemptOutcome) {
         let now = self.shared.now();
         let mut endpoints = self.shared.endpoints.lock();
@@ -113,7 +118,7 @@
             return;
         };
         let is_changed = match outcome {
-            AttemptOutcome::Good => row.outlier.succeeded(&options),
+            AttemptOutcome::Succeeded => row.outlier.succeeded(&options),
             AttemptOutcome::Failed => row.outlier.failed(&options, now),
             AttemptOutcome::Unreachable => {
                 let was_ejected = row.outlier.is_ejected(now);
@@ -129,27 +134,32 @@
         if is_changed {
             self.shared.log.write(&Event::EndpointEjected {
                 endpoint: self.endpoint.to_string(),
-                is_ejected: outcome != AttemptOutcome::Good,
+                is_ejected: outcome != AttemptOutcome::Succeeded,
                 failure_rate,
             });
         }
     }
 }
 
-/// Notes how long the parts took that a call has fetched: what is left of the time to its first event
-/// after everything else that was expected.
-fn note_fetch(endpoints: &mut EndpointTable, placement: &Placement, took: Duration, now: TimeUs) {
+/// Records how long a call's fetch of prompt parts took: the time to its first event minus
+/// everything else that was expected.
+fn record_fetch(
+    endpoints: &mut EndpointTable,
+    placement: &Placement,
+    elapsed: Duration,
+    now: TimeUs,
+) {
     let Some(fetch) = placement.main_fetch else {
         return;
     };
-    let rest_us = placement.expected_us - fetch.expected_us;
-    let took_us = DurationUs::from(took) - rest_us;
+    let other_us = placement.expected_us - fetch.expected_us;
+    let fetch_us = DurationUs::from(elapsed) - other_us;
     let links = &mut endpoints.links;
     links.fetched(
         fetch.source,
         placement.address,
         fetch.usual_us,
-        took_us,
+        fetch_us,
         now,
     );
 }
--- a/crates/wisteriahitch-relay/src/shell/transfers.rs
+++ b/crates/wisteriahitch-relay/src/shell/transfers.rs
@@ -1,4 +1,4 @@
-//! Which parts of a prompt an engine is to fetch, and which to save.
+//! Plans which parts of a prompt an engine fetches, and which it saves.
 
 use std::net::SocketAddr;
 
@@ -9,17 +9,22 @@
 
 /// What the engine is to fetch and to save for a call.
 #[derive(Default)]
-pub(super) struct Transfers {
+pub(super) struct PartTransfers {
+    /// For each part, the address that it can be fetched from.
     pub(super) fetch_from: Vec<Option<SocketAddr>>,
+    /// For each part, the store that it is to be saved to.
     pub(super) save_to: Vec<Option<SocketAddr>>,
-    pub(super) until_ms: Option<u64>,
+    /// Time at which unfinished fetches are discarded, in milliseconds on the clock of stores and
+    /// engines.
+    pub(super) fetch_deadline_ms: Option<u64>,
 }
 
-impl Transfers {
-    /// Names for each shared part where it can be fetched, as the placement found it, and where it
-    /// is to be saved if no store keeps it yet.
+impl PartTransfers {
+    /// Plans, for each shared part, the source that the placement found and the store that it is to
+    /// be saved in if no store has it yet.
     ///
-    /// Parts are saved only under the weights that are wanted: others are of no use soon.
+    /// Parts are saved only under the newest wanted weights, since those of older weights are soon
+    /// useless.
     pub(super) fn plan(shared: &Shared, call: &Call, placement: &Placement) -> Self {
         let (Some(prompt), Some(scope)) = (&call.head.prompt, &placement.cache_scope) else {
             return Self::default();
@@ -31,7 +36,7 @@
         let mut transfers = Self {
             fetch_from: placement.fetch_from.clone(),
             save_to: Vec::new(),
-            until_ms: stores.fetch_until_ms(now),
+            fetch_deadline_ms: stores.fetch_until_ms(now),
         };
         if newest.is_some_and(|newest| placement.weights != Some(newest)) {
             return transfers;
@@ -39,11 +44,11 @@
         let keys = part_keys(scope, prompt);
         let shared_parts = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.iter().enumerate() {
-            let save = match index < shared_parts {
+            let store = match index < shared_parts {
                 true => stores.save(*key, *tokens, &call.allowed_zones, now),
                 false => None,
             };
-            transfers.save_to.push(save);
+            transfers.save_to.push(store);
         }
         transfers
     }
