--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -5,8 +5,8 @@
 
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    Absence, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipPace, KeptPart, Load,
-    PartChanges, PartEvent, PartKey, PartListing, PartNamer, PartStore, PartStores, Placement,
+    Absence, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipSchedule, KeptPart, Load,
+    PartChanges, PartEvent, PartKey, PartKeyHasher, PartListing, PartStore, PartStores, Placement,
     PlacementRequest, PromptShape, Refusal, place,
 };
 use wisteriahitch_types::{
@@ -50,7 +50,7 @@
     incarnation: Incarnation,
     table: EndpointTable,
     stores: PartStores,
-    pub(super) pace: GossipPace,
+    pub(super) pace: GossipSchedule,
     untold_parts: Vec<(u32, PartKey, u64)>,
     duration_ms: f64,
     /// When its next message is due.
@@ -66,7 +66,7 @@
             incarnation: Incarnation::new(number as u64 + 1),
             table,
             stores: PartStores::default(),
-            pace: GossipPace::default(),
+            pace: GossipSchedule::default(),
             untold_parts: Vec::new(),
             duration_ms: FIRST_DURATION_MS,
             tell_at: TimeUs::ZERO,
@@ -95,16 +95,16 @@
             service: &names.service,
             engine: Some(&names.engine),
             prompt: Some(ask.prompt),
-            wall: None,
+            isolated_workspace: None,
             zone: &names.zone,
             daemons,
             duration_us,
             memory_duration_us: duration_us,
-            patience_us: ask.patience_us,
-            longest_queue_us: ask.longest_queue_us,
+            max_first_event_us: ask.patience_us,
+            max_queue_us: ask.longest_queue_us,
             allowed_zones: &AllowedZones::default(),
             excluded: &[],
-            is_isolated: false,
+            needs_isolation: false,
             required_weights: None,
             wanted_weights: None,
         };
@@ -116,7 +116,7 @@
         if let Some(row) = self.table.get_mut(id) {
             row.own.add(load);
         }
-        self.pace.sent(load.unread_tokens)
+        self.pace.record_dispatch(load.unread_tokens)
     }
 
     pub(super) fn has_read(
@@ -136,7 +136,7 @@
         let hash = row.short_name;
         for (index, (key, tokens)) in keys.iter().enumerate() {
             let is_own = index + 1 == keys.len();
-            if row.parts.used(*key, *tokens, now) && !is_own {
+            if row.parts.record_use(*key, *tokens, now) && !is_own {
                 self.untold_parts.push((hash, *key, *tokens));
             }
         }
@@ -154,7 +154,7 @@
 
     /// Returns what it tells the others now.
     pub(super) fn tell(&mut self, now: TimeUs) -> News {
-        self.pace.told(now);
+        self.pace.record_send(now);
         let rows = self.table.iter().filter(|row| row.own != Load::default());
         News {
             from: self.incarnation,
@@ -165,10 +165,10 @@
 
     /// Takes over which stores there are; they are empty.
     pub(super) fn stores_came(&mut self, stores: &[PartStore], now: TimeUs) {
-        self.stores.configured(stores.iter().cloned());
+        self.stores.configure(stores.iter().cloned());
         for store in stores {
             self.stores
-                .listed(store.address, PartListing::default(), now);
+                .apply_listing(store.address, PartListing::default(), now);
         }
     }
 
@@ -182,12 +182,13 @@
             events: events.collect(),
             ..PartChanges::default()
         };
-        self.stores.changed(store, changes, now);
+        self.stores.apply_changes(store, changes, now);
     }
 
     /// Returns the store that is to keep a part, if one is to.
     pub(super) fn save(&mut self, key: PartKey, tokens: u64, now: TimeUs) -> Option<SocketAddr> {
-        self.stores.save(key, tokens, &AllowedZones::default(), now)
+        self.stores
+            .choose_save_target(key, tokens, &AllowedZones::default(), now)
     }
 
     pub(super) fn heard(&mut self, news: News, now: TimeUs) {
@@ -205,7 +206,7 @@
     prompt: &PromptShape,
 ) -> Vec<(PartKey, u64)> {
     let scope = placement.cache_scope.as_deref().unwrap_or_default();
-    let namer = PartNamer::new(&names.model, scope);
+    let namer = PartKeyHasher::new(&names.model, scope);
     let parts = prompt.parts.iter();
     parts
         .map(|part| (namer.key(part.id), part.tokens.get()))
--- a/crates/wisteriahitch-relay/src/decide/crash_evidence.rs
+++ b/crates/wisteriahitch-relay/src/decide/crash_evidence.rs
@@ -14,26 +14,26 @@
 
 /// Time after a break within which proof of a crash still speaks of it. A refused connection proves it at once;
 /// the next start registers after up to three heartbeats of some 1.2 s, and the news takes up to 0.6 s.
-const PROOF_WITHIN_US: DurationUs = DurationUs::from_ms(5_000);
+const EVIDENCE_WINDOW_US: DurationUs = DurationUs::from_ms(5_000);
 
 /// Least time between two looks at the same life. Where the process lives, as after a reset, each look costs the
 /// endpoint a connection.
-const LOOK_AGAIN_US: DurationUs = DurationUs::from_ms(500);
+const MIN_PROBE_INTERVAL_US: DurationUs = DurationUs::from_ms(500);
 
 /// Lives that are remembered. Thirty in a hundred of 1,200 endpoints may end at once; of more, the oldest are
 /// forgotten, and a crash there is learnt from other daemons or not counted.
-const MAX_LIVES: usize = 512;
+const MAX_INSTANCES: usize = 512;
 
 /// Calls that are remembered of one life: twice the requests that the largest known engine runs at once.
-const MAX_BROKEN: usize = 128;
+const MAX_BROKEN_CALLS: usize = 128;
 
 /// What follows from a call that broke.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BreakMeaning {
+pub enum BrokenCallVerdict {
     /// The endpoint is known to have crashed.
     Crashed,
     /// Nobody knows yet; it is to be looked whether the process is there, after this time.
-    Look(DurationUs),
+    Probe(DurationUs),
     /// Nobody knows yet, and somebody will look.
     Unknown,
 }
@@ -42,109 +42,119 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectFailure {
     /// No process listens there.
-    Gone,
+    Refused,
     /// A process has just stopped listening: the system had accepted the connection for it and took it back.
-    Ending,
+    Reset,
     /// It may be the link.
     Unknown,
 }
 
 impl ConnectFailure {
     /// Concludes from the error of the connection.
-    pub fn of(error: ErrorKind) -> Self {
+    pub fn from_error_kind(error: ErrorKind) -> Self {
         match error {
-            ErrorKind::ConnectionRefused => Self::Gone,
-            ErrorKind::ConnectionReset => Self::Ending,
+            ErrorKind::ConnectionRefused => Self::Refused,
+            ErrorKind::ConnectionReset => Self::Reset,
             _ => Self::Unknown,
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Life {
+struct InstanceEvidence {
     /// Calls that broke, and when.
-    broken: Vec<(RequestFingerprint, TimeUs)>,
-    last_at_us: TimeUs,
+    broken_calls: Vec<(RequestFingerprint, TimeUs)>,
+    last_updated_us: TimeUs,
     /// When it was looked at last, or will be.
-    looked_at_us: Option<TimeUs>,
+    last_probe_us: Option<TimeUs>,
     has_crashed: bool,
 }
 
-impl Life {
+impl InstanceEvidence {
     /// Has it looked at now, or as soon as that may be again.
     ///
     /// A look answers for the breaks before it alone: a process that lived when a link was reset may end a moment
     /// later, and nobody would look any more.
-    fn next_look(&mut self, now: TimeUs) -> BreakMeaning {
-        if self.looked_at_us.is_some_and(|at| at > now) {
-            return BreakMeaning::Unknown;
+    fn schedule_probe(&mut self, now: TimeUs) -> BrokenCallVerdict {
+        if self.last_probe_us.is_some_and(|at| at > now) {
+            return BrokenCallVerdict::Unknown;
         }
-        let earliest = self.looked_at_us.map(|at| at + LOOK_AGAIN_US);
+        let earliest = self.last_probe_us.map(|at| at + MIN_PROBE_INTERVAL_US);
         let at = earliest.map_or(now, |earliest| earliest.max(now));
-        self.looked_at_us = Some(at);
-        BreakMeaning::Look(at.since(now))
+        self.last_probe_us = Some(at);
+        BrokenCallVerdict::Probe(at.since(now))
     }
 }
 
 /// Calls that broke, by the short name of the endpoint's life.
 #[derive(Debug, Default)]
 pub struct CrashEvidence {
-    lives: HashMap<u32, Life>,
+    instances: HashMap<u32, InstanceEvidence>,
 }
 
 impl CrashEvidence {
     /// Notes that a call broke at a life.
-    pub fn broke(&mut self, life: u32, request: RequestFingerprint, now: TimeUs) -> BreakMeaning {
-        let life = self.life(life, now);
-        if life.has_crashed {
-            return BreakMeaning::Crashed;
+    pub fn record_broken_call(
+        &mut self,
+        instance: u32,
+        request: RequestFingerprint,
+        now: TimeUs,
+    ) -> BrokenCallVerdict {
+        let evidence = self.entry(instance, now);
+        if evidence.has_crashed {
+            return BrokenCallVerdict::Crashed;
         }
-        if life.broken.len() < MAX_BROKEN {
-            life.broken.push((request, now));
+        if evidence.broken_calls.len() < MAX_BROKEN_CALLS {
+            evidence.broken_calls.push((request, now));
         }
-        life.next_look(now)
+        evidence.schedule_probe(now)
     }
 
     /// Returns whether a life is known to have crashed.
-    pub fn has_crashed(&self, life: u32) -> bool {
-        self.lives.get(&life).is_some_and(|life| life.has_crashed)
+    pub fn has_crashed(&self, instance: u32) -> bool {
+        self.instances
+            .get(&instance)
+            .is_some_and(|evidence| evidence.has_crashed)
     }
 
     /// Notes proof that a life has ended, and returns the calls that broke there, if that is new.
-    pub fn crashed(&mut self, life: u32, now: TimeUs) -> Option<Vec<RequestFingerprint>> {
-        let life = self.life(life, now);
-        let is_new = !std::mem::replace(&mut life.has_crashed, true);
-        let broken = std::mem::take(&mut life.broken).into_iter();
-        is_new.then(|| broken.map(|(request, _)| request).collect())
+    pub fn record_crash(&mut self, instance: u32, now: TimeUs) -> Option<Vec<RequestFingerprint>> {
+        let evidence = self.entry(instance, now);
+        let is_new = !std::mem::replace(&mut evidence.has_crashed, true);
+        let broken_calls = std::mem::take(&mut evidence.broken_calls).into_iter();
+        is_new.then(|| broken_calls.map(|(request, _)| request).collect())
     }
 
     /// Notes that a process was there when it was looked at.
     ///
     /// What broke before has another cause. Kept, it would be held against the calls that the process ends as planned
     /// some seconds later, and starts again.
-    pub fn found_alive(&mut self, life: u32, looked_at: TimeUs) {
-        if let Some(life) = self.lives.get_mut(&life) {
-            life.broken.retain(|(_, at)| *at > looked_at);
+    pub fn record_alive(&mut self, instance: u32, probed_at: TimeUs) {
+        if let Some(evidence) = self.instances.get_mut(&instance) {
+            evidence.broken_calls.retain(|(_, at)| *at > probed_at);
         }
     }
 
     /// Returns the life, without what is too old to be proven.
-    fn life(&mut self, name: u32, now: TimeUs) -> &mut Life {
-        if self.lives.len() >= MAX_LIVES && !self.lives.contains_key(&name) {
-            self.make_room();
+    fn entry(&mut self, instance: u32, now: TimeUs) -> &mut InstanceEvidence {
+        if self.instances.len() >= MAX_INSTANCES && !self.instances.contains_key(&instance) {
+            self.evict_oldest();
         }
-        let life = self.lives.entry(name).or_default();
-        if now.since(life.last_at_us) > PROOF_WITHIN_US {
-            life.broken.clear();
+        let evidence = self.instances.entry(instance).or_default();
+        if now.since(evidence.last_updated_us) > EVIDENCE_WINDOW_US {
+            evidence.broken_calls.clear();
         }
-        life.last_at_us = now;
-        life
+        evidence.last_updated_us = now;
+        evidence
     }
 
-    fn make_room(&mut self) {
-        let oldest = self.lives.iter().min_by_key(|(_, life)| life.last_at_us);
-        if let Some(oldest) = oldest.map(|(name, _)| *name) {
-            self.lives.remove(&oldest);
+    fn evict_oldest(&mut self) {
+        let oldest = self
+            .instances
+            .iter()
+            .min_by_key(|(_, evidence)| evidence.last_updated_us);
+        if let Some(oldest) = oldest.map(|(instance, _)| *instance) {
+            self.instances.remove(&oldest);
         }
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
@@ -4,7 +4,7 @@
 
 use super::endpoint_table::EndpointTable;
 use super::gossip_message::PartUpdate;
-use super::parts::{EngineMemory, PartKey, PartNamer};
+use super::parts::{EngineMemory, PartKey, PartKeyHasher};
 use crate::border::PartEvent;
 
 impl EndpointTable {
@@ -12,8 +12,8 @@
     pub fn has_part(&mut self, hash: u32, key: PartKey, tokens: u64, now: TimeUs) {
         if let Some(row) = self.row_by_short_name(hash) {
             match tokens {
-                0 => row.parts.evicted(key),
-                _ => row.parts.used(key, tokens, now),
+                0 => row.parts.record_eviction(key),
+                _ => row.parts.record_use(key, tokens, now),
             };
         }
     }
@@ -33,11 +33,11 @@
         let mut news = Vec::new();
         for event in events {
             let part = &event.part;
-            let key = PartNamer::new(&part.model, &part.scope).key(part.id);
+            let key = PartKeyHasher::new(&part.model, &part.scope).key(part.id);
             let tokens = if event.is_kept { part.tokens.get() } else { 0 };
             let is_update = match event.is_kept {
-                true => row.parts.kept(key, tokens, now),
-                false => row.parts.evicted(key),
+                true => row.parts.record_reported(key, tokens, now),
+                false => row.parts.record_eviction(key),
             };
             if is_update {
                 news.push(PartUpdate {
@@ -62,7 +62,7 @@
         let rows = self.rows.values().filter(|row| !row.parts.is_empty());
         let memory = rows.map(|row| EngineMemory {
             endpoint: row.short_name,
-            parts: row.parts.newest(now),
+            parts: row.parts.most_recent(now),
         });
         memory.collect()
     }
@@ -75,7 +75,7 @@
             };
             // The oldest first, so that the order of last uses is theirs.
             for part in engine.parts.iter().rev() {
-                row.parts.take_over(part, now);
+                row.parts.merge_peer_part(part, now);
             }
         }
     }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
@@ -6,7 +6,7 @@
 use super::cold_limit::ColdState;
 use super::endpoint_statements::EndpointStatements;
 use super::outlier::Outlier;
-use super::parts::{MAX_KEPT_US, PartCache, kept_for};
+use super::parts::{MAX_RETENTION_US, PartCache, estimated_retention};
 use crate::site::Endpoint;
 
 /// Says whether an endpoint gets new requests.
@@ -99,8 +99,8 @@
         now: TimeUs,
     ) -> TimeUs {
         let kept_us = match self.followed_until_us > now {
-            true => MAX_KEPT_US,
-            false => kept_for(memory_tokens, self.load().memory_tokens, duration_us),
+            true => MAX_RETENTION_US,
+            false => estimated_retention(memory_tokens, self.load().memory_tokens, duration_us),
         };
         TimeUs::new(now.get().saturating_sub(kept_us.get()))
     }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -17,7 +17,7 @@
 use super::endpoint_statements::EndpointStatements;
 use super::evacuated_zones::EvacuatedZones;
 use super::leaving_lives::LeavingLives;
-use super::link_paces::LinkPaces;
+use super::link_throughputs::LinkThroughputs;
 use super::outlier::{Outlier, OutlierOptions};
 use super::parts::PartCache;
 use crate::site::Endpoint;
@@ -100,7 +100,7 @@
     /// As of when the shares of cold endpoints' permits are known, and from when on those of the newest view may be used.
     pub(super) shares: Option<SharesAsOf>,
     /// How fast parts come over the endpoints' and the stores' links.
-    pub links: LinkPaces,
+    pub links: LinkThroughputs,
     /// Bounds of ejection.
     pub outlier_options: OutlierOptions,
     /// Time for which an endpoint that has left without a word still gets requests where its
@@ -244,7 +244,7 @@
     fn restarted(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(before) = self.remove(&endpoint.instance.id) {
-            self.links.forget(before.endpoint.address);
+            self.links.remove(before.endpoint.address);
             changes.push(EndpointChange::Ended(before.endpoint.instance));
         }
         changes.extend(self.begin(endpoint, now));
@@ -334,7 +334,7 @@
 
     /// Removes endpoints whose registration lapsed and didn't come back, and old news of peers.
     pub fn tick(&mut self, now: TimeUs) -> Vec<EndpointChange> {
-        self.links.tick(now);
+        self.links.prune(now);
         let is_over =
             |row: &EndpointRow| matches!(row.life, EndpointLife::Lapsed(until) if until <= now);
         let over: Vec<EndpointId> = self
--- a/crates/wisteriahitch-relay/src/decide/gossip_message.rs
+++ b/crates/wisteriahitch-relay/src/decide/gossip_message.rs
@@ -67,7 +67,7 @@
 
 /// A part that a store has whole.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct KeptPartUpdate {
+pub struct StoredPartUpdate {
     /// Short name of the store.
     pub store: u32,
     /// Key of the part.
@@ -174,7 +174,8 @@
     /// Stores of prompt parts of which the sender has news.
     pub stores: Vec<StoreUpdate>,
     /// Parts that stores have got since the last message.
-    pub kept: Vec<KeptPartUpdate>,
+    #[serde(rename = "kept")]
+    pub stored_parts: Vec<StoredPartUpdate>,
     /// Requests under which endpoints crash.
     pub requests: RequestUpdate,
     /// Names of the zones in `members`.
@@ -202,8 +203,8 @@
             } else if !self.requests.crashes.is_empty() {
                 let crashes = &mut self.requests.crashes;
                 crashes.truncate(crashes.len() / 2);
-            } else if !self.kept.is_empty() {
-                self.kept.truncate(self.kept.len() / 2);
+            } else if !self.stored_parts.is_empty() {
+                self.stored_parts.truncate(self.stored_parts.len() / 2);
             } else if !self.unreachable.is_empty() {
                 self.unreachable.truncate(self.unreachable.len() / 2);
             } else if !self.followed.is_empty() {
--- a/crates/wisteriahitch-relay/src/decide/gossip_pace.rs
+++ b/crates/wisteriahitch-relay/src/decide/gossip_schedule.rs
@@ -15,44 +15,44 @@
 
 /// Least time between two messages that don't wait for their turn. It bounds what a burst costs: a
 /// system call for each daemon that is told.
-const MIN_GAP_US: DurationUs = DurationUs::from_ms(10);
+const MIN_SEND_INTERVAL_US: DurationUs = DurationUs::from_ms(10);
 
 /// Says when the next message is due.
 #[derive(Clone, Debug, Default)]
-pub struct GossipPace {
+pub struct GossipSchedule {
     /// Nothing was told before the first message, which is due at once.
-    told_at_us: TimeUs,
-    untold_tokens: u64,
+    last_sent_us: TimeUs,
+    unsent_tokens: u64,
 }
 
-impl GossipPace {
+impl GossipSchedule {
     /// Notes a call that was sent, and returns whether the next message is due earlier by it.
-    pub fn sent(&mut self, unread_tokens: u64) -> bool {
+    pub fn record_dispatch(&mut self, unread_tokens: u64) -> bool {
         let was_urgent = self.is_urgent();
-        self.untold_tokens = self.untold_tokens.saturating_add(unread_tokens);
+        self.unsent_tokens = self.unsent_tokens.saturating_add(unread_tokens);
         self.is_urgent() && !was_urgent
     }
 
     /// Returns when the next message is due, if nothing can't wait at `interval_us` after the last.
     pub fn due_at(&self, interval_us: DurationUs) -> TimeUs {
         match self.is_urgent() {
-            true => self.earliest().min(self.told_at_us + interval_us),
-            false => self.told_at_us + interval_us,
+            true => self.earliest_send().min(self.last_sent_us + interval_us),
+            false => self.last_sent_us + interval_us,
         }
     }
 
     /// Returns when the next message may leave at the earliest, whatever asks for it.
-    pub fn earliest(&self) -> TimeUs {
-        self.told_at_us + MIN_GAP_US
+    pub fn earliest_send(&self) -> TimeUs {
+        self.last_sent_us + MIN_SEND_INTERVAL_US
     }
 
     /// Notes that everything was told.
-    pub fn told(&mut self, now: TimeUs) {
-        self.told_at_us = now;
-        self.untold_tokens = 0;
+    pub fn record_send(&mut self, now: TimeUs) {
+        self.last_sent_us = now;
+        self.unsent_tokens = 0;
     }
 
     fn is_urgent(&self) -> bool {
-        self.untold_tokens >= URGENT_TOKENS
+        self.unsent_tokens >= URGENT_TOKENS
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -14,8 +14,8 @@
 
 use super::endpoint_row::{EndpointLife, EndpointRow};
 use super::endpoint_table::EndpointTable;
-use super::link_paces::LinkPaces;
-use super::part_stores::{Fetch, OTHER_ZONE_FACTOR, transfer_ms};
+use super::link_throughputs::LinkThroughputs;
+use super::part_stores::{OTHER_ZONE_FACTOR, StoreFetch, transfer_ms};
 use super::parts::{PartKey, cache_scope, part_keys};
 use super::placement_request::{EngineCall, READ_TOKENS_PER_MS};
 use crate::site::EngineTraits;
@@ -27,7 +27,7 @@
 /// Engines from which on a part counts as held by many. Those use it all the time, so that none of
 /// them has dropped it; fetched by all from the one store that keeps it, it would make them queue
 /// there.
-const WIDELY_HELD: usize = 4;
+const WIDELY_CACHED_ENGINES: usize = 4;
 
 /// Longest time for the fetch of a token that is better than reading it, in milliseconds: eight times
 /// the time to read it. The caller waits for a fetch as for a reading, but the engine's other calls
@@ -44,30 +44,30 @@
 
 /// Time that any fetch may take: short parts stand at the start of prompts, and without them nothing
 /// that follows is of use. It covers the start of a transfer at the slower kind of store.
-const FREE_FETCH_MS: f64 = 8.0;
+const FETCH_ALLOWANCE_MS: f64 = 8.0;
 
 /// Start of a fetch from an engine, in milliseconds; a part that isn't there costs as much.
-const ENGINE_FIRST_MS: f64 = 1.0;
+const ENGINE_FETCH_SETUP_MS: f64 = 1.0;
 
 /// Where a part can be fetched, and how long that takes.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PacedFetch {
-    pub(super) from: SocketAddr,
+pub(super) struct FetchEstimate {
+    pub(super) source: SocketAddr,
     /// Time over links as they usually are.
-    pub(super) usual_ms: f64,
+    pub(super) nominal_ms: f64,
     /// Time over these links as they are now.
-    pub(super) paced_ms: f64,
+    pub(super) expected_ms: f64,
 }
 
-impl PacedFetch {
+impl FetchEstimate {
     /// Returns how long a fetch of so many tokens may take to be better than reading them.
-    fn longest_ms(&self, tokens: u64) -> f64 {
-        let is_broken = self.paced_ms > self.usual_ms * BROKEN_LINK_RATIO;
+    fn max_worthwhile_ms(&self, tokens: u64) -> f64 {
+        let is_broken = self.expected_ms > self.nominal_ms * BROKEN_LINK_RATIO;
         let per_token = match is_broken {
             true => MAX_BROKEN_FETCH_MS_PER_TOKEN,
             false => MAX_FETCH_MS_PER_TOKEN,
         };
-        FREE_FETCH_MS + tokens as f64 * per_token
+        FETCH_ALLOWANCE_MS + tokens as f64 * per_token
     }
 }
 
@@ -80,7 +80,7 @@
     pub(super) keys: Vec<(PartKey, u64)>,
     /// Engines that are believed to keep each part, in an order of chance.
     holders: Vec<Vec<&'a EndpointRow>>,
-    links: &'a LinkPaces,
+    links: &'a LinkThroughputs,
 }
 
 impl<'a> PartSources<'a> {
@@ -91,14 +91,14 @@
         weights: WeightNumber,
         rng: &mut impl Rng,
     ) -> Self {
-        let scope = cache_scope(weights, call.request.wall);
+        let scope = cache_scope(weights, call.request.isolated_workspace);
         let keys = part_keys(&scope, call.prompt);
         let mut rows: Vec<(&EndpointRow, TimeUs)> = table
             .iter()
             .filter(|row| row.endpoint.service == *call.request.service)
             .filter(|row| row.weights(&call.prompt.model) == Some(weights))
-            .filter(|row| is_source(row, call.now) && !table.is_evacuated(row))
-            .map(|row| (row, call.parts_kept_since(row)))
+            .filter(|row| can_serve_parts(row, call.now) && !table.is_evacuated(row))
+            .map(|row| (row, call.min_part_use_at(row)))
             .collect();
         rows.shuffle(rng);
         Self {
@@ -119,44 +119,45 @@
         index: usize,
         row: &EndpointRow,
         call: &EngineCall<'_>,
-    ) -> Option<PacedFetch> {
+    ) -> Option<FetchEstimate> {
         let (key, tokens) = *self.keys.get(index)?;
         let holders = self.holders.get(index)?;
         let zone = &row.endpoint.zone;
-        let paced = |fetch: Fetch| PacedFetch {
-            from: fetch.from,
-            usual_ms: fetch.took_ms,
-            paced_ms: fetch.took_ms
+        let estimate = |fetch: StoreFetch| FetchEstimate {
+            source: fetch.source,
+            nominal_ms: fetch.nominal_ms,
+            expected_ms: fetch.nominal_ms
                 * self
                     .links
-                    .slowness(fetch.from, row.endpoint.address, call.now),
+                    .slowdown(fetch.source, row.endpoint.address, call.now),
         };
-        let is_worth_it = |fetch: &PacedFetch| fetch.paced_ms < fetch.longest_ms(tokens);
+        let is_worth_it =
+            |fetch: &FetchEstimate| fetch.expected_ms < fetch.max_worthwhile_ms(tokens);
         let from_engine = holders
             .iter()
             .filter(|holder| holder.instance() != row.instance())
-            .map(|holder| paced(engine_fetch(holder, row, tokens, call.engine)))
-            .min_by(|a, b| a.paced_ms.total_cmp(&b.paced_ms))
+            .map(|holder| estimate(fetch_from_engine(holder, row, tokens, call.engine)))
+            .min_by(|a, b| a.expected_ms.total_cmp(&b.expected_ms))
             .filter(is_worth_it);
-        if holders.len() >= WIDELY_HELD {
+        if holders.len() >= WIDELY_CACHED_ENGINES {
             return from_engine;
         }
         // What a store says is certain. Where an engine turns out to have dropped a part, all that
         // follows it has to be read too, however little the part itself is.
         let from_store = call.stores.fetch(key, tokens, call.engine, zone, call.now);
-        from_store.map(paced).filter(is_worth_it).or(from_engine)
+        from_store.map(estimate).filter(is_worth_it).or(from_engine)
     }
 
     /// Names a source for each part, also for those that the engine is believed to keep: it fetches
     /// only what it doesn't, and what is believed here may be wrong.
-    pub(super) fn addresses(
+    pub(super) fn source_addresses(
         &self,
         row: &EndpointRow,
         call: &EngineCall<'_>,
     ) -> Vec<Option<SocketAddr>> {
         (0..self.keys.len())
             .map(|index| self.fetch(index, row, call))
-            .map(|fetch| fetch.map(|fetch| fetch.from))
+            .map(|fetch| fetch.map(|fetch| fetch.source))
             .collect()
     }
 }
@@ -168,31 +169,31 @@
 
 /// Returns whether an engine may be asked for parts. One that is about to leave, fails or gets new
 /// weights soon has nothing to give, and a source that is dead costs some hundred milliseconds.
-fn is_source(row: &EndpointRow, now: TimeUs) -> bool {
-    let is_there = row.life == EndpointLife::Ready && !row.is_displaced;
-    is_there && row.reserved_until_us <= now && !row.outlier.is_ejected(now)
+fn can_serve_parts(row: &EndpointRow, now: TimeUs) -> bool {
+    let is_ready = row.life == EndpointLife::Ready && !row.is_displaced;
+    is_ready && row.reserved_until_us <= now && !row.outlier.is_ejected(now)
 }
 
 fn holders_of<'a>(rows: &[(&'a EndpointRow, TimeUs)], key: PartKey) -> Vec<&'a EndpointRow> {
-    let holding = rows
+    let holders = rows
         .iter()
-        .filter(|(row, since)| row.parts.has(key, *since));
-    holding.take(MAX_HOLDERS).map(|(row, _)| *row).collect()
+        .filter(|(row, since)| row.parts.used_since(key, *since));
+    holders.take(MAX_HOLDERS).map(|(row, _)| *row).collect()
 }
 
-fn engine_fetch(
+fn fetch_from_engine(
     holder: &EndpointRow,
     reader: &EndpointRow,
     tokens: u64,
     engine: &EngineTraits,
-) -> Fetch {
+) -> StoreFetch {
     let factor = match holder.endpoint.zone == reader.endpoint.zone {
         true => 1.0,
         false => OTHER_ZONE_FACTOR,
     };
     let moved_ms = transfer_ms(tokens, engine.token_bytes, engine.link_mbps);
-    Fetch {
-        from: holder.endpoint.address,
-        took_ms: ENGINE_FIRST_MS + factor * moved_ms,
+    StoreFetch {
+        source: holder.endpoint.address,
+        nominal_ms: ENGINE_FETCH_SETUP_MS + factor * moved_ms,
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/part_store_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_store_row.rs
@@ -12,10 +12,10 @@
 /// pause and comes at least twice a second; in a large fleet it is told on over up to three steps
 /// of a quarter of a second. A store that is down is noticed at once by its broken connection; the
 /// age only bounds what a daemon does that is cut off.
-pub(super) const NEWS_LIFE_US: DurationUs = DurationUs::from_ms(2_000);
+pub(super) const STORE_UPDATE_TTL_US: DurationUs = DurationUs::from_ms(2_000);
 
 /// Share of a store's room that is filled; its own accounting rounds each part up to whole blocks.
-const FILLED_SHARE: f64 = 0.97;
+const MAX_FILL_RATIO: f64 = 0.97;
 
 /// One store.
 #[derive(Debug)]
@@ -23,13 +23,13 @@
     pub(super) spec: PartStore,
     pub(super) epoch: u64,
     /// Nothing until the store was listed in this life.
-    pub(super) news_at_us: Option<TimeUs>,
-    pub(super) clock: Option<(u64, TimeUs)>,
+    pub(super) updated_at_us: Option<TimeUs>,
+    pub(super) store_clock: Option<(u64, TimeUs)>,
     /// Parts that are whole there; without their names where another daemon told of them.
-    pub(super) kept: HashMap<PartKey, Kept>,
-    pub(super) kept_tokens: u64,
+    pub(super) stored: HashMap<PartKey, StoredPartEntry>,
+    pub(super) stored_tokens: u64,
     pub(super) partial_tokens: u64,
-    pub(super) pending: HashMap<PartKey, (u64, TimeUs)>,
+    pub(super) pending_saves: HashMap<PartKey, (u64, TimeUs)>,
 }
 
 impl StoreRow {
@@ -37,68 +37,70 @@
         Self {
             spec,
             epoch: 0,
-            news_at_us: None,
-            clock: None,
-            kept: HashMap::new(),
-            kept_tokens: 0,
+            updated_at_us: None,
+            store_clock: None,
+            stored: HashMap::new(),
+            stored_tokens: 0,
             partial_tokens: 0,
-            pending: HashMap::new(),
+            pending_saves: HashMap::new(),
         }
     }
 
     pub(super) fn is_readable(&self, now: TimeUs) -> bool {
-        self.news_at_us
-            .is_some_and(|at| now.since(at) < NEWS_LIFE_US)
+        self.updated_at_us
+            .is_some_and(|at| now.since(at) < STORE_UPDATE_TTL_US)
     }
 
-    pub(super) fn has_room(&self, tokens: u64) -> bool {
-        let pending: u64 = self.pending.values().map(|(tokens, _)| tokens).sum();
-        let used = self.kept_tokens + self.partial_tokens + pending + tokens;
-        used as f64 <= self.spec.room_tokens.as_f64() * FILLED_SHARE
+    pub(super) fn has_capacity(&self, tokens: u64) -> bool {
+        let pending_tokens: u64 = self.pending_saves.values().map(|(tokens, _)| tokens).sum();
+        let used = self.stored_tokens + self.partial_tokens + pending_tokens + tokens;
+        used as f64 <= self.spec.room_tokens.as_f64() * MAX_FILL_RATIO
     }
 
     /// Notes a part, and returns whether it is new.
-    pub(super) fn keep(&mut self, key: PartKey, kept: Kept) -> bool {
-        self.pending.remove(&key);
-        let tokens = kept.tokens;
-        let is_new = self.kept.insert(key, kept).is_none();
+    pub(super) fn insert_part(&mut self, key: PartKey, entry: StoredPartEntry) -> bool {
+        self.pending_saves.remove(&key);
+        let tokens = entry.tokens;
+        let is_new = self.stored.insert(key, entry).is_none();
         if is_new {
-            self.kept_tokens += tokens;
+            self.stored_tokens += tokens;
         }
         is_new
     }
 
-    pub(super) fn forget(&mut self, key: PartKey) {
-        if let Some(part) = self.kept.remove(&key) {
-            self.kept_tokens = self.kept_tokens.saturating_sub(part.tokens);
+    pub(super) fn remove_part(&mut self, key: PartKey) {
+        if let Some(part) = self.stored.remove(&key) {
+            self.stored_tokens = self.stored_tokens.saturating_sub(part.tokens);
         }
     }
 
-    pub(super) fn named(&self) -> impl Iterator<Item = &KeptPart> {
-        self.kept.values().filter_map(|kept| kept.name.as_ref())
+    pub(super) fn identified_parts(&self) -> impl Iterator<Item = &KeptPart> {
+        self.stored
+            .values()
+            .filter_map(|entry| entry.details.as_ref())
     }
 
     pub(super) fn clear(&mut self) {
-        self.kept.clear();
-        self.pending.clear();
-        self.kept_tokens = 0;
+        self.stored.clear();
+        self.pending_saves.clear();
+        self.stored_tokens = 0;
         self.partial_tokens = 0;
-        self.news_at_us = None;
+        self.updated_at_us = None;
     }
 }
 
 /// One part that a store keeps.
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
+pub(super) struct StoredPartEntry {
     pub(super) tokens: u64,
-    pub(super) name: Option<KeptPart>,
+    pub(super) details: Option<KeptPart>,
 }
 
-impl From<KeptPart> for Kept {
+impl From<KeptPart> for StoredPartEntry {
     fn from(part: KeptPart) -> Self {
         Self {
             tokens: part.tokens.get(),
-            name: Some(part),
+            details: Some(part),
         }
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/part_stores.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_stores.rs
@@ -2,7 +2,7 @@
 //!
 //! A store frees nothing on its own and doesn't know who reads. Three rules keep a reader from
 //! taking memory that isn't whole: a part counts as kept only once the store has said so; nothing
-//! is fetched on news that is older than [`NEWS_LIFE_US`]; and only parts of weights that nobody
+//! is fetched on news that is older than [`STORE_UPDATE_TTL_US`]; and only parts of weights that nobody
 //! uses any more are freed, after longer than a fetch may take (`docs/design/platform.md`).
 
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 };
 
 use super::endpoint_table::short_name;
-use super::gossip_message::{KeptPartUpdate, StoreUpdate};
-use super::part_store_row::{Kept, NEWS_LIFE_US, StoreRow};
-use super::parts::{PartKey, PartNamer};
+use super::gossip_message::{StoreUpdate, StoredPartUpdate};
+use super::part_store_row::{STORE_UPDATE_TTL_US, StoreRow, StoredPartEntry};
+use super::parts::{PartKey, PartKeyHasher};
 use crate::border::{KeptPart, PartChanges, PartListing};
 use crate::site::{AllowedZones, EngineTraits, PartStore};
 
@@ -25,18 +25,18 @@
 pub(crate) const FETCH_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_000);
 
 /// Time after which weights that every engine has replaced are certainly no longer fetched for.
-const FREE_AFTER_US: DurationUs = DurationUs::from_ms(2_000);
+const FREE_DELAY_US: DurationUs = DurationUs::from_ms(2_000);
 
 /// Time for which a save that was asked for is taken to be on its way. One that was lost, as for
 /// want of room, is asked for again after that.
-const SAVE_PENDING_US: DurationUs = DurationUs::from_ms(3_000);
+const SAVE_TIMEOUT_US: DurationUs = DurationUs::from_ms(3_000);
 
 /// Smallest part that is saved: two blocks of an engine's memory. Short parts stand at the start of
 /// prompts, and without them nothing that follows is of use to an engine.
 const MIN_SAVED_TOKENS: u64 = 32;
 
 /// Most parts that wait to be told; one that is never told is read again or asked for again.
-const MAX_WAITING_NEWS: usize = 2_000;
+const MAX_PENDING_UPDATES: usize = 2_000;
 
 /// Bits in a byte, over the microseconds in a millisecond: megabits a second are bits a
 /// microsecond.
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 pub struct PartStores {
     /// Parts to tell other daemons of.
-    news: Vec<KeptPartUpdate>,
+    pending_updates: Vec<StoredPartUpdate>,
     rows: BTreeMap<SocketAddr, StoreRow>,
     /// Since when no engine has weights below these, by model.
     lowest_weights: BTreeMap<ModelName, (WeightNumber, TimeUs)>,
@@ -57,11 +57,11 @@
 
 /// Where a part can be fetched, and how long that takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fetch {
+pub struct StoreFetch {
     /// Store.
-    pub from: SocketAddr,
+    pub source: SocketAddr,
     /// Estimated time.
-    pub took_ms: f64,
+    pub nominal_ms: f64,
 }
 
 /// Parts to free at one store.
@@ -77,7 +77,7 @@
 
 impl PartStores {
     /// Takes over which stores there are, and returns those that are new.
-    pub fn configured(&mut self, stores: impl Iterator<Item = PartStore>) -> Vec<SocketAddr> {
+    pub fn configure(&mut self, stores: impl Iterator<Item = PartStore>) -> Vec<SocketAddr> {
         let stores: BTreeMap<SocketAddr, PartStore> =
             stores.map(|store| (store.address, store)).collect();
         self.rows.retain(|address, _| stores.contains_key(address));
@@ -100,7 +100,7 @@
     }
 
     /// Takes over everything that a store keeps.
-    pub fn listed(&mut self, store: SocketAddr, listing: PartListing, now: TimeUs) {
+    pub fn apply_listing(&mut self, store: SocketAddr, listing: PartListing, now: TimeUs) {
         let Some(row) = self.rows.get_mut(&store) else {
             return;
         };
@@ -108,15 +108,15 @@
         row.epoch = listing.epoch;
         row.partial_tokens = listing.partial_tokens;
         for part in listing.parts {
-            let key = PartNamer::new(&part.model, &part.scope).key(part.id);
-            row.keep(key, part.into());
+            let key = PartKeyHasher::new(&part.model, &part.scope).key(part.id);
+            row.insert_part(key, part.into());
         }
-        row.news_at_us = Some(now);
+        row.updated_at_us = Some(now);
     }
 
     /// Takes changes over, and returns whether they follow on what is known. Otherwise the store
     /// must be listed: it has started anew, or changes are missing.
-    pub fn changed(&mut self, store: SocketAddr, changes: PartChanges, now: TimeUs) -> bool {
+    pub fn apply_changes(&mut self, store: SocketAddr, changes: PartChanges, now: TimeUs) -> bool {
         let Some(row) = self.rows.get_mut(&store) else {
             return true;
         };
@@ -124,30 +124,31 @@
             row.clear();
             return false;
         }
-        row.clock = changes
+        row.store_clock = changes
             .clock_ms
             .map(|clock_ms| (clock_ms, now))
-            .or(row.clock);
+            .or(row.store_clock);
         for event in changes.events {
             let part = event.part;
-            let key = PartNamer::new(&part.model, &part.scope).key(part.id);
+            let key = PartKeyHasher::new(&part.model, &part.scope).key(part.id);
             match event.is_kept {
                 true => {
                     let tokens = part.tokens.get();
-                    if row.keep(key, part.into()) {
-                        self.news.push(kept_updates(store, key, tokens));
+                    if row.insert_part(key, part.into()) {
+                        self.pending_updates
+                            .push(stored_part_update(store, key, tokens));
                     }
                 }
-                false => row.forget(key),
+                false => row.remove_part(key),
             }
         }
-        row.news_at_us = Some(now);
+        row.updated_at_us = Some(now);
         true
     }
 
     /// Notes that a store doesn't answer. It may be down and come back empty, and somebody may
     /// then be writing a part that was whole before.
-    pub fn lost(&mut self, store: SocketAddr) {
+    pub fn record_unreachable(&mut self, store: SocketAddr) {
         if let Some(row) = self.rows.get_mut(&store) {
             row.clear();
         }
@@ -157,51 +158,55 @@
     /// tells and nothing is known here.
     ///
     /// Nobody's news is fresher than that of the one who asked the store: the age adds up on its way.
-    pub fn told(&mut self, news: &[StoreUpdate], now: TimeUs) -> Vec<SocketAddr> {
+    pub fn apply_store_updates(&mut self, updates: &[StoreUpdate], now: TimeUs) -> Vec<SocketAddr> {
         let mut unknown = Vec::new();
         for row in self.rows.values_mut() {
             let name = short_name(&row.spec.address.to_string());
-            let Some(told) = news.iter().find(|told| told.store == name) else {
+            let Some(update) = updates.iter().find(|update| update.store == name) else {
                 continue;
             };
-            if told.epoch != row.epoch || row.news_at_us.is_none() {
+            if update.epoch != row.epoch || row.updated_at_us.is_none() {
                 row.clear();
                 unknown.push(row.spec.address);
                 continue;
             }
-            let age_us = u64::from(told.age_ms) * 1_000;
-            let made_at_us = TimeUs::new(now.get().saturating_sub(age_us));
-            row.news_at_us = row.news_at_us.max(Some(made_at_us));
-            row.clock = told.clock_ms.map(|clock_ms| (clock_ms, now)).or(row.clock);
+            let age_us = u64::from(update.age_ms) * 1_000;
+            let reported_at_us = TimeUs::new(now.get().saturating_sub(age_us));
+            row.updated_at_us = row.updated_at_us.max(Some(reported_at_us));
+            row.store_clock = update
+                .clock_ms
+                .map(|clock_ms| (clock_ms, now))
+                .or(row.store_clock);
         }
         unknown
     }
 
     /// Clears what is known of stores that a daemon which told of them no longer tells of.
-    pub fn forget_unreported(&mut self, news: &[StoreUpdate]) {
+    pub fn clear_unreported_stores(&mut self, updates: &[StoreUpdate]) {
         for row in self.rows.values_mut() {
             let name = short_name(&row.spec.address.to_string());
-            if !news.iter().any(|told| told.store == name) {
+            if !updates.iter().any(|update| update.store == name) {
                 row.clear();
             }
         }
     }
 
     /// Notes parts that another daemon tells of.
-    pub fn apply_kept_parts(&mut self, news: &[KeptPartUpdate]) {
-        for told in news {
-            let is_it = |row: &&mut StoreRow| {
-                short_name(&row.spec.address.to_string()) == told.store && row.news_at_us.is_some()
+    pub fn apply_stored_parts(&mut self, updates: &[StoredPartUpdate]) {
+        for update in updates {
+            let is_match = |row: &&mut StoreRow| {
+                short_name(&row.spec.address.to_string()) == update.store
+                    && row.updated_at_us.is_some()
             };
-            let Some(row) = self.rows.values_mut().find(is_it) else {
+            let Some(row) = self.rows.values_mut().find(is_match) else {
                 continue;
             };
-            let kept = Kept {
-                tokens: u64::from(told.tokens),
-                name: None,
+            let entry = StoredPartEntry {
+                tokens: u64::from(update.tokens),
+                details: None,
             };
-            if row.keep(PartKey(told.part), kept) {
-                self.news.push(*told);
+            if row.insert_part(PartKey(update.part), entry) {
+                self.pending_updates.push(*update);
             }
         }
     }
@@ -209,35 +214,38 @@
     /// Returns how fresh the news of each store is, for other daemons.
     pub fn store_updates(&self, now: TimeUs) -> Vec<StoreUpdate> {
         let readable = self.rows.values().filter(|row| row.is_readable(now));
-        let news = readable.filter_map(|row| {
-            let age_us = now.since(row.news_at_us?);
+        let updates = readable.filter_map(|row| {
+            let age_us = now.since(row.updated_at_us?);
             Some(StoreUpdate {
                 store: short_name(&row.spec.address.to_string()),
                 epoch: row.epoch,
                 age_ms: u32::try_from(age_us.as_ms()).unwrap_or(u32::MAX),
                 clock_ms: row
-                    .clock
+                    .store_clock
                     .map(|(clock_ms, at)| clock_ms + now.since(at).as_ms()),
             })
         });
-        news.collect()
+        updates.collect()
     }
 
     /// Takes at most `most` parts to tell other daemons of; the rest goes with the next message.
-    pub fn take_updates(&mut self, most: usize) -> Vec<KeptPartUpdate> {
-        let count = self.news.len().min(most);
-        let overflow = self.news.len().saturating_sub(MAX_WAITING_NEWS);
-        self.news.drain(..overflow);
-        let count = count.min(self.news.len());
-        self.news.drain(..count).collect()
+    pub fn take_part_updates(&mut self, max_count: usize) -> Vec<StoredPartUpdate> {
+        let count = self.pending_updates.len().min(max_count);
+        let overflow = self
+            .pending_updates
+            .len()
+            .saturating_sub(MAX_PENDING_UPDATES);
+        self.pending_updates.drain(..overflow);
+        let count = count.min(self.pending_updates.len());
+        self.pending_updates.drain(..count).collect()
     }
 
     /// Returns everything that is kept at one store, for a daemon that has just heard of it.
-    pub fn kept_at(&self, store: SocketAddr) -> Option<(u64, Vec<(u64, u64)>)> {
+    pub fn stored_parts_at(&self, store: SocketAddr) -> Option<(u64, Vec<(u64, u64)>)> {
         let row = self.rows.get(&store)?;
-        row.news_at_us?;
-        let kept = row.kept.iter().map(|(key, kept)| (key.0, kept.tokens));
-        Some((row.epoch, kept.collect()))
+        row.updated_at_us?;
+        let parts = row.stored.iter().map(|(key, entry)| (key.0, entry.tokens));
+        Some((row.epoch, parts.collect()))
     }
 
     /// Takes over everything that is kept at one store, as another daemon told it.
@@ -245,7 +253,7 @@
         &mut self,
         store: SocketAddr,
         epoch: u64,
-        kept: &[(u64, u64)],
+        parts: &[(u64, u64)],
         now: TimeUs,
     ) {
         let Some(row) = self.rows.get_mut(&store) else {
@@ -253,15 +261,17 @@
         };
         row.clear();
         row.epoch = epoch;
-        for (key, tokens) in kept {
-            let kept = Kept {
+        for (key, tokens) in parts {
+            let entry = StoredPartEntry {
                 tokens: *tokens,
-                name: None,
+                details: None,
             };
-            row.keep(PartKey(*key), kept);
+            row.insert_part(PartKey(*key), entry);
         }
         // Old enough that nothing is fetched until the teller's next news says how fresh it is.
-        row.news_at_us = Some(TimeUs::new(now.get().saturating_sub(NEWS_LIFE_US.get())));
+        row.updated_at_us = Some(TimeUs::new(
+            now.get().saturating_sub(STORE_UPDATE_TTL_US.get()),
+        ));
     }
 
     /// Returns the quickest fetch of a part for an engine in `zone`.
@@ -272,11 +282,11 @@
         engine: &EngineTraits,
         zone: &AvailabilityZone,
         now: TimeUs,
-    ) -> Option<Fetch> {
+    ) -> Option<StoreFetch> {
         let holders = self
             .rows
             .values()
-            .filter(|row| row.is_readable(now) && row.kept.contains_key(&key));
+            .filter(|row| row.is_readable(now) && row.stored.contains_key(&key));
         let fetches = holders.map(|row| {
             let rate = engine.link_mbps.min(row.spec.link_mbps);
             let factor = if row.spec.zone == *zone {
@@ -285,17 +295,17 @@
                 OTHER_ZONE_FACTOR
             };
             let first_ms = row.spec.first_byte.as_secs_f64() * 1_000.0;
-            Fetch {
-                from: row.spec.address,
-                took_ms: first_ms + factor * transfer_ms(tokens, engine.token_bytes, rate),
+            StoreFetch {
+                source: row.spec.address,
+                nominal_ms: first_ms + factor * transfer_ms(tokens, engine.token_bytes, rate),
             }
         });
-        fetches.min_by(|a, b| a.took_ms.total_cmp(&b.took_ms))
+        fetches.min_by(|a, b| a.nominal_ms.total_cmp(&b.nominal_ms))
     }
 
     /// Returns the store that is to keep a part, and takes it to be on its way there; nothing where
     /// a store keeps it already, or where none has room.
-    pub fn save(
+    pub fn choose_save_target(
         &mut self,
         key: PartKey,
         tokens: u64,
@@ -306,12 +316,12 @@
             return None;
         }
         for row in self.rows.values_mut() {
-            row.pending
-                .retain(|_, (_, since)| now.since(*since) < SAVE_PENDING_US);
+            row.pending_saves
+                .retain(|_, (_, since)| now.since(*since) < SAVE_TIMEOUT_US);
         }
-        let is_there =
-            |row: &StoreRow| row.kept.contains_key(&key) || row.pending.contains_key(&key);
-        if self.rows.values().any(is_there) {
+        let is_stored_or_pending =
+            |row: &StoreRow| row.stored.contains_key(&key) || row.pending_saves.contains_key(&key);
+        if self.rows.values().any(is_stored_or_pending) {
             return None;
         }
         // Equal parts go to the same store whichever daemon asks, so that none is saved twice.
@@ -324,24 +334,28 @@
             .rows
             .values_mut()
             .filter(|row| allowed_zones.contains(&row.spec.zone))
-            .filter(|row| row.spec.is_managed && row.is_readable(now) && row.has_room(tokens))
+            .filter(|row| row.spec.is_managed && row.is_readable(now) && row.has_capacity(tokens))
             .min_by(|a, b| score(a).total_cmp(&score(b)))?;
-        row.pending.insert(key, (tokens, now));
+        row.pending_saves.insert(key, (tokens, now));
         Some(row.spec.address)
     }
 
     /// Returns when a fetch that is sent now must have ended, on the clock of stores and engines.
-    pub fn fetch_until_ms(&self, now: TimeUs) -> Option<u64> {
+    pub fn fetch_deadline_ms(&self, now: TimeUs) -> Option<u64> {
         let newest = self
             .rows
             .values()
-            .filter_map(|row| row.clock)
+            .filter_map(|row| row.store_clock)
             .max_by_key(|(_, at)| *at);
         newest.map(|(clock_ms, at)| clock_ms + (now.since(at) + FETCH_TIMEOUT_US).as_ms())
     }
 
     /// Notes the lowest weights that any engine has of each model.
-    pub fn saw_lowest_weights(&mut self, lowest: &BTreeMap<ModelName, WeightNumber>, now: TimeUs) {
+    pub fn record_lowest_weights(
+        &mut self,
+        lowest: &BTreeMap<ModelName, WeightNumber>,
+        now: TimeUs,
+    ) {
         for (model, weights) in lowest {
             let known = self.lowest_weights.get(model).map(|(known, _)| *known);
             if known != Some(*weights) {
@@ -356,19 +370,19 @@
     ///
     /// Left there, they would fill the stores after a few changes of weights, and nothing would be
     /// kept any more; one would notice by prompts that are read again although they return soon.
-    pub fn to_free(
+    pub fn parts_to_free(
         &self,
         weights_of: impl Fn(&str) -> Option<WeightNumber>,
-        may_be_fetched: impl Fn(&ModelName, WeightNumber) -> bool,
+        may_fetch_parts: impl Fn(&ModelName, WeightNumber) -> bool,
         now: TimeUs,
     ) -> Vec<FreeOrder> {
         let is_unused = |part: &KeptPart| {
             let Some((lowest, since)) = self.lowest_weights.get(&part.model) else {
                 return false;
             };
-            let is_settled = now.since(*since) > FREE_AFTER_US;
-            let is_over = |made| made < *lowest && !may_be_fetched(&part.model, made);
-            is_settled && weights_of(&part.scope).is_some_and(is_over)
+            let is_settled = now.since(*since) > FREE_DELAY_US;
+            let is_replaced = |made| made < *lowest && !may_fetch_parts(&part.model, made);
+            is_settled && weights_of(&part.scope).is_some_and(is_replaced)
         };
         let orders = self
             .rows
@@ -378,7 +392,7 @@
                 store: row.spec.address,
                 epoch: row.epoch,
                 parts: row
-                    .named()
+                    .identified_parts()
                     .filter(|part| is_unused(part))
                     .cloned()
                     .collect(),
@@ -387,25 +401,25 @@
     }
 
     /// Forgets parts that were freed.
-    pub fn freed(&mut self, order: &FreeOrder) {
+    pub fn remove_freed_parts(&mut self, order: &FreeOrder) {
         let Some(row) = self.rows.get_mut(&order.store) else {
             return;
         };
         for part in &order.parts {
-            row.forget(PartNamer::new(&part.model, &part.scope).key(part.id));
+            row.remove_part(PartKeyHasher::new(&part.model, &part.scope).key(part.id));
         }
     }
 
     /// Shows how many parts and tokens each store keeps.
     pub fn snapshot(&self) -> Vec<(SocketAddr, usize, u64)> {
         let rows = self.rows.values();
-        rows.map(|row| (row.spec.address, row.kept.len(), row.kept_tokens))
+        rows.map(|row| (row.spec.address, row.stored.len(), row.stored_tokens))
             .collect()
     }
 }
 
-fn kept_updates(store: SocketAddr, key: PartKey, tokens: u64) -> KeptPartUpdate {
-    KeptPartUpdate {
+fn stored_part_update(store: SocketAddr, key: PartKey, tokens: u64) -> StoredPartUpdate {
+    StoredPartUpdate {
         store: short_name(&store.to_string()),
         part: key.0,
         tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
--- a/crates/wisteriahitch-relay/src/decide/placement.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement.rs
@@ -13,10 +13,10 @@
 use super::endpoint_admission::{Admission, CallPermits, LimitCause};
 use super::endpoint_row::{EndpointLife, EndpointRow};
 use super::endpoint_table::EndpointTable;
-use super::offer::{Homes, MainFetch, Offer, offer};
 use super::overload::retry_after;
 use super::part_sources::PartSources;
 use super::part_stores::PartStores;
+use super::placement_candidate::{MainFetch, PlacementCandidate, PreferredEngines, evaluate};
 use super::placement_request::{EngineCall, PlacementRequest};
 use crate::border::Refusal;
 
@@ -28,7 +28,7 @@
 /// Most that it grows to.
 const MAX_SPREAD_MS: f64 = 40.0;
 /// Endpoints that cost so many times the spread more than the least one aren't drawn.
-const MAX_SPREADS: f64 = 4.0;
+const MAX_SPREAD_MULTIPLE: f64 = 4.0;
 /// When a caller may come back where no endpoint takes requests.
 const NO_ENDPOINT_RETRY_US: DurationUs = DurationUs::from_ms(400);
 /// The same where all zones are evacuated, the time in which the end of an evacuation is known everywhere.
@@ -78,40 +78,40 @@
     now: TimeUs,
     rng: &mut impl Rng,
 ) -> Result<Placement, Refusal> {
-    let rows = candidates(table, request, now);
+    let rows = eligible_endpoints(table, request, now);
     let call = EngineCall::new(request, stores, now);
     let call = call.as_ref();
     let sources = call.map_or_else(Vec::new, |call| part_sources(table, &rows, call, rng));
-    let homes = Homes::of(&rows, call, draw_width(request.daemons));
-    let offers: Vec<Offer<'_>> = rows
+    let preferred = PreferredEngines::rank(&rows, call, spread_fraction(request.daemons));
+    let evaluated: Vec<PlacementCandidate<'_>> = rows
         .iter()
-        .map(|row| offer(row, call, &sources, &homes, request.zone, now))
+        .map(|row| evaluate(row, call, &sources, &preferred, request.zone, now))
         .collect();
-    let least = offers
+    let lowest_cost = evaluated
         .iter()
-        .map(|offer| offer.cost_ms)
+        .map(|candidate| candidate.cost_ms)
         .min_by(f64::total_cmp);
-    let Some(least) = least else {
-        return Err(no_candidate(table, request, now, rng));
+    let Some(lowest_cost) = lowest_cost else {
+        return Err(no_candidate_refusal(table, request, now, rng));
     };
-    let chosen = match request.is_isolated {
-        true => least_loaded(&offers),
-        false => draw(&offers, least, spread_ms(request.daemons), rng),
+    let chosen = match request.needs_isolation {
+        true => fewest_running(&evaluated),
+        false => sample_candidate(&evaluated, lowest_cost, spread_ms(request.daemons), rng),
     };
     let expected_us = DurationUs::from_secs_f64(chosen.wait_ms / 1_000.0);
     let queue_us = DurationUs::from_secs_f64(chosen.queue_ms / 1_000.0);
-    let late_us = expected_us - request.patience_us;
-    let excess_us = late_us.max(queue_us - request.longest_queue_us);
+    let late_us = expected_us - request.max_first_event_us;
+    let excess_us = late_us.max(queue_us - request.max_queue_us);
     if excess_us > DurationUs::ZERO {
         let refusal = Refusal::new(Code::DeadlineUnreachable);
-        let refusal = refusal.by_queue(queue_us, request.longest_queue_us);
+        let refusal = refusal.by_queue(queue_us, request.max_queue_us);
         return Err(refusal.retry_after(retry_after(excess_us, rng)));
     }
     let prompt_tokens = request
         .prompt
         .map_or(0, |prompt| prompt.prompt_tokens.get());
     let fetch_from = match (chosen.parts, call) {
-        (Some(parts), Some(call)) => parts.addresses(chosen.row, call),
+        (Some(parts), Some(call)) => parts.source_addresses(chosen.row, call),
         _ => Vec::new(),
     };
     Ok(Placement {
@@ -126,7 +126,7 @@
         unread_tokens: prompt_tokens.saturating_sub(chosen.cached_tokens + chosen.fetched_tokens),
         queue_us,
         expected_us,
-        candidates: offers.len(),
+        candidates: evaluated.len(),
         permits: match table.admission(chosen.row, now) {
             Admission::Permit(permits) => permits,
             _ => CallPermits::default(),
@@ -135,13 +135,13 @@
 }
 
 /// Says why no endpoint may take a call.
-fn no_candidate(
+fn no_candidate_refusal(
     table: &EndpointTable,
     request: &PlacementRequest<'_>,
     now: TimeUs,
     rng: &mut impl Rng,
 ) -> Refusal {
-    let rows: Vec<&EndpointRow> = takers(table, request).collect();
+    let rows: Vec<&EndpointRow> = endpoints_taking_requests(table, request).collect();
     let is_allowed = |row: &&&EndpointRow| request.allowed_zones.contains(&row.endpoint.zone);
     let allowed: Vec<&EndpointRow> = rows.iter().filter(is_allowed).copied().collect();
     if !rows.is_empty() && allowed.is_empty() {
@@ -170,7 +170,7 @@
 }
 
 /// Returns how wide the draw is, from 0 where it is narrowest to 1.
-fn draw_width(daemons: usize) -> f64 {
+fn spread_fraction(daemons: usize) -> f64 {
     (spread_ms(daemons) - MIN_SPREAD_MS) / (MAX_SPREAD_MS - MIN_SPREAD_MS)
 }
 
@@ -183,77 +183,78 @@
 /// Load pattern: many daemons with the same news, some hundred milliseconds old. Taken by all, the
 /// least one gets a hundred requests before anybody hears of them, and refuses what its queue can't
 /// hold; one would notice by refusals of single endpoints while others are idle.
-fn draw<'a, 'b>(
-    offers: &'a [Offer<'b>],
-    least: f64,
+fn sample_candidate<'a, 'b>(
+    evaluated: &'a [PlacementCandidate<'b>],
+    lowest_cost: f64,
     spread_ms: f64,
     rng: &mut impl Rng,
-) -> &'a Offer<'b> {
-    let weight = |offer: &Offer<'_>| {
-        let spreads = (offer.cost_ms - least) / spread_ms;
-        if spreads > MAX_SPREADS {
+) -> &'a PlacementCandidate<'b> {
+    let weight = |candidate: &PlacementCandidate<'_>| {
+        let spreads = (candidate.cost_ms - lowest_cost) / spread_ms;
+        if spreads > MAX_SPREAD_MULTIPLE {
             0.0
         } else {
             (-spreads).exp()
         }
     };
-    let total: f64 = offers.iter().map(weight).sum();
-    let mut left = rng.random_range(0.0..total.max(f64::MIN_POSITIVE));
-    for offer in offers {
-        let weight = weight(offer);
-        if weight > 0.0 && left < weight {
-            return offer;
+    let total: f64 = evaluated.iter().map(weight).sum();
+    let mut remaining = rng.random_range(0.0..total.max(f64::MIN_POSITIVE));
+    for candidate in evaluated {
+        let weight = weight(candidate);
+        if weight > 0.0 && remaining < weight {
+            return candidate;
         }
-        left -= weight;
+        remaining -= weight;
     }
     // Rounding alone comes here; the least one is as good an answer as any.
-    let by_cost = |a: &&Offer<'_>, b: &&Offer<'_>| a.cost_ms.total_cmp(&b.cost_ms);
-    offers.iter().min_by(by_cost).unwrap_or(&offers[0])
+    let by_cost =
+        |a: &&PlacementCandidate<'_>, b: &&PlacementCandidate<'_>| a.cost_ms.total_cmp(&b.cost_ms);
+    evaluated.iter().min_by(by_cost).unwrap_or(&evaluated[0])
 }
 
 /// Returns the offer of the endpoint at which the fewest calls run, of several the one that costs least.
 ///
 /// What the call is suspected of ends all that runs there: one of the others would be lost with it for each call.
-fn least_loaded<'a, 'b>(offers: &'a [Offer<'b>]) -> &'a Offer<'b> {
-    let running = |offer: &Offer<'_>| offer.row.load().running;
-    let by_loss = |a: &&Offer<'_>, b: &&Offer<'_>| {
+fn fewest_running<'a, 'b>(evaluated: &'a [PlacementCandidate<'b>]) -> &'a PlacementCandidate<'b> {
+    let running = |candidate: &PlacementCandidate<'_>| candidate.row.load().running;
+    let by_running = |a: &&PlacementCandidate<'_>, b: &&PlacementCandidate<'_>| {
         let by_cost = || a.cost_ms.total_cmp(&b.cost_ms);
         running(a).cmp(&running(b)).then_with(by_cost)
     };
-    offers.iter().min_by(by_loss).unwrap_or(&offers[0])
+    evaluated.iter().min_by(by_running).unwrap_or(&evaluated[0])
 }
 
 /// Returns the endpoints that may take the call.
 ///
 /// Those that are ejected or under an order are left out as long as others are there: an ejection
 /// is a suspicion, and a service whose endpoints are all suspected still has to be tried.
-fn candidates<'a>(
+fn eligible_endpoints<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
     now: TimeUs,
 ) -> Vec<&'a EndpointRow> {
-    let usable = usable(table, request, now);
+    let usable_endpoints = usable_endpoints(table, request, now);
     let is_free = |row: &&EndpointRow| row.reserved_until_us <= now;
-    let is_good =
+    let is_trusted =
         |row: &&EndpointRow| !row.outlier.is_ejected(now) && row.suspected_until_us <= now;
-    let is_there = |row: &&EndpointRow| row.life == EndpointLife::Ready && !row.is_displaced;
-    let best: Vec<&EndpointRow> = usable
+    let is_ready = |row: &&EndpointRow| row.life == EndpointLife::Ready && !row.is_displaced;
+    let best: Vec<&EndpointRow> = usable_endpoints
         .iter()
         .copied()
-        .filter(|row| is_free(row) && is_good(row) && is_there(row))
+        .filter(|row| is_free(row) && is_trusted(row) && is_ready(row))
         .collect();
     if !best.is_empty() {
         return best;
     }
-    let free: Vec<&EndpointRow> = usable.iter().copied().filter(is_free).collect();
+    let free: Vec<&EndpointRow> = usable_endpoints.iter().copied().filter(is_free).collect();
     match free.is_empty() {
-        true => usable,
+        true => usable_endpoints,
         false => free,
     }
 }
 
 /// Returns the endpoints of the call's service that take requests at all.
-fn takers<'a>(
+fn endpoints_taking_requests<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
 ) -> impl Iterator<Item = &'a EndpointRow> {
@@ -270,33 +271,34 @@
 /// register again. Left out, they would never be asked, so that nothing new would be learnt, and
 /// every call would be refused for as long as the outage lasts. One that does have old weights
 /// refuses the call without running it.
-fn usable<'a>(
+fn usable_endpoints<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
     now: TimeUs,
 ) -> Vec<&'a EndpointRow> {
-    let (right, others): (Vec<&EndpointRow>, Vec<&EndpointRow>) = takers(table, request)
-        .filter(|row| !request.excluded.contains(row.instance()))
-        .filter(|row| request.allowed_zones.contains(&row.endpoint.zone))
-        .filter(|row| table.admission(row, now).is_open())
-        .partition(|row| has_right_weights(row, request, now));
-    if !right.is_empty() {
-        return right;
+    let (matching, others): (Vec<&EndpointRow>, Vec<&EndpointRow>) =
+        endpoints_taking_requests(table, request)
+            .filter(|row| !request.excluded.contains(row.instance()))
+            .filter(|row| request.allowed_zones.contains(&row.endpoint.zone))
+            .filter(|row| table.admission(row, now).is_open())
+            .partition(|row| has_expected_weights(row, request, now));
+    if !matching.is_empty() {
+        return matching;
     }
     let may_have_wanted = |row: &&EndpointRow| {
-        let assumed = request.weights_of(row, now);
+        let assumed = request.expected_weights(row, now);
         assumed.is_some() && request.required_weights.is_none_or(|r| Some(r) == assumed)
     };
     others.into_iter().filter(may_have_wanted).collect()
 }
 
-fn has_right_weights(row: &EndpointRow, request: &PlacementRequest<'_>, now: TimeUs) -> bool {
+fn has_expected_weights(row: &EndpointRow, request: &PlacementRequest<'_>, now: TimeUs) -> bool {
     let Some(prompt) = request.prompt else {
         return true;
     };
-    let has = row.weights(&prompt.model);
-    let is_required = request.required_weights.is_none_or(|r| Some(r) == has);
-    has.is_some() && is_required && has == request.weights_of(row, now)
+    let known = row.weights(&prompt.model);
+    let is_required = request.required_weights.is_none_or(|r| Some(r) == known);
+    known.is_some() && is_required && known == request.expected_weights(row, now)
 }
 
 /// Finds the prompt's parts once for each version of the weights that candidates have, which are
@@ -309,7 +311,7 @@
 ) -> Vec<PartSources<'a>> {
     let versions: BTreeSet<WeightNumber> = rows
         .iter()
-        .filter_map(|row| call.request.weights_of(row, call.now))
+        .filter_map(|row| call.request.expected_weights(row, call.now))
         .collect();
     versions
         .into_iter()
--- a/crates/wisteriahitch-relay/src/decide/placement_request.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement_request.rs
@@ -30,7 +30,7 @@
     /// Prompt, if the call carries one.
     pub prompt: Option<&'a PromptShape>,
     /// Workspace, where it shares cached parts with nobody.
-    pub wall: Option<&'a WorkspaceId>,
+    pub isolated_workspace: Option<&'a WorkspaceId>,
     /// Availability zone of this daemon.
     pub zone: &'a AvailabilityZone,
     /// Daemons of the fleet.
@@ -40,15 +40,15 @@
     /// How long a token of the service stays in an engine's memory.
     pub memory_duration_us: DurationUs,
     /// Time within which a first event is of any use.
-    pub patience_us: DurationUs,
+    pub max_first_event_us: DurationUs,
     /// Longest wait for the work of others.
-    pub longest_queue_us: DurationUs,
+    pub max_queue_us: DurationUs,
     /// Zones in which it may run.
     pub allowed_zones: &'a AllowedZones,
     /// Endpoints that won't do.
     pub excluded: &'a [EndpointInstance],
     /// Whether endpoints have crashed under the call, so that it is to go where little is lost with it.
-    pub is_isolated: bool,
+    pub needs_isolation: bool,
     /// Weights that the call must run on, as a stream that goes on does.
     pub required_weights: Option<WeightNumber>,
     /// Weights that the model is to run.
@@ -58,13 +58,13 @@
 impl PlacementRequest<'_> {
     /// Returns the weights that a call at this endpoint would expect: those that it is known to
     /// have, or the wanted ones where the known ones may no longer be used.
-    pub(super) fn weights_of(&self, row: &EndpointRow, now: TimeUs) -> Option<WeightNumber> {
-        let has = row.weights(&self.prompt?.model)?;
+    pub(super) fn expected_weights(&self, row: &EndpointRow, now: TimeUs) -> Option<WeightNumber> {
+        let known = row.weights(&self.prompt?.model)?;
         let Some(wanted) = self.wanted_weights else {
-            return Some(has);
+            return Some(known);
         };
-        match wanted.may_begin(has, now) {
-            true => Some(has),
+        match wanted.may_dispatch(known, now) {
+            true => Some(known),
             false => wanted.newest(),
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /// Returns since when a part must have been used to be still at an engine.
-    pub(super) fn parts_kept_since(&self, row: &EndpointRow) -> TimeUs {
+    pub(super) fn min_part_use_at(&self, row: &EndpointRow) -> TimeUs {
         let memory_tokens = self.engine.memory_tokens.get();
         row.parts_kept_since(memory_tokens, self.request.memory_duration_us, self.now)
     }
--- a/crates/wisteriahitch-relay/src/decide/rollout.rs
+++ b/crates/wisteriahitch-relay/src/decide/rollout.rs
@@ -7,26 +7,26 @@
 
 use wisteriahitch_types::{DurationUs, EndpointInstance, ModelName, TimeUs, WeightNumber};
 
-use super::rollout_pace::{Overrun, PaceOptions, Remaining, RolloutPace};
+use super::rollout_concurrency::{ConcurrencyOptions, Overrun, Remaining, RolloutConcurrency};
 use crate::border::{EngineReport, OrderOutcome};
 
 /// Time between an announcement and the order in a small fleet: the other daemons' next messages.
 /// Requests that cross an order are refused by the engine.
-const ANNOUNCE_US: DurationUs = DurationUs::from_ms(150);
+const ANNOUNCE_DELAY_US: DurationUs = DurationUs::from_ms(150);
 /// The same in a large fleet, where news takes three steps.
-const LARGE_ANNOUNCE_US: DurationUs = DurationUs::from_ms(600);
+const LARGE_FLEET_ANNOUNCE_DELAY_US: DurationUs = DurationUs::from_ms(600);
 /// Engines above which a fleet counts as large here.
-const LARGE_FLEET: usize = 30;
+const LARGE_FLEET_ENGINES: usize = 30;
 /// Time between two reports of an engine that loads. Reports lag by some hundred milliseconds.
-const REPORT_US: DurationUs = DurationUs::from_ms(200);
+const REPORT_INTERVAL_US: DurationUs = DurationUs::from_ms(200);
 /// Time after which an order that was accepted and shows no effect is given again.
 const LOAD_TIMEOUT_US: DurationUs = DurationUs::from_ms(4_000);
 /// Pause after a failure.
-const PAUSE_US: DurationUs = DurationUs::from_ms(300);
+const RETRY_BACKOFF_US: DurationUs = DurationUs::from_ms(300);
 /// Time for which an engine that couldn't be reached lets others go first. Engines that crash are back
 /// in one or two seconds, mostly under another name; the registration of one that isn't lapses after
 /// three to four.
-const REST_US: DurationUs = DurationUs::from_ms(1_000);
+const UNREACHABLE_BACKOFF_US: DurationUs = DurationUs::from_ms(1_000);
 
 /// One engine as the rollout sees it.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     /// Model.
     pub model: ModelName,
     /// Weights that it has.
-    pub has: WeightNumber,
+    pub current: WeightNumber,
     /// Weights that it is to have.
     pub wanted: WeightNumber,
     /// Since when the weights that it has are no longer wanted.
@@ -48,10 +48,10 @@
 /// Asks the shell to do something.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RolloutStep {
-    /// Read an engine's report, and tell [`Rollout::reported`].
-    Report(EndpointInstance),
-    /// Give an order, if the lease allows it now, and tell [`Rollout::ordered`].
-    Order {
+    /// Read an engine's report, and tell [`Rollout::apply_report`].
+    ReadReport(EndpointInstance),
+    /// Give an order, if the lease allows it now, and tell [`Rollout::record_order_outcome`].
+    GiveOrder {
         /// Endpoint.
         endpoint: EndpointInstance,
         /// Model.
@@ -66,29 +66,29 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
     /// The next report is due at this time.
-    AskAt(TimeUs),
-    Asking,
+    ReportDueAt(TimeUs),
+    ReportPending,
     /// The order may be given; the engine has accepted so many.
-    MayOrder(u64),
-    Ordering,
+    OrderAllowed(u64),
+    OrderPending,
 }
 
 #[derive(Clone, Debug)]
-struct Active {
+struct ActiveEngine {
     model: ModelName,
     wanted: WeightNumber,
     /// Version of the order that was given last.
-    ordering: WeightNumber,
+    ordered_version: WeightNumber,
     phase: Phase,
     /// When it was taken out.
-    taken_at_us: TimeUs,
+    started_at_us: TimeUs,
     /// The order that the engine accepted last, and when.
     accepted: Option<(WeightNumber, TimeUs)>,
 }
 
-impl Active {
+impl ActiveEngine {
     /// Returns the version that it has accepted and may still be loading.
-    fn loads(&self, now: TimeUs) -> Option<WeightNumber> {
+    fn loading_version(&self, now: TimeUs) -> Option<WeightNumber> {
         let accepted = self.accepted;
         let accepted = accepted.filter(|(_, at)| now.since(*at) < LOAD_TIMEOUT_US);
         accepted.map(|(version, _)| version)
@@ -98,22 +98,22 @@
 /// Follows the engines that are being brought to wanted weights.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    pace: RolloutPace,
-    active: BTreeMap<EndpointInstance, Active>,
+    concurrency: RolloutConcurrency,
+    active: BTreeMap<EndpointInstance, ActiveEngine>,
     /// Oldest weights of the engines that wait for their turn.
     oldest_waiting: Option<WeightNumber>,
     /// Engines that couldn't be reached, and until when others go first.
-    resting: BTreeMap<EndpointInstance, TimeUs>,
+    backed_off: BTreeMap<EndpointInstance, TimeUs>,
 }
 
 impl Rollout {
     /// Starts without any.
-    pub fn new(options: PaceOptions) -> Self {
+    pub fn new(options: ConcurrencyOptions) -> Self {
         Self {
-            pace: RolloutPace::new(options),
+            concurrency: RolloutConcurrency::new(options),
             active: BTreeMap::new(),
             oldest_waiting: None,
-            resting: BTreeMap::new(),
+            backed_off: BTreeMap::new(),
         }
     }
 
@@ -124,7 +124,7 @@
 
     /// Returns what keeps the rollout from ending in time; nothing where it is expected to.
     pub fn overrun(&self, behind: &[RolloutRow], engines: usize, now: TimeUs) -> Option<Overrun> {
-        self.pace.overrun(remaining(behind, engines)?, now)
+        self.concurrency.overrun(remaining(behind, engines)?, now)
     }
 
     /// Returns whether there is nothing under way.
@@ -140,18 +140,18 @@
     /// Takes the engines that are behind, of so many in all, and returns what is due.
     pub fn tick(&mut self, behind: &[RolloutRow], engines: usize, now: TimeUs) -> Vec<RolloutStep> {
         self.drop_finished(behind);
-        self.take_next(behind, engines, now);
+        self.start_next(behind, engines, now);
         let mut steps = Vec::new();
         for (endpoint, active) in &mut self.active {
             match active.phase {
-                Phase::AskAt(at) if at <= now => {
-                    active.phase = Phase::Asking;
-                    steps.push(RolloutStep::Report(endpoint.clone()));
+                Phase::ReportDueAt(at) if at <= now => {
+                    active.phase = Phase::ReportPending;
+                    steps.push(RolloutStep::ReadReport(endpoint.clone()));
                 }
-                Phase::MayOrder(expected_orders) => {
-                    active.phase = Phase::Ordering;
-                    active.ordering = active.wanted;
-                    steps.push(RolloutStep::Order {
+                Phase::OrderAllowed(expected_orders) => {
+                    active.phase = Phase::OrderPending;
+                    active.ordered_version = active.wanted;
+                    steps.push(RolloutStep::GiveOrder {
                         endpoint: endpoint.clone(),
                         model: active.model.clone(),
                         version: active.wanted,
@@ -165,7 +165,7 @@
     }
 
     /// Takes an engine's report; nothing where it couldn't be read.
-    pub fn reported(
+    pub fn apply_report(
         &mut self,
         endpoint: &EndpointInstance,
         report: Option<&EngineReport>,
@@ -175,46 +175,57 @@
             return;
         };
         let Some(report) = report else {
-            match active.loads(now) {
-                Some(_) => active.phase = Phase::AskAt(now + PAUSE_US),
+            match active.loading_version(now) {
+                Some(_) => active.phase = Phase::ReportDueAt(now + RETRY_BACKOFF_US),
                 None => self.back_off(endpoint, now),
             }
             return;
         };
-        let has = report
+        let current = report
             .weights
             .get(&active.model)
             .copied()
             .unwrap_or_default();
-        if has >= active.wanted {
-            self.pace.returned(now.since(active.taken_at_us));
+        if current >= active.wanted {
+            self.concurrency
+                .record_turnaround(now.since(active.started_at_us));
             self.active.remove(endpoint);
             return;
         }
         // Another version may have been named since the order: once it is carried out, the next
         // one can follow, unless engines with still older weights wait. Their time runs out first.
-        let has_loaded = active.accepted.is_some_and(|(ordered, _)| has >= ordered);
-        if has_loaded && self.oldest_waiting.is_some_and(|oldest| oldest < has) {
-            self.pace.returned(now.since(active.taken_at_us));
+        let has_loaded = active
+            .accepted
+            .is_some_and(|(ordered, _)| current >= ordered);
+        if has_loaded && self.oldest_waiting.is_some_and(|oldest| oldest < current) {
+            self.concurrency
+                .record_turnaround(now.since(active.started_at_us));
             self.active.remove(endpoint);
             return;
         }
-        let is_loading = active.loads(now).is_some_and(|ordered| has < ordered);
+        let is_loading = active
+            .loading_version(now)
+            .is_some_and(|ordered| current < ordered);
         active.phase = match is_loading || report.is_busy {
-            true => Phase::AskAt(now + REPORT_US),
-            false => Phase::MayOrder(report.accepted_orders),
+            true => Phase::ReportDueAt(now + REPORT_INTERVAL_US),
+            false => Phase::OrderAllowed(report.accepted_orders),
         };
     }
 
     /// Takes what became of an order.
-    pub fn ordered(&mut self, endpoint: &EndpointInstance, outcome: &OrderOutcome, now: TimeUs) {
+    pub fn record_order_outcome(
+        &mut self,
+        endpoint: &EndpointInstance,
+        outcome: &OrderOutcome,
+        now: TimeUs,
+    ) {
         let Some(active) = self.active.get_mut(endpoint) else {
             return;
         };
         match outcome {
             OrderOutcome::Accepted => {
-                active.accepted = Some((active.ordering, now));
-                active.phase = Phase::AskAt(now + REPORT_US);
+                active.accepted = Some((active.ordered_version, now));
+                active.phase = Phase::ReportDueAt(now + REPORT_INTERVAL_US);
             }
             OrderOutcome::AlreadyDone => {
                 self.active.remove(endpoint);
@@ -222,14 +233,14 @@
             OrderOutcome::NotSent(_) | OrderOutcome::Refused(_) => self.back_off(endpoint, now),
             // The same number goes with the next order, so that only one of the two is carried
             // out, whichever the engine sees first.
-            _ => active.phase = Phase::AskAt(now + PAUSE_US),
+            _ => active.phase = Phase::ReportDueAt(now + RETRY_BACKOFF_US),
         }
     }
 
     /// Notes that an order wasn't given, since the lease doesn't allow it now.
-    pub fn withheld(&mut self, endpoint: &EndpointInstance, now: TimeUs) {
+    pub fn record_withheld_order(&mut self, endpoint: &EndpointInstance, now: TimeUs) {
         if let Some(active) = self.active.get_mut(endpoint) {
-            active.phase = Phase::AskAt(now + PAUSE_US);
+            active.phase = Phase::ReportDueAt(now + RETRY_BACKOFF_US);
         }
     }
 
@@ -240,7 +251,8 @@
     /// weights were named.
     fn back_off(&mut self, endpoint: &EndpointInstance, now: TimeUs) {
         self.active.remove(endpoint);
-        self.resting.insert(endpoint.clone(), now + REST_US);
+        self.backed_off
+            .insert(endpoint.clone(), now + UNREACHABLE_BACKOFF_US);
     }
 
     fn drop_finished(&mut self, behind: &[RolloutRow]) {
@@ -255,27 +267,27 @@
 
     /// Takes the engines with the oldest weights first, and of those the ones with the least work:
     /// they are empty soonest.
-    fn take_next(&mut self, behind: &[RolloutRow], engines: usize, now: TimeUs) {
-        let parallel = self.pace.parallel(engines);
-        self.resting.retain(|_, until| *until > now);
+    fn start_next(&mut self, behind: &[RolloutRow], engines: usize, now: TimeUs) {
+        let max_parallel = self.concurrency.max_parallel(engines);
+        self.backed_off.retain(|_, until| *until > now);
         let is_free = |row: &&RolloutRow| {
-            !self.active.contains_key(&row.endpoint) && !self.resting.contains_key(&row.endpoint)
+            !self.active.contains_key(&row.endpoint) && !self.backed_off.contains_key(&row.endpoint)
         };
         let mut waiting: Vec<&RolloutRow> = behind.iter().filter(is_free).collect();
-        waiting.sort_by_key(|row| (row.has, row.running));
-        let announce_us = match engines > LARGE_FLEET {
-            true => LARGE_ANNOUNCE_US,
-            false => ANNOUNCE_US,
+        waiting.sort_by_key(|row| (row.current, row.running));
+        let announce_delay_us = match engines > LARGE_FLEET_ENGINES {
+            true => LARGE_FLEET_ANNOUNCE_DELAY_US,
+            false => ANNOUNCE_DELAY_US,
         };
-        let free = parallel.saturating_sub(self.active.len());
-        self.oldest_waiting = waiting.get(free).map(|row| row.has);
+        let free = max_parallel.saturating_sub(self.active.len());
+        self.oldest_waiting = waiting.get(free).map(|row| row.current);
         for row in waiting.into_iter().take(free) {
-            let active = Active {
+            let active = ActiveEngine {
                 model: row.model.clone(),
                 wanted: row.wanted,
-                phase: Phase::AskAt(now + announce_us),
-                taken_at_us: now,
-                ordering: row.wanted,
+                phase: Phase::ReportDueAt(now + announce_delay_us),
+                started_at_us: now,
+                ordered_version: row.wanted,
                 accepted: None,
             };
             self.active.insert(row.endpoint.clone(), active);
--- a/crates/wisteriahitch-relay/src/decide/rollout_pace.rs
+++ b/crates/wisteriahitch-relay/src/decide/rollout_concurrency.rs
@@ -10,21 +10,21 @@
 
 /// Time from taking an engine out to its first call on new weights, as long as none was seen: it
 /// ends its calls in about half a second and loads in about one.
-const FIRST_TURNAROUND_US: DurationUs = DurationUs::from_ms(1_500);
+const INITIAL_TURNAROUND_US: DurationUs = DurationUs::from_ms(1_500);
 
 /// Weight of the newest engine in the moving mean: three engines or so decide, since how long a
 /// load takes changes with the weights and with how many load at once.
-const NEWEST_WEIGHT: f64 = 0.3;
+const NEWEST_ENGINE_WEIGHT: f64 = 0.3;
 
 /// Bounds of the pace.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PaceOptions {
+pub struct ConcurrencyOptions {
     /// Engines that may be out at once however few there are.
     pub parallel_min: usize,
     /// Share of the engines that may be out at once; more at once slow each other down.
     pub parallel_share: f64,
     /// Time after weights were named within which all engines are to have them.
-    pub all_weights_within_us: DurationUs,
+    pub completion_timeout_us: DurationUs,
 }
 
 /// What is still to be done.
@@ -55,42 +55,43 @@
 
 /// Learns how long an engine takes, and says how many may be out.
 #[derive(Clone, Debug)]
-pub struct RolloutPace {
-    options: PaceOptions,
-    turnaround_us: f64,
+pub struct RolloutConcurrency {
+    options: ConcurrencyOptions,
+    mean_turnaround_us: f64,
 }
 
-impl RolloutPace {
+impl RolloutConcurrency {
     /// Starts with a guess.
-    pub fn new(options: PaceOptions) -> Self {
+    pub fn new(options: ConcurrencyOptions) -> Self {
         Self {
             options,
-            turnaround_us: FIRST_TURNAROUND_US.as_f64(),
+            mean_turnaround_us: INITIAL_TURNAROUND_US.as_f64(),
         }
     }
 
     /// Notes how long an engine took from being taken out to having its new weights.
-    pub fn returned(&mut self, taken_us: DurationUs) {
-        self.turnaround_us += (taken_us.as_f64() - self.turnaround_us) * NEWEST_WEIGHT;
+    pub fn record_turnaround(&mut self, turnaround_us: DurationUs) {
+        self.mean_turnaround_us +=
+            (turnaround_us.as_f64() - self.mean_turnaround_us) * NEWEST_ENGINE_WEIGHT;
     }
 
     /// Returns how many of so many engines may be out at once.
-    pub fn parallel(&self, engines: usize) -> usize {
+    pub fn max_parallel(&self, engines: usize) -> usize {
         let share = (engines as f64 * self.options.parallel_share) as usize;
         self.options.parallel_min.max(1).max(share)
     }
 
     /// Returns what keeps the rollout from ending in time; nothing where it is expected to.
     pub fn overrun(&self, remaining: Remaining, now: TimeUs) -> Option<Overrun> {
-        let parallel = self.parallel(remaining.engines);
+        let parallel = self.max_parallel(remaining.engines);
         let rounds = remaining.behind.div_ceil(parallel);
-        let needed_us = DurationUs::new((rounds as f64 * self.turnaround_us) as u64);
-        let end = remaining.replaced_at_us + self.options.all_weights_within_us;
-        let left_us = end.since(now);
+        let needed_us = DurationUs::new((rounds as f64 * self.mean_turnaround_us) as u64);
+        let deadline = remaining.replaced_at_us + self.options.completion_timeout_us;
+        let left_us = deadline.since(now);
         (needed_us > left_us).then_some(Overrun {
             behind: remaining.behind,
             parallel,
-            turnaround_us: DurationUs::new(self.turnaround_us as u64),
+            turnaround_us: DurationUs::new(self.mean_turnaround_us as u64),
             left_us,
             needed_us,
         })
--- a/crates/wisteriahitch-relay/src/decide/store_retry.rs
+++ b/crates/wisteriahitch-relay/src/decide/store_retry.rs
@@ -9,7 +9,7 @@
 use wisteriahitch_types::DurationUs;
 
 /// Pauses after a call failed, from the first one on.
-const PAUSES_US: [DurationUs; 4] = [
+const BACKOFFS_US: [DurationUs; 4] = [
     DurationUs::from_ms(100),
     DurationUs::from_ms(200),
     DurationUs::from_ms(400),
@@ -18,21 +18,24 @@
 
 /// Time between two calls of all daemons together that only hear of the store, for each kind of object:
 /// twenty a second, about as many as a dozen daemons that follow it ask.
-const ALL_OTHERS_US: DurationUs = DurationUs::from_ms(50);
+const INDIRECT_CALL_INTERVAL_US: DurationUs = DurationUs::from_ms(50);
 
 /// Longest pause, so that a daemon that nobody tells anything isn't left alone for good.
-const LONGEST_US: DurationUs = DurationUs::from_ms(10_000);
+const MAX_BACKOFF_US: DurationUs = DurationUs::from_ms(10_000);
 
 /// Returns the pause after a call failed for the `failures`-th time in a row, counted from 0.
 ///
 /// `hears` says whether the daemon hears of the store from others in ordinary times, and has heard all it
 /// needs to serve; `daemons` counts the fleet.
-pub fn retry_pause(failures: usize, hears: bool, daemons: usize) -> DurationUs {
-    let usual_us = PAUSES_US[failures.min(PAUSES_US.len() - 1)];
-    if !hears {
-        return usual_us;
+pub fn store_retry_backoff(failures: usize, receives_updates: bool, daemons: usize) -> DurationUs {
+    let direct_backoff_us = BACKOFFS_US[failures.min(BACKOFFS_US.len() - 1)];
+    if !receives_updates {
+        return direct_backoff_us;
     }
     let daemons = u64::try_from(daemons).unwrap_or(u64::MAX);
-    let shared_us = DurationUs::new(ALL_OTHERS_US.get().saturating_mul(daemons));
-    usual_us.max(shared_us).min(LONGEST_US)
+    let indirect_backoff_us =
+        DurationUs::new(INDIRECT_CALL_INTERVAL_US.get().saturating_mul(daemons));
+    direct_backoff_us
+        .max(indirect_backoff_us)
+        .min(MAX_BACKOFF_US)
 }
--- a/crates/wisteriahitch-relay/src/decide/stream_events.rs
+++ b/crates/wisteriahitch-relay/src/decide/stream_events.rs
@@ -7,7 +7,7 @@
 
 /// Whole events, and what they say.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Framed {
+pub struct FramedEvents {
     /// Bytes of whole events, as they came.
     pub events: Bytes,
     /// Id of the last one.
@@ -45,7 +45,7 @@
     }
 
     /// Takes bytes and returns the events that are whole by now, if any are.
-    pub fn push(&mut self, bytes: Bytes) -> Result<Option<Framed>, FramingError> {
+    pub fn push(&mut self, bytes: Bytes) -> Result<Option<FramedEvents>, FramingError> {
         let whole = if self.partial.is_empty() && ends_event(&bytes) {
             bytes
         } else {
@@ -56,13 +56,13 @@
                 None => return Ok(None),
             }
         };
-        for id in ids(&whole) {
+        for id in event_ids(&whole) {
             if self.last_id.is_some_and(|last| id <= last) {
                 return Err(FramingError::OutOfOrder);
             }
             self.last_id = Some(id);
         }
-        Ok(Some(Framed {
+        Ok(Some(FramedEvents {
             events: whole,
             last_id: self.last_id,
         }))
@@ -89,7 +89,7 @@
 }
 
 /// Returns the numeric ids of events.
-fn ids(events: &[u8]) -> impl Iterator<Item = u64> {
+fn event_ids(events: &[u8]) -> impl Iterator<Item = u64> {
     events.split(|byte| *byte == b'\n').filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/wisteriahitch-relay/src/decide/suspects.rs
+++ b/crates/wisteriahitch-relay/src/decide/suspects.rs
@@ -20,7 +20,7 @@
 
 use super::gossip_message::CrashUpdate;
 use super::recent_updates::RecentUpdates;
-use super::suspect_gossip::weight;
+use super::suspect_gossip::crash_priority;
 use crate::site::RequestFingerprint;
 
 /// Crashes after which a request is blocked. The users allow three, and fewer would blame more innocents: one that
@@ -33,15 +33,15 @@
 
 /// Time for which an answer speaks for a request. A popular look-up is under way at all endpoints at once, and a
 /// loss of power of a third of them would be held against it thrice.
-const CLEARED_FOR_US: DurationUs = DurationUs::from_ms(60_000);
+const CLEARED_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// Time after which what is held against a request is forgotten, and after which one that is blocked and no longer
 /// comes is sent again. A caller that repeats for longer than an hour has paused by then; should the request end an
 /// endpoint again, three are lost in an hour.
-const REMEMBERED_FOR_US: DurationUs = DurationUs::from_ms(3_600_000);
+const RECORD_TTL_US: DurationUs = DurationUs::from_ms(3_600_000);
 
 /// Time for which a lifted block isn't taken over again from daemons that haven't heard of it.
-const LIFTED_FOR_US: DurationUs = DurationUs::from_ms(10_000);
+const LIFTED_TTL_US: DurationUs = DurationUs::from_ms(10_000);
 
 /// Suspects that are remembered: all that were on board of thirty in a hundred of 1,200 engines with ten requests
 /// each. Of more, those with the fewest crashes are forgotten, the oldest first.
@@ -57,7 +57,7 @@
 };
 
 /// Crashes that are remembered as explained.
-const MAX_EXPLAINED: usize = 1_024;
+const MAX_EXPLAINED_CRASHES: usize = 1_024;
 
 /// What is held against one request.
 #[derive(Debug, Default)]
@@ -65,27 +65,27 @@
     /// Short names of the lives that ended while it was under way there.
     pub(super) crashes: BTreeSet<u32>,
     /// Whether a call of this daemon was one of them.
-    is_own: bool,
-    last_at_us: TimeUs,
+    is_direct: bool,
+    last_crash_us: TimeUs,
 }
 
 /// A request that no endpoint gets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Blocked {
-    pub(super) learnt_at_us: TimeUs,
-    pub(super) last_came_at_us: TimeUs,
+    pub(super) blocked_at_us: TimeUs,
+    pub(super) last_seen_us: TimeUs,
 }
 
 /// What follows from a crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashVerdict {
     /// Nothing is to be done. It may be held against the request, or was known, or has another cause.
-    Nothing,
+    NoAction,
     /// The request is blocked from now on. Whether a call of this daemon is part of the proof says who writes it
     /// down.
     Blocked {
         /// Whether this daemon saw one of the crashes itself.
-        is_own: bool,
+        is_direct: bool,
     },
 }
 
@@ -107,9 +107,9 @@
     pub(super) lifted: HashMap<RequestFingerprint, TimeUs>,
     /// Crashes that a blocked request was on board of, the oldest first.
     explained: VecDeque<u32>,
-    pub(super) fresh_crashes: RecentUpdates<CrashUpdate>,
-    pub(super) fresh_cleared: RecentUpdates<RequestFingerprint>,
-    pub(super) fresh_lifted: RecentUpdates<RequestFingerprint>,
+    pub(super) recent_crashes: RecentUpdates<CrashUpdate>,
+    pub(super) recent_cleared: RecentUpdates<RequestFingerprint>,
+    pub(super) recent_lifted: RecentUpdates<RequestFingerprint>,
 }
 
 impl Default for SuspectTable {
@@ -120,79 +120,83 @@
             answered: LruCache::new(MAX_ANSWERED),
             lifted: HashMap::new(),
             explained: VecDeque::new(),
-            fresh_crashes: RecentUpdates::default(),
-            fresh_cleared: RecentUpdates::default(),
-            fresh_lifted: RecentUpdates::default(),
+            recent_crashes: RecentUpdates::default(),
+            recent_cleared: RecentUpdates::default(),
+            recent_lifted: RecentUpdates::default(),
         }
     }
 }
 
 impl SuspectTable {
     /// Notes that a life of an endpoint crashed with a request on board, as this daemon saw (`is_own`) or was told.
-    pub fn crashed(
+    pub fn record_request_crash(
         &mut self,
         request: RequestFingerprint,
-        life: u32,
-        is_own: bool,
+        instance: u32,
+        is_direct: bool,
         now: TimeUs,
     ) -> CrashVerdict {
         if self.is_cleared(request, now) {
             // Whoever suspects it hasn't heard of the answer.
-            self.fresh_cleared.add(request, now);
-            return CrashVerdict::Nothing;
+            self.recent_cleared.add(request, now);
+            return CrashVerdict::NoAction;
         }
-        if self.blocked.contains_key(&request) || self.explained.contains(&life) {
-            return CrashVerdict::Nothing;
+        if self.blocked.contains_key(&request) || self.explained.contains(&instance) {
+            return CrashVerdict::NoAction;
         }
-        self.make_room();
+        self.evict_suspects();
         let suspect = self.suspects.entry(request).or_default();
-        if now.since(suspect.last_at_us) > REMEMBERED_FOR_US {
+        if now.since(suspect.last_crash_us) > RECORD_TTL_US {
             *suspect = Suspect::default();
         }
-        suspect.is_own |= is_own;
-        suspect.last_at_us = now;
-        if !suspect.crashes.insert(life) {
-            return CrashVerdict::Nothing;
+        suspect.is_direct |= is_direct;
+        suspect.last_crash_us = now;
+        if !suspect.crashes.insert(instance) {
+            return CrashVerdict::NoAction;
         }
-        let (crashes, is_own) = (suspect.crashes.len(), suspect.is_own);
-        let news = CrashUpdate {
+        let (crashes, is_direct) = (suspect.crashes.len(), suspect.is_direct);
+        let update = CrashUpdate {
             request,
-            endpoint: life,
+            endpoint: instance,
         };
-        if self.fresh_crashes.is_full() {
-            self.fresh_crashes
-                .drop_least(|news| weight(&self.suspects, news));
+        if self.recent_crashes.is_full() {
+            self.recent_crashes
+                .remove_least_important(|update| crash_priority(&self.suspects, update));
         }
-        self.fresh_crashes.add(news, now);
+        self.recent_crashes.add(update, now);
         if crashes < CRASHES_TO_BLOCK {
-            return CrashVerdict::Nothing;
+            return CrashVerdict::NoAction;
         }
         self.block(request, now, now);
-        CrashVerdict::Blocked { is_own }
+        CrashVerdict::Blocked { is_direct }
     }
 
     /// Notes a whole answer, which clears a request of what is held against it, and returns whether that ends a
     /// block.
-    pub fn answered(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    pub fn record_answer(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         self.answered.put(request, now);
         let was_suspect = self.suspects.remove(&request).is_some();
         let was_blocked = self.blocked.remove(&request).is_some();
         if was_suspect || was_blocked {
-            self.fresh_cleared.add(request, now);
+            self.recent_cleared.add(request, now);
         }
         was_blocked
     }
 
     /// Returns how many endpoints crashed under a request elsewhere than at this life.
-    pub fn crashes_elsewhere(&self, request: RequestFingerprint, life: u32) -> usize {
+    pub fn crashes_elsewhere(&self, request: RequestFingerprint, instance: u32) -> usize {
         let suspect = self.suspects.get(&request);
         suspect.map_or(0, |suspect| {
-            suspect.crashes.iter().filter(|l| **l != life).count()
+            suspect
+                .crashes
+                .iter()
+                .filter(|crashed| **crashed != instance)
+                .count()
         })
     }
 
     /// Returns whether a request goes where little is lost with it.
-    pub fn is_isolated(&self, request: RequestFingerprint) -> bool {
+    pub fn needs_isolation(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| suspect.crashes.len() >= CRASHES_TO_ISOLATE)
     }
@@ -203,16 +207,16 @@
     }
 
     /// Notes that a request has come, and returns whether it is blocked.
-    pub fn came(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    pub fn record_arrival(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         let blocked = self.blocked.get_mut(&request);
         blocked.is_some_and(|blocked| {
-            blocked.last_came_at_us = now;
+            blocked.last_seen_us = now;
             true
         })
     }
 
     /// Takes over a block that was written down, and returns whether that is new.
-    pub fn restored(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    pub fn restore_block(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         if self.is_blocked(request) || self.is_cleared(request, now) {
             return false;
         }
@@ -223,73 +227,75 @@
     /// Ends a block by an operator's order, and returns whether there was one.
     ///
     /// What was held against the request so far no longer counts.
-    pub fn lift(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    pub fn lift_block(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         self.suspects.remove(&request);
-        self.lifted.insert(request, now + LIFTED_FOR_US);
-        self.fresh_lifted.add(request, now);
+        self.lifted.insert(request, now + LIFTED_TTL_US);
+        self.recent_lifted.add(request, now);
         self.blocked.remove(&request).is_some()
     }
 
     /// Ends what is too old, and returns the requests that are no longer blocked.
     pub fn tick(&mut self, now: TimeUs) -> Vec<RequestFingerprint> {
         self.lifted.retain(|_, until| *until > now);
-        let is_over = |blocked: &Blocked| now.since(blocked.last_came_at_us) > REMEMBERED_FOR_US;
-        let over = self.blocked.iter().filter(|(_, b)| is_over(b));
-        let over: Vec<RequestFingerprint> = over.map(|(request, _)| *request).collect();
-        for request in &over {
+        let is_expired = |blocked: &Blocked| now.since(blocked.last_seen_us) > RECORD_TTL_US;
+        let expired = self.blocked.iter().filter(|(_, b)| is_expired(b));
+        let expired: Vec<RequestFingerprint> = expired.map(|(request, _)| *request).collect();
+        for request in &expired {
             self.blocked.remove(request);
         }
-        over
+        expired
     }
 
     /// Blocks a request, and holds what it is blocked for against no other.
-    pub(super) fn block(&mut self, request: RequestFingerprint, came_at_us: TimeUs, now: TimeUs) {
+    pub(super) fn block(&mut self, request: RequestFingerprint, seen_at_us: TimeUs, now: TimeUs) {
         let crashes = self.suspects.remove(&request).unwrap_or_default().crashes;
         for suspect in self.suspects.values_mut() {
-            suspect.crashes.retain(|life| !crashes.contains(life));
+            suspect
+                .crashes
+                .retain(|instance| !crashes.contains(instance));
         }
         self.suspects
             .retain(|_, suspect| !suspect.crashes.is_empty());
         self.explained.extend(crashes);
-        let surplus = self.explained.len().saturating_sub(MAX_EXPLAINED);
+        let surplus = self.explained.len().saturating_sub(MAX_EXPLAINED_CRASHES);
         self.explained.drain(..surplus);
         if self.blocked.len() >= MAX_BLOCKED {
-            let oldest = self.blocked.iter().min_by_key(|(_, b)| b.last_came_at_us);
+            let oldest = self.blocked.iter().min_by_key(|(_, b)| b.last_seen_us);
             if let Some(oldest) = oldest.map(|(request, _)| *request) {
                 self.blocked.remove(&oldest);
             }
         }
         let blocked = Blocked {
-            learnt_at_us: now,
-            last_came_at_us: came_at_us,
+            blocked_at_us: now,
+            last_seen_us: seen_at_us,
         };
         self.blocked.insert(request, blocked);
     }
 
     pub(super) fn is_cleared(&self, request: RequestFingerprint, now: TimeUs) -> bool {
         let answered_at = self.answered.peek(&request);
-        answered_at.is_some_and(|at| now.since(*at) <= CLEARED_FOR_US)
+        answered_at.is_some_and(|at| now.since(*at) <= CLEARED_TTL_US)
     }
 
     /// Forgets a quarter of the suspects where there are too many.
-    fn make_room(&mut self) {
+    fn evict_suspects(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let mut known: Vec<_> = self
+        let mut ranked: Vec<_> = self
             .suspects
             .iter()
-            .map(|(request, suspect)| (suspect.crashes.len(), suspect.last_at_us, *request))
+            .map(|(request, suspect)| (suspect.crashes.len(), suspect.last_crash_us, *request))
             .collect();
-        known.sort_unstable();
-        for (_, _, request) in known.into_iter().take(MAX_SUSPECTS / 4) {
+        ranked.sort_unstable();
+        for (_, _, request) in ranked.into_iter().take(MAX_SUSPECTS / 4) {
             self.suspects.remove(&request);
         }
     }
 
     /// Returns the blocked requests, and for how long each hasn't come.
     pub fn blocked(&self, now: TimeUs) -> Vec<(RequestFingerprint, DurationUs)> {
-        let absent = |blocked: &Blocked| now.since(blocked.last_came_at_us);
+        let absent = |blocked: &Blocked| now.since(blocked.last_seen_us);
         let mut blocked: Vec<_> = self
             .blocked
             .iter()
--- a/crates/wisteriahitch-relay/src/decide/wanted_weights.rs
+++ b/crates/wisteriahitch-relay/src/decide/wanted_weights.rs
@@ -6,12 +6,12 @@
 
 /// Versions that are remembered. A version counts from its own naming, also where the next one is
 /// named before it is in place.
-const REMEMBERED: usize = 8;
+const MAX_VERSIONS: usize = 8;
 
 /// The versions of one model's weights that were named, the newest last.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WantedVersions {
-    named: Vec<(WeightNumber, TimeUs)>,
+    versions: Vec<(WeightNumber, TimeUs)>,
     limits: OldWeightsLimits,
 }
 
@@ -19,35 +19,35 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OldWeightsLimits {
     /// Time within which calls are sent to engines that have them.
-    pub until_us: DurationUs,
+    pub dispatch_timeout_us: DurationUs,
     /// Time within which a call must have begun there.
-    pub begun_by_us: DurationUs,
+    pub start_timeout_us: DurationUs,
 }
 
 impl WantedVersions {
     /// Starts without any.
     pub fn new(limits: OldWeightsLimits) -> Self {
         Self {
-            named: Vec::new(),
+            versions: Vec::new(),
             limits,
         }
     }
 
     /// Notes a version, and returns whether it is newer than all others.
-    pub fn named(&mut self, version: WeightNumber, at: TimeUs) -> bool {
+    pub fn record_version(&mut self, version: WeightNumber, at: TimeUs) -> bool {
         if self.newest().is_some_and(|newest| version <= newest) {
             return false;
         }
-        self.named.push((version, at));
-        if self.named.len() > REMEMBERED {
-            self.named.remove(0);
+        self.versions.push((version, at));
+        if self.versions.len() > MAX_VERSIONS {
+            self.versions.remove(0);
         }
         true
     }
 
     /// Returns the version that is wanted.
     pub fn newest(&self) -> Option<WeightNumber> {
-        self.named.last().map(|(version, _)| *version)
+        self.versions.last().map(|(version, _)| *version)
     }
 
     /// Returns since when `version` is no longer the wanted one; nothing while it is.
@@ -55,26 +55,29 @@
     /// That is the naming of the first newer version, not of the newest: counted from the newest,
     /// a quick series of versions would keep the oldest one in use for ever.
     pub fn replaced_at(&self, version: WeightNumber) -> Option<TimeUs> {
-        let newer = self.named.iter().find(|(named, _)| *named > version);
+        let newer = self
+            .versions
+            .iter()
+            .find(|(recorded, _)| *recorded > version);
         newer.map(|(_, at)| *at)
     }
 
     /// Returns whether a call may still be sent to an engine with `version`.
-    pub fn may_begin(&self, version: WeightNumber, now: TimeUs) -> bool {
+    pub fn may_dispatch(&self, version: WeightNumber, now: TimeUs) -> bool {
         let age_us = self.replaced_at(version).map(|at| now.since(at));
-        age_us.is_none_or(|age_us| age_us < self.limits.until_us)
+        age_us.is_none_or(|age_us| age_us < self.limits.dispatch_timeout_us)
     }
 
     /// Returns when a call at an engine with `version` must have begun; nothing while that version is
     /// wanted.
-    pub fn must_begin_by(&self, version: WeightNumber) -> Option<TimeUs> {
+    pub fn start_deadline(&self, version: WeightNumber) -> Option<TimeUs> {
         self.replaced_at(version)
-            .map(|at| at + self.limits.begun_by_us)
+            .map(|at| at + self.limits.start_timeout_us)
     }
 
     /// Returns whether a call that was sent to an engine with `version` may still fetch parts.
-    pub fn may_be_fetched(&self, version: WeightNumber, now: TimeUs) -> bool {
+    pub fn may_fetch_parts(&self, version: WeightNumber, now: TimeUs) -> bool {
         let age_us = self.replaced_at(version).map(|at| now.since(at));
-        age_us.is_none_or(|age_us| age_us < self.limits.until_us + FETCH_TIMEOUT_US)
+        age_us.is_none_or(|age_us| age_us < self.limits.dispatch_timeout_us + FETCH_TIMEOUT_US)
     }
 }
--- a/crates/wisteriahitch-relay/src/lib.rs
+++ b/crates/wisteriahitch-relay/src/lib.rs
@@ -20,36 +20,36 @@
 pub use clock::BootClock;
 pub use decide::backlog::{Load, LoadReport};
 pub use decide::cold_limit::ColdState;
-pub use decide::crash_evidence::{BreakMeaning, ConnectFailure, CrashEvidence};
+pub use decide::crash_evidence::{BrokenCallVerdict, ConnectFailure, CrashEvidence};
 pub use decide::endpoint_admission::{Admission, CallPermits, LimitCause, ServiceColdness};
 pub use decide::endpoint_row::{EndpointLife, EndpointRow};
 pub use decide::endpoint_statements::EndpointStatements;
 pub use decide::endpoint_table::{Absence, EndpointChange, EndpointTable, Registration};
 pub use decide::evacuated_zones::{EvacuatedZones, ZoneChange};
 pub use decide::gossip_message::{
-    BlockedUpdate, CrashUpdate, EndpointUpdate, GossipMessage, KeptPartUpdate, KindUpdate,
-    LimitUpdate, MemberPhase, MemberUpdate, PartUpdate, RequestUpdate, StoreUpdate,
+    BlockedUpdate, CrashUpdate, EndpointUpdate, GossipMessage, KindUpdate, LimitUpdate,
+    MemberPhase, MemberUpdate, PartUpdate, RequestUpdate, StoreUpdate, StoredPartUpdate,
 };
-pub use decide::gossip_pace::GossipPace;
+pub use decide::gossip_schedule::GossipSchedule;
 pub use decide::hubs::{HubCandidate, HubPlan};
-pub use decide::link_paces::LinkPaces;
+pub use decide::link_throughputs::LinkThroughputs;
 pub use decide::members::{Entry, Heard, PeerRow, PeerTable};
 pub use decide::message_delay::MessageDelay;
 pub use decide::named_limit::{LimitNotice, LimitOutcome, NamedLimit};
-pub use decide::offer::MainFetch;
 pub use decide::outlier::{Outlier, OutlierOptions};
 pub use decide::overload::{UrgencyLevel, UrgencyLevels};
-pub use decide::part_stores::{Fetch, FreeOrder, PartStores};
-pub use decide::parts::{EngineMemory, HeldPart, PartCache, PartKey, PartNamer};
+pub use decide::part_stores::{FreeOrder, PartStores, StoreFetch};
+pub use decide::parts::{CachedPart, EngineMemory, PartCache, PartKey, PartKeyHasher};
 pub use decide::permit_shares::{MinorityShare, PermitShare, PermitShares, Sighting};
 pub use decide::placement::{Placement, place};
+pub use decide::placement_candidate::MainFetch;
 pub use decide::placement_request::PlacementRequest;
 pub use decide::rate_limit::{HeldPermits, RateBound, RateLimit};
 pub use decide::rollout::{Rollout, RolloutRow, RolloutStep};
-pub use decide::rollout_pace::{Overrun, PaceOptions, Remaining, RolloutPace};
+pub use decide::rollout_concurrency::{ConcurrencyOptions, Overrun, Remaining, RolloutConcurrency};
 pub use decide::staleness::{StalenessLimits, answered_as_of};
-pub use decide::store_retry::retry_pause;
-pub use decide::stream_events::{EventFramer, Framed, FramingError};
+pub use decide::store_retry::store_retry_backoff;
+pub use decide::stream_events::{EventFramer, FramedEvents, FramingError};
 pub use decide::suspects::{CRASHES_TO_BLOCK, CrashVerdict, RequestChanges, SuspectTable};
 pub use decide::wanted_weights::{OldWeightsLimits, WantedVersions};
 pub use observe::{BoundedLabel, CallEnded, Event, EventLog, LogBudget, ProcessUse};
--- a/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
+++ b/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
@@ -204,7 +204,7 @@
         let Some(request) = named(shared, &object) else {
             continue;
         };
-        if shared.suspects.lock().restored(request, shared.now()) {
+        if shared.suspects.lock().restore_block(request, shared.now()) {
             note_blocked(shared, request, BlockSource::Store);
         }
     }
@@ -265,7 +265,7 @@
 pub(super) fn lift(shared: &Shared, path: &str) -> Option<Bytes> {
     let request = path.strip_prefix(BLOCKED_PATH)?.strip_prefix('/')?;
     let request: RequestFingerprint = request.parse().ok()?;
-    let was_blocked = shared.suspects.lock().lift(request, shared.now());
+    let was_blocked = shared.suspects.lock().lift_block(request, shared.now());
     if !was_blocked {
         return None;
     }
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -14,7 +14,7 @@
 use super::attempt::Call;
 use super::blocked_requests::{BlockSource, UnblockReason, note_blocked, note_unblocked};
 use super::shared::Shared;
-use crate::decide::crash_evidence::{BreakMeaning, ConnectFailure};
+use crate::decide::crash_evidence::{BrokenCallVerdict, ConnectFailure};
 use crate::decide::endpoint_row::EndpointLife;
 use crate::decide::endpoint_table::life_name;
 use crate::decide::gossip_message::RequestUpdate;
@@ -74,11 +74,11 @@
     let life = life_name(&placement.endpoint);
     let meaning = {
         let mut evidence = shared.crash_evidence.lock();
-        evidence.broke(life, call.fingerprint, shared.now())
+        evidence.record_broken_call(life, call.fingerprint, shared.now())
     };
     match meaning {
-        BreakMeaning::Crashed => record_crash_suspects(shared, &[call.fingerprint], life),
-        BreakMeaning::Look(after_us) => {
+        BrokenCallVerdict::Crashed => record_crash_suspects(shared, &[call.fingerprint], life),
+        BrokenCallVerdict::Probe(after_us) => {
             let (endpoint, address) = (placement.endpoint.clone(), placement.address);
             let looking = look(Arc::clone(shared), endpoint, address);
             tokio::spawn(async move {
@@ -86,7 +86,7 @@
                 looking.await;
             });
         }
-        BreakMeaning::Unknown => {}
+        BrokenCallVerdict::Unknown => {}
     }
 }
 
@@ -105,15 +105,15 @@
         let Ok(opened) = timeout(LOOK_TIMEOUT, TcpStream::connect(address)).await else {
             return;
         };
-        match opened.map_err(|error| ConnectFailure::of(error.kind())) {
+        match opened.map_err(|error| ConnectFailure::from_error_kind(error.kind())) {
             Ok(connection) => {
                 if !closes_soon(connection).await {
                     let mut evidence = shared.crash_evidence.lock();
-                    return evidence.found_alive(life, looked_at);
+                    return evidence.record_alive(life, looked_at);
                 }
             }
-            Err(ConnectFailure::Gone) => return note_crash(&shared, &endpoint, Proof::Refused),
-            Err(ConnectFailure::Ending) => {}
+            Err(ConnectFailure::Refused) => return note_crash(&shared, &endpoint, Proof::Refused),
+            Err(ConnectFailure::Reset) => {}
             Err(ConnectFailure::Unknown) => return,
         }
         tokio::time::sleep(LOOK_PAUSE).await;
@@ -134,7 +134,10 @@
 
 /// Holds a crash against all calls of this daemon that were on board.
 fn note_crash_of(shared: &Shared, life: u32, endpoint: &str, proof: Proof) {
-    let on_board = shared.crash_evidence.lock().crashed(life, shared.now());
+    let on_board = shared
+        .crash_evidence
+        .lock()
+        .record_crash(life, shared.now());
     let Some(on_board) = on_board.filter(|calls| !calls.is_empty()) else {
         return;
     };
@@ -152,7 +155,10 @@
 fn record_crash_suspects(shared: &Shared, requests: &[RequestFingerprint], life: u32) {
     let now = shared.now();
     for request in requests {
-        let verdict = shared.suspects.lock().crashed(*request, life, true, now);
+        let verdict = shared
+            .suspects
+            .lock()
+            .record_request_crash(*request, life, true, now);
         if let CrashVerdict::Blocked { .. } = verdict {
             note_blocked(shared, *request, BlockSource::Own);
         }
@@ -168,7 +174,7 @@
         let endpoint = format!("{:08x}", crash.endpoint);
         note_crash_of(shared, crash.endpoint, &endpoint, Proof::Told);
     }
-    let changes = shared.suspects.lock().told(news, shared.now());
+    let changes = shared.suspects.lock().apply_peer_update(news, shared.now());
     for (request, is_own) in changes.blocked {
         let source = match is_own {
             true => BlockSource::Own,
@@ -201,7 +207,7 @@
 }
 
 fn note_answered(shared: &Shared, request: RequestFingerprint) {
-    let was_blocked = shared.suspects.lock().answered(request, shared.now());
+    let was_blocked = shared.suspects.lock().record_answer(request, shared.now());
     if was_blocked {
         note_unblocked(shared, request, UnblockReason::Answered);
     }
--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -43,7 +43,7 @@
 use crate::decide::part_stores::PartStores;
 use crate::decide::permit_shares::PermitShares;
 use crate::decide::rollout::Rollout;
-use crate::decide::rollout_pace::PaceOptions;
+use crate::decide::rollout_concurrency::ConcurrencyOptions;
 use crate::decide::wanted_weights::OldWeightsLimits;
 use crate::observe::{Event, EventLog, LogBudget, Metrics};
 use crate::settings::{Bounds, RelaySettings};
@@ -102,8 +102,8 @@
             borders,
             bounds,
             site: SiteState::new(OldWeightsLimits {
-                until_us: bounds.old_weights_until(),
-                begun_by_us: bounds.old_weights_begun_by(),
+                dispatch_timeout_us: bounds.old_weights_until(),
+                start_timeout_us: bounds.old_weights_begun_by(),
             }),
             endpoints: Mutex::new(endpoints),
             part_stores: Mutex::new(PartStores::default()),
@@ -165,11 +165,11 @@
     }
 }
 
-fn pace_options(settings: &RelaySettings, bounds: &Bounds) -> PaceOptions {
-    PaceOptions {
+fn pace_options(settings: &RelaySettings, bounds: &Bounds) -> ConcurrencyOptions {
+    ConcurrencyOptions {
         parallel_min: settings.rollout.parallel_min,
         parallel_share: settings.rollout.parallel_share,
-        all_weights_within_us: bounds.all_weights_within(),
+        completion_timeout_us: bounds.all_weights_within(),
     }
 }
 
--- a/crates/wisteriahitch-relay/src/shell/gossip.rs
+++ b/crates/wisteriahitch-relay/src/shell/gossip.rs
@@ -8,8 +8,8 @@
 use crate::decide::backlog::Load;
 use crate::decide::endpoint_row::EndpointRow;
 use crate::decide::gossip_message::{
-    EndpointUpdate, GossipMessage, KeptPartUpdate, LimitUpdate, MemberPhase, MemberUpdate,
-    PartUpdate, RequestUpdate, StoreUpdate,
+    EndpointUpdate, GossipMessage, LimitUpdate, MemberPhase, MemberUpdate, PartUpdate,
+    RequestUpdate, StoreUpdate, StoredPartUpdate,
 };
 use crate::decide::hubs::HubPlan;
 use crate::decide::members::Entry;
@@ -40,7 +40,7 @@
 pub(super) struct Relayed {
     near_parts: Vec<PartUpdate>,
     far_parts: Vec<PartUpdate>,
-    kept: Vec<KeptPartUpdate>,
+    kept: Vec<StoredPartUpdate>,
     reserved: Vec<EndpointInstance>,
     requests: RequestUpdate,
     limits: Vec<LimitUpdate>,
@@ -58,14 +58,14 @@
     ) -> Self {
         let number = shared.peers.round();
         // In a small fleet everybody asks the stores.
-        let news = shared.part_stores.lock().take_updates(MAX_KEPT);
+        let news = shared.part_stores.lock().take_part_updates(MAX_KEPT);
         let kept = if plan.is_small { Vec::new() } else { news };
         Self {
             near_parts,
             far_parts,
             kept,
             reserved: shared.rollout.lock().reserved().cloned().collect(),
-            requests: shared.suspects.lock().news(number, now),
+            requests: shared.suspects.lock().request_update(number, now),
             limits: limit_updates(shared, now),
             leaving: leaving(shared, now),
         }
@@ -94,7 +94,7 @@
         message.stores = store_updates(shared, now);
         // Hubs that only hear of the stores tell their own daemons alone.
         if own.is_some() || shared.peers.follows_stores() {
-            message.kept.clone_from(&relayed.kept);
+            message.stored_parts.clone_from(&relayed.kept);
         }
         add_members(shared, &mut message, own, now);
     }
@@ -126,7 +126,7 @@
         unreachable: Vec::new(),
         parts: Vec::new(),
         stores: Vec::new(),
-        kept: Vec::new(),
+        stored_parts: Vec::new(),
         requests: relayed.requests.clone(),
         zones: Vec::new(),
         members: Vec::new(),
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -91,7 +91,7 @@
         let last = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.into_iter().enumerate() {
             // The last part is this request's or its session's own, which others don't ask for.
-            if !row.parts.used(key, tokens, now) || index == last {
+            if !row.parts.record_use(key, tokens, now) || index == last {
                 continue;
             }
             news.push(PartUpdate {
@@ -145,10 +145,10 @@
     let rest_us = placement.expected_us - fetch.expected_us;
     let took_us = DurationUs::from(took) - rest_us;
     let links = &mut endpoints.links;
-    links.fetched(
+    links.record_fetch(
         fetch.source,
         placement.address,
-        fetch.usual_us,
+        fetch.nominal_us,
         took_us,
         now,
     );
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -82,7 +82,7 @@
             behind.push(RolloutRow {
                 endpoint: row.instance().clone(),
                 model: model.clone(),
-                has: *has,
+                current: *has,
                 wanted: newest,
                 replaced_at_us,
                 running: row.load().running,
@@ -206,8 +206,8 @@
 
 async fn carry_out(shared: Arc<Shared>, members: Arc<Membership>, step: RolloutStep) {
     match step {
-        RolloutStep::Report(endpoint) => report(&shared, &endpoint).await,
-        RolloutStep::Order {
+        RolloutStep::ReadReport(endpoint) => report(&shared, &endpoint).await,
+        RolloutStep::GiveOrder {
             endpoint,
             model,
             version,
@@ -260,7 +260,7 @@
     shared
         .rollout
         .lock()
-        .reported(endpoint, report.as_ref(), now);
+        .apply_report(endpoint, report.as_ref(), now);
 }
 
 async fn give(
@@ -273,7 +273,10 @@
     // This grant numbers the order; the one that counts is asked for once the connection is open.
     let grant = shared.leases.lock().try_order(&GROUP, shared.now());
     let (Some(address), Ok(grant)) = (address, grant) else {
-        shared.rollout.lock().withheld(endpoint, shared.now());
+        shared
+            .rollout
+            .lock()
+            .record_withheld_order(endpoint, shared.now());
         return;
     };
     let order = order(address, grant.fence);
@@ -289,7 +292,10 @@
         .leases
         .lock()
         .handle(LeaseEvent::OrderDone(GROUP), now, members);
-    shared.rollout.lock().ordered(endpoint, &outcome, now);
+    shared
+        .rollout
+        .lock()
+        .record_order_outcome(endpoint, &outcome, now);
     let label = outcome_label(&outcome);
     shared.metrics.orders.with_label_values(&[label]).inc();
     shared.log.write(&Event::OrderGiven {
--- a/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
@@ -54,7 +54,7 @@
             Ok(next) => since = next,
             Err(_) => {
                 since = None;
-                shared.part_stores.lock().lost(store);
+                shared.part_stores.lock().record_unreachable(store);
                 tokio::time::sleep(RETRY_PAUSE.mul_f64(rand::random_range(0.8..1.2))).await;
             }
         }
@@ -68,7 +68,7 @@
     shared
         .part_stores
         .lock()
-        .listed(store, listing, shared.now());
+        .apply_listing(store, listing, shared.now());
     Ok(next)
 }
 
@@ -83,7 +83,7 @@
     let follows = shared
         .part_stores
         .lock()
-        .changed(store, changes, shared.now());
+        .apply_changes(store, changes, shared.now());
     Ok(follows.then_some(next))
 }
 
@@ -97,8 +97,8 @@
         let lowest = lowest_weights(&shared);
         let orders = {
             let mut stores = shared.part_stores.lock();
-            stores.saw_lowest_weights(&lowest, now);
-            stores.to_free(weights_of_scope, may_be_fetched(&shared, now), now)
+            stores.record_lowest_weights(&lowest, now);
+            stores.parts_to_free(weights_of_scope, may_be_fetched(&shared, now), now)
         };
         if !orders.is_empty() && is_mine(&shared) {
             for order in orders {
@@ -112,7 +112,7 @@
 fn may_be_fetched(shared: &Shared, now: TimeUs) -> impl Fn(&ModelName, WeightNumber) -> bool {
     move |model, weights| {
         let wanted = shared.site.wanted(model);
-        wanted.is_none_or(|wanted| wanted.may_be_fetched(weights, now))
+        wanted.is_none_or(|wanted| wanted.may_fetch_parts(weights, now))
     }
 }
 
@@ -155,6 +155,6 @@
             .map_or("freed".to_owned(), ToString::to_string),
     });
     if freed.is_ok() {
-        shared.part_stores.lock().freed(&order);
+        shared.part_stores.lock().remove_freed_parts(&order);
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -55,7 +55,7 @@
         }
         if let Some(store) = path.strip_prefix(PARTS_PATH) {
             let store: SocketAddr = store.parse().ok()?;
-            return json(&shared.part_stores.lock().kept_at(store));
+            return json(&shared.part_stores.lock().stored_parts_at(store));
         }
         match path {
             ENGINES_PATH => json(&takeover(shared)),
--- a/crates/wisteriahitch-relay/src/shell/peer_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_state.rs
@@ -13,7 +13,7 @@
 use super::watch_state::kind_name;
 
 use crate::decide::gossip_message::PartUpdate;
-use crate::decide::gossip_pace::GossipPace;
+use crate::decide::gossip_schedule::GossipSchedule;
 use crate::decide::hubs::HubPlan;
 use crate::decide::members::{PeerRow, PeerTable};
 
@@ -53,7 +53,7 @@
     lag_ms: Mutex<f64>,
     /// Sends a message at once.
     pub(crate) hurry: Notify,
-    pub(super) pace: Mutex<GossipPace>,
+    pub(super) pace: Mutex<GossipSchedule>,
 }
 
 impl PeerState {
@@ -103,7 +103,7 @@
 
     /// Notes a call that was sent, which the others may have to hear of at once.
     pub(crate) fn sent(&self, unread_tokens: u64) {
-        if self.pace.lock().sent(unread_tokens) {
+        if self.pace.lock().record_dispatch(unread_tokens) {
             self.hurry.notify_one();
         }
     }
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -65,7 +65,7 @@
         let now = shared.now();
         tick(&shared, last, now);
         last = now;
-        shared.peers.pace.lock().told(now);
+        shared.peers.pace.lock().record_send(now);
         tell(&shared, &socket, now);
     }
 }
@@ -81,7 +81,7 @@
     {
         shared.peers.note_lag(due.elapsed());
     }
-    let gap_us = shared.peers.pace.lock().earliest().since(shared.now());
+    let gap_us = shared.peers.pace.lock().earliest_send().since(shared.now());
     if gap_us > DurationUs::ZERO {
         tokio::time::sleep(gap_us.into()).await;
     }
@@ -247,10 +247,10 @@
         let mut stores = shared.part_stores.lock();
         // A hub hears of the stores from several; other daemons from their hub alone.
         if !shared.peers.plan.lock().is_hub(shared.settings.ip) {
-            stores.forget_unreported(&message.stores);
+            stores.clear_unreported_stores(&message.stores);
         }
-        let unknown = stores.told(&message.stores, now);
-        stores.apply_kept_parts(&message.kept);
+        let unknown = stores.apply_store_updates(&message.stores, now);
+        stores.apply_stored_parts(&message.stored_parts);
         unknown
     };
     let mut asked = shared.peers.asked_stores.lock();
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -187,7 +187,11 @@
     fingerprint: RequestFingerprint,
     trace: &mut CallTrace,
 ) -> Result<(), Refusal> {
-    if !shared.suspects.lock().came(fingerprint, shared.now()) {
+    if !shared
+        .suspects
+        .lock()
+        .record_arrival(fingerprint, shared.now())
+    {
         return Ok(());
     }
     trace.story().fingerprint = Some(fingerprint.to_string());
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -136,7 +136,7 @@
         }
         let prompt = self.call.head.prompt.as_ref();
         let is_stream = self.route.kind == CallKind::Stream;
-        let patience_us = match is_stream {
+        let max_first_event_us = match is_stream {
             true => DurationUs::from(left).min(patience(&self.route)),
             false => DurationUs::from(left),
         };
@@ -150,16 +150,19 @@
             service: &self.service,
             engine: self.call.engine.as_ref(),
             prompt,
-            wall: wall.map(|workspace| &workspace.id),
+            isolated_workspace: wall.map(|workspace| &workspace.id),
             zone: &shared.settings.zone,
             daemons: shared.peers.daemons(),
             duration_us,
             memory_duration_us,
-            patience_us,
-            longest_queue_us: self.longest_queue_us,
+            max_first_event_us,
+            max_queue_us: self.longest_queue_us,
             allowed_zones: &self.call.allowed_zones,
             excluded: &self.tried,
-            is_isolated: shared.suspects.lock().is_isolated(self.call.fingerprint),
+            needs_isolation: shared
+                .suspects
+                .lock()
+                .needs_isolation(self.call.fingerprint),
             required_weights,
             wanted_weights: wanted.as_ref(),
         };
@@ -266,7 +269,7 @@
         loop {
             let changed = shared.site.wanted_changed();
             let wanted = shared.site.wanted(model);
-            let by = wanted.and_then(|wanted| wanted.must_begin_by(weights));
+            let by = wanted.and_then(|wanted| wanted.start_deadline(weights));
             match by {
                 Some(by) => {
                     return tokio::time::sleep(by.since(shared.now()).into()).await;
--- a/crates/wisteriahitch-relay/src/shell/site_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/site_state.rs
@@ -61,7 +61,7 @@
             .entry(wanted.model)
             .or_insert_with(|| WantedVersions::new(self.old_weights));
         let named_at_us = TimeUs::new(now.get().saturating_sub(age_us.get()));
-        let is_new = versions.named(wanted.version, named_at_us);
+        let is_new = versions.record_version(wanted.version, named_at_us);
         drop(all);
         if is_new {
             self.wanted_changed.notify_waiters();
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -297,7 +297,7 @@
         endpoints.set_services(services, memory_tokens);
         endpoints.set_cold_limits(cold_limits);
     }
-    let new_stores = shared.part_stores.lock().configured(stores.into_iter());
+    let new_stores = shared.part_stores.lock().configure(stores.into_iter());
     for store in new_stores {
         tokio::spawn(run_part_store_watch(Arc::clone(shared), store));
     }
--- a/crates/wisteriahitch-relay/src/shell/transfers.rs
+++ b/crates/wisteriahitch-relay/src/shell/transfers.rs
@@ -31,7 +31,7 @@
         let mut transfers = Self {
             fetch_from: placement.fetch_from.clone(),
             save_to: Vec::new(),
-            until_ms: stores.fetch_until_ms(now),
+            until_ms: stores.fetch_deadline_ms(now),
         };
         if newest.is_some_and(|newest| placement.weights != Some(newest)) {
             return transfers;
@@ -40,7 +40,7 @@
         let shared_parts = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.iter().enumerate() {
             let save = match index < shared_parts {
-                true => stores.save(*key, *tokens, &call.allowed_zones, now),
+                true => stores.choose_save_target(*key, *tokens, &call.allowed_zones, now),
                 false => None,
             };
             transfers.save_to.push(save);
--- a/crates/wisteriahitch-relay/src/shell/watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch.rs
@@ -12,7 +12,7 @@
 use super::watch_state::kind_name;
 use crate::decide::hubs::SMALL_FLEET;
 use crate::decide::staleness::answered_as_of;
-use crate::decide::store_retry::retry_pause;
+use crate::decide::store_retry::store_retry_backoff;
 use crate::observe::Event;
 
 /// Wait of the first watch after a failure. With the usual wait a daemon would count as cut off
@@ -92,7 +92,7 @@
 fn pause_after_failure(shared: &Shared, role: ObjectRole, failures: usize) -> Duration {
     let is_listed = shared.watches.of(role).lock().is_listed;
     let hears = is_listed && !shared.peers.follows_stores();
-    retry_pause(failures, hears, shared.peers.daemons()).into()
+    store_retry_backoff(failures, hears, shared.peers.daemons()).into()
 }
 
 async fn list(shared: &Arc<Shared>, role: ObjectRole) -> Result<bool, PlatformError> {
--- a/crates/wisteriahitch-relay/tests/all/crash_evidence.rs
+++ b/crates/wisteriahitch-relay/tests/all/crash_evidence.rs
@@ -2,7 +2,7 @@
 
 use std::io::ErrorKind;
 
-use wisteriahitch_relay::{BreakMeaning, ConnectFailure, CrashEvidence, RequestFingerprint};
+use wisteriahitch_relay::{BrokenCallVerdict, ConnectFailure, CrashEvidence, RequestFingerprint};
 use wisteriahitch_types::WorkspaceId;
 
 use crate::fixture::{at_ms, ms};
@@ -12,23 +12,23 @@
 }
 
 /// It is looked at once.
-const NOW: BreakMeaning = BreakMeaning::Look(ms(0));
+const PROBE_NOW: BrokenCallVerdict = BrokenCallVerdict::Probe(ms(0));
 
 /// It is looked at when that may be again, one millisecond after the last time.
-const LATER: BreakMeaning = BreakMeaning::Look(ms(499));
+const PROBE_LATER: BrokenCallVerdict = BrokenCallVerdict::Probe(ms(499));
 
 /// What happens at one life of an endpoint, and what follows.
 enum Step {
-    Broke(&'static str, BreakMeaning),
+    Break(&'static str, BrokenCallVerdict),
     /// Proof of its end, and the calls that were on board if it is new.
-    Proven(Option<&'static [&'static str]>),
+    Evidence(Option<&'static [&'static str]>),
 }
 
 /// Symptom: a request is blamed for a reset, or a crash is counted twice. Cause: a break alone is no crash, and each
 /// daemon learns of one crash in several ways.
 #[test]
-fn only_calls_that_broke_right_before_the_proof_were_on_board() {
-    use BreakMeaning::{Crashed, Unknown};
+fn a_crash_is_blamed_only_on_calls_that_broke_just_before_the_evidence() {
+    use BrokenCallVerdict::{Crashed, Unknown};
     struct Case {
         what: &'static str,
         steps: Vec<(u64, Step)>,
@@ -37,48 +37,51 @@
         Case {
             what: "two calls break, one look proves the crash",
             steps: vec![
-                (0, Step::Broke("a", NOW)),
-                (1, Step::Broke("b", LATER)),
-                (2, Step::Proven(Some(&["a", "b"]))),
+                (0, Step::Break("a", PROBE_NOW)),
+                (1, Step::Break("b", PROBE_LATER)),
+                (2, Step::Evidence(Some(&["a", "b"]))),
             ],
         },
         Case {
             what: "a call whose break is noticed after the proof",
             steps: vec![
-                (0, Step::Broke("a", NOW)),
-                (2, Step::Proven(Some(&["a"]))),
-                (3, Step::Broke("b", Crashed)),
+                (0, Step::Break("a", PROBE_NOW)),
+                (2, Step::Evidence(Some(&["a"]))),
+                (3, Step::Break("b", Crashed)),
             ],
         },
         Case {
             what: "the same crash is proven again",
             steps: vec![
-                (0, Step::Broke("a", NOW)),
-                (2, Step::Proven(Some(&["a"]))),
-                (1_500, Step::Proven(None)),
+                (0, Step::Break("a", PROBE_NOW)),
+                (2, Step::Evidence(Some(&["a"]))),
+                (1_500, Step::Evidence(None)),
             ],
         },
         Case {
             what: "resets that nothing proves to be a crash, looked at twice a second at most",
             steps: vec![
-                (0, Step::Broke("a", NOW)),
-                (400, Step::Broke("b", BreakMeaning::Look(ms(100)))),
-                (450, Step::Broke("c", Unknown)),
-                (600, Step::Broke("d", BreakMeaning::Look(ms(400)))),
-                (2_000, Step::Broke("e", NOW)),
+                (0, Step::Break("a", PROBE_NOW)),
+                (400, Step::Break("b", BrokenCallVerdict::Probe(ms(100)))),
+                (450, Step::Break("c", Unknown)),
+                (600, Step::Break("d", BrokenCallVerdict::Probe(ms(400)))),
+                (2_000, Step::Break("e", PROBE_NOW)),
             ],
         },
         Case {
             what: "a reset long before the crash",
             steps: vec![
-                (0, Step::Broke("a", NOW)),
-                (6_000, Step::Broke("b", NOW)),
-                (6_001, Step::Proven(Some(&["b"]))),
+                (0, Step::Break("a", PROBE_NOW)),
+                (6_000, Step::Break("b", PROBE_NOW)),
+                (6_001, Step::Evidence(Some(&["b"]))),
             ],
         },
         Case {
             what: "a crash long after the only break",
-            steps: vec![(0, Step::Broke("a", NOW)), (6_000, Step::Proven(Some(&[])))],
+            steps: vec![
+                (0, Step::Break("a", PROBE_NOW)),
+                (6_000, Step::Evidence(Some(&[]))),
+            ],
         },
     ];
     for case in cases {
@@ -86,14 +89,19 @@
         for (at, step) in case.steps {
             let now = at_ms(at);
             match step {
-                Step::Broke(body, meaning) => {
-                    let is = evidence.broke(1, request(body), now);
-                    assert_eq!(is, meaning, "{} at {at}", case.what);
+                Step::Break(body, expected) => {
+                    let verdict = evidence.record_broken_call(1, request(body), now);
+                    assert_eq!(verdict, expected, "{} at {at}", case.what);
                 }
-                Step::Proven(on_board) => {
-                    let on_board = on_board.map(|bodies| bodies.iter().map(|b| request(b)));
-                    let on_board = on_board.map(Iterator::collect::<Vec<_>>);
-                    assert_eq!(evidence.crashed(1, now), on_board, "{} at {at}", case.what);
+                Step::Evidence(broken_calls) => {
+                    let broken_calls = broken_calls.map(|bodies| bodies.iter().map(|b| request(b)));
+                    let broken_calls = broken_calls.map(Iterator::collect::<Vec<_>>);
+                    assert_eq!(
+                        evidence.record_crash(1, now),
+                        broken_calls,
+                        "{} at {at}",
+                        case.what
+                    );
                 }
             }
         }
@@ -103,29 +111,33 @@
 /// Symptom: calls are held to be on board of a planned end. Sequence: they break at a process that lives; it says that it
 /// leaves, ends and starts again, which proves the end. Cause: what a look had cleared up was kept until then.
 #[test]
-fn what_broke_before_a_process_was_seen_alive_was_not_on_board() {
+fn calls_that_broke_before_a_successful_probe_are_not_blamed() {
     let mut evidence = CrashEvidence::default();
-    evidence.broke(1, request("a"), at_ms(0));
-    evidence.found_alive(1, at_ms(1));
-    let later = evidence.broke(1, request("b"), at_ms(2));
-    assert_eq!(later, BreakMeaning::Look(ms(498)));
-    let on_board = evidence.crashed(1, at_ms(500));
-    assert_eq!(on_board, Some(vec![request("b")]));
+    evidence.record_broken_call(1, request("a"), at_ms(0));
+    evidence.record_alive(1, at_ms(1));
+    let later = evidence.record_broken_call(1, request("b"), at_ms(2));
+    assert_eq!(later, BrokenCallVerdict::Probe(ms(498)));
+    let broken_calls = evidence.record_crash(1, at_ms(500));
+    assert_eq!(broken_calls, Some(vec![request("b")]));
 }
 
 #[test]
-fn lives_are_told_apart_and_bounded() {
+fn evidence_is_per_instance_and_bounded() {
     let mut evidence = CrashEvidence::default();
-    for life in 0..2_000 {
-        evidence.broke(life, request("a"), at_ms(u64::from(life)));
+    for instance in 0..2_000 {
+        evidence.record_broken_call(instance, request("a"), at_ms(u64::from(instance)));
     }
-    assert_eq!(evidence.crashed(0, at_ms(2_000)), Some(vec![]), "forgotten");
-    let newest = evidence.crashed(1_999, at_ms(2_000));
+    assert_eq!(
+        evidence.record_crash(0, at_ms(2_000)),
+        Some(vec![]),
+        "forgotten"
+    );
+    let newest = evidence.record_crash(1_999, at_ms(2_000));
     assert_eq!(newest, Some(vec![request("a")]));
 }
 
 #[test]
-fn a_fingerprint_names_workspace_path_and_body_alone() {
+fn a_fingerprint_depends_on_workspace_path_and_body_alone() {
     let one: WorkspaceId = "w1".parse().unwrap();
     let other: WorkspaceId = "w2".parse().unwrap();
     let is = RequestFingerprint::of(Some(&one), "/x/a", b"body");
@@ -146,30 +158,30 @@
 /// Guards against a process that is just ending and is given up as one of which nobody can tell: its listener closes
 /// between the system's acceptance of a connection and the caller's look at it.
 #[test]
-fn a_process_that_is_ending_is_looked_at_again() {
+fn a_reset_connection_means_that_the_listener_is_closing() {
     struct Case {
         error: ErrorKind,
-        means: ConnectFailure,
+        expected: ConnectFailure,
     }
     let cases = [
         Case {
             error: ErrorKind::ConnectionRefused,
-            means: ConnectFailure::Gone,
+            expected: ConnectFailure::Refused,
         },
         Case {
             error: ErrorKind::ConnectionReset,
-            means: ConnectFailure::Ending,
+            expected: ConnectFailure::Reset,
         },
         Case {
             error: ErrorKind::HostUnreachable,
-            means: ConnectFailure::Unknown,
+            expected: ConnectFailure::Unknown,
         },
         Case {
             error: ErrorKind::TimedOut,
-            means: ConnectFailure::Unknown,
+            expected: ConnectFailure::Unknown,
         },
     ];
     for case in cases {
-        assert_eq!(ConnectFailure::of(case.error), case.means);
+        assert_eq!(ConnectFailure::from_error_kind(case.error), case.expected);
     }
 }
--- a/crates/wisteriahitch-relay/tests/all/endpoint_lives.rs
+++ b/crates/wisteriahitch-relay/tests/all/endpoint_lives.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use wisteriahitch_relay::{
-    Absence, Endpoint, EndpointChange, EndpointLife, EndpointRow, EndpointTable, EngineReport,
-    Load, LoadReport, OrderOutcome, PaceOptions, PartKey, PermitShare, Registration, Rollout,
-    RolloutRow, RolloutStep,
+    Absence, ConcurrencyOptions, Endpoint, EndpointChange, EndpointLife, EndpointRow,
+    EndpointTable, EngineReport, Load, LoadReport, OrderOutcome, PartKey, PermitShare,
+    Registration, Rollout, RolloutRow, RolloutStep,
 };
 use wisteriahitch_types::{
     DurationUs, EndpointInstance, EndpointStart, Incarnation, TimeUs, WeightNumber,
@@ -68,7 +68,7 @@
             at_ms(0),
         ));
         row.outlier.eject(&options, at_ms(0));
-        row.parts.used(PartKey(1), 100, at_ms(0));
+        row.parts.record_use(PartKey(1), 100, at_ms(0));
         row.followed_until_us = at_ms(60_000);
         row.unreachable_until_us = at_ms(60_000);
         row.weighed_until_us = at_ms(60_000);
@@ -419,15 +419,15 @@
 /// the order was still believed to be under way.
 #[test]
 fn an_order_ends_with_the_life_that_accepted_it() {
-    let mut rollout = Rollout::new(PaceOptions {
+    let mut rollout = Rollout::new(ConcurrencyOptions {
         parallel_min: 1,
         parallel_share: 0.0,
-        all_weights_within_us: ms(10_000),
+        completion_timeout_us: ms(10_000),
     });
     let row = |instance: &EndpointInstance| RolloutRow {
         endpoint: instance.clone(),
         model: model(),
-        has: WeightNumber::new(1),
+        current: WeightNumber::new(1),
         wanted: WeightNumber::new(2),
         replaced_at_us: at_ms(0),
         running: 0,
@@ -439,18 +439,18 @@
     let (before, after) = (life("a", 1_000), life("a", 2_000));
     rollout.tick(&[row(&before)], 1, at_ms(0));
     rollout.tick(&[row(&before)], 1, at_ms(200));
-    rollout.reported(&before, Some(&report), at_ms(210));
+    rollout.apply_report(&before, Some(&report), at_ms(210));
     rollout.tick(&[row(&before)], 1, at_ms(220));
-    rollout.ordered(&before, &OrderOutcome::Accepted, at_ms(230));
+    rollout.record_order_outcome(&before, &OrderOutcome::Accepted, at_ms(230));
     // The next life is announced like any other engine, and gets an order of its own.
     rollout.tick(&[row(&after)], 1, at_ms(300));
-    rollout.reported(&before, Some(&report), at_ms(310));
+    rollout.apply_report(&before, Some(&report), at_ms(310));
     let steps = rollout.tick(&[row(&after)], 1, at_ms(500));
-    assert_eq!(steps, [RolloutStep::Report(after.clone())]);
-    rollout.reported(&after, Some(&report), at_ms(510));
+    assert_eq!(steps, [RolloutStep::ReadReport(after.clone())]);
+    rollout.apply_report(&after, Some(&report), at_ms(510));
     let steps = rollout.tick(&[row(&after)], 1, at_ms(520));
     assert!(
-        matches!(&steps[..], [RolloutStep::Order { endpoint, expected_orders: 0, .. }]
+        matches!(&steps[..], [RolloutStep::GiveOrder { endpoint, expected_orders: 0, .. }]
             if *endpoint == after),
         "{steps:?}"
     );
--- a/crates/wisteriahitch-relay/tests/all/evacuated_zones.rs
+++ b/crates/wisteriahitch-relay/tests/all/evacuated_zones.rs
@@ -93,10 +93,11 @@
             );
         }
         let prompt = prompt(9_000, 1_000);
-        let namer = wisteriahitch_relay::PartNamer::new(&model(), "w1");
+        let namer = wisteriahitch_relay::PartKeyHasher::new(&model(), "w1");
         let row = table.get_mut(&id("a")).unwrap();
         for part in &prompt.parts {
-            row.parts.used(namer.key(part.id), part.tokens.get(), NOW);
+            row.parts
+                .record_use(namer.key(part.id), part.tokens.get(), NOW);
         }
         table.set_evacuated(zones(case.evacuated), NOW);
         let setting = CallSetting::in_zone("zone-a");
--- a/crates/wisteriahitch-relay/tests/all/fixture.rs
+++ b/crates/wisteriahitch-relay/tests/all/fixture.rs
@@ -128,8 +128,8 @@
 /// No versions yet; replaced ones are used for six seconds.
 pub(crate) fn wanted_versions() -> WantedVersions {
     WantedVersions::new(OldWeightsLimits {
-        until_us: ms(6_000),
-        begun_by_us: ms(7_200),
+        dispatch_timeout_us: ms(6_000),
+        start_timeout_us: ms(7_200),
     })
 }
 
@@ -158,16 +158,16 @@
             service: &self.service,
             engine: Some(&self.engine),
             prompt: Some(prompt),
-            wall: None,
+            isolated_workspace: None,
             zone: &self.zone,
             daemons: 6,
             duration_us: ms(800),
             memory_duration_us: ms(1_200),
-            patience_us: ms(3_200),
-            longest_queue_us: DurationUs::MAX,
+            max_first_event_us: ms(3_200),
+            max_queue_us: DurationUs::MAX,
             allowed_zones: &self.allowed_zones,
             excluded: &[],
-            is_isolated: false,
+            needs_isolation: false,
             required_weights: None,
             wanted_weights: None,
         }
--- a/crates/wisteriahitch-relay/tests/all/gossip_message.rs
+++ b/crates/wisteriahitch-relay/tests/all/gossip_message.rs
@@ -3,17 +3,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use wisteriahitch_relay::{
-    EndpointUpdate, GossipMessage, KeptPartUpdate, Load, MemberPhase, PartUpdate, RequestUpdate,
+    EndpointUpdate, GossipMessage, Load, MemberPhase, PartUpdate, RequestUpdate, StoredPartUpdate,
 };
 use wisteriahitch_types::{Incarnation, TimeUs};
 
-fn gossip_message(parts: u32, kept: u32, endpoints: u32) -> GossipMessage {
+fn gossip_message(parts: u32, stored_parts: u32, endpoints: u32) -> GossipMessage {
     let part = |endpoint| PartUpdate {
         endpoint,
         part: u64::MAX,
         tokens: 8_000,
     };
-    let keep = |store| KeptPartUpdate {
+    let stored_part = |store| StoredPartUpdate {
         store,
         part: u64::MAX,
         tokens: 8_000,
@@ -47,7 +47,7 @@
         unreachable: vec![],
         parts: (0..parts).map(part).collect(),
         stores: vec![],
-        kept: (0..kept).map(keep).collect(),
+        stored_parts: (0..stored_parts).map(stored_part).collect(),
         requests: RequestUpdate::default(),
         zones: vec![],
         members: vec![],
@@ -58,7 +58,7 @@
 /// Sequence: a message with the load of many endpoints is too large; what stores have got, which is
 /// told only once, is left out of it. Cause: all of that went before any of the load.
 #[test]
-fn what_stores_have_got_is_left_out_late_and_by_halves() {
+fn stored_parts_are_truncated_late_and_by_halves() {
     struct Case {
         what: &'static str,
         message: GossipMessage,
@@ -97,7 +97,11 @@
         let bytes = case.message.encoded(case.max_bytes);
         assert!(bytes.len() <= case.max_bytes, "{}", case.what);
         let read: GossipMessage = postcard::from_bytes(&bytes).unwrap();
-        let left = [read.parts.len(), read.kept.len(), read.endpoints.len()];
+        let left = [
+            read.parts.len(),
+            read.stored_parts.len(),
+            read.endpoints.len(),
+        ];
         assert_eq!(left, case.left, "{}", case.what);
     }
 }
@@ -108,7 +112,7 @@
 /// Symptom: a daemon ends for a message that isn't one. Any bytes, and a good message with some bytes
 /// changed, are read as a message or refused.
 #[test]
-fn any_message_is_read_or_refused() {
+fn any_bytes_decode_or_are_rejected() {
     let cases = std::env::var("WISTERIAHITCH_DECODE_CASES");
     let config = Config {
         cases: cases.map_or(CASES, |cases| cases.parse().unwrap()),
--- a/crates/wisteriahitch-relay/tests/all/gossip_pace.rs
+++ b/crates/wisteriahitch-relay/tests/all/gossip_schedule.rs
@@ -1,6 +1,6 @@
 //! When daemons tell each other of what they have sent.
 
-use wisteriahitch_relay::GossipPace;
+use wisteriahitch_relay::GossipSchedule;
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 use crate::fixture::at_ms;
@@ -11,7 +11,7 @@
 /// prompt to an idle engine; the others send short calls there before its next message. Cause:
 /// messages left at a fixed interval, whatever had been sent.
 #[test]
-fn what_occupies_an_engine_for_long_is_told_at_once() {
+fn large_prompts_are_gossiped_without_waiting_for_the_interval() {
     struct Case {
         what: &'static str,
         sent_tokens: &'static [u64],
@@ -40,12 +40,21 @@
         },
     ];
     for case in cases {
-        let mut pace = GossipPace::default();
-        pace.told(at_ms(500));
-        let hurries: Vec<bool> = case.sent_tokens.iter().map(|t| pace.sent(*t)).collect();
-        assert_eq!(pace.due_at(INTERVAL_US), case.expected_due, "{}", case.what);
+        let mut schedule = GossipSchedule::default();
+        schedule.record_send(at_ms(500));
+        let urgent_flags: Vec<bool> = case
+            .sent_tokens
+            .iter()
+            .map(|t| schedule.record_dispatch(*t))
+            .collect();
+        assert_eq!(
+            schedule.due_at(INTERVAL_US),
+            case.expected_due,
+            "{}",
+            case.what
+        );
         let is_urgent = case.expected_due < at_ms(600);
-        let count = hurries.iter().filter(|hurry| **hurry).count();
+        let count = urgent_flags.iter().filter(|flag| **flag).count();
         assert_eq!(count, usize::from(is_urgent), "{}", case.what);
     }
 }
@@ -53,14 +62,14 @@
 /// Symptom: a daemon of a busy fleet spends its processor on messages. Sequence: a burst of long
 /// prompts, each of which can't wait. Cause: nothing bounded how soon one message follows another.
 #[test]
-fn a_burst_of_long_prompts_is_told_in_few_messages() {
-    let mut pace = GossipPace::default();
+fn a_burst_of_long_prompts_sends_a_bounded_number_of_messages() {
+    let mut schedule = GossipSchedule::default();
     let mut messages = 0;
     for now_ms in 1_000..2_000 {
         let now = at_ms(now_ms);
-        pace.sent(12_000);
-        if pace.due_at(INTERVAL_US) <= now {
-            pace.told(now);
+        schedule.record_dispatch(12_000);
+        if schedule.due_at(INTERVAL_US) <= now {
+            schedule.record_send(now);
             messages += 1;
         }
     }
--- a/crates/wisteriahitch-relay/tests/all/link_paces.rs
+++ b/crates/wisteriahitch-relay/tests/all/link_throughputs.rs
@@ -1,6 +1,6 @@
 //! How much slower a link is than others.
 
-use wisteriahitch_relay::LinkPaces;
+use wisteriahitch_relay::LinkThroughputs;
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 use crate::fixture::{address, at_ms, ms};
@@ -9,22 +9,22 @@
 const READER: u16 = 9;
 
 /// Notes fetches from each of four sources, of which the first takes `factor` times as long.
-fn fetches(paces: &mut LinkPaces, factor: u64, all: u64, now: TimeUs) {
+fn record_fetches(links: &mut LinkThroughputs, factor: u64, all: u64, now: TimeUs) {
     for round in 0..40 {
         for source in 1..=4 {
             let factor = if source == SLOW { factor } else { 1 };
             let reader = address(READER + (round + source) % 5);
-            paces.fetched(address(source), reader, ms(20), ms(20 * factor * all), now);
+            links.record_fetch(address(source), reader, ms(20), ms(20 * factor * all), now);
         }
     }
 }
 
-fn slowness(paces: &LinkPaces, source: u16, now: TimeUs) -> f64 {
-    paces.slowness(address(source), address(99), now)
+fn slowdown(links: &LinkThroughputs, source: u16, now: TimeUs) -> f64 {
+    links.slowdown(address(source), address(99), now)
 }
 
 #[test]
-fn a_slow_link_is_told_from_the_others() {
+fn a_slow_link_is_distinguished_from_overload() {
     struct Case {
         what: &'static str,
         factor: u64,
@@ -56,30 +56,30 @@
         },
     ];
     for case in cases {
-        let mut paces = LinkPaces::default();
-        fetches(&mut paces, case.factor, case.all, at_ms(1_000));
-        let slow = slowness(&paces, SLOW, at_ms(1_000));
-        let other = slowness(&paces, 2, at_ms(1_000));
+        let mut links = LinkThroughputs::default();
+        record_fetches(&mut links, case.factor, case.all, at_ms(1_000));
+        let slow = slowdown(&links, SLOW, at_ms(1_000));
+        let other = slowdown(&links, 2, at_ms(1_000));
         assert!(case.slow.contains(&slow), "{}: {slow}", case.what);
         assert!(case.other.contains(&other), "{}: {other}", case.what);
     }
 }
 
 #[test]
-fn a_link_that_isn_t_used_is_tried_again() {
-    let mut paces = LinkPaces::default();
-    fetches(&mut paces, 8, 1, at_ms(1_000));
-    let then = slowness(&paces, SLOW, at_ms(1_000));
-    let later = slowness(&paces, SLOW, at_ms(13_000));
+fn slowdown_of_an_unused_link_decays() {
+    let mut links = LinkThroughputs::default();
+    record_fetches(&mut links, 8, 1, at_ms(1_000));
+    let then = slowdown(&links, SLOW, at_ms(1_000));
+    let later = slowdown(&links, SLOW, at_ms(13_000));
     assert!(later < 1.0 + (then - 1.0) / 8.0, "{then} {later}");
 }
 
 #[test]
-fn short_fetches_say_nothing() {
-    let mut paces = LinkPaces::default();
+fn short_fetches_are_ignored() {
+    let mut links = LinkThroughputs::default();
     for _ in 0..10 {
         let took = ms(500);
-        paces.fetched(
+        links.record_fetch(
             address(1),
             address(2),
             DurationUs::from_ms(1),
@@ -87,5 +87,5 @@
             at_ms(0),
         );
     }
-    assert_eq!(slowness(&paces, 1, at_ms(0)), 1.0);
+    assert_eq!(slowdown(&links, 1, at_ms(0)), 1.0);
 }
--- a/crates/wisteriahitch-relay/tests/all/members.rs
+++ b/crates/wisteriahitch-relay/tests/all/members.rs
@@ -36,7 +36,7 @@
         unreachable: vec![],
         parts: vec![],
         stores: vec![],
-        kept: vec![],
+        stored_parts: vec![],
         requests: RequestUpdate::default(),
         zones: vec![],
         members: vec![],
--- a/crates/wisteriahitch-relay/tests/all/part_sources.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_sources.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    EndpointTable, KeptPart, Load, PartListing, PartNamer, PartStore, PartStores, PlacementRequest,
-    PromptShape, WantedVersions, place,
+    EndpointTable, KeptPart, Load, PartKeyHasher, PartListing, PartStore, PartStores,
+    PlacementRequest, PromptShape, WantedVersions, place,
 };
 use wisteriahitch_types::{TimeUs, TokenCount, WeightNumber, WorkspaceId};
 
@@ -21,7 +21,7 @@
     table: EndpointTable,
     stores: PartStores,
     wanted: WantedVersions,
-    wall: Option<WorkspaceId>,
+    isolated_workspace: Option<WorkspaceId>,
 }
 
 impl Site {
@@ -41,19 +41,20 @@
             table,
             stores: PartStores::default(),
             wanted: wanted_versions(),
-            wall: None,
+            isolated_workspace: None,
         }
     }
 
-    fn keep(&mut self, name: &str, scope: &str) {
-        let namer = PartNamer::new(&model(), scope);
+    fn cache_parts(&mut self, name: &str, scope: &str) {
+        let hasher = PartKeyHasher::new(&model(), scope);
         let row = self.table.get_mut(&id(name)).unwrap();
         for part in &shape().parts {
-            row.parts.used(namer.key(part.id), part.tokens.get(), NOW);
+            row.parts
+                .record_use(hasher.key(part.id), part.tokens.get(), NOW);
         }
     }
 
-    fn keep_at_store(&mut self, scope: &str) {
+    fn store_part(&mut self, scope: &str) {
         let store = PartStore {
             address: address(STORE_PORT),
             zone: "a".parse().unwrap(),
@@ -62,7 +63,7 @@
             first_byte: std::time::Duration::from_millis(6),
             is_managed: true,
         };
-        self.stores.configured(std::iter::once(store));
+        self.stores.configure(std::iter::once(store));
         let part = KeptPart {
             scope: scope.to_owned(),
             id: shape().parts[0].id,
@@ -75,7 +76,7 @@
             parts: vec![part],
             partial_tokens: 0,
         };
-        self.stores.listed(address(STORE_PORT), listing, NOW);
+        self.stores.apply_listing(address(STORE_PORT), listing, NOW);
     }
 
     /// Returns where engine `a` fetches the shared part, and the part of the call's own.
@@ -86,8 +87,8 @@
     fn sources_by(&self, seed: u64) -> Vec<Option<SocketAddr>> {
         let (setting, shape) = (CallSetting::in_zone("a"), shape());
         let request = PlacementRequest {
-            wall: self.wall.as_ref(),
-            longest_queue_us: ms(3_200),
+            isolated_workspace: self.isolated_workspace.as_ref(),
+            max_queue_us: ms(3_200),
             wanted_weights: Some(&self.wanted),
             ..setting.request(&shape)
         };
@@ -123,7 +124,7 @@
 /// since stores are full of parts of the old ones. Sequence: an engine reads a part that no store has
 /// room for; the next call with it goes to another engine. Cause: engines fetched from stores alone.
 #[test]
-fn an_engine_fetches_from_another_one_that_keeps_a_part() {
+fn an_engine_fetches_from_another_engine_that_caches_a_part() {
     let cases = [
         Case {
             what: "nobody keeps it",
@@ -132,34 +133,34 @@
         },
         Case {
             what: "another engine does",
-            change: |site| site.keep("b", "w1"),
+            change: |site| site.cache_parts("b", "w1"),
             expected: Some(engine_address("b")),
         },
         Case {
             what: "only under other weights",
-            change: |site| site.keep("b", "w2"),
+            change: |site| site.cache_parts("b", "w2"),
             expected: None,
         },
         Case {
             what: "only for another workspace",
             change: |site| {
-                site.wall = Some("seller".parse().unwrap());
-                site.keep("b", "w1");
+                site.isolated_workspace = Some("seller".parse().unwrap());
+                site.cache_parts("b", "w1");
             },
             expected: None,
         },
         Case {
             what: "for this workspace",
             change: |site| {
-                site.wall = Some("seller".parse().unwrap());
-                site.keep("b", "w1.seller");
+                site.isolated_workspace = Some("seller".parse().unwrap());
+                site.cache_parts("b", "w1.seller");
             },
             expected: Some(engine_address("b")),
         },
         Case {
             what: "an engine that is about to leave",
             change: |site| {
-                site.keep("b", "w1");
+                site.cache_parts("b", "w1");
                 site.table.registered(draining("b"), NOW);
             },
             expected: None,
@@ -167,7 +168,7 @@
         Case {
             what: "an engine that gets new weights",
             change: |site| {
-                site.keep("b", "w1");
+                site.cache_parts("b", "w1");
                 let hash = site.table.get(&id("b")).unwrap().short_name;
                 site.table.reserve(hash, NOW + ms(500), NOW);
             },
@@ -178,29 +179,29 @@
 }
 
 #[test]
-fn what_a_store_says_goes_before_what_is_believed() {
+fn stores_are_preferred_to_engine_caches() {
     let cases = [
         Case {
             what: "a store's word goes before a belief",
             change: |site| {
-                site.keep("b", "w1");
-                site.keep_at_store("w1");
+                site.cache_parts("b", "w1");
+                site.store_part("w1");
             },
             expected: Some(address(STORE_PORT)),
         },
         Case {
             what: "the store also gives parts of weights that are being replaced",
             change: |site| {
-                site.wanted.named(WeightNumber::new(2), NOW);
-                site.keep_at_store("w1");
+                site.wanted.record_version(WeightNumber::new(2), NOW);
+                site.store_part("w1");
             },
             expected: Some(address(STORE_PORT)),
         },
         Case {
             what: "the source is named also where the engine is believed to keep the part",
             change: |site| {
-                site.keep("a", "w1");
-                site.keep_at_store("w1");
+                site.cache_parts("a", "w1");
+                site.store_part("w1");
             },
             expected: Some(address(STORE_PORT)),
         },
@@ -211,14 +212,14 @@
 /// Symptom: calls wait for one store although engines and other stores are idle. Cause: a part at the
 /// start of most prompts was fetched by all engines from the one store that keeps it.
 #[test]
-fn a_part_that_many_use_is_fetched_from_engines() {
+fn widely_cached_parts_are_fetched_from_engines() {
     let mut site = Site::new(&["b", "c", "d", "e"]);
-    site.keep_at_store("w1");
+    site.store_part("w1");
     for name in ["b", "c", "d"] {
-        site.keep(name, "w1");
+        site.cache_parts(name, "w1");
     }
     assert_eq!(site.sources()[0], Some(address(STORE_PORT)));
-    site.keep("e", "w1");
+    site.cache_parts("e", "w1");
     let source = site.sources()[0].unwrap();
     assert!(["b", "c", "d", "e"].map(engine_address).contains(&source));
 }
@@ -227,17 +228,17 @@
 /// slow; all calls with parts there go on fetching them. Cause: fetches were taken to be as quick as
 /// the link's rate, whatever they took.
 #[test]
-fn nothing_is_fetched_over_a_link_that_has_turned_slow() {
+fn nothing_is_fetched_over_a_slow_link() {
     let mut site = Site::new(&[]);
-    site.keep_at_store("w1");
+    site.store_part("w1");
     let (store, reader) = (address(STORE_PORT), engine_address("a"));
     assert_eq!(site.sources()[0], Some(store));
     for _ in 0..10 {
         let links = &mut site.table.links;
-        links.fetched(store, reader, ms(50), ms(800), NOW);
+        links.record_fetch(store, reader, ms(50), ms(800), NOW);
         for other in 2..6 {
             let (source, reader) = (address(other), address(20 + other));
-            links.fetched(source, reader, ms(50), ms(50), NOW);
+            links.record_fetch(source, reader, ms(50), ms(50), NOW);
         }
     }
     assert_eq!(site.sources()[0], None);
@@ -246,10 +247,10 @@
 /// Symptom: all daemons fetch a part from the same engine, whose link then holds everybody up.
 /// Cause: the source was the first in an order that all share.
 #[test]
-fn sources_of_a_part_are_spread() {
+fn fetches_of_a_part_are_spread_over_engines() {
     let mut site = Site::new(&["b", "c"]);
-    site.keep("b", "w1");
-    site.keep("c", "w1");
+    site.cache_parts("b", "w1");
+    site.cache_parts("c", "w1");
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..20 {
         seen.extend(site.sources_by(seed)[0]);
--- a/crates/wisteriahitch-relay/tests/all/part_stores.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_stores.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use wisteriahitch_relay::{
-    AllowedZones, KeptPart, PartChanges, PartEvent, PartListing, PartNamer, PartStore, PartStores,
+    AllowedZones, KeptPart, PartChanges, PartEvent, PartKeyHasher, PartListing, PartStore,
+    PartStores,
 };
 use wisteriahitch_types::{TimeUs, TokenCount, WeightNumber};
 
@@ -33,19 +34,19 @@
 }
 
 fn key(id: u64) -> wisteriahitch_relay::PartKey {
-    PartNamer::new(&model(), SCOPE).key(id)
+    PartKeyHasher::new(&model(), SCOPE).key(id)
 }
 
 fn listed(parts: &[KeptPart]) -> PartStores {
     let mut stores = PartStores::default();
-    stores.configured([store(1, 100_000)].into_iter());
+    stores.configure([store(1, 100_000)].into_iter());
     let listing = PartListing {
         epoch: 5,
         next: 10,
         parts: parts.to_vec(),
         partial_tokens: 0,
     };
-    stores.listed(address(1), listing, at_ms(0));
+    stores.apply_listing(address(1), listing, at_ms(0));
     stores
 }
 
@@ -69,7 +70,7 @@
 /// came back empty and somebody writes the part again, while a request fetches it. Cause: a part
 /// counted as there because it had been asked for, or had been there before.
 #[test]
-fn a_part_is_fetched_only_on_the_store_s_own_fresh_word() {
+fn parts_are_fetched_only_on_fresh_store_reports() {
     struct Case {
         what: &'static str,
         change: fn(&mut PartStores),
@@ -92,7 +93,7 @@
         Case {
             what: "confirmed since",
             change: |stores| {
-                assert!(stores.changed(address(1), changes(5, vec![]), at_ms(1_000)));
+                assert!(stores.apply_changes(address(1), changes(5, vec![]), at_ms(1_000)));
             },
             now_ms: 2_100,
             expected: true,
@@ -104,7 +105,7 @@
                     is_kept: false,
                     part: part(1, 0),
                 };
-                stores.changed(address(1), changes(5, vec![event]), at_ms(10));
+                stores.apply_changes(address(1), changes(5, vec![event]), at_ms(10));
             },
             now_ms: 100,
             expected: false,
@@ -112,7 +113,7 @@
         Case {
             what: "another life of the store",
             change: |stores| {
-                assert!(!stores.changed(address(1), changes(6, vec![]), at_ms(10)));
+                assert!(!stores.apply_changes(address(1), changes(6, vec![]), at_ms(10)));
             },
             now_ms: 100,
             expected: false,
@@ -124,14 +125,14 @@
                     has_gap: true,
                     ..changes(5, vec![])
                 };
-                assert!(!stores.changed(address(1), gap, at_ms(10)));
+                assert!(!stores.apply_changes(address(1), gap, at_ms(10)));
             },
             now_ms: 100,
             expected: false,
         },
         Case {
             what: "the store is silent",
-            change: |stores| stores.lost(address(1)),
+            change: |stores| stores.record_unreachable(address(1)),
             now_ms: 100,
             expected: false,
         },
@@ -149,14 +150,14 @@
 }
 
 #[test]
-fn a_save_is_asked_for_once_and_fetched_when_it_is_whole() {
+fn a_save_is_requested_once_and_fetched_when_complete() {
     let mut stores = listed(&[]);
     assert_eq!(
-        stores.save(key(1), 1_000, &AllowedZones::default(), at_ms(10)),
+        stores.choose_save_target(key(1), 1_000, &AllowedZones::default(), at_ms(10)),
         Some(address(1))
     );
     assert_eq!(
-        stores.save(key(1), 1_000, &AllowedZones::default(), at_ms(20)),
+        stores.choose_save_target(key(1), 1_000, &AllowedZones::default(), at_ms(20)),
         None,
         "it is on its way"
     );
@@ -165,44 +166,44 @@
         is_kept: true,
         part: part(1, 1_000),
     };
-    stores.changed(address(1), changes(5, vec![event]), at_ms(40));
+    stores.apply_changes(address(1), changes(5, vec![event]), at_ms(40));
     assert!(can_fetch(&stores, 1, at_ms(50)));
     assert_eq!(
-        stores.save(key(1), 1_000, &AllowedZones::default(), at_ms(60)),
+        stores.choose_save_target(key(1), 1_000, &AllowedZones::default(), at_ms(60)),
         None
     );
 }
 
 #[test]
-fn a_save_that_was_lost_is_asked_for_again() {
+fn a_lost_save_is_requested_again() {
     let mut stores = listed(&[]);
-    stores.save(key(1), 1_000, &AllowedZones::default(), at_ms(10));
-    stores.changed(address(1), changes(5, vec![]), at_ms(3_000));
+    stores.choose_save_target(key(1), 1_000, &AllowedZones::default(), at_ms(10));
+    stores.apply_changes(address(1), changes(5, vec![]), at_ms(3_000));
     assert_eq!(
-        stores.save(key(1), 1_000, &AllowedZones::default(), at_ms(3_100)),
+        stores.choose_save_target(key(1), 1_000, &AllowedZones::default(), at_ms(3_100)),
         Some(address(1))
     );
 }
 
 #[test]
-fn only_what_has_room_and_is_worth_it_is_saved() {
+fn saves_respect_capacity_and_minimum_size() {
     let mut stores = listed(&[part(1, 90_000)]);
     assert_eq!(
-        stores.save(key(2), 9_000, &AllowedZones::default(), at_ms(10)),
+        stores.choose_save_target(key(2), 9_000, &AllowedZones::default(), at_ms(10)),
         None,
         "no room"
     );
     assert_eq!(
-        stores.save(key(3), 5_000, &AllowedZones::default(), at_ms(10)),
+        stores.choose_save_target(key(3), 5_000, &AllowedZones::default(), at_ms(10)),
         Some(address(1))
     );
     assert_eq!(
-        stores.save(key(4), 5_000, &AllowedZones::default(), at_ms(10)),
+        stores.choose_save_target(key(4), 5_000, &AllowedZones::default(), at_ms(10)),
         None,
         "the last room is on its way to be used"
     );
     assert_eq!(
-        stores.save(key(5), 31, &AllowedZones::default(), at_ms(10)),
+        stores.choose_save_target(key(5), 31, &AllowedZones::default(), at_ms(10)),
         None,
         "too small"
     );
@@ -216,7 +217,7 @@
         what: &'static str,
         lowest: u64,
         since_ms: u64,
-        may_be_fetched: bool,
+        may_fetch_parts: bool,
         freed: bool,
     }
     let cases = [
@@ -224,42 +225,42 @@
             what: "an engine still has them",
             lowest: 1,
             since_ms: 0,
-            may_be_fetched: false,
+            may_fetch_parts: false,
             freed: false,
         },
         Case {
             what: "a fetch may still be under way",
             lowest: 2,
             since_ms: 9_000,
-            may_be_fetched: false,
+            may_fetch_parts: false,
             freed: false,
         },
         Case {
             what: "an engine that nobody knows of may come back with them",
             lowest: 2,
             since_ms: 5_000,
-            may_be_fetched: true,
+            may_fetch_parts: true,
             freed: false,
         },
         Case {
             what: "nobody can use them",
             lowest: 2,
             since_ms: 5_000,
-            may_be_fetched: false,
+            may_fetch_parts: false,
             freed: true,
         },
     ];
     for case in cases {
         let mut stores = listed(&[part(1, 1_000)]);
         let lowest = BTreeMap::from([(model(), WeightNumber::new(case.lowest))]);
-        stores.saw_lowest_weights(&lowest, at_ms(case.since_ms));
-        stores.changed(address(1), changes(5, vec![]), at_ms(9_900));
+        stores.record_lowest_weights(&lowest, at_ms(case.since_ms));
+        stores.apply_changes(address(1), changes(5, vec![]), at_ms(9_900));
         let weights = |scope: &str| scope.strip_prefix('w')?.parse().ok();
-        let orders = stores.to_free(weights, |_, _| case.may_be_fetched, at_ms(10_000));
+        let orders = stores.parts_to_free(weights, |_, _| case.may_fetch_parts, at_ms(10_000));
         assert_eq!(!orders.is_empty(), case.freed, "{}", case.what);
         for order in orders {
             assert_eq!(order.epoch, 5);
-            stores.freed(&order);
+            stores.remove_freed_parts(&order);
             assert!(!can_fetch(&stores, 1, at_ms(10_000)));
         }
     }
@@ -268,9 +269,9 @@
 /// Symptom: a process that was suspended in the middle lets an engine fetch what was freed
 /// meanwhile. A fetch carries the time by which it must have ended, on the stores' clock.
 #[test]
-fn a_fetch_has_an_end_on_the_stores_clock() {
+fn fetches_carry_a_deadline_on_the_store_clock() {
     let mut stores = listed(&[]);
-    assert_eq!(stores.fetch_until_ms(at_ms(0)), None);
-    stores.changed(address(1), changes(5, vec![]), at_ms(1_000));
-    assert_eq!(stores.fetch_until_ms(at_ms(1_300)), Some(72_300));
+    assert_eq!(stores.fetch_deadline_ms(at_ms(0)), None);
+    stores.apply_changes(address(1), changes(5, vec![]), at_ms(1_000));
+    assert_eq!(stores.fetch_deadline_ms(at_ms(1_300)), Some(72_300));
 }
--- a/crates/wisteriahitch-relay/tests/all/parts.rs
+++ b/crates/wisteriahitch-relay/tests/all/parts.rs
@@ -1,6 +1,6 @@
 //! What an engine is believed to keep.
 
-use wisteriahitch_relay::{EndpointTable, Load, PartNamer};
+use wisteriahitch_relay::{EndpointTable, Load, PartKeyHasher};
 use wisteriahitch_types::TimeUs;
 
 use crate::fixture::{MEMORY_TOKENS, at_ms, engine, id, model, ms};
@@ -10,7 +10,7 @@
 /// prompts are known by their load alone. Cause: a part counted as kept until known parts had filled
 /// the memory.
 #[test]
-fn a_busy_engine_keeps_parts_for_as_long_as_its_memory_lasts() {
+fn cache_retention_follows_memory_turnover() {
     struct Case {
         what: &'static str,
         running_tokens: u64,
@@ -63,22 +63,27 @@
             memory_tokens: case.running_tokens,
             ..Load::default()
         });
-        let key = PartNamer::new(&model(), "w1").key(1);
+        let key = PartKeyHasher::new(&model(), "w1").key(1);
         row.parts
-            .used(key, 1_000, at_ms(60_000 - case.used_before_ms));
+            .record_use(key, 1_000, at_ms(60_000 - case.used_before_ms));
         let since = row.parts_kept_since(MEMORY_TOKENS, ms(1_200), now);
-        assert_eq!(row.parts.has(key, since), case.is_kept, "{}", case.what);
+        assert_eq!(
+            row.parts.used_since(key, since),
+            case.is_kept,
+            "{}",
+            case.what
+        );
     }
 }
 
 #[test]
-fn a_use_is_news_once_a_second() {
+fn uses_are_reported_at_most_once_a_second() {
     let mut table = EndpointTable::default();
     table.registered(engine("a"), TimeUs::ZERO);
     let row = table.get_mut(&id("a")).unwrap();
-    let key = PartNamer::new(&model(), "w1").key(1);
-    let told: Vec<bool> = [0, 400, 800, 1_900]
-        .map(|ms| row.parts.used(key, 1_000, at_ms(ms)))
+    let key = PartKeyHasher::new(&model(), "w1").key(1);
+    let updates: Vec<bool> = [0, 400, 800, 1_900]
+        .map(|ms| row.parts.record_use(key, 1_000, at_ms(ms)))
         .to_vec();
-    assert_eq!(told, [true, false, false, true]);
+    assert_eq!(updates, [true, false, false, true]);
 }
--- a/crates/wisteriahitch-relay/tests/all/placement.rs
+++ b/crates/wisteriahitch-relay/tests/all/placement.rs
@@ -3,8 +3,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    EndpointTable, Load, PartNamer, PartStores, Placement, PlacementRequest, PromptShape, Refusal,
-    WantedVersions, place,
+    EndpointTable, Load, PartKeyHasher, PartStores, Placement, PlacementRequest, PromptShape,
+    Refusal, WantedVersions, place,
 };
 use wisteriahitch_types::{Code, DurationUs, EndpointInstance, TimeUs, WeightNumber, WorkspaceId};
 
@@ -20,10 +20,10 @@
     wanted: WantedVersions,
     excluded: Vec<EndpointInstance>,
     required: Option<WeightNumber>,
-    wall: Option<WorkspaceId>,
-    longest_queue: DurationUs,
+    isolated_workspace: Option<WorkspaceId>,
+    max_queue: DurationUs,
     daemons: usize,
-    is_isolated: bool,
+    needs_isolation: bool,
 }
 
 impl Site {
@@ -38,10 +38,10 @@
             wanted: wanted_versions(),
             excluded: vec![],
             required: None,
-            wall: None,
-            longest_queue: DurationUs::MAX,
+            isolated_workspace: None,
+            max_queue: DurationUs::MAX,
             daemons: 6,
-            is_isolated: false,
+            needs_isolation: false,
         }
     }
 
@@ -54,22 +54,23 @@
         });
     }
 
-    fn keep(&mut self, name: &str, prompt: &PromptShape, scope: &str) {
-        let namer = PartNamer::new(&model(), scope);
+    fn cache_parts(&mut self, name: &str, prompt: &PromptShape, scope: &str) {
+        let hasher = PartKeyHasher::new(&model(), scope);
         let row = self.table.get_mut(&id(name)).unwrap();
         for part in &prompt.parts {
-            row.parts.used(namer.key(part.id), part.tokens.get(), NOW);
+            row.parts
+                .record_use(hasher.key(part.id), part.tokens.get(), NOW);
         }
     }
 
     fn place(&self, prompt: &PromptShape, seed: u64) -> Result<Placement, Refusal> {
         let setting = CallSetting::in_zone("a");
         let request = PlacementRequest {
-            wall: self.wall.as_ref(),
+            isolated_workspace: self.isolated_workspace.as_ref(),
             daemons: self.daemons,
-            longest_queue_us: self.longest_queue,
+            max_queue_us: self.max_queue,
             excluded: &self.excluded,
-            is_isolated: self.is_isolated,
+            needs_isolation: self.needs_isolation,
             required_weights: self.required,
             wanted_weights: Some(&self.wanted),
             ..setting.request(prompt)
@@ -86,33 +87,33 @@
 /// Symptom: each endpoint that a suspect request ends takes its usual load of other calls along. Cause: it was placed
 /// like any other, where its parts are kept.
 #[test]
-fn a_call_under_which_endpoints_have_crashed_goes_where_the_fewest_run() {
+fn suspect_calls_go_to_the_endpoint_with_the_fewest_running() {
     struct Case {
-        is_isolated: bool,
+        needs_isolation: bool,
         expected: &'static str,
     }
     let cases = [
         Case {
-            is_isolated: true,
+            needs_isolation: true,
             expected: "a",
         },
         Case {
-            is_isolated: false,
+            needs_isolation: false,
             expected: "b",
         },
     ];
     for case in cases {
         let mut site = Site::new(&["a", "b"]);
         let prompt = prompt(9_000, 1_000);
-        site.keep("b", &prompt, "w1");
+        site.cache_parts("b", &prompt, "w1");
         site.load("b", 0);
-        site.is_isolated = case.is_isolated;
+        site.needs_isolation = case.needs_isolation;
         assert_eq!(site.chosen(&prompt), case.expected);
     }
 }
 
 #[test]
-fn an_endpoint_is_chosen_by_the_time_until_the_first_event() {
+fn endpoints_are_chosen_by_time_to_first_event() {
     struct Case {
         what: &'static str,
         change: fn(&mut Site),
@@ -126,13 +127,13 @@
         },
         Case {
             what: "the one that keeps the shared part",
-            change: |site| site.keep("b", &prompt(9_000, 1_000), "w1"),
+            change: |site| site.cache_parts("b", &prompt(9_000, 1_000), "w1"),
             expected: "b",
         },
         Case {
             what: "the one that keeps the part, although it has some work",
             change: |site| {
-                site.keep("b", &prompt(9_000, 1_000), "w1");
+                site.cache_parts("b", &prompt(9_000, 1_000), "w1");
                 site.load("b", 1_500);
             },
             expected: "b",
@@ -140,7 +141,7 @@
         Case {
             what: "not the one that keeps the part but is full",
             change: |site| {
-                site.keep("b", &prompt(9_000, 1_000), "w1");
+                site.cache_parts("b", &prompt(9_000, 1_000), "w1");
                 site.load("b", 60_000);
             },
             expected: "a",
@@ -148,7 +149,7 @@
         Case {
             what: "parts of other weights count for nothing",
             change: |site| {
-                site.keep("b", &prompt(9_000, 1_000), "w2");
+                site.cache_parts("b", &prompt(9_000, 1_000), "w2");
                 site.load("b", 2_000);
             },
             expected: "a",
@@ -197,7 +198,7 @@
 /// they answered again. Sequence: a fault of all endpoints; each is ejected. Cause: ejection took
 /// the last one away too.
 #[test]
-fn ejection_leaves_a_service_with_endpoints() {
+fn ejection_never_leaves_a_service_without_endpoints() {
     let mut site = Site::new(&["a", "b"]);
     let options = site.table.outlier_options;
     for name in ["a", "b"] {
@@ -211,21 +212,21 @@
 /// Sequence: weights change, or an isolated workspace asks, while an engine keeps an equal part.
 /// Cause: engines find parts by the scope text alone.
 #[test]
-fn the_scope_binds_weights_and_walls() {
+fn cache_scope_includes_weights_and_isolated_workspace() {
     let mut site = Site::new(&["a"]);
     let scope = |site: &Site| site.place(&prompt(100, 100), 1).unwrap().cache_scope;
     assert_eq!(scope(&site).as_deref(), Some("w1"));
-    site.wall = Some("dispatch".parse().unwrap());
+    site.isolated_workspace = Some("dispatch".parse().unwrap());
     assert_eq!(scope(&site).as_deref(), Some("w1.dispatch"));
     site.table
         .saw_weights(&id("a"), &model(), WeightNumber::new(2));
     assert_eq!(scope(&site).as_deref(), Some("w2.dispatch"));
-    site.wall = None;
+    site.isolated_workspace = None;
     assert_eq!(scope(&site).as_deref(), Some("w2"));
 }
 
 #[test]
-fn weights_bound_where_a_call_runs() {
+fn weights_restrict_which_endpoints_are_eligible() {
     struct Case {
         what: &'static str,
         change: fn(&mut Site),
@@ -240,7 +241,8 @@
             change: |site| {
                 site.table
                     .saw_weights(&id("b"), &model(), WeightNumber::new(2));
-                site.wanted.named(WeightNumber::new(2), at_ms(49_800));
+                site.wanted
+                    .record_version(WeightNumber::new(2), at_ms(49_800));
                 site.load("b", 3_000);
             },
             expected: Some("a"),
@@ -251,7 +253,8 @@
             change: |site| {
                 site.table
                     .saw_weights(&id("b"), &model(), WeightNumber::new(2));
-                site.wanted.named(WeightNumber::new(2), at_ms(48_000));
+                site.wanted
+                    .record_version(WeightNumber::new(2), at_ms(48_000));
                 site.load("b", 3_000);
             },
             expected: Some("b"),
@@ -260,7 +263,8 @@
         Case {
             what: "old ones aren't used for ever",
             change: |site| {
-                site.wanted.named(WeightNumber::new(2), at_ms(43_000));
+                site.wanted
+                    .record_version(WeightNumber::new(2), at_ms(43_000));
             },
             expected: None,
             weights: 2,
@@ -268,8 +272,10 @@
         Case {
             what: "nor kept in use by a series of versions",
             change: |site| {
-                site.wanted.named(WeightNumber::new(2), at_ms(43_000));
-                site.wanted.named(WeightNumber::new(3), at_ms(49_000));
+                site.wanted
+                    .record_version(WeightNumber::new(2), at_ms(43_000));
+                site.wanted
+                    .record_version(WeightNumber::new(3), at_ms(49_000));
             },
             expected: None,
             weights: 3,
@@ -301,7 +307,7 @@
 /// than its bound is refused now, with the time by which the queue has shrunk; one that wouldn't is
 /// let in, however long its own prompt is.
 #[test]
-fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
+fn a_full_queue_refuses_at_once_with_a_retry_time() {
     struct Case {
         what: &'static str,
         queued_tokens: u64,
@@ -336,7 +342,7 @@
     ];
     for case in cases {
         let mut site = Site::new(&["a"]);
-        site.longest_queue = ms(400);
+        site.max_queue = ms(400);
         site.load("a", case.queued_tokens);
         let placed = site.place(&prompt(100, case.own_tokens), 1);
         assert_eq!(placed.is_err(), case.refused, "{}", case.what);
@@ -353,9 +359,10 @@
 /// them with the old weights only. Cause: engines with weights that may no longer be used were left
 /// out, so that no answer could tell of the new ones.
 #[test]
-fn engines_whose_known_weights_are_too_old_are_tried_under_the_wanted_ones() {
+fn engines_with_outdated_known_weights_are_tried_with_wanted_weights() {
     let mut site = Site::new(&["a"]);
-    site.wanted.named(WeightNumber::new(2), TimeUs::ZERO);
+    site.wanted
+        .record_version(WeightNumber::new(2), TimeUs::ZERO);
     let placed = site.place(&prompt(100, 100), 1).unwrap();
     assert_eq!(placed.weights, Some(WeightNumber::new(2)));
     assert_eq!(placed.cache_scope.as_deref(), Some("w2"));
@@ -380,9 +387,9 @@
 
 /// An engine with work to read is passed over for one that fetches the part from it meanwhile.
 #[test]
-fn a_part_is_fetched_where_that_is_sooner_than_its_holder_gets_to_it() {
+fn an_idle_engine_that_fetches_is_preferred_to_a_busy_holder() {
     let mut site = Site::new(&["a", "b"]);
-    site.keep("b", &prompt(9_000, 1_000), "w1");
+    site.cache_parts("b", &prompt(9_000, 1_000), "w1");
     assert_eq!(site.chosen(&prompt(9_000, 1_000)), "b");
     site.load("b", 5_000);
     assert_eq!(site.chosen(&prompt(9_000, 1_000)), "a");
@@ -392,7 +399,7 @@
 /// choice of the least alone. Daemons with different draws spread over endpoints that are as good
 /// as equal, and keep equal prompts together.
 #[test]
-fn equal_endpoints_share_different_prompts() {
+fn different_prompts_spread_over_equal_endpoints() {
     let site = Site::new(&["a", "b", "c", "d"]);
     let mut most_seen = 0;
     // A draw near an end of its range always takes the first or the last endpoint.
@@ -411,7 +418,7 @@
 /// Load pattern: many daemons choose by the same news. All of them would take the least endpoint
 /// until they hear of each other, some hundred milliseconds later.
 #[test]
-fn many_daemons_spread_over_endpoints_that_are_about_equal() {
+fn large_fleets_spread_calls_over_similar_endpoints() {
     struct Case {
         daemons: usize,
         most_at_one: usize,
@@ -451,7 +458,7 @@
 /// the wait grows with how long they last; with a wait that is taken too short, endpoints are sent
 /// more than their queues hold.
 #[test]
-fn an_endpoint_without_a_free_slot_costs_the_wait_for_one() {
+fn endpoints_without_a_free_slot_cost_the_slot_wait() {
     let mut site = Site::new(&["a", "b"]);
     let row = site.table.get_mut(&id("a")).unwrap();
     row.own.running = 80;
--- a/crates/wisteriahitch-relay/tests/all/regions.rs
+++ b/crates/wisteriahitch-relay/tests/all/regions.rs
@@ -84,8 +84,8 @@
     let map = RegionMap::new(BTreeMap::from(zones));
     let allowed = AllowedZones::of(&regions(&["south"]), &[], &map);
     let mut stores = PartStores::default();
-    for started in stores.configured([store(1, "a"), store(2, "b")].into_iter()) {
-        stores.listed(
+    for started in stores.configure([store(1, "a"), store(2, "b")].into_iter()) {
+        stores.apply_listing(
             started,
             PartListing {
                 epoch: 1,
@@ -95,7 +95,7 @@
         );
     }
     let saved: Vec<_> = (0..40)
-        .filter_map(|key| stores.save(PartKey(key), 1_000, &allowed, at_ms(10)))
+        .filter_map(|key| stores.choose_save_target(PartKey(key), 1_000, &allowed, at_ms(10)))
         .collect();
     assert_eq!(saved.len(), 40);
     assert!(saved.iter().all(|to| *to == address(2)), "{saved:?}");
