--- a/crates/wisteriahitch-relay/tests/all/rollout.rs
+++ b/crates/wisteriahitch-relay/tests/all/rollout.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use wisteriahitch_relay::{
-    EngineReport, OrderOutcome, PaceOptions, Remaining, Rollout, RolloutPace, RolloutRow,
-    RolloutStep,
+    ConcurrencyOptions, EngineReport, OrderOutcome, Remaining, Rollout, RolloutConcurrency,
+    RolloutRow, RolloutStep,
 };
 use wisteriahitch_types::WeightNumber;
 
@@ -13,11 +13,11 @@
 /// So few that the least number at once counts.
 const ENGINES: usize = 3;
 
-fn row(name: &str, has: u64, wanted: u64, running: u32) -> RolloutRow {
+fn row(name: &str, current: u64, wanted: u64, running: u32) -> RolloutRow {
     RolloutRow {
         endpoint: id(name),
         model: model(),
-        has: WeightNumber::new(has),
+        current: WeightNumber::new(current),
         wanted: WeightNumber::new(wanted),
         replaced_at_us: at_ms(0),
         running,
@@ -26,10 +26,10 @@
 
 /// A fifth of the engines are out at once, but so many in any case.
 fn rollout(parallel_min: usize) -> Rollout {
-    Rollout::new(PaceOptions {
+    Rollout::new(ConcurrencyOptions {
         parallel_min,
         parallel_share: 0.2,
-        all_weights_within_us: ms(11_000),
+        completion_timeout_us: ms(11_000),
     })
 }
 
@@ -42,7 +42,7 @@
 }
 
 fn order(name: &str, version: u64, expected_orders: u64) -> RolloutStep {
-    RolloutStep::Order {
+    RolloutStep::GiveOrder {
         endpoint: id(name),
         model: model(),
         version: WeightNumber::new(version),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn engines_are_announced_first_and_few_at_once() {
+fn engines_are_announced_before_orders_and_limited_in_number() {
     let mut rollout = rollout(2);
     let behind = [row("a", 1, 2, 5), row("b", 1, 2, 0), row("c", 1, 2, 2)];
     assert!(
@@ -63,9 +63,12 @@
     let steps = rollout.tick(&behind, ENGINES, at_ms(150));
     assert_eq!(
         steps,
-        [RolloutStep::Report(id("b")), RolloutStep::Report(id("c"))]
+        [
+            RolloutStep::ReadReport(id("b")),
+            RolloutStep::ReadReport(id("c"))
+        ]
     );
-    rollout.reported(&id("b"), Some(&report(1, 4)), at_ms(160));
+    rollout.apply_report(&id("b"), Some(&report(1, 4)), at_ms(160));
     assert_eq!(
         rollout.tick(&behind, ENGINES, at_ms(170)),
         [order("b", 2, 4)]
@@ -74,8 +77,8 @@
         rollout.tick(&behind, ENGINES, at_ms(180)).is_empty(),
         "given once"
     );
-    rollout.ordered(&id("b"), &OrderOutcome::Accepted, at_ms(190));
-    rollout.reported(&id("b"), Some(&report(2, 5)), at_ms(900));
+    rollout.record_order_outcome(&id("b"), &OrderOutcome::Accepted, at_ms(190));
+    rollout.apply_report(&id("b"), Some(&report(2, 5)), at_ms(900));
     let behind = [row("a", 1, 2, 5), row("c", 1, 2, 2)];
     rollout.tick(&behind, ENGINES, at_ms(910));
     let reserved: Vec<_> = rollout.reserved().cloned().collect();
@@ -87,24 +90,24 @@
 /// registrations stay for some heartbeats, and each order or question to them fails. Cause: an engine that
 /// couldn't be reached kept its place among the few that are taken out at once.
 #[test]
-fn an_engine_that_is_gone_gives_its_place_to_the_next() {
+fn an_unreachable_engine_yields_its_slot() {
     struct Case {
         what: &'static str,
         /// What becomes of the question for a report, and of the order where one is given.
-        fails: fn(&mut Rollout),
+        fail: fn(&mut Rollout),
     }
     let cases = [
         Case {
             what: "its report can't be read",
-            fails: |rollout| rollout.reported(&id("a"), None, at_ms(230)),
+            fail: |rollout| rollout.apply_report(&id("a"), None, at_ms(230)),
         },
         Case {
             what: "another one has its address",
-            fails: |rollout| order_fails(rollout, &OrderOutcome::Refused(421)),
+            fail: |rollout| give_order(rollout, &OrderOutcome::Refused(421)),
         },
         Case {
             what: "nobody listens",
-            fails: |rollout| order_fails(rollout, &OrderOutcome::NotSent(String::new())),
+            fail: |rollout| give_order(rollout, &OrderOutcome::NotSent(String::new())),
         },
     ];
     for case in cases {
@@ -112,7 +115,7 @@
         let behind = [row("a", 1, 2, 0), row("b", 1, 2, 5)];
         rollout.tick(&behind, ENGINES, at_ms(0));
         rollout.tick(&behind, ENGINES, at_ms(200));
-        (case.fails)(&mut rollout);
+        (case.fail)(&mut rollout);
         rollout.tick(&behind, ENGINES, at_ms(250));
         let reserved: Vec<_> = rollout.reserved().cloned().collect();
         assert_eq!(reserved, [id("b")], "{}", case.what);
@@ -126,23 +129,23 @@
     let behind = [row("a", 1, 2, 0), row("b", 1, 2, 5)];
     rollout.tick(&behind, ENGINES, at_ms(0));
     rollout.tick(&behind, ENGINES, at_ms(200));
-    order_fails(&mut rollout, &OrderOutcome::Accepted);
+    give_order(&mut rollout, &OrderOutcome::Accepted);
     rollout.tick(&behind, ENGINES, at_ms(450));
-    rollout.reported(&id("a"), None, at_ms(500));
+    rollout.apply_report(&id("a"), None, at_ms(500));
     rollout.tick(&behind, ENGINES, at_ms(550));
     let reserved: Vec<_> = rollout.reserved().cloned().collect();
     assert_eq!(reserved, [id("a")]);
 }
 
 /// Gives the order for `a`, with this outcome.
-fn order_fails(rollout: &mut Rollout, outcome: &OrderOutcome) {
-    rollout.reported(&id("a"), Some(&report(1, 0)), at_ms(210));
+fn give_order(rollout: &mut Rollout, outcome: &OrderOutcome) {
+    rollout.apply_report(&id("a"), Some(&report(1, 0)), at_ms(210));
     rollout.tick(&[row("a", 1, 2, 0), row("b", 1, 2, 5)], ENGINES, at_ms(220));
-    rollout.ordered(&id("a"), outcome, at_ms(230));
+    rollout.record_order_outcome(&id("a"), outcome, at_ms(230));
 }
 
 #[test]
-fn of_many_engines_a_share_is_taken_at_once() {
+fn large_fleets_update_a_fixed_share_at_once() {
     let mut rollout = rollout(3);
     let names: Vec<String> = (0..90).map(|number| format!("i-{number}")).collect();
     let behind: Vec<RolloutRow> = names.iter().map(|name| row(name, 1, 2, 0)).collect();
@@ -162,16 +165,16 @@
 /// their second order at once, while others wait for their first. Cause: an engine kept its place among the
 /// few that are taken out at once.
 #[test]
-fn an_engine_with_older_weights_goes_before_a_second_load() {
+fn engines_with_older_weights_go_before_a_second_load() {
     let mut rollout = rollout(1);
-    let behind = |has_a, wanted| [row("a", has_a, wanted, 0), row("b", 1, wanted, 9)];
+    let behind = |current_a, wanted| [row("a", current_a, wanted, 0), row("b", 1, wanted, 9)];
     rollout.tick(&behind(1, 2), ENGINES, at_ms(0));
     rollout.tick(&behind(1, 2), ENGINES, at_ms(200));
-    rollout.reported(&id("a"), Some(&report(1, 0)), at_ms(210));
+    rollout.apply_report(&id("a"), Some(&report(1, 0)), at_ms(210));
     rollout.tick(&behind(1, 2), ENGINES, at_ms(220));
-    rollout.ordered(&id("a"), &OrderOutcome::Accepted, at_ms(230));
+    rollout.record_order_outcome(&id("a"), &OrderOutcome::Accepted, at_ms(230));
     rollout.tick(&behind(1, 3), ENGINES, at_ms(440));
-    rollout.reported(&id("a"), Some(&report(2, 1)), at_ms(450));
+    rollout.apply_report(&id("a"), Some(&report(2, 1)), at_ms(450));
     rollout.tick(&behind(2, 3), ENGINES, at_ms(460));
     assert_eq!(rollout.reserved().cloned().collect::<Vec<_>>(), [id("b")]);
 }
@@ -180,17 +183,17 @@
 /// answer is lost; the next order follows; the first one is carried out seconds later. Cause: the
 /// second order didn't say how many orders it expects to come after.
 #[test]
-fn an_order_without_an_answer_is_given_again_with_the_same_number() {
+fn an_unanswered_order_is_repeated_with_the_same_number() {
     let mut rollout = rollout(1);
     let behind = [row("a", 1, 2, 0)];
     rollout.tick(&behind, ENGINES, at_ms(0));
     rollout.tick(&behind, ENGINES, at_ms(200));
-    rollout.reported(&id("a"), Some(&report(1, 0)), at_ms(210));
+    rollout.apply_report(&id("a"), Some(&report(1, 0)), at_ms(210));
     assert_eq!(
         rollout.tick(&behind, ENGINES, at_ms(220)),
         [order("a", 2, 0)]
     );
-    rollout.ordered(
+    rollout.record_order_outcome(
         &id("a"),
         &OrderOutcome::Unknown("lost".to_owned()),
         at_ms(900),
@@ -201,17 +204,17 @@
     );
     assert_eq!(
         rollout.tick(&behind, ENGINES, at_ms(1_300)),
-        [RolloutStep::Report(id("a"))]
+        [RolloutStep::ReadReport(id("a"))]
     );
-    rollout.reported(&id("a"), Some(&report(1, 0)), at_ms(1_310));
+    rollout.apply_report(&id("a"), Some(&report(1, 0)), at_ms(1_310));
     assert_eq!(
         rollout.tick(&behind, ENGINES, at_ms(1_320)),
         [order("a", 2, 0)]
     );
     // The first one came before it after all.
-    rollout.ordered(&id("a"), &OrderOutcome::Conflict, at_ms(1_330));
+    rollout.record_order_outcome(&id("a"), &OrderOutcome::Conflict, at_ms(1_330));
     rollout.tick(&behind, ENGINES, at_ms(1_700));
-    rollout.reported(&id("a"), Some(&report(2, 1)), at_ms(1_710));
+    rollout.apply_report(&id("a"), Some(&report(2, 1)), at_ms(1_710));
     assert!(rollout.is_idle());
 }
 
@@ -219,23 +222,23 @@
 /// one version, the next one is named; it reports the first as loaded. Cause: its load was taken to
 /// be still under way, because it didn't have the newest version.
 #[test]
-fn a_version_named_during_a_load_follows_at_once() {
+fn a_version_named_during_a_load_is_ordered_right_after_it() {
     let mut rollout = rollout(1);
     let behind = [row("a", 1, 2, 0)];
     rollout.tick(&behind, ENGINES, at_ms(0));
     rollout.tick(&behind, ENGINES, at_ms(200));
-    rollout.reported(&id("a"), Some(&report(1, 0)), at_ms(210));
+    rollout.apply_report(&id("a"), Some(&report(1, 0)), at_ms(210));
     rollout.tick(&behind, ENGINES, at_ms(220));
-    rollout.ordered(&id("a"), &OrderOutcome::Accepted, at_ms(230));
+    rollout.record_order_outcome(&id("a"), &OrderOutcome::Accepted, at_ms(230));
     let behind = [row("a", 1, 3, 0)];
     rollout.tick(&behind, ENGINES, at_ms(440));
-    rollout.reported(&id("a"), Some(&report(1, 1)), at_ms(450));
+    rollout.apply_report(&id("a"), Some(&report(1, 1)), at_ms(450));
     assert!(
         rollout.tick(&behind, ENGINES, at_ms(460)).is_empty(),
         "still loading"
     );
     rollout.tick(&behind, ENGINES, at_ms(700));
-    rollout.reported(&id("a"), Some(&report(2, 1)), at_ms(710));
+    rollout.apply_report(&id("a"), Some(&report(2, 1)), at_ms(710));
     assert_eq!(
         rollout.tick(&behind, ENGINES, at_ms(720)),
         [order("a", 3, 1)]
@@ -243,7 +246,7 @@
 }
 
 #[test]
-fn an_engine_that_is_gone_or_done_is_dropped() {
+fn removed_and_finished_engines_are_dropped() {
     let mut rollout = rollout(2);
     rollout.tick(&[row("a", 1, 2, 0), row("b", 1, 2, 0)], ENGINES, at_ms(0));
     rollout.tick(&[row("b", 1, 2, 0)], ENGINES, at_ms(10));
@@ -256,7 +259,7 @@
 /// Sequence: weights that take long to load are named at a deployment with many engines. Cause: how
 /// many are out at once doesn't follow from the bound, so the bound may be too short.
 #[test]
-fn a_rollout_that_cannot_end_in_time_is_told_of() {
+fn a_rollout_that_cannot_finish_in_time_is_reported() {
     struct Case {
         what: &'static str,
         behind: usize,
@@ -295,20 +298,20 @@
         },
     ];
     for case in cases {
-        let mut pace = RolloutPace::new(PaceOptions {
+        let mut concurrency = RolloutConcurrency::new(ConcurrencyOptions {
             parallel_min: 3,
             parallel_share: 0.0,
-            all_weights_within_us: ms(11_000),
+            completion_timeout_us: ms(11_000),
         });
         for _ in 0..8 {
-            pace.returned(ms(case.taken_ms));
+            concurrency.record_turnaround(ms(case.taken_ms));
         }
         let remaining = Remaining {
             behind: case.behind,
             engines: 30,
             replaced_at_us: at_ms(0),
         };
-        let overrun = pace.overrun(remaining, at_ms(case.now_ms));
+        let overrun = concurrency.overrun(remaining, at_ms(case.now_ms));
         let needed_ms = overrun.map(|overrun| overrun.needed_us.as_ms());
         let is_about = match (needed_ms, case.needed_ms) {
             (Some(is), Some(expected)) => is.abs_diff(expected) < expected / 10,
--- a/crates/wisteriahitch-relay/tests/all/store_retry.rs
+++ b/crates/wisteriahitch-relay/tests/all/store_retry.rs
@@ -1,6 +1,6 @@
 //! Asking a store again that is away.
 
-use wisteriahitch_relay::retry_pause;
+use wisteriahitch_relay::store_retry_backoff;
 use wisteriahitch_types::DurationUs;
 
 use crate::fixture::ms;
@@ -9,11 +9,11 @@
 /// answers late. Sequence: the store is away; all daemons of a large fleet ask again every 0.8 s. Cause:
 /// those that hear of the store from others asked as often as those that follow it.
 #[test]
-fn a_large_fleet_asks_a_store_that_is_away_at_a_bounded_rate() {
+fn a_large_fleet_retries_an_unavailable_store_at_a_bounded_rate() {
     struct Case {
         what: &'static str,
         failures: usize,
-        hears: bool,
+        receives_updates: bool,
         daemons: usize,
         pause: DurationUs,
     }
@@ -21,41 +21,41 @@
         Case {
             what: "one that follows the store, at first",
             failures: 0,
-            hears: false,
+            receives_updates: false,
             daemons: 200,
             pause: ms(100),
         },
         Case {
             what: "one that follows the store, after a while",
             failures: 9,
-            hears: false,
+            receives_updates: false,
             daemons: 200,
             pause: ms(800),
         },
         Case {
             what: "one that hears of it, in a small fleet",
             failures: 1,
-            hears: true,
+            receives_updates: true,
             daemons: 2,
             pause: ms(200),
         },
         Case {
             what: "one that hears of it, in a large fleet",
             failures: 0,
-            hears: true,
+            receives_updates: true,
             daemons: 60,
             pause: ms(3_000),
         },
         Case {
             what: "one that hears of it, in a very large fleet",
             failures: 0,
-            hears: true,
+            receives_updates: true,
             daemons: 1_000,
             pause: ms(10_000),
         },
     ];
     for case in cases {
-        let pause = retry_pause(case.failures, case.hears, case.daemons);
+        let pause = store_retry_backoff(case.failures, case.receives_updates, case.daemons);
         assert_eq!(pause, case.pause, "{}", case.what);
     }
 }
--- a/crates/wisteriahitch-relay/tests/all/stream_events.rs
+++ b/crates/wisteriahitch-relay/tests/all/stream_events.rs
@@ -7,7 +7,7 @@
 /// an endpoint breaks off in the middle of an event; the stream goes on at another one. Cause:
 /// bytes were passed on as they came.
 #[test]
-fn only_whole_events_pass() {
+fn only_complete_events_are_passed_on() {
     struct Case {
         pieces: &'static [&'static str],
         passed: &'static [&'static str],
@@ -68,7 +68,7 @@
 /// Symptom: an event comes twice, or one is missing, after a stream went on elsewhere. Cause: the
 /// second endpoint didn't go on where it was asked to.
 #[test]
-fn events_that_don_t_go_on_are_refused() {
+fn event_ids_that_do_not_increase_are_rejected() {
     for (after, events) in [
         (5, "id: 5\n\n"),
         (5, "id: 3\n\n"),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_oversized_event_is_rejected() {
     let mut framer = EventFramer::default();
     let piece = Bytes::from(vec![b'x'; 200 * 1024]);
     assert_eq!(framer.push(piece.clone()), Ok(None));
--- a/crates/wisteriahitch-relay/tests/all/suspects.rs
+++ b/crates/wisteriahitch-relay/tests/all/suspects.rs
@@ -184,21 +184,21 @@
 /// Symptom: a request that ends endpoints goes on being sent, or an innocent one is refused. Cause: the crash of one
 /// endpoint says the same of all that were on board.
 #[test]
-fn the_one_on_board_each_time_is_blocked() {
+fn only_the_request_common_to_all_crashes_is_blocked() {
     for case in CASES {
         let mut table = SuspectTable::default();
         let mut end = TimeUs::ZERO;
         for (at, step) in case.steps {
             end = at_ms(*at);
             match step {
-                Crash(name, life) => {
-                    table.crashed(request(name), *life, true, end);
+                Crash(name, instance) => {
+                    table.record_request_crash(request(name), *instance, true, end);
                 }
                 Answer(name) => {
-                    table.answered(request(name), end);
+                    table.record_answer(request(name), end);
                 }
                 Lift(name) => {
-                    table.lift(request(name), end);
+                    table.lift_block(request(name), end);
                 }
                 Tick => {
                     table.tick(end);
@@ -214,106 +214,106 @@
 
 /// What is held against a request decides how it is sent, before there is proof.
 #[test]
-fn a_suspect_is_sent_with_care() {
+fn suspects_are_isolated_before_they_are_blocked() {
     let mut table = SuspectTable::default();
     let bad = request("bad");
-    assert!(!table.is_isolated(bad));
-    table.crashed(bad, 1, true, at_ms(0));
+    assert!(!table.needs_isolation(bad));
+    table.record_request_crash(bad, 1, true, at_ms(0));
     // Whoever was on board of one crash may go on elsewhere, as most do.
     assert_eq!(table.crashes_elsewhere(bad, 1), 0);
     assert_eq!(table.crashes_elsewhere(bad, 2), 1);
-    assert!(!table.is_isolated(bad));
-    table.crashed(bad, 2, true, at_ms(700));
-    assert!(table.is_isolated(bad));
-    let verdict = table.crashed(bad, 3, false, at_ms(1_400));
-    assert_eq!(verdict, CrashVerdict::Blocked { is_own: true });
-    assert!(table.came(bad, at_ms(2_000)));
-    assert!(!table.came(request("good"), at_ms(2_000)));
+    assert!(!table.needs_isolation(bad));
+    table.record_request_crash(bad, 2, true, at_ms(700));
+    assert!(table.needs_isolation(bad));
+    let verdict = table.record_request_crash(bad, 3, false, at_ms(1_400));
+    assert_eq!(verdict, CrashVerdict::Blocked { is_direct: true });
+    assert!(table.record_arrival(bad, at_ms(2_000)));
+    assert!(!table.record_arrival(request("good"), at_ms(2_000)));
 }
 
 /// Symptom: memory grows with every body that anybody sends. Cause: a flood of different requests while endpoints crash.
 #[test]
-fn tables_are_bounded_and_the_most_suspect_stay() {
+fn tables_are_bounded_and_keep_the_most_suspect() {
     let mut table = SuspectTable::default();
     let bad = request("bad");
-    table.crashed(bad, 1, true, at_ms(0));
-    table.crashed(bad, 2, true, at_ms(0));
+    table.record_request_crash(bad, 1, true, at_ms(0));
+    table.record_request_crash(bad, 2, true, at_ms(0));
     for number in 0..6_000 {
         let name = format!("other {number}");
-        table.crashed(request(&name), 3, false, at_ms(1));
-        table.answered(request(&format!("answered {number}")), at_ms(1));
+        table.record_request_crash(request(&name), 3, false, at_ms(1));
+        table.record_answer(request(&format!("answered {number}")), at_ms(1));
     }
     assert!(table.suspect_count() <= 4_096);
     for number in 0..1_000 {
         let name = format!("blocked {number}");
-        assert!(table.restored(request(&name), at_ms(number)));
+        assert!(table.restore_block(request(&name), at_ms(number)));
     }
     assert!(table.blocked(at_ms(1_000)).len() <= 256);
-    let news = table.news(0, at_ms(2));
-    assert!(news.crashes.len() <= 48 && news.blocked.len() <= 32);
-    assert_eq!(news.crashes[0].request, bad, "the most suspect first");
-    let verdict = table.crashed(bad, 9, false, at_ms(2_000));
-    assert_eq!(verdict, CrashVerdict::Blocked { is_own: true });
+    let update = table.request_update(0, at_ms(2));
+    assert!(update.crashes.len() <= 48 && update.blocked.len() <= 32);
+    assert_eq!(update.crashes[0].request, bad, "the most suspect first");
+    let verdict = table.record_request_crash(bad, 9, false, at_ms(2_000));
+    assert_eq!(verdict, CrashVerdict::Blocked { is_direct: true });
 }
 
 /// What happens to the tables of a fleet, one after the other, and what all know in the end.
 #[test]
-fn daemons_add_up_what_each_of_them_saw() {
+fn crashes_seen_by_different_daemons_add_up() {
     let mut fleet: Vec<SuspectTable> = (0..3).map(|_| SuspectTable::default()).collect();
     let bad = request("bad");
-    for (life, table) in (1..).zip(&mut fleet) {
-        table.crashed(bad, life, true, at_ms(0));
+    for (instance, table) in (1..).zip(&mut fleet) {
+        table.record_request_crash(bad, instance, true, at_ms(0));
     }
     // One daemon hears the others only through another one.
-    tell(&mut fleet, 0, 1, at_ms(100));
-    tell(&mut fleet, 1, 2, at_ms(200));
+    gossip(&mut fleet, 0, 1, at_ms(100));
+    gossip(&mut fleet, 1, 2, at_ms(200));
     assert!(fleet[2].is_blocked(bad));
-    tell(&mut fleet, 2, 1, at_ms(300));
-    tell(&mut fleet, 1, 0, at_ms(400));
+    gossip(&mut fleet, 2, 1, at_ms(300));
+    gossip(&mut fleet, 1, 0, at_ms(400));
     assert!(fleet.iter().all(|table| table.is_blocked(bad)));
     // One that starts later hears of it, however long ago that was.
     fleet.push(SuspectTable::default());
-    tell(&mut fleet, 0, 3, at_ms(60_000));
+    gossip(&mut fleet, 0, 3, at_ms(60_000));
     assert!(fleet[3].is_blocked(bad));
     // Each time it comes to any daemon, all go on blocking it.
-    assert!(fleet[3].came(bad, at_ms(3_500_000)));
-    tell(&mut fleet, 3, 0, at_ms(3_500_100));
+    assert!(fleet[3].record_arrival(bad, at_ms(3_500_000)));
+    gossip(&mut fleet, 3, 0, at_ms(3_500_100));
     assert_eq!(fleet[0].tick(at_ms(3_700_000)), vec![]);
 }
 
 /// Symptom: a request that an operator has let through again, or that was answered, stays refused by some daemons.
 /// Cause: those that hadn't heard of it told the others of the block.
 #[test]
-fn what_ends_a_block_is_stronger_than_news_of_the_block() {
+fn unblocking_wins_over_gossip_of_the_block() {
     for by_operator in [true, false] {
         let mut fleet: Vec<SuspectTable> = (0..2).map(|_| SuspectTable::default()).collect();
-        let it = request("it");
+        let restored = request("it");
         for table in &mut fleet {
-            table.restored(it, at_ms(0));
+            table.restore_block(restored, at_ms(0));
         }
         let now = at_ms(5_000);
         match by_operator {
-            true => assert!(fleet[0].lift(it, now)),
-            false => assert!(fleet[0].answered(it, now)),
+            true => assert!(fleet[0].lift_block(restored, now)),
+            false => assert!(fleet[0].record_answer(restored, now)),
         }
         // Its own messages get lost for a while; the other's don't.
-        tell(&mut fleet, 1, 0, at_ms(8_000));
-        assert!(!fleet[0].is_blocked(it));
-        tell(&mut fleet, 0, 1, at_ms(8_100));
-        assert!(!fleet[1].is_blocked(it), "by operator: {by_operator}");
-        tell(&mut fleet, 1, 0, at_ms(8_200));
-        assert!(!fleet[0].is_blocked(it));
+        gossip(&mut fleet, 1, 0, at_ms(8_000));
+        assert!(!fleet[0].is_blocked(restored));
+        gossip(&mut fleet, 0, 1, at_ms(8_100));
+        assert!(!fleet[1].is_blocked(restored), "by operator: {by_operator}");
+        gossip(&mut fleet, 1, 0, at_ms(8_200));
+        assert!(!fleet[0].is_blocked(restored));
     }
 }
 
-fn tell(fleet: &mut [SuspectTable], from: usize, to: usize, now: TimeUs) {
-    let news: RequestUpdate = fleet[from].news(0, now);
-    fleet[to].told(&news, now);
+fn gossip(fleet: &mut [SuspectTable], from: usize, to: usize, now: TimeUs) {
+    let update: RequestUpdate = fleet[from].request_update(0, now);
+    fleet[to].apply_peer_update(&update, now);
 }
 
 /// A call in the replay.
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningCall {
     request: RequestFingerprint,
     is_bad: bool,
     daemon: usize,
@@ -322,16 +322,16 @@
 }
 
 /// Engines that bad requests, and nobody, end.
-struct Replay {
+struct Simulation {
     tables: Vec<SuspectTable>,
     /// Life of each engine, and until when it is down.
     engines: Vec<(u32, u64)>,
-    running: BTreeMap<u32, Vec<Running>>,
-    next_life: u32,
+    running: BTreeMap<u32, Vec<RunningCall>>,
+    next_instance: u32,
     /// When engines ended under each bad request, and when it was sent.
-    ends: BTreeMap<RequestFingerprint, Vec<u64>>,
+    crashes: BTreeMap<RequestFingerprint, Vec<u64>>,
     sent: BTreeMap<RequestFingerprint, Vec<u64>>,
-    innocents_blocked: BTreeSet<RequestFingerprint>,
+    blocked_innocents: BTreeSet<RequestFingerprint>,
     rng: ChaCha8Rng,
 }
 
@@ -339,93 +339,98 @@
 const DAEMONS: usize = 6;
 const ENGINES: usize = 9;
 /// Time from the beginning of a bad request's run to the end of its engine.
-const BAD_RUNS_MS: u64 = 100;
-const GOOD_RUNS_MS: u64 = 600;
+const BAD_RUN_MS: u64 = 100;
+const GOOD_RUN_MS: u64 = 600;
 const DOWN_MS: u64 = 2_000;
-const NEWS_EVERY_MS: u64 = 100;
+const GOSSIP_INTERVAL_MS: u64 = 100;
 /// Share of messages that are lost.
-const LOST: f64 = 0.2;
+const LOSS_RATE: f64 = 0.2;
 
-impl Replay {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let next_life = u32::try_from(ENGINES).unwrap();
+        let next_instance = u32::try_from(ENGINES).unwrap();
         Self {
             tables: (0..DAEMONS).map(|_| SuspectTable::default()).collect(),
-            engines: (0..next_life).map(|life| (life, 0)).collect(),
+            engines: (0..next_instance).map(|instance| (instance, 0)).collect(),
             running: BTreeMap::new(),
-            next_life,
-            ends: BTreeMap::new(),
+            next_instance,
+            crashes: BTreeMap::new(),
             sent: BTreeMap::new(),
-            innocents_blocked: BTreeSet::new(),
+            blocked_innocents: BTreeSet::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    fn send(&mut self, mut call: Running, now_ms: u64) {
-        if self.tables[call.daemon].came(call.request, at_ms(now_ms)) {
+    fn send(&mut self, mut call: RunningCall, now_ms: u64) {
+        if self.tables[call.daemon].record_arrival(call.request, at_ms(now_ms)) {
             if !call.is_bad {
-                self.innocents_blocked.insert(call.request);
+                self.blocked_innocents.insert(call.request);
             }
             return;
         }
         let up = self.engines.iter().filter(|(_, until)| *until <= now_ms);
-        let up: Vec<u32> = up.map(|(life, _)| *life).collect();
-        let Some(life) = up.choose(&mut self.rng).copied() else {
+        let up: Vec<u32> = up.map(|(instance, _)| *instance).collect();
+        let Some(instance) = up.choose(&mut self.rng).copied() else {
             return;
         };
         if call.is_bad {
             self.sent.entry(call.request).or_default().push(now_ms);
         }
-        call.ends_at_ms = now_ms
-            + if call.is_bad {
-                BAD_RUNS_MS
-            } else {
-                GOOD_RUNS_MS
-            };
-        self.running.entry(life).or_default().push(call);
+        call.ends_at_ms = now_ms + if call.is_bad { BAD_RUN_MS } else { GOOD_RUN_MS };
+        self.running.entry(instance).or_default().push(call);
     }
 
     /// Ends an engine: its daemons see it, and innocents are sent once more.
-    fn end(&mut self, life: u32, now_ms: u64) {
-        let engine = self.engines.iter_mut().find(|(l, _)| *l == life).unwrap();
-        *engine = (self.next_life, now_ms + DOWN_MS);
-        self.next_life += 1;
-        for call in self.running.remove(&life).unwrap_or_default() {
-            self.tables[call.daemon].crashed(call.request, life, true, at_ms(now_ms));
+    fn crash_engine(&mut self, instance: u32, now_ms: u64) {
+        let engine = self
+            .engines
+            .iter_mut()
+            .find(|(l, _)| *l == instance)
+            .unwrap();
+        *engine = (self.next_instance, now_ms + DOWN_MS);
+        self.next_instance += 1;
+        for call in self.running.remove(&instance).unwrap_or_default() {
+            self.tables[call.daemon].record_request_crash(
+                call.request,
+                instance,
+                true,
+                at_ms(now_ms),
+            );
             if call.is_bad {
-                self.ends.entry(call.request).or_default().push(now_ms);
+                self.crashes.entry(call.request).or_default().push(now_ms);
             } else if call.has_retry {
-                let again = Running {
+                let retry = RunningCall {
                     has_retry: false,
                     ..call
                 };
-                self.send(again, now_ms);
+                self.send(retry, now_ms);
             }
         }
     }
 
     fn finish(&mut self, now_ms: u64) {
-        let lives: Vec<u32> = self.running.keys().copied().collect();
-        for life in lives {
-            let Some(calls) = self.running.get_mut(&life) else {
+        let instances: Vec<u32> = self.running.keys().copied().collect();
+        for instance in instances {
+            let Some(calls) = self.running.get_mut(&instance) else {
                 continue;
             };
             if calls.iter().any(|c| c.is_bad && c.ends_at_ms <= now_ms) {
-                self.end(life, now_ms);
+                self.crash_engine(instance, now_ms);
                 continue;
             }
             for call in calls.extract_if(.., |call| call.ends_at_ms <= now_ms) {
-                self.tables[call.daemon].answered(call.request, at_ms(now_ms));
+                self.tables[call.daemon].record_answer(call.request, at_ms(now_ms));
             }
         }
     }
 
-    fn tell(&mut self, now_ms: u64) {
+    fn gossip(&mut self, now_ms: u64) {
         for from in 0..DAEMONS {
-            let news = self.tables[from].news(now_ms / NEWS_EVERY_MS, at_ms(now_ms));
+            let update =
+                self.tables[from].request_update(now_ms / GOSSIP_INTERVAL_MS, at_ms(now_ms));
             for to in (0..DAEMONS).filter(|to| *to != from) {
-                if !self.rng.random_bool(LOST) {
-                    self.tables[to].told(&news, at_ms(now_ms));
+                if !self.rng.random_bool(LOSS_RATE) {
+                    self.tables[to].apply_peer_update(&update, at_ms(now_ms));
                 }
             }
         }
@@ -436,57 +441,66 @@
 /// innocents a second with a repeat each, while three of nine engines crash three times with no reason in the
 /// requests.
 #[test]
-fn bad_requests_end_few_engines_and_innocents_are_served() {
+fn bad_requests_crash_few_engines_and_others_are_served() {
     for seed in 1..=8 {
-        let mut replay = Replay::new(seed);
+        let mut simulation = Simulation::new(seed);
         let mut number = 0;
         for now_ms in (0..20_000).step_by(usize::try_from(STEP_MS).unwrap()) {
-            for _ in 0..replay.rng.random_range(0..3) {
+            for _ in 0..simulation.rng.random_range(0..3) {
                 number += 1;
-                let daemon = replay.rng.random_range(0..DAEMONS);
-                let call = Running {
+                let daemon = simulation.rng.random_range(0..DAEMONS);
+                let call = RunningCall {
                     request: request(&format!("good {number}")),
                     is_bad: false,
                     daemon,
                     ends_at_ms: 0,
                     has_retry: true,
                 };
-                replay.send(call, now_ms);
+                simulation.send(call, now_ms);
             }
             let second = now_ms / 1_000;
             for daemon in 0..DAEMONS {
                 let starts = u64::try_from(daemon).unwrap() * 160;
                 let is_due = now_ms >= 1_000 && now_ms % 1_000 == starts;
                 for name in ["bad 1", "bad 2"].into_iter().filter(|_| is_due) {
-                    let call = Running {
+                    let call = RunningCall {
                         request: request(name),
                         is_bad: true,
                         daemon,
                         ends_at_ms: 0,
                         has_retry: false,
                     };
-                    replay.send(call, now_ms);
+                    simulation.send(call, now_ms);
                 }
             }
             if now_ms % 1_000 == 500 && [2, 4, 6].contains(&second) {
-                let lives: Vec<u32> = replay.engines.iter().map(|(life, _)| *life).collect();
-                for life in lives.into_iter().take(3) {
-                    replay.end(life, now_ms);
+                let instances: Vec<u32> = simulation
+                    .engines
+                    .iter()
+                    .map(|(instance, _)| *instance)
+                    .collect();
+                for instance in instances.into_iter().take(3) {
+                    simulation.crash_engine(instance, now_ms);
                 }
             }
-            replay.finish(now_ms);
-            if now_ms % NEWS_EVERY_MS == 0 {
-                replay.tell(now_ms);
+            simulation.finish(now_ms);
+            if now_ms % GOSSIP_INTERVAL_MS == 0 {
+                simulation.gossip(now_ms);
             }
         }
-        assert!(replay.innocents_blocked.is_empty(), "seed {seed}");
-        for (bad, ends) in &replay.ends {
-            let third_ms = ends[CRASHES_TO_BLOCK - 1];
-            let late = replay.sent[bad].iter().filter(|at| **at > third_ms + 300);
+        assert!(simulation.blocked_innocents.is_empty(), "seed {seed}");
+        for (bad, crashes) in &simulation.crashes {
+            let third_ms = crashes[CRASHES_TO_BLOCK - 1];
+            let late = simulation.sent[bad]
+                .iter()
+                .filter(|at| **at > third_ms + 300);
             assert_eq!(late.count(), 0, "seed {seed}: sent after three messages");
             // Two more copies may be on their way when the third engine ends, one every 160 ms.
-            assert!(ends.len() <= CRASHES_TO_BLOCK + 2, "seed {seed}: {ends:?}");
+            assert!(
+                crashes.len() <= CRASHES_TO_BLOCK + 2,
+                "seed {seed}: {crashes:?}"
+            );
         }
-        assert_eq!(replay.ends.len(), 2, "seed {seed}");
+        assert_eq!(simulation.crashes.len(), 2, "seed {seed}");
     }
 }
--- a/crates/wisteriahitch-relay/tests/all/suspicion.rs
+++ b/crates/wisteriahitch-relay/tests/all/suspicion.rs
@@ -10,7 +10,7 @@
 /// Symptom: for seconds after engines fall silent, calls wait for connections that don't open, at every daemon
 /// of the fleet anew. Cause: each daemon found out about each engine by its own calls.
 #[test]
-fn what_two_daemons_cannot_reach_is_suspected_by_all() {
+fn endpoints_unreachable_by_two_daemons_are_suspected() {
     struct Case {
         what: &'static str,
         own: bool,
