--- a/crates/wisteriahitch-relay/src/decide/crash_evidence.rs
+++ b/crates/wisteriahitch-relay/src/decide/crash_evidence.rs
@@ -1,9 +1,10 @@
-//! Which calls were under way at an endpoint when its process ended.
+//! Attributes endpoint crashes to the calls that were running at the endpoint when its process
+//! ended.
 //!
-//! A connection that breaks says little: it may have been reset, a link may have been cut, the endpoint may have
-//! left. Only together with proof that the process is gone does it say that the endpoint crashed with the call on board.
-//! The proof is a connection that is refused right after the break, the next start that registers, or
-//! the word of another daemon.
+//! A broken connection alone is no evidence of a crash: it may have been reset, a link may have
+//! been cut, or the endpoint may have left as planned. It counts as a crash only together with
+//! evidence that the process has ended: a connection that is refused right after the break, the
+//! registration of the endpoint's next instance, or a report of another daemon.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -12,45 +13,49 @@
 
 use crate::site::RequestFingerprint;
 
-/// Time after a break within which proof of a crash still speaks of it. A refused connection proves it at once;
-/// the next start registers after up to three heartbeats of some 1.2 s, and the news takes up to 0.6 s.
+/// Time for which a broken call counts as related to later evidence of a crash. A refused
+/// connection is evidence at once; the next instance registers after up to three heartbeats of
+/// about 1.2 s, and gossip takes up to another 0.6 s.
 const EVIDENCE_WINDOW_US: DurationUs = DurationUs::from_ms(5_000);
 
-/// Least time between two looks at the same life. Where the process lives, as after a reset, each look costs the
-/// endpoint a connection.
+/// Minimum interval between two probes of the same instance. If its process is still running, for
+/// example after a connection reset, each probe costs the endpoint a connection.
 const MIN_PROBE_INTERVAL_US: DurationUs = DurationUs::from_ms(500);
 
-/// Lives that are remembered. Thirty in a hundred of 1,200 endpoints may end at once; of more, the oldest are
-/// forgotten, and a crash there is learnt from other daemons or not counted.
+/// Maximum number of tracked instances. Up to 30% of 1,200 endpoints may end at once. Beyond this
+/// bound the least recently updated instances are evicted; their crashes are learned from other
+/// daemons or not counted.
 const MAX_INSTANCES: usize = 512;
 
-/// Calls that are remembered of one life: twice the requests that the largest known engine runs at once.
+/// Maximum number of broken calls recorded for one instance: twice the number of requests that the
+/// largest known engine runs at once.
 const MAX_BROKEN_CALLS: usize = 128;
 
-/// What follows from a call that broke.
+/// What to do after the connection of a call broke.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BrokenCallVerdict {
-    /// The endpoint is known to have crashed.
+    /// The endpoint is already known to have crashed.
     Crashed,
-    /// Nobody knows yet; it is to be looked whether the process is there, after this time.
+    /// The cause is unknown; the caller must probe the process after this delay.
     Probe(DurationUs),
-    /// Nobody knows yet, and somebody will look.
+    /// The cause is unknown, and a probe is already scheduled.
     Unknown,
 }
 
-/// Says what a connection that can't be opened tells of the process at an endpoint's address.
+/// What a failed connection attempt says about the process at an endpoint's address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectFailure {
-    /// No process listens there.
+    /// No process listens at the address.
     Refused,
-    /// A process has just stopped listening: the system had accepted the connection for it and took it back.
+    /// A process has just closed its listener: the system had accepted the connection for it and
+    /// then reset it.
     Reset,
-    /// It may be the link.
+    /// The cause may also be the network link.
     Unknown,
 }
 
 impl ConnectFailure {
-    /// Concludes from the error of the connection.
+    /// Classifies the I/O error of the connection attempt.
     pub fn from_error_kind(error: ErrorKind) -> Self {
         match error {
             ErrorKind::ConnectionRefused => Self::Refused,
@@ -62,19 +67,19 @@
 
 #[derive(Debug, Default)]
 struct InstanceEvidence {
-    /// Calls that broke, and when.
+    /// Calls whose connection broke, each with the time of the break.
     broken_calls: Vec<(RequestFingerprint, TimeUs)>,
     last_updated_us: TimeUs,
-    /// When it was looked at last, or will be.
+    /// Time of the last probe, or of the next one if it is still scheduled.
     last_probe_us: Option<TimeUs>,
     has_crashed: bool,
 }
 
 impl InstanceEvidence {
-    /// Has it looked at now, or as soon as that may be again.
+    /// Schedules a probe for now, or for the earliest time that [`MIN_PROBE_INTERVAL_US`] allows.
     ///
-    /// A look answers for the breaks before it alone: a process that lived when a link was reset may end a moment
-    /// later, and nobody would look any more.
+    /// A probe only explains breaks before it: a process that was running when a link was reset may
+    /// end a moment later, so a later break needs a probe of its own.
     fn schedule_probe(&mut self, now: TimeUs) -> BrokenCallVerdict {
         if self.last_probe_us.is_some_and(|at| at > now) {
             return BrokenCallVerdict::Unknown;
@@ -86,14 +91,14 @@
     }
 }
 
-/// Calls that broke, by the short name of the endpoint's life.
+/// Broken calls and known crashes, by the short name of the endpoint instance.
 #[derive(Debug, Default)]
 pub struct CrashEvidence {
     instances: HashMap<u32, InstanceEvidence>,
 }
 
 impl CrashEvidence {
-    /// Notes that a call broke at a life.
+    /// Records that the connection of a call broke at an endpoint instance.
     pub fn record_broken_call(
         &mut self,
         instance: u32,
@@ -110,14 +115,15 @@
         evidence.schedule_probe(now)
     }
 
-    /// Returns whether a life is known to have crashed.
+    /// Returns whether an endpoint instance is known to have crashed.
     pub fn has_crashed(&self, instance: u32) -> bool {
         self.instances
             .get(&instance)
             .is_some_and(|evidence| evidence.has_crashed)
     }
 
-    /// Notes proof that a life has ended, and returns the calls that broke there, if that is new.
+    /// Records evidence that an endpoint instance has ended. Returns the calls that broke there, or
+    /// `None` if the crash was already known.
     pub fn record_crash(&mut self, instance: u32, now: TimeUs) -> Option<Vec<RequestFingerprint>> {
         let evidence = self.entry(instance, now);
         let is_new = !std::mem::replace(&mut evidence.has_crashed, true);
@@ -125,17 +131,18 @@
         is_new.then(|| broken_calls.map(|(request, _)| request).collect())
     }
 
-    /// Notes that a process was there when it was looked at.
+    /// Records that the process was still running at `probed_at`, and discards the calls that broke
+    /// before.
     ///
-    /// What broke before has another cause. Kept, it would be held against the calls that the process ends as planned
-    /// some seconds later, and starts again.
+    /// Those calls broke for another reason. If they were kept, they would be blamed for a planned
+    /// shutdown and restart some seconds later.
     pub fn record_alive(&mut self, instance: u32, probed_at: TimeUs) {
         if let Some(evidence) = self.instances.get_mut(&instance) {
             evidence.broken_calls.retain(|(_, at)| *at > probed_at);
         }
     }
 
-    /// Returns the life, without what is too old to be proven.
+    /// Returns the record of an instance, without calls that broke too long ago for new evidence.
     fn entry(&mut self, instance: u32, now: TimeUs) -> &mut InstanceEvidence {
         if self.instances.len() >= MAX_INSTANCES && !self.instances.contains_key(&instance) {
             self.evict_oldest();
--- a/crates/wisteriahitch-relay/src/decide/gossip_message.rs
+++ b/crates/wisteriahitch-relay/src/decide/gossip_message.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other.
+//! Messages that daemons gossip to each other.
 
 use std::net::Ipv4Addr;
 
@@ -8,190 +8,200 @@
 use super::backlog::Load;
 use crate::site::RequestFingerprint;
 
-/// Says what a member does.
+/// State of a daemon as its peers see it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum MemberPhase {
-    /// It has no configuration or endpoints yet.
+    /// It has no configuration or no endpoints yet.
     Starting,
-    /// It serves.
+    /// It serves calls.
     Ready,
-    /// It will leave; it takes requests but is named to nobody.
+    /// It is about to leave: it still accepts requests but is no longer advertised.
     Draining,
 }
 
-/// Work at one endpoint that the receiver doesn't know from elsewhere.
+/// Work at one endpoint that the receiver cannot learn from another sender.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EndpointUpdate {
-    /// Short name of the endpoint.
+    /// Short name of the endpoint instance.
     pub endpoint: u32,
-    /// Work.
+    /// Requests and tokens in progress.
     pub load: Load,
-    /// Whether an order keeps the endpoint from taking requests.
+    /// Whether the endpoint is reserved for an order and must not get requests.
     pub is_reserved: bool,
 }
 
-/// What an endpoint said of its limit.
+/// Rate limit that an endpoint has stated.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// Short name of the endpoint.
+    /// Short name of the endpoint instance.
     pub endpoint: u32,
-    /// Calls that it takes from all daemons together; none where it names no limit any more.
+    /// Rate of calls that it accepts from all daemons together; `None` if it no longer states a
+    /// limit.
     pub rate: Option<CallRate>,
-    /// Time since its answer came.
+    /// Time since the endpoint's answer with this limit was received, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A part that an endpoint has read.
+/// A prompt part that an endpoint has read or evicted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PartUpdate {
-    /// Short name of the endpoint.
+    /// Short name of the endpoint instance.
     pub endpoint: u32,
     /// Key of the part.
     pub part: u64,
-    /// Size; zero where the part is gone.
+    /// Size of the part in tokens; zero if the endpoint no longer has it.
     pub tokens: u32,
 }
 
-/// How fresh the sender's news of a store of prompt parts is.
+/// How recent the sender's knowledge of a part store is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StoreUpdate {
     /// Short name of the store.
     pub store: u32,
-    /// Life of the store.
+    /// Epoch of the store, which changes each time the store starts anew.
     pub epoch: u64,
-    /// Age of the news.
+    /// Time since the store last reported, in milliseconds.
     pub age_ms: u32,
-    /// The clock of stores and engines at the sending, if it is known.
+    /// Reading of the clock that stores and engines share when the message was sent, if known.
     pub clock_ms: Option<u64>,
 }
 
-/// A part that a store has whole.
+/// A part that is stored completely at a part store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StoredPartUpdate {
     /// Short name of the store.
     pub store: u32,
     /// Key of the part.
     pub part: u64,
-    /// Size.
+    /// Size of the part in tokens.
     pub tokens: u32,
 }
 
-/// How much the sender knows of a kind of object in the platform's store.
+/// How recent the sender's view of one kind of object in the platform's store is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct KindUpdate {
-    /// Revision of the last change that it knows.
+    /// Revision of the last change that the sender has applied.
     pub revision: u64,
-    /// Time since the store was known to hold nothing newer; none where it never was.
+    /// Time since the sender's view was confirmed to be complete, in milliseconds; `None` if it
+    /// never was.
     pub age_ms: Option<u32>,
 }
 
-/// An endpoint that crashed with a request on board.
+/// A crash of an endpoint instance while a request was running there.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// Request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// Short name of the endpoint's life.
+    /// Short name of the endpoint instance that crashed.
     pub endpoint: u32,
 }
 
-/// A request that no daemon sends to an endpoint.
+/// A request that no daemon may send to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct BlockedUpdate {
-    /// Request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// Time since it last came to a daemon.
+    /// Time since any daemon last received the request, in milliseconds.
     pub absent_ms: u64,
 }
 
-/// What the sender knows of requests under which endpoints crash.
+/// What the sender knows about requests that endpoints crash under.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RequestUpdate {
-    /// Crashes that it has just learnt of.
+    /// Crashes that the sender has recently recorded.
     pub crashes: Vec<CrashUpdate>,
     /// Requests that are blocked.
     pub blocked: Vec<BlockedUpdate>,
-    /// Requests that an endpoint has answered, of those that were held to be suspect.
+    /// Former suspects that an endpoint has since answered completely.
     pub cleared: Vec<RequestFingerprint>,
-    /// Requests that an operator has ordered to be sent again.
+    /// Requests whose block an operator has lifted.
     pub lifted: Vec<RequestFingerprint>,
 }
 
-/// A daemon that the sender hears.
+/// A daemon from which the sender receives messages.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Address.
+    /// Address of the daemon.
     pub ip: Ipv4Addr,
-    /// Place of its zone in the message's list of zones.
+    /// Index of its availability zone in [`GossipMessage::zones`].
     pub zone: u8,
-    /// What it does.
+    /// State of the daemon.
     pub phase: MemberPhase,
-    /// What it can carry.
+    /// Processing capacity, in thousandths of a core.
     pub capacity: u16,
-    /// Rate of its VM's link.
+    /// Rate of its VM's network link, in megabits per second.
     pub link_mbps: u16,
 }
 
-/// What one daemon tells another.
+/// A gossip message from one daemon to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// Life of the sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Counts the sender's messages, so that a late one isn't taken for the newest.
+    /// Sequence number of the message, by which receivers discard messages that arrive out of
+    /// order.
     pub number: u64,
-    /// Address of the sender's VM; its ports are those of every daemon.
+    /// Address of the sender's VM; all daemons use the same ports.
     pub ip: Ipv4Addr,
     /// Availability zone of the sender.
     pub zone: String,
-    /// What the sender does.
+    /// State of the sender.
     pub phase: MemberPhase,
-    /// What the sender can carry, in thousandths of a core.
+    /// Processing capacity of the sender, in thousandths of a core.
     pub capacity: u16,
-    /// Rate of the sender's link.
+    /// Rate of the sender's network link, in megabits per second.
     pub link_mbps: u16,
-    /// Whether the sender is a hub, whose news include those of others.
+    /// Whether the sender is a hub, which also forwards what other daemons have reported.
     pub is_hub: bool,
-    /// Whether the sender asks the stores itself.
+    /// Whether the sender queries the part stores itself.
     pub follows_stores: bool,
-    /// Whether the store answers the sender, or one that it hears.
+    /// Whether the platform's store is reachable for the sender or for a daemon whose messages it
+    /// receives.
     pub is_store_reachable: bool,
-    /// When it was sent, by the sender's clock.
+    /// Time of sending, by the sender's clock.
     pub sent_at_us: TimeUs,
-    /// What the sender knows of each kind of object, in the order in which daemons follow the kinds.
+    /// How recent the sender's view of each kind of object is, in the fixed order in which daemons
+    /// follow the kinds.
     pub kinds: Vec<KindUpdate>,
-    /// Work of the sender, and of others where it is a hub.
+    /// Load that the sender's calls put on endpoints; a hub also includes that of other daemons.
     pub endpoints: Vec<EndpointUpdate>,
-    /// Limits that endpoints name, or have just ceased to name.
+    /// Rate limits that endpoints state, or have recently withdrawn.
     pub limits: Vec<LimitUpdate>,
-    /// Short names of the lives of endpoints that have said in an answer that they leave.
+    /// Short names of the endpoint instances that have announced in an answer that they are
+    /// leaving.
     pub leaving: Vec<u32>,
-    /// Short names of the engines whose memory the sender follows, or knows to be followed.
+    /// Short names of the engines whose cache events the sender follows, or knows another daemon to
+    /// follow.
     pub followed: Vec<u32>,
-    /// Short names of the endpoints that the sender couldn't connect to lately; of a hub those that
-    /// several daemons couldn't.
+    /// Short names of the endpoint instances that the sender recently failed to connect to. A hub
+    /// lists those that several daemons failed to connect to.
     pub unreachable: Vec<u32>,
-    /// Parts that were read since the last message.
+    /// Parts that engines have read or evicted since the last message.
     pub parts: Vec<PartUpdate>,
-    /// Stores of prompt parts of which the sender has news.
+    /// Part stores that the sender has recent reports of.
     pub stores: Vec<StoreUpdate>,
-    /// Parts that stores have got since the last message.
+    /// Parts that stores have completed since the last message.
     #[serde(rename = "kept")]
     pub stored_parts: Vec<StoredPartUpdate>,
-    /// Requests under which endpoints crash.
+    /// Crashes, blocks and unblocks of requests.
     pub requests: RequestUpdate,
-    /// Names of the zones in `members`.
+    /// Names of the availability zones that `members` refers to.
     pub zones: Vec<String>,
-    /// Daemons that the sender hears.
+    /// Daemons from which the sender receives messages.
     pub members: Vec<MemberUpdate>,
 }
 
 impl GossipMessage {
-    /// Encodes the message in at most `max_bytes`, leaving out what is missed least.
+    /// Encodes the message in at most `max_bytes`, dropping the least important entries first.
     ///
-    /// First go parts that engines have read, which are a hint; then crashes, those of the least suspect
-    /// requests first; then parts that stores have got, which endpoints can't be reached, which engines are
-    /// followed, then the load, then the limits of endpoints, and last which of them leave. What stores have
-    /// got is told once only, and whoever misses it has the part read again. Left out whole whenever a message was too large, it cost 80 daemons 22.8 instead of
-    /// 20.2 million tokens of shared parts that were read again (a day of 34 s, one run each).
+    /// The order is: parts that engines have read, which are only a hint; crashes, those of the
+    /// least suspect requests first; newly stored parts; unreachable endpoints; followed engines;
+    /// load; rate limits; and last the endpoints that are leaving.
+    ///
+    /// A newly stored part is sent only once, and a daemon that misses it has the part read again.
+    /// Therefore that list is halved rather than dropped as a whole: dropping it whenever a message
+    /// was too large cost 80 daemons 22.8 instead of 20.2 million tokens of shared parts that were
+    /// read again (one simulated day of 34 s, one run each).
     pub fn encoded(mut self, max_bytes: usize) -> Vec<u8> {
         loop {
             let message = postcard::to_stdvec(&self).unwrap_or_default();
--- a/crates/wisteriahitch-relay/src/decide/link_throughputs.rs
+++ b/crates/wisteriahitch-relay/src/decide/link_throughputs.rs
@@ -1,39 +1,40 @@
-//! How fast parts come over the links of engines and stores.
+//! Measured transfer times over the links of engines and stores, relative to their nominal times.
 //!
-//! Load pattern: the link of one store turns slow, or its queue grows, while those of the others are
-//! well. Nothing tells so but the calls that fetch over it: their first events come late. Without
-//! this, all prompts with parts at that store would go on waiting for it, although an engine reads
-//! them sooner; one would notice by late first events of calls whose parts were all found.
+//! Load pattern: the link of one store becomes slow, or its queue grows, while the other links are
+//! fine. The only indication is the calls that fetch over it: their first events are late. Without
+//! this measurement all prompts with parts at that store would go on waiting for it, although an
+//! engine would read them sooner. The symptom is late first events of calls whose parts were all
+//! found.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Weight of the newest fetch in the moving mean of its link.
+/// Weight of the newest fetch in the moving average of its link.
 const NEWEST_FETCH_WEIGHT: f64 = 0.35;
 
-/// Factor by which each fetch moves the usual ratio towards its own. Steps that don't depend on the
-/// distance lead to the median: it stays where it is when one of a few links is slow, and follows
-/// within seconds where all are late, as under overload.
+/// Factor by which each fetch moves the estimated median ratio towards its own ratio. Steps that do
+/// not depend on the distance converge to the median: it does not move when one of a few links is
+/// slow, and it follows within seconds when all links are slow, as under overload.
 const MEDIAN_STEP: f64 = 1.03;
 
-/// Largest ratio that counts, so that one fetch that waited for something else doesn't keep a link
-/// out of use for long.
+/// Upper bound on the ratio of one fetch, so that a single fetch that waited for something else
+/// does not exclude a link for long.
 const MAX_RATIO: f64 = 16.0;
 
-/// Time after which half of what is known of a link's pace is forgotten. A link that isn't used for
-/// being slow is tried again by a real call.
+/// Half-life of a link's deviation from the median. A link that is avoided because it is slow is
+/// thereby tried again by a real call.
 const HALF_LIFE_US: DurationUs = DurationUs::from_ms(3_000);
 
-/// Shortest usual time of a fetch that says something about its link.
+/// Minimum nominal time of a fetch to be counted; shorter fetches say nothing about the link.
 const MIN_NOMINAL_US: DurationUs = DurationUs::from_ms(4);
 
-/// Times that fetches took, over the times that they usually take.
+/// Ratios of measured to nominal fetch times, by address of the link's end.
 #[derive(Debug)]
 pub struct LinkThroughputs {
     links: HashMap<SocketAddr, (f64, TimeUs)>,
-    /// Median of all links.
+    /// Estimated median ratio over all links.
     median_ratio: f64,
 }
 
@@ -47,9 +48,11 @@
 }
 
 impl LinkThroughputs {
-    /// Notes that a fetch from `source` to `reader`, which usually takes `usual_us`, took `took_us`.
+    /// Records a fetch from `source` to `reader` that nominally takes `nominal_us` and took
+    /// `took_us`.
     ///
-    /// Both ends share the blame: the end that is well soon proves so by its other fetches.
+    /// The ratio counts for both ends: the end that is not slow is soon corrected by its other
+    /// fetches.
     pub fn record_fetch(
         &mut self,
         source: SocketAddr,
@@ -74,24 +77,24 @@
         }
     }
 
-    /// Returns by what factor a fetch takes longer than over other links; never less than one.
+    /// Returns the factor by which a fetch takes longer than over a typical link; at least 1.
     pub fn slowdown(&self, source: SocketAddr, reader: SocketAddr, now: TimeUs) -> f64 {
         let slower_end = self.ratio(source, now).max(self.ratio(reader, now));
         (slower_end / self.median_ratio.max(1.0)).max(1.0)
     }
 
-    /// Forgets a link whose end has been replaced by another process.
+    /// Removes the record of a link whose end has been replaced by another process.
     pub fn remove(&mut self, link: SocketAddr) {
         self.links.remove(&link);
     }
 
-    /// Forgets links that nothing was fetched over for long.
+    /// Removes links over which nothing was fetched for eight half-lives.
     pub fn prune(&mut self, now: TimeUs) {
         self.links
             .retain(|_, (_, at)| now.since(*at).get() < HALF_LIFE_US.get() * 8);
     }
 
-    /// Returns what is known of a link; it drifts to the usual.
+    /// Returns the ratio of a link, decayed towards the median since its last fetch.
     fn ratio(&self, link: SocketAddr, now: TimeUs) -> f64 {
         let Some((ratio, at)) = self.links.get(&link) else {
             return self.median_ratio;
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -1,10 +1,11 @@
-//! Where the parts of one prompt lie, and from where an engine may fetch them.
+//! Finds where the parts of one prompt are stored or cached, and from where an engine may fetch
+//! them.
 //!
 //! A part that has been read once need not be read again: an engine fetches it from a store, or
-//! from another engine that keeps it, in a third of the time and without holding up its batch.
-//! What an engine keeps is believed, not known. A wrong belief costs a millisecond and the reading
-//! of the part; it never gives a wrong answer, since parts are found only under the scope that
-//! binds their weights and workspace.
+//! from another engine that has it cached, in a third of the time and without delaying its batch.
+//! The contents of engine caches are estimates. A wrong estimate costs a millisecond and reading
+//! the part again; it never produces a wrong answer, since parts are looked up only under a scope
+//! that binds their weights and workspace.
 
 use std::net::SocketAddr;
 
@@ -20,47 +21,51 @@
 use super::placement_request::{EngineCall, READ_TOKENS_PER_MS};
 use crate::site::EngineTraits;
 
-/// Engines that are compared as sources of one part. They are drawn anew for each call, so that a
-/// part which many ask for isn't fetched from one engine by all.
+/// Maximum number of engines that are compared as sources of one part. They are picked at random
+/// for each call, so that calls do not all fetch a popular part from the same engine.
 const MAX_HOLDERS: usize = 8;
 
-/// Engines from which on a part counts as held by many. Those use it all the time, so that none of
-/// them has dropped it; fetched by all from the one store that keeps it, it would make them queue
-/// there.
+/// Number of engines with a cached part from which on stores are not used for it. These engines use
+/// the part all the time and have not evicted it; if all engines fetched it from the one store that
+/// has it, fetches would queue at that store.
 const WIDELY_CACHED_ENGINES: usize = 4;
 
-/// Longest time for the fetch of a token that is better than reading it, in milliseconds: eight times
-/// the time to read it. The caller waits for a fetch as for a reading, but the engine's other calls
-/// don't; a fetch that takes still longer makes the call late by itself. Eight in place of two and a
-/// half are worth 0.01 and 0.02 in the mean worth of eight loads at two of three deployments.
+/// Maximum worthwhile fetch time per token, in milliseconds: eight times the time to read the
+/// token. The caller waits for a fetch as for reading, but the engine's other calls do not; a still
+/// longer fetch makes the call late by itself. Compared with a factor of 2.5, the factor 8 gains
+/// 0.01 and 0.02 in the mean worth of eight loads at two of three deployments.
 const MAX_FETCH_MS_PER_TOKEN: f64 = 8.0 / READ_TOKENS_PER_MS;
 
-/// The same over a link that is broken rather than busy, two and a half times the time to read it.
+/// Maximum worthwhile fetch time per token over a link that is broken rather than busy, in
+/// milliseconds: 2.5 times the time to read the token.
 const MAX_BROKEN_FETCH_MS_PER_TOKEN: f64 = 2.5 / READ_TOKENS_PER_MS;
 
-/// Times the usual time of a fetch from which on its link counts as broken. One that many fetch over at
-/// once turns slow too, and is still better than reading.
+/// Ratio of expected to nominal fetch time from which on a link counts as broken. A link that is
+/// shared by many fetches becomes slow too, but is still better than reading.
 const BROKEN_LINK_RATIO: f64 = 8.0;
 
-/// Time that any fetch may take: short parts stand at the start of prompts, and without them nothing
-/// that follows is of use. It covers the start of a transfer at the slower kind of store.
+/// Fetch time that is always acceptable, in milliseconds. Short parts stand at the start of
+/// prompts, and without them nothing that follows is of use. It covers the setup of a transfer at
+/// the slower kind of store.
 const FETCH_ALLOWANCE_MS: f64 = 8.0;
 
-/// Start of a fetch from an engine, in milliseconds; a part that isn't there costs as much.
+/// Setup time of a fetch from an engine, in milliseconds; a request for a part that the engine has
+/// evicted costs as much.
 const ENGINE_FETCH_SETUP_MS: f64 = 1.0;
 
-/// Where a part can be fetched, and how long that takes.
+/// Source of a part, and the estimated time to fetch it from there.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FetchEstimate {
     pub(super) source: SocketAddr,
-    /// Time over links as they usually are.
+    /// Time over links at their nominal rate.
     pub(super) nominal_ms: f64,
-    /// Time over these links as they are now.
+    /// Time over the links as measured.
     pub(super) expected_ms: f64,
 }
 
 impl FetchEstimate {
-    /// Returns how long a fetch of so many tokens may take to be better than reading them.
+    /// Returns the maximum fetch time, in milliseconds, at which fetching `tokens` beats reading
+    /// them.
     fn max_worthwhile_ms(&self, tokens: u64) -> f64 {
         let is_broken = self.expected_ms > self.nominal_ms * BROKEN_LINK_RATIO;
         let per_token = match is_broken {
@@ -74,17 +79,17 @@
 /// The parts of one prompt under one version of the weights.
 pub(super) struct PartSources<'a> {
     pub(super) weights: WeightNumber,
-    /// Text under which engines keep the parts.
+    /// Scope under which engines store and find the parts.
     pub(super) scope: String,
-    /// Keys of the parts in their order, with their sizes.
+    /// Keys of the parts in the order of the prompt, with their sizes in tokens.
     pub(super) keys: Vec<(PartKey, u64)>,
-    /// Engines that are believed to keep each part, in an order of chance.
+    /// Engines that probably have each part cached, in random order.
     holders: Vec<Vec<&'a EndpointRow>>,
     links: &'a LinkThroughputs,
 }
 
 impl<'a> PartSources<'a> {
-    /// Looks for the parts of `prompt` under `weights`.
+    /// Looks up the parts of `prompt` under `weights`.
     pub(super) fn find(
         table: &'a EndpointTable,
         call: &EngineCall<'_>,
@@ -112,8 +117,8 @@
         }
     }
 
-    /// Returns how an engine best fetches a part; nothing where no source is known or reading the
-    /// part is better, and for the last part, which no other call has.
+    /// Returns the best source of a part for an engine. `None` if no source is known, if reading
+    /// the part is faster, or for the last part, which no other call shares.
     pub(super) fn fetch(
         &self,
         index: usize,
@@ -142,14 +147,14 @@
         if holders.len() >= WIDELY_CACHED_ENGINES {
             return from_engine;
         }
-        // What a store says is certain. Where an engine turns out to have dropped a part, all that
-        // follows it has to be read too, however little the part itself is.
+        // A store's report is authoritative, whereas an engine may have evicted a part. In that
+        // case everything after the part has to be read too, however small the part itself is.
         let from_store = call.stores.fetch(key, tokens, call.engine, zone, call.now);
         from_store.map(estimate).filter(is_worth_it).or(from_engine)
     }
 
-    /// Names a source for each part, also for those that the engine is believed to keep: it fetches
-    /// only what it doesn't, and what is believed here may be wrong.
+    /// Returns a source for each part, including parts that the engine probably has cached: it
+    /// fetches only what it does not have, and the estimate may be wrong.
     pub(super) fn source_addresses(
         &self,
         row: &EndpointRow,
@@ -162,13 +167,14 @@
     }
 }
 
-/// Returns the parts that other calls may have too: all but the last.
+/// Returns the parts that other calls may share: all but the last.
 fn shared_parts(keys: &[(PartKey, u64)]) -> impl Iterator<Item = &(PartKey, u64)> {
     keys.iter().take(keys.len().saturating_sub(1))
 }
 
-/// Returns whether an engine may be asked for parts. One that is about to leave, fails or gets new
-/// weights soon has nothing to give, and a source that is dead costs some hundred milliseconds.
+/// Returns whether parts may be fetched from an engine. One that is about to leave, fails or is
+/// about to get new weights has nothing to offer, and an unreachable source costs some hundred
+/// milliseconds.
 fn can_serve_parts(row: &EndpointRow, now: TimeUs) -> bool {
     let is_ready = row.life == EndpointLife::Ready && !row.is_displaced;
     is_ready && row.reserved_until_us <= now && !row.outlier.is_ejected(now)
--- a/crates/wisteriahitch-relay/src/decide/part_store_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_store_row.rs
@@ -1,4 +1,4 @@
-//! What is known of one store of prompt parts.
+//! Known state of one store of prompt parts.
 
 use std::collections::HashMap;
 
@@ -8,24 +8,25 @@
 use crate::border::KeptPart;
 use crate::site::PartStore;
 
-/// Age of a store's news after which nothing is fetched from it. Its news is asked for without a
-/// pause and comes at least twice a second; in a large fleet it is told on over up to three steps
-/// of a quarter of a second. A store that is down is noticed at once by its broken connection; the
-/// age only bounds what a daemon does that is cut off.
+/// Age of a store's last report after which nothing is fetched from it. Reports are requested
+/// continuously and arrive at least twice a second; in a large fleet gossip forwards them over up
+/// to three hops of a quarter of a second each. A store that is down is noticed at once by its
+/// broken connection; this bound only limits what a daemon does that is cut off.
 pub(super) const STORE_UPDATE_TTL_US: DurationUs = DurationUs::from_ms(2_000);
 
-/// Share of a store's room that is filled; its own accounting rounds each part up to whole blocks.
+/// Share of a store's capacity that is filled; the store's own accounting rounds each part up to
+/// whole blocks.
 const MAX_FILL_RATIO: f64 = 0.97;
 
-/// One store.
+/// State of one store.
 #[derive(Debug)]
 pub(super) struct StoreRow {
     pub(super) spec: PartStore,
     pub(super) epoch: u64,
-    /// Nothing until the store was listed in this life.
+    /// Time of the last report; `None` until the store was listed in its current epoch.
     pub(super) updated_at_us: Option<TimeUs>,
     pub(super) store_clock: Option<(u64, TimeUs)>,
-    /// Parts that are whole there; without their names where another daemon told of them.
+    /// Parts that are stored completely. Their details are unknown if another daemon reported them.
     pub(super) stored: HashMap<PartKey, StoredPartEntry>,
     pub(super) stored_tokens: u64,
     pub(super) partial_tokens: u64,
@@ -57,7 +58,7 @@
         used as f64 <= self.spec.room_tokens.as_f64() * MAX_FILL_RATIO
     }
 
-    /// Notes a part, and returns whether it is new.
+    /// Adds a stored part. Returns whether it is new.
     pub(super) fn insert_part(&mut self, key: PartKey, entry: StoredPartEntry) -> bool {
         self.pending_saves.remove(&key);
         let tokens = entry.tokens;
@@ -89,7 +90,7 @@
     }
 }
 
-/// One part that a store keeps.
+/// A part that a store has completely.
 #[derive(Clone, Debug)]
 pub(super) struct StoredPartEntry {
     pub(super) tokens: u64,
--- a/crates/wisteriahitch-relay/src/decide/part_stores.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_stores.rs
@@ -1,9 +1,10 @@
-//! What the stores of prompt parts keep, what is saved there, and what may be fetched.
+//! Tracks which prompt parts are stored at the part stores, and decides what to save, fetch and
+//! free.
 //!
-//! A store frees nothing on its own and doesn't know who reads. Three rules keep a reader from
-//! taking memory that isn't whole: a part counts as kept only once the store has said so; nothing
-//! is fetched on news that is older than [`STORE_UPDATE_TTL_US`]; and only parts of weights that nobody
-//! uses any more are freed, after longer than a fetch may take (`docs/design/platform.md`).
+//! A store frees nothing on its own and does not know its readers. Three rules keep readers from
+//! fetching incomplete memory: a part counts as stored only after the store has reported it;
+//! nothing is fetched on reports older than [`STORE_UPDATE_TTL_US`]; and only parts of weights that
+//! nobody uses any more are freed, after longer than a fetch may take (`docs/design/platform.md`).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,63 +21,64 @@
 use crate::border::{KeptPart, PartChanges, PartListing};
 use crate::site::{AllowedZones, EngineTraits, PartStore};
 
-/// Longest time for a fetch from the sending of its request. A fetch that takes longer is thrown
-/// away by the engine.
+/// Timeout of a fetch, from the sending of its request. An engine discards a fetch that takes
+/// longer.
 pub(crate) const FETCH_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_000);
 
-/// Time after which weights that every engine has replaced are certainly no longer fetched for.
+/// Time after the last engine replaced its weights after which no fetch for the old ones is in
+/// progress.
 const FREE_DELAY_US: DurationUs = DurationUs::from_ms(2_000);
 
-/// Time for which a save that was asked for is taken to be on its way. One that was lost, as for
-/// want of room, is asked for again after that.
+/// Time for which a requested save counts as pending. A save that was lost, for example because the
+/// store was full, is requested again after that.
 const SAVE_TIMEOUT_US: DurationUs = DurationUs::from_ms(3_000);
 
-/// Smallest part that is saved: two blocks of an engine's memory. Short parts stand at the start of
-/// prompts, and without them nothing that follows is of use to an engine.
+/// Minimum size of a saved part, in tokens: two blocks of an engine's memory. Short parts stand at
+/// the start of prompts, and without them nothing that follows is of use to an engine.
 const MIN_SAVED_TOKENS: u64 = 32;
 
-/// Most parts that wait to be told; one that is never told is read again or asked for again.
+/// Maximum number of newly stored parts that wait to be gossiped; a dropped one is read or saved
+/// again.
 const MAX_PENDING_UPDATES: usize = 2_000;
 
-/// Bits in a byte, over the microseconds in a millisecond: megabits a second are bits a
-/// microsecond.
+/// Bits per byte. Megabits per second are bits per microsecond.
 const BITS_PER_BYTE: f64 = 8.0;
 
-/// Factor on a transfer between availability zones.
+/// Factor on the transfer time between availability zones.
 pub(super) const OTHER_ZONE_FACTOR: f64 = 2.0;
 
 /// All stores.
 #[derive(Debug, Default)]
 pub struct PartStores {
-    /// Parts to tell other daemons of.
+    /// Newly stored parts to gossip to other daemons.
     pending_updates: Vec<StoredPartUpdate>,
     rows: BTreeMap<SocketAddr, StoreRow>,
-    /// Since when no engine has weights below these, by model.
+    /// Lowest weights that any engine has, and since when, by model.
     lowest_weights: BTreeMap<ModelName, (WeightNumber, TimeUs)>,
 }
 
-/// Where a part can be fetched, and how long that takes.
+/// Store from which a part can be fetched, and the time that takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreFetch {
-    /// Store.
+    /// Address of the store; in estimates for engines, of the engine.
     pub source: SocketAddr,
-    /// Estimated time.
+    /// Estimated time over a link at its nominal rate, in milliseconds.
     pub nominal_ms: f64,
 }
 
 /// Parts to free at one store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FreeOrder {
-    /// Store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Life of the store that the order is for.
+    /// Epoch of the store for which the order is valid.
     pub epoch: u64,
-    /// Parts.
+    /// Parts to free.
     pub parts: Vec<KeptPart>,
 }
 
 impl PartStores {
-    /// Takes over which stores there are, and returns those that are new.
+    /// Sets the configured stores and drops all others. Returns the new ones.
     pub fn configure(&mut self, stores: impl Iterator<Item = PartStore>) -> Vec<SocketAddr> {
         let stores: BTreeMap<SocketAddr, PartStore> =
             stores.map(|store| (store.address, store)).collect();
@@ -94,12 +96,12 @@
         new
     }
 
-    /// Returns whether the store is still one of the site's.
+    /// Returns whether the store is still configured.
     pub fn is_configured(&self, store: SocketAddr) -> bool {
         self.rows.contains_key(&store)
     }
 
-    /// Takes over everything that a store keeps.
+    /// Replaces the state of a store with a complete listing.
     pub fn apply_listing(&mut self, store: SocketAddr, listing: PartListing, now: TimeUs) {
         let Some(row) = self.rows.get_mut(&store) else {
             return;
@@ -114,8 +116,8 @@
         row.updated_at_us = Some(now);
     }
 
-    /// Takes changes over, and returns whether they follow on what is known. Otherwise the store
-    /// must be listed: it has started anew, or changes are missing.
+    /// Applies changes that a store reports. Returns whether they follow on the known state; if
+    /// not, the store has started anew or changes are missing, and it must be listed again.
     pub fn apply_changes(&mut self, store: SocketAddr, changes: PartChanges, now: TimeUs) -> bool {
         let Some(row) = self.rows.get_mut(&store) else {
             return true;
@@ -146,18 +148,19 @@
         true
     }
 
-    /// Notes that a store doesn't answer. It may be down and come back empty, and somebody may
-    /// then be writing a part that was whole before.
+    /// Clears the state of a store that does not answer. It may be down and come back empty, and a
+    /// part that was complete before may then be in the middle of being written again.
     pub fn record_unreachable(&mut self, store: SocketAddr) {
         if let Some(row) = self.rows.get_mut(&store) {
             row.clear();
         }
     }
 
-    /// Takes over how fresh another daemon's news of the stores is, and returns those of which it
-    /// tells and nothing is known here.
+    /// Applies another daemon's updates on how recent its store reports are. Returns the stores
+    /// that it reports and this daemon has no state for.
     ///
-    /// Nobody's news is fresher than that of the one who asked the store: the age adds up on its way.
+    /// A report is never considered more recent than at the daemon that queried the store, since
+    /// the age adds up along the way.
     pub fn apply_store_updates(&mut self, updates: &[StoreUpdate], now: TimeUs) -> Vec<SocketAddr> {
         let mut unknown = Vec::new();
         for row in self.rows.values_mut() {
@@ -181,7 +184,7 @@
         unknown
     }
 
-    /// Clears what is known of stores that a daemon which told of them no longer tells of.
+    /// Clears the state of stores that a daemon which reported them no longer reports.
     pub fn clear_unreported_stores(&mut self, updates: &[StoreUpdate]) {
         for row in self.rows.values_mut() {
             let name = short_name(&row.spec.address.to_string());
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Notes parts that another daemon tells of.
+    /// Applies newly stored parts that another daemon reports.
     pub fn apply_stored_parts(&mut self, updates: &[StoredPartUpdate]) {
         for update in updates {
             let is_match = |row: &&mut StoreRow| {
@@ -211,7 +214,7 @@
         }
     }
 
-    /// Returns how fresh the news of each store is, for other daemons.
+    /// Returns how recent the report of each readable store is, to gossip to other daemons.
     pub fn store_updates(&self, now: TimeUs) -> Vec<StoreUpdate> {
         let readable = self.rows.values().filter(|row| row.is_readable(now));
         let updates = readable.filter_map(|row| {
@@ -228,7 +231,8 @@
         updates.collect()
     }
 
-    /// Takes at most `most` parts to tell other daemons of; the rest goes with the next message.
+    /// Removes and returns at most `max_count` newly stored parts to gossip; the rest goes into the
+    /// next message.
     pub fn take_part_updates(&mut self, max_count: usize) -> Vec<StoredPartUpdate> {
         let count = self.pending_updates.len().min(max_count);
         let overflow = self
@@ -240,7 +244,8 @@
         self.pending_updates.drain(..count).collect()
     }
 
-    /// Returns everything that is kept at one store, for a daemon that has just heard of it.
+    /// Returns the epoch of a store and the keys and sizes of all its parts, for a daemon that has
+    /// no state for the store; `None` if this daemon has none either.
     pub fn stored_parts_at(&self, store: SocketAddr) -> Option<(u64, Vec<(u64, u64)>)> {
         let row = self.rows.get(&store)?;
         row.updated_at_us?;
@@ -248,7 +253,7 @@
         Some((row.epoch, parts.collect()))
     }
 
-    /// Takes over everything that is kept at one store, as another daemon told it.
+    /// Replaces the state of a store with the snapshot of another daemon.
     pub fn apply_snapshot(
         &mut self,
         store: SocketAddr,
@@ -268,13 +273,14 @@
             };
             row.insert_part(PartKey(*key), entry);
         }
-        // Old enough that nothing is fetched until the teller's next news says how fresh it is.
+        // Dated so far back that nothing is fetched until the sender's next update says how recent
+        // it is.
         row.updated_at_us = Some(TimeUs::new(
             now.get().saturating_sub(STORE_UPDATE_TTL_US.get()),
         ));
     }
 
-    /// Returns the quickest fetch of a part for an engine in `zone`.
+    /// Returns the fastest fetch of a part for an engine in `zone`.
     pub fn fetch(
         &self,
         key: PartKey,
@@ -303,8 +309,8 @@
         fetches.min_by(|a, b| a.nominal_ms.total_cmp(&b.nominal_ms))
     }
 
-    /// Returns the store that is to keep a part, and takes it to be on its way there; nothing where
-    /// a store keeps it already, or where none has room.
+    /// Returns the store at which a part is to be saved, and marks the save as pending there.
+    /// `None` if the part is too small, is already stored or pending, or if no store has capacity.
     pub fn choose_save_target(
         &mut self,
         key: PartKey,
@@ -324,7 +330,7 @@
         if self.rows.values().any(is_stored_or_pending) {
             return None;
         }
-        // Equal parts go to the same store whichever daemon asks, so that none is saved twice.
+        // All daemons choose the same store for equal parts, so that none is saved twice.
         let rank = Rendezvous::new("part", &key.0.to_string());
         let score = |row: &&mut StoreRow| {
             let address = row.spec.address.to_string();
@@ -340,7 +346,8 @@
         Some(row.spec.address)
     }
 
-    /// Returns when a fetch that is sent now must have ended, on the clock of stores and engines.
+    /// Returns the deadline of a fetch that is sent now, on the clock that stores and engines
+    /// share; `None` if that clock is unknown.
     pub fn fetch_deadline_ms(&self, now: TimeUs) -> Option<u64> {
         let newest = self
             .rows
@@ -350,7 +357,7 @@
         newest.map(|(clock_ms, at)| clock_ms + (now.since(at) + FETCH_TIMEOUT_US).as_ms())
     }
 
-    /// Notes the lowest weights that any engine has of each model.
+    /// Records the lowest weights that any engine has of each model.
     pub fn record_lowest_weights(
         &mut self,
         lowest: &BTreeMap<ModelName, WeightNumber>,
@@ -364,12 +371,13 @@
         }
     }
 
-    /// Returns parts that were made under weights which no engine has had for a while, and which
-    /// `may_be_fetched` no longer allows either: an engine that is known to nobody for the moment
-    /// may come back with the weights that it had.
+    /// Returns the parts that were made under weights which no engine has had for `FREE_DELAY_US`
+    /// and which `may_fetch_parts` no longer allows either: an engine that no daemon currently
+    /// knows may come back with the weights that it had.
     ///
-    /// Left there, they would fill the stores after a few changes of weights, and nothing would be
-    /// kept any more; one would notice by prompts that are read again although they return soon.
+    /// If such parts were not freed, they would fill the stores after a few weight changes and
+    /// nothing more could be saved. The symptom is prompts that are read again although they return
+    /// soon.
     pub fn parts_to_free(
         &self,
         weights_of: impl Fn(&str) -> Option<WeightNumber>,
@@ -400,7 +408,7 @@
         orders.filter(|order| !order.parts.is_empty()).collect()
     }
 
-    /// Forgets parts that were freed.
+    /// Removes the parts of an order that the store has carried out.
     pub fn remove_freed_parts(&mut self, order: &FreeOrder) {
         let Some(row) = self.rows.get_mut(&order.store) else {
             return;
@@ -410,7 +418,7 @@
         }
     }
 
-    /// Shows how many parts and tokens each store keeps.
+    /// Returns the number of parts and tokens at each store.
     pub fn snapshot(&self) -> Vec<(SocketAddr, usize, u64)> {
         let rows = self.rows.values();
         rows.map(|row| (row.spec.address, row.stored.len(), row.stored_tokens))
@@ -426,7 +434,7 @@
     }
 }
 
-/// Returns how long so many tokens take over a link, in milliseconds.
+/// Returns the time to transfer `tokens` over a link, in milliseconds.
 pub(crate) fn transfer_ms(tokens: u64, token_bytes: ByteCount, link_mbps: f64) -> f64 {
     if link_mbps <= 0.0 {
         return f64::INFINITY;
--- a/crates/wisteriahitch-relay/src/decide/parts.rs
+++ b/crates/wisteriahitch-relay/src/decide/parts.rs
@@ -1,4 +1,4 @@
-//! Which parts of prompts an endpoint is believed to have in its memory.
+//! Estimates which prompt parts an endpoint has in its cache.
 
 use lru::LruCache;
 use serde::{Deserialize, Serialize};
@@ -7,27 +7,29 @@
 
 use crate::site::PromptShape;
 
-/// Time for which a part that was used needn't be told again. Engines under full load keep a part
-/// for about two seconds after its last use.
+/// Minimum interval between two gossiped uses of the same part. Under full load, engines retain a
+/// part for about two seconds after its last use.
 const USE_UPDATE_INTERVAL_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Shortest time for which an engine is believed to keep what it has just used.
+/// Minimum assumed retention of a part after its last use.
 const MIN_RETENTION_US: DurationUs = DurationUs::from_ms(200);
 
-/// Longest time, for an engine that is nearly idle. Other daemons' requests for it are known by
-/// their load only, and the longer ago a part was used, the more of them have come and gone.
+/// Maximum assumed retention, for an engine that is nearly idle. Requests of other daemons are
+/// known by their load only, and the longer ago a part was used, the more of them have passed
+/// through.
 pub(super) const MAX_RETENTION_US: DurationUs = DurationUs::from_ms(20_000);
 
-/// Names a cached part with everything that binds it: model, weights, wall and the part itself.
+/// Key of a cached part. It binds the model, the weights, the workspace if that is isolated, and
+/// the part.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct PartKey(pub u64);
 
-/// Makes the keys of parts of one model under one scope.
+/// Computes the keys of parts of one model under one scope.
 #[derive(Clone)]
 pub struct PartKeyHasher(Xxh3);
 
 impl PartKeyHasher {
-    /// Makes keys for parts of `model` that are kept under `scope`.
+    /// Prepares the hash for parts of `model` that are cached under `scope`.
     pub fn new(model: &ModelName, scope: &str) -> Self {
         let mut state = Xxh3::new();
         state.update(model.as_str().as_bytes());
@@ -45,17 +47,17 @@
     }
 }
 
-/// Returns the weights that a scope was made for; nothing where it isn't one of ours.
+/// Returns the weights in a cache scope; `None` if [`cache_scope`] did not create it.
 pub(crate) fn weights_of_scope(scope: &str) -> Option<WeightNumber> {
     let weights = scope.strip_prefix('w')?.split('.').next()?;
     weights.parse().ok()
 }
 
-/// Returns the text under which engines keep and find parts.
+/// Returns the scope under which engines store and find parts.
 ///
-/// It holds the weights, since engines don't check under which ones a part was made: one that was
-/// made before a change of weights would be used after it, and answers would be subtly wrong. It
-/// holds the workspace where that shares nothing with others.
+/// It contains the weights, since engines do not check under which weights a part was made: a part
+/// from before a weight change would be used after it, and answers would be subtly wrong. It
+/// contains the workspace if that is isolated and shares no cached parts.
 pub(crate) fn cache_scope(
     weights: WeightNumber,
     isolated_workspace: Option<&WorkspaceId>,
@@ -66,7 +68,7 @@
     }
 }
 
-/// Returns the keys of a prompt's parts under `scope`, with their sizes.
+/// Returns the keys of a prompt's parts under `scope`, with their sizes in tokens.
 pub(crate) fn part_keys(scope: &str, prompt: &PromptShape) -> Vec<(PartKey, u64)> {
     let hasher = PartKeyHasher::new(&prompt.model, scope);
     let parts = prompt.parts.iter();
@@ -75,13 +77,13 @@
         .collect()
 }
 
-/// Returns how long an engine keeps a part after its last use.
+/// Estimates how long an engine retains a part after its last use.
 ///
 /// Load pattern: long prompts, each with a few thousand tokens that no other request shares, so
-/// that an engine's whole memory is used anew every few seconds. The tokens of running requests,
-/// over the time for which they run, are what comes in; the rest of the memory is what it
-/// displaces, the least recently used first. Taken for kept any longer, a part is neither fetched
-/// nor found, but read again.
+/// that an engine's whole memory turns over every few seconds. The inflow is the tokens of running
+/// requests over the time for which they run; it displaces the least recently used parts in the
+/// rest of the memory. If retention is overestimated, a part is neither fetched nor found, but read
+/// again.
 pub(crate) fn estimated_retention(
     memory_tokens: u64,
     running_tokens: u64,
@@ -93,40 +95,41 @@
     retention_us.clamp(MIN_RETENTION_US, MAX_RETENTION_US)
 }
 
-/// Parts of one engine that a daemon tells another one which has just started: the ones that were used
-/// last. More are kept only by engines with much memory, and asked for less.
+/// Maximum number of parts of one engine, the most recently used ones, in a snapshot for a daemon
+/// that has just started. Only engines with much memory have more, and the others are requested
+/// less often.
 const MAX_SNAPSHOT_PARTS: usize = 100;
 
-/// A part that an engine is believed to keep, as daemons tell those that start.
+/// A part that an engine probably has cached, in a snapshot for a daemon that starts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CachedPart {
     /// Key of the part.
     pub part: u64,
-    /// Size.
+    /// Size of the part in tokens.
     pub tokens: u64,
-    /// Time since its last use.
+    /// Time since its last use, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What one engine is believed to keep, as daemons tell those that start.
+/// Parts that one engine probably has cached, in a snapshot for a daemon that starts.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EngineMemory {
-    /// Short name of the engine's life.
+    /// Short name of the engine's instance.
     pub endpoint: u32,
-    /// Parts, the one that was used last first.
+    /// Parts, most recently used first.
     pub parts: Vec<CachedPart>,
 }
 
-/// A part that an endpoint has read.
+/// A part that an endpoint has read or used.
 #[derive(Clone, Copy, Debug)]
 struct CacheEntry {
     tokens: u64,
     used_at_us: TimeUs,
 }
 
-/// Guesses what one endpoint keeps, from what it was sent.
+/// Estimates which parts one endpoint has cached, from the requests that were sent to it.
 ///
-/// It is a hint: a wrong guess costs a prompt that is read again, never a wrong answer.
+/// It is a hint: a wrong estimate costs reading a prompt again, never a wrong answer.
 #[derive(Debug)]
 pub struct PartCache {
     parts: LruCache<PartKey, CacheEntry>,
@@ -135,7 +138,7 @@
 }
 
 impl PartCache {
-    /// Starts empty for an engine with so much memory.
+    /// Creates an empty estimate for an engine with a memory of `memory_tokens`.
     pub fn new(memory_tokens: u64) -> Self {
         Self {
             parts: LruCache::unbounded(),
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Returns how many parts at the start of a prompt were used since `since` without a gap.
+    /// Returns the number of leading parts of a prompt that were all used since `since`.
     pub fn cached_prefix_len(&self, keys: &[(PartKey, u64)], since: TimeUs) -> usize {
         keys.iter()
             .take_while(|(key, _)| self.used_since(*key, since))
@@ -158,8 +161,8 @@
             .is_some_and(|part| part.used_at_us >= since)
     }
 
-    /// Notes that a part was used, and returns whether that is news; the least recently used ones
-    /// yield to it.
+    /// Records the use of a part and evicts the least recently used ones beyond the capacity.
+    /// Returns whether the use is to be gossiped.
     pub fn record_use(&mut self, key: PartKey, tokens: u64, now: TimeUs) -> bool {
         let part = CacheEntry {
             tokens,
@@ -178,7 +181,7 @@
         previous.is_none_or(|previous| now.since(previous.used_at_us) >= USE_UPDATE_INTERVAL_US)
     }
 
-    /// Notes that the engine says it keeps a part, and returns whether that is news.
+    /// Records that the engine reported a part as cached. Returns whether that is new.
     pub fn record_reported(&mut self, key: PartKey, tokens: u64, now: TimeUs) -> bool {
         match self.parts.peek_mut(&key) {
             Some(part) => {
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Notes that the engine says it keeps no more of a part, and returns whether that is news.
+    /// Records that the engine reported a part as evicted. Returns whether it was known.
     pub fn record_eviction(&mut self, key: PartKey) -> bool {
         let Some(part) = self.parts.pop(&key) else {
             return false;
@@ -198,7 +201,7 @@
         true
     }
 
-    /// Lists the parts that were used last, the newest first.
+    /// Returns the most recently used parts, newest first.
     pub fn most_recent(&self, now: TimeUs) -> Vec<CachedPart> {
         let parts = self.parts.iter().take(MAX_SNAPSHOT_PARTS);
         let cached = parts.map(|(key, part)| CachedPart {
@@ -209,7 +212,7 @@
         cached.collect()
     }
 
-    /// Takes over what another daemon knows of a part, unless more is known of it here.
+    /// Adds a part from another daemon's snapshot, unless the part is already known here.
     pub fn merge_peer_part(&mut self, cached: &CachedPart, now: TimeUs) {
         let age_us = DurationUs::from_ms(cached.age_ms);
         let used_at_us = TimeUs::new(now.get().saturating_sub(age_us.get()));
@@ -219,18 +222,18 @@
         }
     }
 
-    /// Forgets everything, as the endpoint does when its weights change.
+    /// Removes all parts, as the endpoint does when its weights change.
     pub fn clear(&mut self) {
         self.parts.clear();
         self.cached_tokens = 0;
     }
 
-    /// Returns how many parts it is believed to keep.
+    /// Returns the number of parts that are probably cached.
     pub fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// Returns whether it is believed to keep nothing.
+    /// Returns whether no part is probably cached.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
--- a/crates/wisteriahitch-relay/src/decide/placement.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement.rs
@@ -1,8 +1,9 @@
-//! Where a call runs.
+//! Chooses the endpoint at which a call runs.
 //!
-//! For each endpoint the time until its first event is estimated: what it still has to read, what
-//! of this prompt it doesn't keep, how full it is. The least one is taken.
-//! `docs/design/platform.md` gives the reasons and the figures.
+//! For each endpoint the time until the call's first event is estimated from the tokens that the
+//! endpoint still has to read, the part of this prompt that it has not cached, and its free
+//! capacity. The endpoint with the lowest cost is preferred. `docs/design/platform.md` gives the
+//! reasons and the figures.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,57 +21,60 @@
 use super::placement_request::{EngineCall, PlacementRequest};
 use crate::border::Refusal;
 
-/// Milliseconds by which endpoints count as about equal in a small fleet; one of them is drawn.
+/// Cost difference, in milliseconds, below which candidates count as about equal in a small fleet;
+/// one of them is sampled.
 const MIN_SPREAD_MS: f64 = 2.0;
-/// The same for each daemon of a large fleet: the more daemons choose by the same news, and the
-/// older it is, the more of them would send to the same endpoint before they hear of each other.
+/// Cost difference per daemon in a large fleet, in milliseconds. The more daemons decide on the
+/// same updates, and the older these are, the more daemons would choose the same endpoint before
+/// they receive each other's updates.
 const SPREAD_MS_PER_DAEMON: f64 = 0.35;
-/// Most that it grows to.
+/// Maximum cost difference that counts as about equal, in milliseconds.
 const MAX_SPREAD_MS: f64 = 40.0;
-/// Endpoints that cost so many times the spread more than the least one aren't drawn.
+/// Multiple of the spread above the lowest cost beyond which candidates are not sampled.
 const MAX_SPREAD_MULTIPLE: f64 = 4.0;
-/// When a caller may come back where no endpoint takes requests.
+/// Retry time for the caller if no endpoint accepts requests.
 const NO_ENDPOINT_RETRY_US: DurationUs = DurationUs::from_ms(400);
-/// The same where all zones are evacuated, the time in which the end of an evacuation is known everywhere.
+/// Retry time for the caller if all zones are evacuated: the time within which all daemons know
+/// that an evacuation has ended.
 const EVACUATED_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Where a call runs, and what that was decided by.
+/// The endpoint chosen for a call, and the estimates behind the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// Endpoint, in the life that the decision was made for.
+    /// Endpoint instance for which the decision was made.
     pub endpoint: EndpointInstance,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Weights that it has.
+    /// Weights that the endpoint is expected to have; `None` if the service has no engines.
     pub weights: Option<WeightNumber>,
-    /// Text under which it keeps parts.
+    /// Scope under which the endpoint caches parts.
     pub cache_scope: Option<String>,
-    /// Prompt tokens that it is believed to keep.
+    /// Prompt tokens that the endpoint probably has cached.
     pub cached_tokens: u64,
     /// Prompt tokens that it fetches from stores and other engines.
     pub fetched_tokens: u64,
-    /// For each part of the prompt, where it can be fetched; empty where nothing is known.
+    /// Source of each part of the prompt, where it can be fetched; empty if nothing is known.
     pub fetch_from: Vec<Option<SocketAddr>>,
-    /// The source of most of what is fetched, and the time that all of it takes.
+    /// Source of most of the fetched tokens, and the time that all fetches take.
     pub main_fetch: Option<MainFetch>,
     /// Prompt tokens that it has to read.
     pub unread_tokens: u64,
-    /// Estimated wait for the work of others.
+    /// Estimated wait for the work of other calls.
     pub queue_us: DurationUs,
     /// Estimated time until the first event.
     pub expected_us: DurationUs,
-    /// Endpoints that were compared.
+    /// Number of endpoints that were compared.
     pub candidates: usize,
-    /// Permits under which an endpoint whose calls are bounded gets the call.
+    /// Permits that the call uses if the endpoint's call rate is limited.
     pub permits: CallPermits,
 }
 
-/// Chooses an endpoint.
+/// Chooses an endpoint for a call.
 ///
 /// # Errors
 ///
-/// Refuses where no endpoint takes requests, or where none would give a first event in time: such
-/// a call is told so at once instead of waiting until its deadline has passed.
+/// Refuses the call if no endpoint accepts requests, or if none would produce the first event in
+/// time, so that the caller learns it at once instead of after its deadline.
 pub fn place(
     table: &EndpointTable,
     stores: &PartStores,
@@ -134,7 +138,8 @@
     })
 }
 
-/// Says why no endpoint may take a call.
+/// Returns the refusal for a call that has no eligible endpoint, with the reason and the retry
+/// time.
 fn no_candidate_refusal(
     table: &EndpointTable,
     request: &PlacementRequest<'_>,
@@ -169,7 +174,7 @@
     Refusal::new(Code::NoEndpoint).retry_after(NO_ENDPOINT_RETRY_US)
 }
 
-/// Returns how wide the draw is, from 0 where it is narrowest to 1.
+/// Returns the width of the sampling spread, from 0 at its minimum to 1 at its maximum.
 fn spread_fraction(daemons: usize) -> f64 {
     (spread_ms(daemons) - MIN_SPREAD_MS) / (MAX_SPREAD_MS - MIN_SPREAD_MS)
 }
@@ -178,11 +183,13 @@
     (daemons as f64 * SPREAD_MS_PER_DAEMON).clamp(MIN_SPREAD_MS, MAX_SPREAD_MS)
 }
 
-/// Draws one of the offers that are about as good as the least one, the better the likelier.
+/// Samples one of the candidates whose cost is close to `lowest_cost`, with exponentially
+/// decreasing weight.
 ///
-/// Load pattern: many daemons with the same news, some hundred milliseconds old. Taken by all, the
-/// least one gets a hundred requests before anybody hears of them, and refuses what its queue can't
-/// hold; one would notice by refusals of single endpoints while others are idle.
+/// Load pattern: many daemons have the same updates, some hundred milliseconds old. If all chose
+/// the cheapest endpoint, it would get a hundred requests before any daemon received an update, and
+/// would refuse what exceeds its queue. The symptom is refusals of single endpoints while others
+/// are idle.
 fn sample_candidate<'a, 'b>(
     evaluated: &'a [PlacementCandidate<'b>],
     lowest_cost: f64,
@@ -206,15 +213,17 @@
         }
         remaining -= weight;
     }
-    // Rounding alone comes here; the least one is as good an answer as any.
+    // Reached only through rounding; the cheapest candidate is as good as any.
     let by_cost =
         |a: &&PlacementCandidate<'_>, b: &&PlacementCandidate<'_>| a.cost_ms.total_cmp(&b.cost_ms);
     evaluated.iter().min_by(by_cost).unwrap_or(&evaluated[0])
 }
 
-/// Returns the offer of the endpoint at which the fewest calls run, of several the one that costs least.
+/// Returns the candidate with the fewest running requests, and among equals the one with the lowest
+/// cost.
 ///
-/// What the call is suspected of ends all that runs there: one of the others would be lost with it for each call.
+/// The call is suspected of crashing endpoints, and every request that runs at the endpoint would
+/// be lost with it.
 fn fewest_running<'a, 'b>(evaluated: &'a [PlacementCandidate<'b>]) -> &'a PlacementCandidate<'b> {
     let running = |candidate: &PlacementCandidate<'_>| candidate.row.load().running;
     let by_running = |a: &&PlacementCandidate<'_>, b: &&PlacementCandidate<'_>| {
@@ -224,10 +233,11 @@
     evaluated.iter().min_by(by_running).unwrap_or(&evaluated[0])
 }
 
-/// Returns the endpoints that may take the call.
+/// Returns the endpoints that may get the call.
 ///
-/// Those that are ejected or under an order are left out as long as others are there: an ejection
-/// is a suspicion, and a service whose endpoints are all suspected still has to be tried.
+/// Endpoints that are ejected, suspected or reserved for an order are left out as long as there are
+/// others: an ejection is a suspicion, and a service whose endpoints are all suspected still has to
+/// be tried.
 fn eligible_endpoints<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
@@ -253,7 +263,7 @@
     }
 }
 
-/// Returns the endpoints of the call's service that take requests at all.
+/// Returns the endpoints of the call's service that accept requests at all.
 fn endpoints_taking_requests<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
@@ -266,11 +276,11 @@
 
 /// Returns the endpoints that have weights which the call may use.
 ///
-/// If none seems to, all that may have got the wanted ones since are tried. What is known of them
-/// may be old: another daemon had them load new weights, and the store was away before they could
-/// register again. Left out, they would never be asked, so that nothing new would be learnt, and
-/// every call would be refused for as long as the outage lasts. One that does have old weights
-/// refuses the call without running it.
+/// If none is known to, all endpoints that may have loaded the wanted weights since are tried.
+/// Their known weights may be outdated: another daemon had them load new weights, and the
+/// platform's store was unavailable before they could register again. If they were left out, they
+/// would never be called, nothing new would be learned, and every call would be refused for as long
+/// as the outage lasts. An endpoint that does have old weights refuses the call without running it.
 fn usable_endpoints<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
@@ -301,8 +311,8 @@
     known.is_some() && is_required && known == request.expected_weights(row, now)
 }
 
-/// Finds the prompt's parts once for each version of the weights that candidates have, which are
-/// mostly one.
+/// Looks up the prompt's parts once for each version of the weights that candidates have, which is
+/// mostly a single one.
 fn part_sources<'a>(
     table: &'a EndpointTable,
     rows: &[&EndpointRow],
--- a/crates/wisteriahitch-relay/src/decide/placement_candidate.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement_candidate.rs
@@ -1,5 +1,4 @@
-//! What a call would get at one endpoint: an estimate of the time until its first event, and of what
-//! that costs others.
+//! Estimates the time until the first event of a call at one endpoint, and its cost to other calls.
 
 use std::net::SocketAddr;
 
@@ -9,61 +8,67 @@
 use super::part_sources::PartSources;
 use super::placement_request::{EngineCall, READ_TOKENS_PER_MS, REREAD_MS_PER_TOKEN};
 
-/// What each running request adds to the first event of another one, in milliseconds: it lengthens
-/// every step of the batch a little.
+/// Delay that each running request adds to the first event of a new one, in milliseconds, since it
+/// lengthens every step of the batch.
 const RUNNING_REQUEST_MS: f64 = 0.4;
-/// Cost of an endpoint in another availability zone, in milliseconds: the way there and back, and
-/// what the bytes between zones cost.
+/// Cost of an endpoint in another availability zone, in milliseconds: the network round trip and
+/// the price of traffic between zones.
 const OTHER_ZONE_MS: f64 = 12.0;
-/// Cost of weights that are about to be replaced, in milliseconds, from [`REPLACED_WEIGHTS_DELAY_US`] on.
+/// Cost of weights that are about to be replaced, in milliseconds, from
+/// [`REPLACED_WEIGHTS_DELAY_US`] on.
 const REPLACED_WEIGHTS_MS: f64 = 150.0;
-/// How long weights that are no longer wanted are as good as the wanted ones.
+/// Time after their replacement for which old weights cost nothing extra.
 const REPLACED_WEIGHTS_DELAY_US: DurationUs = DurationUs::from_ms(900);
-/// Milliseconds that a call of a service without an engine takes, as long as nothing better is known.
+/// Assumed duration of a call to a service without an engine, in milliseconds.
 const PLAIN_CALL_MS: f64 = 40.0;
-/// Head start, in milliseconds, of the endpoint that the prompt's hash ranks first. It lets daemons
-/// that haven't heard of each other's requests send equal prompts to the same endpoint.
+/// Maximum cost reduction by prompt affinity, in milliseconds, for the endpoint that the prompt's
+/// hash ranks first. It lets daemons that have not yet received each other's updates send equal
+/// prompts to the same endpoint.
 const AFFINITY_MS: f64 = 6.0;
-/// Head start for each shared token that no engine is known to keep, in milliseconds, of the endpoint that
-/// the prompt's hash ranks first, in a small fleet.
+/// Cost reduction for the preferred engine in a small fleet, in milliseconds for each shared token
+/// that no engine is known to have cached. The prompt's hash ranks the preferred engine first.
 ///
-/// Load pattern: all engines have new weights, or all daemons have just started, and every daemon gets
-/// prompts with parts that nobody is known to keep. News of who reads them takes some hundred
-/// milliseconds in a large fleet, and until then each daemon would draw another engine for the same part.
+/// Load pattern: all engines have loaded new weights, or all daemons have just started, and every
+/// daemon gets prompts with parts that no engine is known to have cached. Updates about who reads
+/// them take some hundred milliseconds in a large fleet; without a preference each daemon would
+/// pick another engine for the same part until then.
 const PREFERRED_MS_PER_TOKEN: f64 = 0.05;
-/// The same in a fleet so large that the draw among endpoints is widest. It makes up for the price of
-/// reading the part again: whoever has read it already did so there. At 195 daemons a day whose daemons
-/// restart and are powered off together is worth 0.41 without it, 0.44 with 0.05 and 0.52 with 0.2; at
-/// three deployments of up to 9 daemons 0.2 is worth 0.005 less than 0.05, within what runs differ by.
+/// Cost reduction for the preferred engine in a fleet so large that candidates are sampled over the
+/// widest spread, in milliseconds per token. It offsets [`REREAD_MS_PER_TOKEN`]: an engine that has
+/// already read the part is the preferred one. With 195 daemons, a day on which daemons restart and
+/// lose power together is worth 0.41 without it, 0.44 with 0.05 and 0.52 with 0.2. At three
+/// deployments of up to 9 daemons, 0.2 is worth 0.005 less than 0.05, which is within the variation
+/// between runs.
 const LARGE_FLEET_PREFERRED_MS_PER_TOKEN: f64 = 0.2;
-/// Share of the head start that the second one has: two queues for one hot part instead of one.
+/// Share of the reduction that the second-ranked engine gets: two queues for a popular part instead
+/// of one.
 const SECOND_PREFERRED_SHARE: f64 = 0.5;
-/// How long a told load counts.
+/// Time for which a load that an endpoint reported itself is used.
 const REPORTED_LOAD_TTL_US: DurationUs = DurationUs::from_ms(300);
 
-/// The fetch that most of a call's fetched tokens come by.
+/// The source of most of the tokens that a call fetches, and the estimated fetch time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MainFetch {
-    /// Source.
+    /// Address of the store or engine.
     pub source: SocketAddr,
-    /// Time that all fetches of the call would take over links as they usually are.
+    /// Time that all fetches of the call take over links at their nominal rate.
     pub nominal_us: DurationUs,
-    /// Time that they are expected to take.
+    /// Time that all fetches of the call are expected to take over the links as measured.
     pub expected_us: DurationUs,
 }
 
-/// The endpoints to which parts are sent that nobody is known to keep.
+/// The engines to which parts are sent that no engine is known to have cached.
 #[derive(Default)]
 pub(super) struct PreferredEngines {
     first: Option<EndpointInstance>,
     second: Option<EndpointInstance>,
-    /// Head start of the first for each token.
+    /// Cost reduction of the first engine, in milliseconds per token.
     ms_per_token: f64,
 }
 
 impl PreferredEngines {
-    /// Ranks endpoints for a call; none where it has no prompt. `draw_width` says how wide the draw among
-    /// endpoints is, from 0 in a small fleet to 1.
+    /// Ranks the engines for a call; both are `None` if the call has no prompt. `spread_fraction`
+    /// is the width of the spread over which candidates are sampled, from 0 (small fleet) to 1.
     pub(super) fn rank(
         rows: &[&EndpointRow],
         call: Option<&EngineCall<'_>>,
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Returns the head start that an endpoint has for each token.
+    /// Returns the cost reduction of an endpoint, in milliseconds per shared token.
     fn ms_per_token(&self, row: &EndpointRow) -> f64 {
         let is = |engine: &Option<EndpointInstance>| engine.as_ref() == Some(row.instance());
         match (is(&self.first), is(&self.second)) {
@@ -94,17 +99,17 @@
     }
 }
 
-/// What a call would get at one endpoint.
+/// Estimates for one call at one endpoint.
 pub(super) struct PlacementCandidate<'a> {
     pub(super) row: &'a EndpointRow,
-    /// Where the prompt's parts lie under the endpoint's weights.
+    /// Sources of the prompt's parts for the endpoint's weights.
     pub(super) parts: Option<&'a PartSources<'a>>,
     pub(super) cached_tokens: u64,
     pub(super) fetched_tokens: u64,
     pub(super) main_fetch: Option<MainFetch>,
-    /// Wait for the work of others.
+    /// Estimated wait for the work of other calls.
     pub(super) queue_ms: f64,
-    /// Wait for the first event.
+    /// Estimated time until the first event.
     pub(super) wait_ms: f64,
     pub(super) cost_ms: f64,
 }
@@ -130,7 +135,8 @@
         candidate.cost_ms += OTHER_ZONE_MS;
     }
     if let Some(affinity) = call.and_then(|call| call.affinity.as_ref()) {
-        // The score is spread evenly; the best of a few comes close to the whole head start.
+        // The score is distributed evenly, so the best of a few endpoints gets nearly the whole
+        // reduction.
         let score = affinity.score(row.instance().id.as_str().as_bytes());
         candidate.cost_ms -= AFFINITY_MS * (score as f64 / u64::MAX as f64);
     }
@@ -188,22 +194,22 @@
     }
 }
 
-/// What an engine need not read of a prompt.
+/// Tokens of a prompt that an engine does not have to read.
 #[derive(Default)]
 struct Reuse {
     cached_tokens: u64,
     fetched_tokens: u64,
-    /// Time that the fetches take.
+    /// Expected time of all fetches over the links as measured.
     fetch_ms: f64,
-    /// Time that they would take over links as they usually are.
+    /// Time of all fetches over links at their nominal rate.
     nominal_ms: f64,
-    /// Source of the largest part, and its tokens.
+    /// Source of the largest fetched part, and its tokens.
     main_source: Option<(SocketAddr, u64)>,
 }
 
 impl Reuse {
-    /// Returns what an engine keeps of a prompt, and what of the rest it can fetch in a row: a part
-    /// is of use only where all parts before it are there.
+    /// Returns the cached prefix of a prompt and the parts after it that the engine can fetch. A
+    /// part is of use only if all parts before it are present.
     fn of(row: &EndpointRow, parts: &PartSources<'_>, call: &EngineCall<'_>) -> Self {
         let cached = row
             .parts
@@ -227,7 +233,8 @@
     }
 }
 
-/// Returns how many requests an endpoint has: as this daemon counts, or as it has told itself.
+/// Returns the number of requests at an endpoint: the count of this daemon or the endpoint's own
+/// report, whichever is higher.
 fn busy_requests(row: &EndpointRow, now: TimeUs) -> u32 {
     let reported = row
         .told
@@ -236,7 +243,8 @@
     row.load().running.max(reported)
 }
 
-/// Returns the wait for a free slot: one becomes free each time one of the running calls ends.
+/// Returns the wait for a free slot, in milliseconds: a slot becomes free each time a running call
+/// ends.
 fn slot_wait_ms(busy_requests: u32, slots: u32, duration_us: DurationUs) -> f64 {
     let slots = slots.max(1);
     let queued_ahead = (busy_requests + 1).saturating_sub(slots);
--- a/crates/wisteriahitch-relay/src/decide/placement_request.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement_request.rs
@@ -1,4 +1,4 @@
-//! What a placement is for, and what its estimates rest on.
+//! Inputs of a placement decision.
 
 use wisteriahitch_core::fleet::Rendezvous;
 use wisteriahitch_types::{
@@ -10,54 +10,56 @@
 use super::wanted_weights::WantedVersions;
 use crate::site::{AllowedZones, EngineTraits, PromptShape};
 
-/// Prompt tokens that an engine reads in a millisecond while it also answers others. Engines of
-/// the deployments read 61 when they do nothing else.
+/// Prompt tokens that an engine reads per millisecond while it also serves other calls. Engines of
+/// the known deployments read 61 when they do nothing else.
 pub(super) const READ_TOKENS_PER_MS: f64 = 50.0;
 
-/// What reading a shared part again costs beyond its time, in milliseconds a token: the work was done
-/// before, and while it is done again the ten or so other calls of the engine wait for it. Ten times
-/// the time of reading. Of 0.03, 0.1, 0.2 and 0.4 the last three are worth the same, within 0.02 of
-/// the mean worth of six loads, and 0.03 to 0.06 more than the first at two of three deployments.
+/// Cost of reading a shared part again, in milliseconds per token, beyond the time of reading. The
+/// work was done before, and while it is repeated the ten or so other calls of the engine wait. It
+/// is ten times the reading time. Of the values 0.03, 0.1, 0.2 and 0.4 the last three are worth the
+/// same, within 0.02 of the mean worth of six loads, and 0.03 to 0.06 more than the first at two of
+/// three deployments.
 pub(super) const REREAD_MS_PER_TOKEN: f64 = 0.2;
 
-/// What a placement is for.
+/// A call to be placed, and the limits that apply to it.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// Service.
+    /// Service that the call is for.
     pub service: &'a ServiceName,
-    /// What its engines are, if it has engines.
+    /// Properties of the service's engines, if it has engines.
     pub engine: Option<&'a EngineTraits>,
     /// Prompt, if the call carries one.
     pub prompt: Option<&'a PromptShape>,
-    /// Workspace, where it shares cached parts with nobody.
+    /// Workspace of the call, if it is isolated and shares cached parts with no other.
     pub isolated_workspace: Option<&'a WorkspaceId>,
     /// Availability zone of this daemon.
     pub zone: &'a AvailabilityZone,
-    /// Daemons of the fleet.
+    /// Number of daemons in the fleet.
     pub daemons: usize,
-    /// How long a call of the service lasts once it has begun, as seen lately.
+    /// Recent mean duration of the service's calls, from the start of execution.
     pub duration_us: DurationUs,
-    /// How long a token of the service stays in an engine's memory.
+    /// Recent mean time for which a token of the service stays in an engine's memory.
     pub memory_duration_us: DurationUs,
-    /// Time within which a first event is of any use.
+    /// Maximum time until the first event; a later one is of no use to the caller.
     pub max_first_event_us: DurationUs,
-    /// Longest wait for the work of others.
+    /// Maximum wait for the work of other calls.
     pub max_queue_us: DurationUs,
-    /// Zones in which it may run.
+    /// Availability zones in which the call may run.
     pub allowed_zones: &'a AllowedZones,
-    /// Endpoints that won't do.
+    /// Endpoint instances that must not be chosen, since they were already tried.
     pub excluded: &'a [EndpointInstance],
-    /// Whether endpoints have crashed under the call, so that it is to go where little is lost with it.
+    /// Whether endpoints have crashed under the call, so that it is sent to the endpoint with the
+    /// fewest running requests.
     pub needs_isolation: bool,
-    /// Weights that the call must run on, as a stream that goes on does.
+    /// Weights on which the call must run, as for a stream that is resumed.
     pub required_weights: Option<WeightNumber>,
-    /// Weights that the model is to run.
+    /// Versions of the weights that the model is to run, if known.
     pub wanted_weights: Option<&'a WantedVersions>,
 }
 
 impl PlacementRequest<'_> {
-    /// Returns the weights that a call at this endpoint would expect: those that it is known to
-    /// have, or the wanted ones where the known ones may no longer be used.
+    /// Returns the weights that a call at this endpoint would expect: the known ones, or the newest
+    /// wanted ones if the known ones may no longer be used.
     pub(super) fn expected_weights(&self, row: &EndpointRow, now: TimeUs) -> Option<WeightNumber> {
         let known = row.weights(&self.prompt?.model)?;
         let Some(wanted) = self.wanted_weights else {
@@ -70,19 +72,19 @@
     }
 }
 
-/// A call for model engines, with all that its estimates rest on.
+/// A call to a model engine with everything that its estimates depend on.
 pub(super) struct EngineCall<'a> {
     pub(super) request: &'a PlacementRequest<'a>,
     pub(super) prompt: &'a PromptShape,
     pub(super) engine: &'a EngineTraits,
     pub(super) stores: &'a PartStores,
     pub(super) now: TimeUs,
-    /// Ranks endpoints for the prompt.
+    /// Ranks the endpoints for the prompt.
     pub(super) affinity: Option<Rendezvous>,
 }
 
 impl<'a> EngineCall<'a> {
-    /// Gathers it; nothing where the call has no prompt or its service no engines.
+    /// Collects the inputs; `None` if the call has no prompt or its service no engines.
     pub(super) fn new(
         request: &'a PlacementRequest<'a>,
         stores: &'a PartStores,
@@ -99,7 +101,7 @@
         })
     }
 
-    /// Returns since when a part must have been used to be still at an engine.
+    /// Returns the earliest last use of a part for which the endpoint probably still has it cached.
     pub(super) fn min_part_use_at(&self, row: &EndpointRow) -> TimeUs {
         let memory_tokens = self.engine.memory_tokens.get();
         row.parts_kept_since(memory_tokens, self.request.memory_duration_us, self.now)
@@ -110,7 +112,7 @@
     }
 }
 
-/// Returns what ranks endpoints for a prompt: its last part that others share.
+/// Returns the rank of endpoints for a prompt, by the last part that it shares with other prompts.
 fn affinity(prompt: &PromptShape) -> Option<Rendezvous> {
     let parts = &prompt.parts;
     let shared = parts
--- a/crates/wisteriahitch-relay/src/decide/recent_updates.rs
+++ b/crates/wisteriahitch-relay/src/decide/recent_updates.rs
@@ -1,16 +1,16 @@
-//! News that a daemon tells on for a while after it has learnt of them.
+//! Updates that a daemon repeats in its gossip for a while after it has learned them.
 
 use std::collections::VecDeque;
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Time for which a daemon tells on what it has just learnt: ten messages, so that lost ones don't count.
+/// Time for which an update is repeated: ten messages, so that lost messages do not matter.
 pub(super) const REPEAT_DURATION_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// News of one kind that wait to be told: ten messages full.
+/// Maximum number of queued updates of one kind: as many as fit in ten messages.
 const MAX_UPDATES: usize = 480;
 
-/// What a daemon tells on until a time.
+/// Queue of updates, each with the time until which it is repeated.
 #[derive(Debug)]
 pub(super) struct RecentUpdates<T> {
     updates: VecDeque<(TimeUs, T)>,
@@ -25,7 +25,7 @@
 }
 
 impl<T: Copy + PartialEq> RecentUpdates<T> {
-    /// Adds news, which wait anew if they were there.
+    /// Adds an update; one that is already queued is moved to the end with a new expiry.
     pub(super) fn add(&mut self, update: T, now: TimeUs) {
         self.updates.retain(|(_, queued)| *queued != update);
         if self.is_full() {
@@ -34,12 +34,12 @@
         self.updates.push_back((now + REPEAT_DURATION_US, update));
     }
 
-    /// Returns whether no more have room.
+    /// Returns whether the queue is full.
     pub(super) fn is_full(&self) -> bool {
         self.updates.len() >= MAX_UPDATES
     }
 
-    /// Leaves out the oldest news of those that matter least.
+    /// Removes the update with the lowest weight, the oldest among equals.
     pub(super) fn remove_least_important(&mut self, weight: impl Fn(&T) -> usize) {
         let least_important = self.updates.iter().enumerate();
         let least_important = least_important.min_by_key(|(_, (_, update))| weight(update));
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns those that are still to be told.
+    /// Removes expired updates and returns the others.
     pub(super) fn current(&mut self, now: TimeUs) -> impl Iterator<Item = T> {
         while self.updates.front().is_some_and(|(until, _)| *until <= now) {
             self.updates.pop_front();
--- a/crates/wisteriahitch-relay/src/decide/rollout.rs
+++ b/crates/wisteriahitch-relay/src/decide/rollout.rs
@@ -1,7 +1,8 @@
-//! Brings engines to wanted weights, a few at a time.
+//! Brings engines to the wanted weights, a few at a time.
 //!
-//! The daemon that holds the lease runs it. An engine is first announced to the other daemons, so
-//! that they send it nothing; then it gets the order, finishes what it runs and loads.
+//! The daemon that holds the rollout lease runs it. An engine is first announced to the other
+//! daemons as reserved, so that they send it no calls; then it gets the order, finishes its running
+//! calls and loads the weights.
 
 use std::collections::BTreeMap;
 
@@ -10,65 +11,67 @@
 use super::rollout_concurrency::{ConcurrencyOptions, Overrun, Remaining, RolloutConcurrency};
 use crate::border::{EngineReport, OrderOutcome};
 
-/// Time between an announcement and the order in a small fleet: the other daemons' next messages.
-/// Requests that cross an order are refused by the engine.
+/// Time between the announcement and the order in a small fleet: the interval until the other
+/// daemons' next messages. The engine refuses requests that cross the order.
 const ANNOUNCE_DELAY_US: DurationUs = DurationUs::from_ms(150);
-/// The same in a large fleet, where news takes three steps.
+/// Time between the announcement and the order in a large fleet, where gossip takes three hops.
 const LARGE_FLEET_ANNOUNCE_DELAY_US: DurationUs = DurationUs::from_ms(600);
-/// Engines above which a fleet counts as large here.
+/// Number of engines above which a fleet counts as large here.
 const LARGE_FLEET_ENGINES: usize = 30;
-/// Time between two reports of an engine that loads. Reports lag by some hundred milliseconds.
+/// Interval between two reads of the report of an engine that loads. Reports lag by some hundred
+/// milliseconds.
 const REPORT_INTERVAL_US: DurationUs = DurationUs::from_ms(200);
-/// Time after which an order that was accepted and shows no effect is given again.
+/// Time after which an accepted order without effect is given again.
 const LOAD_TIMEOUT_US: DurationUs = DurationUs::from_ms(4_000);
-/// Pause after a failure.
+/// Backoff after a failure.
 const RETRY_BACKOFF_US: DurationUs = DurationUs::from_ms(300);
-/// Time for which an engine that couldn't be reached lets others go first. Engines that crash are back
-/// in one or two seconds, mostly under another name; the registration of one that isn't lapses after
-/// three to four.
+/// Time for which an unreachable engine yields to others. Engines that crash are back within one or
+/// two seconds, mostly under another name; the registration of one that does not return lapses
+/// after three to four seconds.
 const UNREACHABLE_BACKOFF_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// One engine as the rollout sees it.
+/// An engine whose weights are older than wanted.
 #[derive(Clone, Debug)]
 pub struct RolloutRow {
-    /// Endpoint. Orders that were given to one life say nothing of the next.
+    /// Endpoint instance. Orders that were given to one instance say nothing about the next.
     pub endpoint: EndpointInstance,
-    /// Model.
+    /// Model that the weights belong to.
     pub model: ModelName,
-    /// Weights that it has.
+    /// Weights that the engine has.
     pub current: WeightNumber,
-    /// Weights that it is to have.
+    /// Weights that the engine is to load.
     pub wanted: WeightNumber,
-    /// Since when the weights that it has are no longer wanted.
+    /// Time at which newer weights than its current ones were named.
     pub replaced_at_us: TimeUs,
-    /// Requests that it runs.
+    /// Number of requests that it runs.
     pub running: u32,
 }
 
-/// Asks the shell to do something.
+/// An action for the shell to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RolloutStep {
-    /// Read an engine's report, and tell [`Rollout::apply_report`].
+    /// Read an engine's report and pass it to [`Rollout::apply_report`].
     ReadReport(EndpointInstance),
-    /// Give an order, if the lease allows it now, and tell [`Rollout::record_order_outcome`].
+    /// Give an order, if the lease allows it now, and pass the outcome to
+    /// [`Rollout::record_order_outcome`].
     GiveOrder {
-        /// Endpoint.
+        /// Endpoint instance.
         endpoint: EndpointInstance,
-        /// Model.
+        /// Model whose weights are to be loaded.
         model: ModelName,
-        /// Version.
+        /// Version to load.
         version: WeightNumber,
-        /// Orders that the engine has accepted so far.
+        /// Number of orders that the engine has accepted so far.
         expected_orders: u64,
     },
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
-    /// The next report is due at this time.
+    /// The next report is to be read at this time.
     ReportDueAt(TimeUs),
     ReportPending,
-    /// The order may be given; the engine has accepted so many.
+    /// The order may be given; the engine has accepted this many orders so far.
     OrderAllowed(u64),
     OrderPending,
 }
@@ -77,17 +80,17 @@
 struct ActiveEngine {
     model: ModelName,
     wanted: WeightNumber,
-    /// Version of the order that was given last.
+    /// Version in the last order that was given.
     ordered_version: WeightNumber,
     phase: Phase,
-    /// When it was taken out.
+    /// Time at which the engine was reserved.
     started_at_us: TimeUs,
-    /// The order that the engine accepted last, and when.
+    /// Version in the last order that the engine accepted, and when.
     accepted: Option<(WeightNumber, TimeUs)>,
 }
 
 impl ActiveEngine {
-    /// Returns the version that it has accepted and may still be loading.
+    /// Returns the version that the engine has accepted and may still be loading.
     fn loading_version(&self, now: TimeUs) -> Option<WeightNumber> {
         let accepted = self.accepted;
         let accepted = accepted.filter(|(_, at)| now.since(*at) < LOAD_TIMEOUT_US);
@@ -95,19 +98,19 @@
     }
 }
 
-/// Follows the engines that are being brought to wanted weights.
+/// State of a rollout: the engines that are being brought to the wanted weights.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     concurrency: RolloutConcurrency,
     active: BTreeMap<EndpointInstance, ActiveEngine>,
-    /// Oldest weights of the engines that wait for their turn.
+    /// Oldest weights among the engines that wait for a slot.
     oldest_waiting: Option<WeightNumber>,
-    /// Engines that couldn't be reached, and until when others go first.
+    /// Unreachable engines, and until when they yield to others.
     backed_off: BTreeMap<EndpointInstance, TimeUs>,
 }
 
 impl Rollout {
-    /// Starts without any.
+    /// Creates a rollout with no engines in progress.
     pub fn new(options: ConcurrencyOptions) -> Self {
         Self {
             concurrency: RolloutConcurrency::new(options),
@@ -117,27 +120,28 @@
         }
     }
 
-    /// Returns the engines that take no requests because of it.
+    /// Returns the engines that must get no calls because of the rollout.
     pub fn reserved(&self) -> impl Iterator<Item = &EndpointInstance> {
         self.active.keys()
     }
 
-    /// Returns what keeps the rollout from ending in time; nothing where it is expected to.
+    /// Returns why the rollout cannot end in time; `None` if it is expected to.
     pub fn overrun(&self, behind: &[RolloutRow], engines: usize, now: TimeUs) -> Option<Overrun> {
         self.concurrency.overrun(remaining(behind, engines)?, now)
     }
 
-    /// Returns whether there is nothing under way.
+    /// Returns whether no engine is in progress.
     pub fn is_idle(&self) -> bool {
         self.active.is_empty()
     }
 
-    /// Drops everything, since another daemon holds the lease.
+    /// Drops all state, since another daemon holds the lease.
     pub fn clear(&mut self) {
         self.active.clear();
     }
 
-    /// Takes the engines that are behind, of so many in all, and returns what is due.
+    /// Updates the state with the engines that are behind, out of `engines` in total. Returns the
+    /// actions that are due.
     pub fn tick(&mut self, behind: &[RolloutRow], engines: usize, now: TimeUs) -> Vec<RolloutStep> {
         self.drop_finished(behind);
         self.start_next(behind, engines, now);
@@ -164,7 +168,7 @@
         steps
     }
 
-    /// Takes an engine's report; nothing where it couldn't be read.
+    /// Applies an engine's report; `None` if it could not be read.
     pub fn apply_report(
         &mut self,
         endpoint: &EndpointInstance,
@@ -192,8 +196,8 @@
             self.active.remove(endpoint);
             return;
         }
-        // Another version may have been named since the order: once it is carried out, the next
-        // one can follow, unless engines with still older weights wait. Their time runs out first.
+        // Another version may have been named since the order. It can be ordered next, unless
+        // engines with still older weights wait: their time runs out first.
         let has_loaded = active
             .accepted
             .is_some_and(|(ordered, _)| current >= ordered);
@@ -212,7 +216,7 @@
         };
     }
 
-    /// Takes what became of an order.
+    /// Records the outcome of an order.
     pub fn record_order_outcome(
         &mut self,
         endpoint: &EndpointInstance,
@@ -231,24 +235,24 @@
                 self.active.remove(endpoint);
             }
             OrderOutcome::NotSent(_) | OrderOutcome::Refused(_) => self.back_off(endpoint, now),
-            // The same number goes with the next order, so that only one of the two is carried
-            // out, whichever the engine sees first.
+            // The next order repeats the expected order number, so that only one of the two is
+            // carried out, whichever the engine receives first.
             _ => active.phase = Phase::ReportDueAt(now + RETRY_BACKOFF_US),
         }
     }
 
-    /// Notes that an order wasn't given, since the lease doesn't allow it now.
+    /// Records that an order was not given because the lease does not allow it now.
     pub fn record_withheld_order(&mut self, endpoint: &EndpointInstance, now: TimeUs) {
         if let Some(active) = self.active.get_mut(endpoint) {
             active.phase = Phase::ReportDueAt(now + RETRY_BACKOFF_US);
         }
     }
 
-    /// Gives the place of an engine that can't be reached to another one for a while.
+    /// Gives the slot of an unreachable engine to another one for a while.
     ///
-    /// Few engines are out at once. Kept by those that are gone, the places leave the living ones on
-    /// weights that go out of use; one would notice by calls that all engines refuse, seconds after new
-    /// weights were named.
+    /// Only few engines are reserved at once. If unreachable engines kept their slots, the others
+    /// would stay on weights that go out of use. The symptom is calls that all engines refuse,
+    /// seconds after new weights were named.
     fn back_off(&mut self, endpoint: &EndpointInstance, now: TimeUs) {
         self.active.remove(endpoint);
         self.backed_off
@@ -265,8 +269,8 @@
         });
     }
 
-    /// Takes the engines with the oldest weights first, and of those the ones with the least work:
-    /// they are empty soonest.
+    /// Reserves the next engines: those with the oldest weights first, and among them those with
+    /// the fewest running requests, since these finish soonest.
     fn start_next(&mut self, behind: &[RolloutRow], engines: usize, now: TimeUs) {
         let max_parallel = self.concurrency.max_parallel(engines);
         self.backed_off.retain(|_, until| *until > now);
--- a/crates/wisteriahitch-relay/src/decide/rollout_concurrency.rs
+++ b/crates/wisteriahitch-relay/src/decide/rollout_concurrency.rs
@@ -1,59 +1,59 @@
-//! How many engines are taken out at once to get new weights, and whether that ends in time.
+//! Bounds how many engines load new weights at once, and predicts whether a rollout ends in time.
 //!
-//! Load pattern: newer weights are named while callers go on, perhaps again before the last ones are
-//! everywhere. Each engine that is taken out is missed, and comes back with an empty memory. Taking
-//! out more of them when the time for old weights runs short was tried and is worse: the others
-//! can't do their work, and what they refuse is more than what the bound would have cost
-//! (`docs/design/decisions.md`).
+//! Load pattern: newer weights are named while callers go on, perhaps before the previous ones are
+//! on all engines. Each reserved engine is missing from the fleet and comes back with an empty
+//! cache. Reserving more engines when the time for old weights runs short was tried and is worse:
+//! the remaining engines cannot do the work of the others, and refuse more calls than missing the
+//! deadline would have cost (`docs/design/decisions.md`).
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Time from taking an engine out to its first call on new weights, as long as none was seen: it
-/// ends its calls in about half a second and loads in about one.
+/// Initial estimate of the time from reserving an engine to its first call on new weights: it
+/// finishes its calls in about 0.5 s and loads in about 1 s.
 const INITIAL_TURNAROUND_US: DurationUs = DurationUs::from_ms(1_500);
 
-/// Weight of the newest engine in the moving mean: three engines or so decide, since how long a
-/// load takes changes with the weights and with how many load at once.
+/// Weight of the newest engine in the moving average: about three engines determine it, since the
+/// load time depends on the weights and on how many engines load at once.
 const NEWEST_ENGINE_WEIGHT: f64 = 0.3;
 
-/// Bounds of the pace.
+/// Limits of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyOptions {
-    /// Engines that may be out at once however few there are.
+    /// Minimum number of engines that may be reserved at once, however small the fleet is.
     pub parallel_min: usize,
-    /// Share of the engines that may be out at once; more at once slow each other down.
+    /// Share of the engines that may be reserved at once; more at once slow each other down.
     pub parallel_share: f64,
-    /// Time after weights were named within which all engines are to have them.
+    /// Time after new weights were named within which all engines are to have them.
     pub completion_timeout_us: DurationUs,
 }
 
-/// What is still to be done.
+/// Work that a rollout still has to do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Remaining {
-    /// Engines with older weights, those that are out included.
+    /// Number of engines with older weights, including those in progress.
     pub behind: usize,
-    /// All engines.
+    /// Total number of engines.
     pub engines: usize,
-    /// Since when the oldest of their weights are no longer wanted.
+    /// Time at which the oldest of their weights were replaced.
     pub replaced_at_us: TimeUs,
 }
 
-/// When a rollout is expected to end, where that is too late.
+/// Forecast of a rollout that does not end in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Overrun {
-    /// Engines with older weights.
+    /// Number of engines with older weights.
     pub behind: usize,
-    /// Engines that are out at once.
+    /// Number of engines that are reserved at once.
     pub parallel: usize,
-    /// Time that one engine takes.
+    /// Mean time that one engine takes.
     pub turnaround_us: DurationUs,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub left_us: DurationUs,
-    /// Time that is needed.
+    /// Time needed to finish.
     pub needed_us: DurationUs,
 }
 
-/// Learns how long an engine takes, and says how many may be out.
+/// Tracks how long an engine takes, and limits how many are reserved at once.
 #[derive(Clone, Debug)]
 pub struct RolloutConcurrency {
     options: ConcurrencyOptions,
@@ -61,7 +61,7 @@
 }
 
 impl RolloutConcurrency {
-    /// Starts with a guess.
+    /// Starts with `INITIAL_TURNAROUND_US` as the estimate.
     pub fn new(options: ConcurrencyOptions) -> Self {
         Self {
             options,
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Notes how long an engine took from being taken out to having its new weights.
+    /// Records the time that an engine took from being reserved to having its new weights.
     pub fn record_turnaround(&mut self, turnaround_us: DurationUs) {
         self.mean_turnaround_us +=
             (turnaround_us.as_f64() - self.mean_turnaround_us) * NEWEST_ENGINE_WEIGHT;
     }
 
-    /// Returns how many of so many engines may be out at once.
+    /// Returns how many of `engines` may be reserved at once.
     pub fn max_parallel(&self, engines: usize) -> usize {
         let share = (engines as f64 * self.options.parallel_share) as usize;
         self.options.parallel_min.max(1).max(share)
     }
 
-    /// Returns what keeps the rollout from ending in time; nothing where it is expected to.
+    /// Returns why the rollout cannot end in time; `None` if it is expected to.
     pub fn overrun(&self, remaining: Remaining, now: TimeUs) -> Option<Overrun> {
         let parallel = self.max_parallel(remaining.engines);
         let rounds = remaining.behind.div_ceil(parallel);
--- a/crates/wisteriahitch-relay/src/decide/store_retry.rs
+++ b/crates/wisteriahitch-relay/src/decide/store_retry.rs
@@ -1,14 +1,15 @@
-//! When a daemon asks the platform's store again that didn't answer.
+//! When a daemon retries a failed call to the platform's store.
 //!
-//! Load pattern: the store is away for seconds, and every daemon of a large fleet asks it again and again.
-//! Each call is paid for, also a refused one, and when the store is back all of them come at once. In an
-//! outage only the daemons that follow the store for others need to ask often: once one of them is
-//! answered, the rest hear of it. The rest ask too, since the store may turn away just those that follow
-//! it, but so seldom that together they ask at a bounded rate.
+//! Load pattern: the store is unavailable for seconds, and every daemon of a large fleet calls it
+//! again and again. Each call is charged, even a refused one, and when the store is back all
+//! daemons call at once. During an outage only the daemons that follow the store for others need to
+//! retry often: once one of them gets an answer, the others receive its updates. The others retry
+//! too, since the store may reject just the daemons that follow it, but so rarely that their total
+//! rate is bounded.
 
 use wisteriahitch_types::DurationUs;
 
-/// Pauses after a call failed, from the first one on.
+/// Backoff by number of consecutive failures; the last one applies to all further failures.
 const BACKOFFS_US: [DurationUs; 4] = [
     DurationUs::from_ms(100),
     DurationUs::from_ms(200),
@@ -16,17 +17,18 @@
     DurationUs::from_ms(800),
 ];
 
-/// Time between two calls of all daemons together that only hear of the store, for each kind of object:
-/// twenty a second, about as many as a dozen daemons that follow it ask.
+/// Interval between two calls of all daemons together that only receive updates about the store,
+/// for each kind of object: 20 calls per second, about as many as a dozen following daemons make.
 const INDIRECT_CALL_INTERVAL_US: DurationUs = DurationUs::from_ms(50);
 
-/// Longest pause, so that a daemon that nobody tells anything isn't left alone for good.
+/// Maximum backoff, so that a daemon that receives no updates does not stay without the store for
+/// good.
 const MAX_BACKOFF_US: DurationUs = DurationUs::from_ms(10_000);
 
-/// Returns the pause after a call failed for the `failures`-th time in a row, counted from 0.
+/// Returns the backoff after the `failures`-th consecutive failure, counted from 0.
 ///
-/// `hears` says whether the daemon hears of the store from others in ordinary times, and has heard all it
-/// needs to serve; `daemons` counts the fleet.
+/// `receives_updates` says whether the daemon normally receives the store's changes from other
+/// daemons and has everything that it needs to serve; `daemons` is the size of the fleet.
 pub fn store_retry_backoff(failures: usize, receives_updates: bool, daemons: usize) -> DurationUs {
     let direct_backoff_us = BACKOFFS_US[failures.min(BACKOFFS_US.len() - 1)];
     if !receives_updates {
--- a/crates/wisteriahitch-relay/src/decide/stream_events.rs
+++ b/crates/wisteriahitch-relay/src/decide/stream_events.rs
@@ -1,34 +1,35 @@
-//! Cuts a stream into whole events.
+//! Splits a byte stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is put together; engines of the deployments send some hundred bytes.
+/// Maximum size of an event that is assembled; engines of the known deployments send some hundred
+/// bytes.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Whole events, and what they say.
+/// Complete events of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FramedEvents {
-    /// Bytes of whole events, as they came.
+    /// Bytes of the complete events, unchanged.
     pub events: Bytes,
-    /// Id of the last one.
+    /// Id of the last event that had one.
     pub last_id: Option<u64>,
 }
 
-/// Says why a stream can't go on.
+/// Reason why a stream cannot be continued.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum FramingError {
-    /// An event is larger than any that is sent.
-    #[error("an event is too large")]
+    /// An event exceeds the maximum size.
+    #[error("event is larger than 256 KiB")]
     TooLarge,
-    /// An event's id isn't above the one before.
-    #[error("event ids don't increase")]
+    /// The id of an event is not greater than the previous one.
+    #[error("event ids do not increase")]
     OutOfOrder,
 }
 
-/// Puts events together from pieces that end anywhere.
+/// Assembles events from chunks that may end anywhere.
 ///
-/// An endpoint may break off in the middle of an event. Passed on at once, that half would stand
-/// before the rest of the stream from elsewhere, and a caller would read the two as one event.
+/// An endpoint may fail in the middle of an event. If the fragment were passed on, the caller would
+/// read it and the start of the stream that continues from another endpoint as one event.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     partial: BytesMut,
@@ -36,7 +37,7 @@
 }
 
 impl EventFramer {
-    /// Starts a stream that goes on after event `last_id`.
+    /// Creates a framer for a stream that continues after event `last_id`.
     pub fn after(last_id: Option<u64>) -> Self {
         Self {
             partial: BytesMut::new(),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Takes bytes and returns the events that are whole by now, if any are.
+    /// Adds bytes and returns the events that are complete by now, if any.
     pub fn push(&mut self, bytes: Bytes) -> Result<Option<FramedEvents>, FramingError> {
         let whole = if self.partial.is_empty() && ends_event(&bytes) {
             bytes
@@ -68,12 +69,12 @@
         }))
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns whether the stream stands between two events.
+    /// Returns whether no partial event is buffered.
     pub fn is_between_events(&self) -> bool {
         self.partial.is_empty()
     }
@@ -88,7 +89,7 @@
     Some(start + 2)
 }
 
-/// Returns the numeric ids of events.
+/// Returns the numeric ids of events; other ids are skipped.
 fn event_ids(events: &[u8]) -> impl Iterator<Item = u64> {
     events.split(|byte| *byte == b'\n').filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
--- a/crates/wisteriahitch-relay/src/decide/suspect_gossip.rs
+++ b/crates/wisteriahitch-relay/src/decide/suspect_gossip.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of requests under which endpoints crash.
+//! Gossip about requests that endpoints crash under.
 
 use std::collections::HashMap;
 
@@ -9,18 +9,19 @@
 use super::suspects::{Blocked, CrashVerdict, RequestChanges, Suspect, SuspectTable};
 use crate::site::RequestFingerprint;
 
-/// Most crashes in a message; the most suspect requests go first.
+/// Maximum number of crashes in a message; those of the most suspect requests go first.
 const MAX_CRASHES_PER_MESSAGE: usize = 48;
 
-/// Messages of which one names the blocked requests again. A daemon that starts, or was cut off, hears of them within a
-/// second from each hub on the way; in every message 32 of them would cost a fleet of twelve 50 KB a second.
+/// Number of messages of which one repeats the blocked requests. A daemon that starts, or was cut
+/// off, thereby receives them within a second from each hub on the way. In every message, 32
+/// blocked requests would cost a fleet of twelve daemons 50 KB per second.
 const MESSAGES_PER_REMINDER: u64 = 5;
 
-/// Most blocked requests in a message; messages take turns with more.
+/// Maximum number of blocked requests in a message; more are spread over successive reminders.
 const MAX_BLOCKED_PER_MESSAGE: usize = 32;
 
-/// Returns how much a crash matters to the others: as many as its request has seen. Those of a blocked one are told
-/// with the block.
+/// Returns the priority of a crash in gossip: the number of crashes recorded for its request.
+/// Crashes of a blocked request have priority 0, since the block itself is sent.
 pub(super) fn crash_priority(
     suspects: &HashMap<RequestFingerprint, Suspect>,
     update: &CrashUpdate,
@@ -30,7 +31,7 @@
 }
 
 impl SuspectTable {
-    /// Returns what to tell the others in the message with this number.
+    /// Returns the update for the gossip message with this sequence number.
     pub fn request_update(&mut self, number: u64, now: TimeUs) -> RequestUpdate {
         RequestUpdate {
             crashes: self.crash_updates(now),
@@ -68,7 +69,7 @@
         included.map(update).collect()
     }
 
-    /// Takes over what another daemon tells.
+    /// Applies the update of another daemon and returns what it changes.
     pub fn apply_peer_update(&mut self, update: &RequestUpdate, now: TimeUs) -> RequestChanges {
         let mut changes = RequestChanges::default();
         for request in &update.cleared {
@@ -96,7 +97,7 @@
         changes
     }
 
-    /// Takes over that a request was answered, and returns whether that ends a block.
+    /// Records that a request was answered. Returns whether that ends a block.
     fn apply_cleared(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         let is_known = self.suspects.contains_key(&request) || self.is_blocked(request);
         is_known && self.record_answer(request, now)
--- a/crates/wisteriahitch-relay/src/decide/suspects.rs
+++ b/crates/wisteriahitch-relay/src/decide/suspects.rs
@@ -1,14 +1,17 @@
-//! Requests under which endpoints crash.
+//! Detects requests that crash endpoints, and blocks them.
 //!
-//! Load pattern: a request that ends each endpoint which begins to run it is sent again and again, by its caller, at
-//! any daemon. With each endpoint go all that run there, some fifteen others, and its kept parts; a fleet of nine
-//! engines lost 31 of them in 35 s. Nothing in one crash says which of the requests on board did it, so all are
-//! suspects, and what is known of them is added up over all daemons:
+//! Load pattern: a request that crashes each endpoint which begins to run it is sent again and
+//! again by its caller, to any daemon. With each endpoint all requests that run there, about
+//! fifteen others, and its cached parts are lost; a fleet of nine engines lost 31 of them in 35 s.
+//! A single crash does not show which of the running requests caused it, so all are suspects, and
+//! the evidence is added up over all daemons:
 //!
-//! - A whole answer of any endpoint clears a request: one that ends whoever runs it never has one.
-//! - A request under which [`CRASHES_TO_BLOCK`] endpoints have crashed is blocked: no daemon sends it to an
-//!   endpoint any more.
-//! - What one request is blocked for is held against no other that was on board with it.
+//! - A complete answer of any endpoint clears a request: one that crashes every endpoint never gets
+//!   one.
+//! - A request under which [`CRASHES_TO_BLOCK`] endpoints have crashed is blocked: no daemon sends
+//!   it to an endpoint any more.
+//! - Crashes that are explained by a blocked request no longer count against other requests that
+//!   were running at the same time.
 //!
 //! `docs/design/crashing-requests.md` gives the reasons of each limit.
 
@@ -23,48 +26,51 @@
 use super::suspect_gossip::crash_priority;
 use crate::site::RequestFingerprint;
 
-/// Crashes after which a request is blocked. The users allow three, and fewer would blame more innocents: one that
-/// is sent again after each of two crashes nobody caused has seen two.
+/// Number of crashes after which a request is blocked. The users allow three, and fewer would block
+/// more innocent requests: one that is retried after each of two unrelated crashes has seen two.
 pub const CRASHES_TO_BLOCK: usize = 3;
 
-/// Crashes from which a request gets an endpoint with as little to lose as there is. All that were on board of one
-/// crash have seen one; hardly an innocent sees two without an answer in between.
+/// Number of crashes from which on a request is sent to the endpoint with the fewest running
+/// requests. All requests that ran during one crash have seen one; an innocent one hardly ever sees
+/// two without an answer in between.
 const CRASHES_TO_ISOLATE: usize = 2;
 
-/// Time for which an answer speaks for a request. A popular look-up is under way at all endpoints at once, and a
-/// loss of power of a third of them would be held against it thrice.
+/// Time for which an answer clears a request. A popular request runs at all endpoints at once, and
+/// a power loss of a third of them would otherwise count as three crashes against it.
 const CLEARED_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Time after which what is held against a request is forgotten, and after which one that is blocked and no longer
-/// comes is sent again. A caller that repeats for longer than an hour has paused by then; should the request end an
-/// endpoint again, three are lost in an hour.
+/// Time after which the crashes of a request expire, and after which a blocked request that no
+/// longer arrives is unblocked. A caller that repeats for longer than an hour has paused by then;
+/// if the request crashes endpoints again, three are lost per hour.
 const RECORD_TTL_US: DurationUs = DurationUs::from_ms(3_600_000);
 
-/// Time for which a lifted block isn't taken over again from daemons that haven't heard of it.
+/// Time for which a lifted block is not applied again from daemons that have not yet received the
+/// lift.
 const LIFTED_TTL_US: DurationUs = DurationUs::from_ms(10_000);
 
-/// Suspects that are remembered: all that were on board of thirty in a hundred of 1,200 engines with ten requests
-/// each. Of more, those with the fewest crashes are forgotten, the oldest first.
+/// Maximum number of suspects: all requests that run on 30% of 1,200 engines with ten requests
+/// each. Beyond that, those with the fewest crashes are evicted, the oldest first.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Requests that are blocked. Of more, the one that hasn't come for longest is sent again.
+/// Maximum number of blocked requests. Beyond that, the one that has not arrived for longest is
+/// unblocked.
 const MAX_BLOCKED: usize = 256;
 
-/// Requests that are remembered as answered: half a minute of a busy daemon.
+/// Maximum number of recorded answers: half a minute of a busy daemon.
 const MAX_ANSWERED: NonZeroUsize = match NonZeroUsize::new(4_096) {
-    Some(most) => most,
+    Some(max) => max,
     None => NonZeroUsize::MIN,
 };
 
-/// Crashes that are remembered as explained.
+/// Maximum number of crashes recorded as explained by a blocked request.
 const MAX_EXPLAINED_CRASHES: usize = 1_024;
 
-/// What is held against one request.
+/// Crashes that count against one request.
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
-    /// Short names of the lives that ended while it was under way there.
+    /// Short names of the endpoint instances that crashed while the request was running there.
     pub(super) crashes: BTreeSet<u32>,
-    /// Whether a call of this daemon was one of them.
+    /// Whether this daemon observed one of the crashes itself.
     is_direct: bool,
     last_crash_us: TimeUs,
 }
@@ -76,25 +82,26 @@
     pub(super) last_seen_us: TimeUs,
 }
 
-/// What follows from a crash.
+/// Result of recording a crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashVerdict {
-    /// Nothing is to be done. It may be held against the request, or was known, or has another cause.
+    /// Nothing is to be done: the crash may count against the request, was already known, or is
+    /// explained by another request.
     NoAction,
-    /// The request is blocked from now on. Whether a call of this daemon is part of the proof says who writes it
-    /// down.
+    /// The request is blocked from now on.
     Blocked {
-        /// Whether this daemon saw one of the crashes itself.
+        /// Whether this daemon observed one of the crashes itself, which decides who stores the
+        /// block.
         is_direct: bool,
     },
 }
 
-/// What a message of another daemon changed.
+/// Blocks and unblocks that an update of another daemon caused.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RequestChanges {
-    /// Requests that are blocked now, and whether this daemon saw one of the crashes itself.
+    /// Requests that are blocked now, and whether this daemon observed one of the crashes itself.
     pub blocked: Vec<(RequestFingerprint, bool)>,
-    /// Requests that aren't any more.
+    /// Requests that are no longer blocked.
     pub unblocked: Vec<RequestFingerprint>,
 }
 
@@ -105,7 +112,7 @@
     pub(super) blocked: HashMap<RequestFingerprint, Blocked>,
     answered: LruCache<RequestFingerprint, TimeUs>,
     pub(super) lifted: HashMap<RequestFingerprint, TimeUs>,
-    /// Crashes that a blocked request was on board of, the oldest first.
+    /// Crashes that are explained by a blocked request, oldest first.
     explained: VecDeque<u32>,
     pub(super) recent_crashes: RecentUpdates<CrashUpdate>,
     pub(super) recent_cleared: RecentUpdates<RequestFingerprint>,
@@ -128,7 +135,8 @@
 }
 
 impl SuspectTable {
-    /// Notes that a life of an endpoint crashed with a request on board, as this daemon saw (`is_own`) or was told.
+    /// Records that an endpoint instance crashed while a request was running there. `is_direct`
+    /// says whether this daemon observed the crash itself or another daemon reported it.
     pub fn record_request_crash(
         &mut self,
         request: RequestFingerprint,
@@ -137,7 +145,7 @@
         now: TimeUs,
     ) -> CrashVerdict {
         if self.is_cleared(request, now) {
-            // Whoever suspects it hasn't heard of the answer.
+            // A daemon that still suspects the request has not received the answer.
             self.recent_cleared.add(request, now);
             return CrashVerdict::NoAction;
         }
@@ -171,8 +179,8 @@
         CrashVerdict::Blocked { is_direct }
     }
 
-    /// Notes a whole answer, which clears a request of what is held against it, and returns whether that ends a
-    /// block.
+    /// Records a complete answer, which clears a request of all its crashes. Returns whether that
+    /// ends a block.
     pub fn record_answer(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         self.answered.put(request, now);
         let was_suspect = self.suspects.remove(&request).is_some();
@@ -183,7 +191,7 @@
         was_blocked
     }
 
-    /// Returns how many endpoints crashed under a request elsewhere than at this life.
+    /// Returns how many endpoint instances other than this one crashed under a request.
     pub fn crashes_elsewhere(&self, request: RequestFingerprint, instance: u32) -> usize {
         let suspect = self.suspects.get(&request);
         suspect.map_or(0, |suspect| {
@@ -195,7 +203,7 @@
         })
     }
 
-    /// Returns whether a request goes where little is lost with it.
+    /// Returns whether a request is to be sent to the endpoint with the fewest running requests.
     pub fn needs_isolation(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| suspect.crashes.len() >= CRASHES_TO_ISOLATE)
@@ -206,7 +214,7 @@
         self.blocked.contains_key(&request)
     }
 
-    /// Notes that a request has come, and returns whether it is blocked.
+    /// Records that a request has arrived. Returns whether it is blocked.
     pub fn record_arrival(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         let blocked = self.blocked.get_mut(&request);
         blocked.is_some_and(|blocked| {
@@ -215,7 +223,7 @@
         })
     }
 
-    /// Takes over a block that was written down, and returns whether that is new.
+    /// Restores a block from persistent storage. Returns whether it is new.
     pub fn restore_block(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         if self.is_blocked(request) || self.is_cleared(request, now) {
             return false;
@@ -224,9 +232,9 @@
         true
     }
 
-    /// Ends a block by an operator's order, and returns whether there was one.
+    /// Ends a block by an operator's order. Returns whether there was one.
     ///
-    /// What was held against the request so far no longer counts.
+    /// Crashes recorded for the request so far no longer count.
     pub fn lift_block(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         self.suspects.remove(&request);
         self.lifted.insert(request, now + LIFTED_TTL_US);
@@ -234,7 +242,7 @@
         self.blocked.remove(&request).is_some()
     }
 
-    /// Ends what is too old, and returns the requests that are no longer blocked.
+    /// Removes expired records, and returns the requests that are no longer blocked.
     pub fn tick(&mut self, now: TimeUs) -> Vec<RequestFingerprint> {
         self.lifted.retain(|_, until| *until > now);
         let is_expired = |blocked: &Blocked| now.since(blocked.last_seen_us) > RECORD_TTL_US;
@@ -246,7 +254,7 @@
         expired
     }
 
-    /// Blocks a request, and holds what it is blocked for against no other.
+    /// Blocks a request, and removes the crashes that this explains from all other suspects.
     pub(super) fn block(&mut self, request: RequestFingerprint, seen_at_us: TimeUs, now: TimeUs) {
         let crashes = self.suspects.remove(&request).unwrap_or_default().crashes;
         for suspect in self.suspects.values_mut() {
@@ -277,7 +285,7 @@
         answered_at.is_some_and(|at| now.since(*at) <= CLEARED_TTL_US)
     }
 
-    /// Forgets a quarter of the suspects where there are too many.
+    /// Evicts a quarter of the suspects if there are too many.
     fn evict_suspects(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
@@ -293,7 +301,7 @@
         }
     }
 
-    /// Returns the blocked requests, and for how long each hasn't come.
+    /// Returns the blocked requests, and the time since each last arrived.
     pub fn blocked(&self, now: TimeUs) -> Vec<(RequestFingerprint, DurationUs)> {
         let absent = |blocked: &Blocked| now.since(blocked.last_seen_us);
         let mut blocked: Vec<_> = self
@@ -305,12 +313,12 @@
         blocked
     }
 
-    /// Returns how many requests are blocked.
+    /// Returns the number of blocked requests.
     pub fn blocked_count(&self) -> usize {
         self.blocked.len()
     }
 
-    /// Returns how many requests something is held against.
+    /// Returns the number of suspects.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
--- a/crates/wisteriahitch-relay/src/decide/wanted_weights.rs
+++ b/crates/wisteriahitch-relay/src/decide/wanted_weights.rs
@@ -4,11 +4,11 @@
 
 use super::part_stores::FETCH_TIMEOUT_US;
 
-/// Versions that are remembered. A version counts from its own naming, also where the next one is
-/// named before it is in place.
+/// Maximum number of recorded versions. Each version counts from the time at which it was named,
+/// even if the next one is named before it is on all engines.
 const MAX_VERSIONS: usize = 8;
 
-/// The versions of one model's weights that were named, the newest last.
+/// The versions of one model's weights that were named, newest last.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WantedVersions {
     versions: Vec<(WeightNumber, TimeUs)>,
@@ -18,14 +18,14 @@
 /// How long weights are used after newer ones were named.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OldWeightsLimits {
-    /// Time within which calls are sent to engines that have them.
+    /// Time within which calls may be sent to engines that have them.
     pub dispatch_timeout_us: DurationUs,
-    /// Time within which a call must have begun there.
+    /// Time within which a call must have started there.
     pub start_timeout_us: DurationUs,
 }
 
 impl WantedVersions {
-    /// Starts without any.
+    /// Creates a record without versions.
     pub fn new(limits: OldWeightsLimits) -> Self {
         Self {
             versions: Vec::new(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Notes a version, and returns whether it is newer than all others.
+    /// Records a named version. Returns whether it is newer than all others.
     pub fn record_version(&mut self, version: WeightNumber, at: TimeUs) -> bool {
         if self.newest().is_some_and(|newest| version <= newest) {
             return false;
@@ -45,15 +45,15 @@
         true
     }
 
-    /// Returns the version that is wanted.
+    /// Returns the wanted version.
     pub fn newest(&self) -> Option<WeightNumber> {
         self.versions.last().map(|(version, _)| *version)
     }
 
-    /// Returns since when `version` is no longer the wanted one; nothing while it is.
+    /// Returns since when `version` is no longer the wanted one; `None` while it is.
     ///
-    /// That is the naming of the first newer version, not of the newest: counted from the newest,
-    /// a quick series of versions would keep the oldest one in use for ever.
+    /// That is the time at which the first newer version was named, not the newest: counted from
+    /// the newest, a quick series of versions would keep the oldest one in use for ever.
     pub fn replaced_at(&self, version: WeightNumber) -> Option<TimeUs> {
         let newer = self
             .versions
@@ -68,8 +68,8 @@
         age_us.is_none_or(|age_us| age_us < self.limits.dispatch_timeout_us)
     }
 
-    /// Returns when a call at an engine with `version` must have begun; nothing while that version is
-    /// wanted.
+    /// Returns when a call at an engine with `version` must have started; `None` while that version
+    /// is wanted.
     pub fn start_deadline(&self, version: WeightNumber) -> Option<TimeUs> {
         self.replaced_at(version)
             .map(|at| at + self.limits.start_timeout_us)
