--- a/crates/wisteriahitch-relay/tests/all/crash_evidence.rs
+++ b/crates/wisteriahitch-relay/tests/all/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! What broken connections say of an endpoint, and what names a request.
+//! Crash evidence from broken connections, and request fingerprints.
 
 use std::io::ErrorKind;
 
@@ -11,21 +11,21 @@
     RequestFingerprint::of(None, "/x/", body.as_bytes())
 }
 
-/// It is looked at once.
+/// The process is to be probed at once.
 const PROBE_NOW: BrokenCallVerdict = BrokenCallVerdict::Probe(ms(0));
 
-/// It is looked at when that may be again, one millisecond after the last time.
+/// The process is to be probed when the minimum interval allows it, 1 ms after the last probe.
 const PROBE_LATER: BrokenCallVerdict = BrokenCallVerdict::Probe(ms(499));
 
-/// What happens at one life of an endpoint, and what follows.
+/// An event at one endpoint instance, and its expected result.
 enum Step {
     Break(&'static str, BrokenCallVerdict),
-    /// Proof of its end, and the calls that were on board if it is new.
+    /// Evidence of a crash, and the calls blamed for it if the crash is new.
     Evidence(Option<&'static [&'static str]>),
 }
 
-/// Symptom: a request is blamed for a reset, or a crash is counted twice. Cause: a break alone is no crash, and each
-/// daemon learns of one crash in several ways.
+/// A request must not be blamed for a connection reset, and a crash must not be counted twice. A
+/// break alone is no crash, and each daemon learns of one crash in several ways.
 #[test]
 fn a_crash_is_blamed_only_on_calls_that_broke_just_before_the_evidence() {
     use BrokenCallVerdict::{Crashed, Unknown};
@@ -35,7 +35,7 @@
     }
     let cases = [
         Case {
-            what: "two calls break, one look proves the crash",
+            what: "two calls break and one probe finds the crash",
             steps: vec![
                 (0, Step::Break("a", PROBE_NOW)),
                 (1, Step::Break("b", PROBE_LATER)),
@@ -43,7 +43,7 @@
             ],
         },
         Case {
-            what: "a call whose break is noticed after the proof",
+            what: "a call whose break is noticed after the crash",
             steps: vec![
                 (0, Step::Break("a", PROBE_NOW)),
                 (2, Step::Evidence(Some(&["a"]))),
@@ -51,7 +51,7 @@
             ],
         },
         Case {
-            what: "the same crash is proven again",
+            what: "a second piece of evidence for the same crash",
             steps: vec![
                 (0, Step::Break("a", PROBE_NOW)),
                 (2, Step::Evidence(Some(&["a"]))),
@@ -59,7 +59,7 @@
             ],
         },
         Case {
-            what: "resets that nothing proves to be a crash, looked at twice a second at most",
+            what: "resets without evidence of a crash, probed at most twice a second",
             steps: vec![
                 (0, Step::Break("a", PROBE_NOW)),
                 (400, Step::Break("b", BrokenCallVerdict::Probe(ms(100)))),
@@ -108,8 +108,9 @@
     }
 }
 
-/// Symptom: calls are held to be on board of a planned end. Sequence: they break at a process that lives; it says that it
-/// leaves, ends and starts again, which proves the end. Cause: what a look had cleared up was kept until then.
+/// Calls must not be blamed for a planned shutdown. They break while the process is running, which
+/// a probe shows; later the process announces that it is leaving, ends and starts again, which is
+/// evidence of its end. The fault was that breaks were kept after the probe had explained them.
 #[test]
 fn calls_that_broke_before_a_successful_probe_are_not_blamed() {
     let mut evidence = CrashEvidence::default();
@@ -130,7 +131,7 @@
     assert_eq!(
         evidence.record_crash(0, at_ms(2_000)),
         Some(vec![]),
-        "forgotten"
+        "evicted"
     );
     let newest = evidence.record_crash(1_999, at_ms(2_000));
     assert_eq!(newest, Some(vec![request("a")]));
@@ -155,8 +156,8 @@
     assert_eq!(is.to_string().parse(), Ok(is));
 }
 
-/// Guards against a process that is just ending and is given up as one of which nobody can tell: its listener closes
-/// between the system's acceptance of a connection and the caller's look at it.
+/// A process that is just ending must not be classified as unknown: its listener closes after the
+/// system has accepted a connection and before the caller uses it.
 #[test]
 fn a_reset_connection_means_that_the_listener_is_closing() {
     struct Case {
--- a/crates/wisteriahitch-relay/tests/all/engine_memory.rs
+++ b/crates/wisteriahitch-relay/tests/all/engine_memory.rs
@@ -1,4 +1,4 @@
-//! What engines keep: as they tell it, and as daemons that start hear of it.
+//! Cache contents of engines: from their own events, from peers, and from snapshots at start.
 
 use wisteriahitch_relay::{
     EndpointTable, KeptPart, Load, PartEvent, PartKey, PartKeyHasher, PartUpdate,
@@ -31,20 +31,20 @@
     table
 }
 
-/// Returns whether the engine is believed to keep a part, as a placement asks.
+/// Returns whether a placement considers the part cached at the engine.
 fn is_cached(table: &EndpointTable, part: u64, now: TimeUs) -> bool {
     let row = table.get(&id("a")).unwrap();
     let since = row.parts_kept_since(MEMORY_TOKENS, DurationUs::from_ms(1_000), now);
     row.parts.used_since(key(part), since)
 }
 
-/// Symptom: under load, shared parts of prompts are read again by the million tokens although some engine
-/// keeps them, and calls are sent to engines for parts that these have dropped. Cause: what an engine
-/// keeps was guessed from the load that it has.
+/// Under load, millions of tokens of shared parts were read again although some engine had them
+/// cached, and calls were sent to engines for parts that these had evicted. The fault was that the
+/// cache contents were estimated from an engine's load instead of taken from its events.
 #[test]
 fn cache_events_of_an_engine_replace_the_estimate() {
     let mut table = table();
-    // So much work that by the guess nothing stays for more than a moment.
+    // So much load that by the estimate nothing is retained for more than a moment.
     table.get_mut(&id("a")).unwrap().own = Load {
         running: 30,
         unread_tokens: 0,
@@ -55,14 +55,14 @@
         .unwrap()
         .parts
         .record_use(key(1), 800, at_ms(0));
-    assert!(!is_cached(&table, 1, at_ms(3_000)), "the guess");
+    assert!(!is_cached(&table, 1, at_ms(3_000)), "by the estimate");
     let until = at_ms(4_000);
     let updates = table.part_events(&id("a"), &[event(true, 1, 800)], until, at_ms(2_900));
-    assert!(updates.is_empty(), "what is known is no news");
+    assert!(updates.is_empty(), "a known part is not gossiped again");
     assert!(is_cached(&table, 1, at_ms(3_000)));
     assert!(
         !is_cached(&table, 1, at_ms(4_000)),
-        "the guess again, once nothing is heard"
+        "by the estimate again, once no events arrive"
     );
 
     let events = [event(false, 1, 0), event(true, 2, 300), event(false, 3, 0)];
@@ -88,28 +88,29 @@
     assert!(!is_cached(&table, 1, at_ms(8_001)));
 }
 
-/// Symptom: after daemons have restarted in turn, millions of tokens are read again that engines keep.
-/// Cause: each daemon that starts learns anew, by calls, which engine keeps what.
+/// After a rolling restart of the daemons, millions of tokens were read again that engines had
+/// cached. The fault was that each starting daemon learned the cache contents anew from its own
+/// calls.
 #[test]
 fn a_starting_daemon_merges_the_cache_snapshot_of_a_peer() {
-    let mut old = table();
-    let endpoint = old.get(&id("a")).unwrap().short_name;
-    old.has_part(endpoint, key(1), 800, at_ms(0));
-    old.has_part(endpoint, key(2), 900, at_ms(1_000));
-    let memory = old.engine_memory(at_ms(1_500));
-    let mut young = table();
-    // What it has learnt itself is newer.
-    young.has_part(endpoint, key(2), 900, at_ms(50_000));
-    young.take_over(&memory, at_ms(50_000));
-    assert!(is_cached(&young, 1, at_ms(50_000)) && is_cached(&young, 2, at_ms(50_000)));
-    let row = young.get(&id("a")).unwrap();
+    let mut peer = table();
+    let endpoint = peer.get(&id("a")).unwrap().short_name;
+    peer.has_part(endpoint, key(1), 800, at_ms(0));
+    peer.has_part(endpoint, key(2), 900, at_ms(1_000));
+    let memory = peer.engine_memory(at_ms(1_500));
+    let mut starting = table();
+    // What it has recorded itself is newer.
+    starting.has_part(endpoint, key(2), 900, at_ms(50_000));
+    starting.take_over(&memory, at_ms(50_000));
+    assert!(is_cached(&starting, 1, at_ms(50_000)) && is_cached(&starting, 2, at_ms(50_000)));
+    let row = starting.get(&id("a")).unwrap();
     assert!(
         row.parts.used_since(key(1), at_ms(48_500)),
-        "used as long ago as it was"
+        "the time of last use is taken from the snapshot"
     );
     assert!(!row.parts.used_since(key(1), at_ms(48_501)));
     assert!(row.parts.used_since(key(2), at_ms(50_000)));
-    // Another life of the engine has another short name.
+    // Another instance of the engine has another short name.
     let mut other = EndpointTable::default();
     other.registered(engine("b"), TimeUs::ZERO);
     other.take_over(&memory, at_ms(50_000));
--- a/crates/wisteriahitch-relay/tests/all/gossip_message.rs
+++ b/crates/wisteriahitch-relay/tests/all/gossip_message.rs
@@ -1,4 +1,4 @@
-//! Messages that are too large.
+//! Truncation and decoding of gossip messages.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -54,41 +54,41 @@
     }
 }
 
-/// Symptom: in a large fleet most daemons don't know what stores keep, and prompts are read again.
-/// Sequence: a message with the load of many endpoints is too large; what stores have got, which is
-/// told only once, is left out of it. Cause: all of that went before any of the load.
+/// In a large fleet most daemons did not know what stores have, and prompts were read again. A
+/// message with the load of many endpoints was too large, and newly stored parts, which are sent
+/// only once, were left out. The fault was that all of them were dropped before any of the load.
 #[test]
 fn stored_parts_are_truncated_late_and_by_halves() {
     struct Case {
         what: &'static str,
         message: GossipMessage,
         max_bytes: usize,
-        /// Parts, parts at stores, endpoints.
+        /// Remaining parts at engines, parts at stores, and endpoints.
         left: [usize; 3],
     }
     let cases = [
         Case {
-            what: "all has room",
+            what: "everything fits",
             message: gossip_message(10, 10, 10),
             max_bytes: 4_000,
             left: [10, 10, 10],
         },
         Case {
-            what: "parts at engines go first",
+            what: "parts at engines are dropped first",
             message: gossip_message(100, 40, 10),
             max_bytes: 1_200,
             left: [25, 40, 10],
         },
         Case {
-            what: "parts at stores by halves",
+            what: "parts at stores are halved",
             message: gossip_message(10, 80, 100),
             max_bytes: 1_700,
             left: [0, 40, 100],
         },
         Case {
-            what: "the load last",
+            what: "load is dropped last",
             message: gossip_message(10, 80, 100),
-            // 72 endpoints and the lengths of the empty lists.
+            // Room for 72 endpoints and the lengths of the empty lists.
             max_bytes: 606,
             left: [0, 0, 72],
         },
@@ -106,11 +106,11 @@
     }
 }
 
-/// Cases in a usual run; `WISTERIAHITCH_DECODE_CASES` asks for others.
+/// Default number of cases; `WISTERIAHITCH_DECODE_CASES` sets another one.
 const CASES: u32 = 300;
 
-/// Symptom: a daemon ends for a message that isn't one. Any bytes, and a good message with some bytes
-/// changed, are read as a message or refused.
+/// A malformed message must not crash a daemon: arbitrary bytes, and a valid message with some
+/// bytes changed, are either decoded or rejected.
 #[test]
 fn any_bytes_decode_or_are_rejected() {
     let cases = std::env::var("WISTERIAHITCH_DECODE_CASES");
@@ -132,7 +132,7 @@
         }
         for message in [bytes, changed] {
             if let Ok(decoded) = postcard::from_bytes::<GossipMessage>(&message) {
-                // Nothing in it is longer than the message.
+                // No decoded list or text is longer than the message.
                 prop_assert!(decoded.endpoints.len() <= message.len());
                 prop_assert!(decoded.parts.len() <= message.len());
                 prop_assert!(decoded.zone.len() <= message.len());
--- a/crates/wisteriahitch-relay/tests/all/gossip_schedule.rs
+++ b/crates/wisteriahitch-relay/tests/all/gossip_schedule.rs
@@ -1,4 +1,4 @@
-//! When daemons tell each other of what they have sent.
+//! When daemons gossip the calls that they have dispatched.
 
 use wisteriahitch_relay::GossipSchedule;
 use wisteriahitch_types::{DurationUs, TimeUs};
@@ -7,9 +7,9 @@
 
 const INTERVAL_US: DurationUs = DurationUs::from_ms(100);
 
-/// Symptom: short calls come late at engines that seemed idle. Sequence: one daemon sends a long
-/// prompt to an idle engine; the others send short calls there before its next message. Cause:
-/// messages left at a fixed interval, whatever had been sent.
+/// Short calls were late at engines that seemed idle: one daemon sent a long prompt to an idle
+/// engine, and the others sent short calls there before its next message. The fault was a fixed
+/// message interval, whatever had been dispatched.
 #[test]
 fn large_prompts_are_gossiped_without_waiting_for_the_interval() {
     struct Case {
@@ -34,7 +34,7 @@
             expected_due: at_ms(510),
         },
         Case {
-            what: "short calls that are as much together",
+            what: "short calls that add up to as much",
             sent_tokens: &[400, 400, 400],
             expected_due: at_ms(510),
         },
@@ -59,8 +59,8 @@
     }
 }
 
-/// Symptom: a daemon of a busy fleet spends its processor on messages. Sequence: a burst of long
-/// prompts, each of which can't wait. Cause: nothing bounded how soon one message follows another.
+/// A burst of long prompts, each of which is urgent, must not make a daemon spend its CPU on
+/// messages. The fault was that nothing bounded the interval between urgent messages.
 #[test]
 fn a_burst_of_long_prompts_sends_a_bounded_number_of_messages() {
     let mut schedule = GossipSchedule::default();
--- a/crates/wisteriahitch-relay/tests/all/link_throughputs.rs
+++ b/crates/wisteriahitch-relay/tests/all/link_throughputs.rs
@@ -1,4 +1,4 @@
-//! How much slower a link is than others.
+//! Measured slowdown of links.
 
 use wisteriahitch_relay::LinkThroughputs;
 use wisteriahitch_types::{DurationUs, TimeUs};
@@ -8,7 +8,8 @@
 const SLOW: u16 = 1;
 const READER: u16 = 9;
 
-/// Notes fetches from each of four sources, of which the first takes `factor` times as long.
+/// Records fetches from four sources that take `all` times the nominal time, and from the slow
+/// source another `factor` times as long.
 fn record_fetches(links: &mut LinkThroughputs, factor: u64, all: u64, now: TimeUs) {
     for round in 0..40 {
         for source in 1..=4 {
@@ -34,21 +35,21 @@
     }
     let cases = [
         Case {
-            what: "all are well",
+            what: "no link is slow",
             factor: 1,
             all: 1,
             slow: 1.0..1.1,
             other: 1.0..1.1,
         },
         Case {
-            what: "one is slow",
+            what: "one link is slow",
             factor: 8,
             all: 1,
             slow: 2.5..8.1,
             other: 1.0..1.5,
         },
         Case {
-            what: "everything is late, as under overload: reading instead would make it worse",
+            what: "all links are slow, as under overload, when reading instead would make it worse",
             factor: 1,
             all: 6,
             slow: 1.0..1.2,
--- a/crates/wisteriahitch-relay/tests/all/part_sources.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_sources.rs
@@ -1,4 +1,4 @@
-//! From where an engine fetches parts that it doesn't keep.
+//! Sources from which an engine fetches parts that it has not cached.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
 }
 
 impl Site {
-    /// Engine `a` gets the call; the others are full.
+    /// Engine `a` gets the call; the other engines are full.
     fn new(others: &[&str]) -> Self {
         let mut table = EndpointTable::default();
         table.registered(engine("a"), NOW);
@@ -79,7 +79,7 @@
         self.stores.apply_listing(address(STORE_PORT), listing, NOW);
     }
 
-    /// Returns where engine `a` fetches the shared part, and the part of the call's own.
+    /// Returns the sources from which engine `a` fetches the shared part and the call's own part.
     fn sources(&self) -> Vec<Option<SocketAddr>> {
         self.sources_by(1)
     }
@@ -112,7 +112,7 @@
         let sources = site.sources();
         assert_eq!(sources.len(), 2, "{}", case.what);
         assert_eq!(sources[0], case.expected, "{}", case.what);
-        assert_eq!(sources[1], None, "{}: no other call has it", case.what);
+        assert_eq!(sources[1], None, "{}: no other call shares it", case.what);
     }
 }
 
@@ -120,19 +120,20 @@
     prompt(9_000, 1_000)
 }
 
-/// Symptom: prompts are read again by one engine after the other while new weights are brought in,
-/// since stores are full of parts of the old ones. Sequence: an engine reads a part that no store has
-/// room for; the next call with it goes to another engine. Cause: engines fetched from stores alone.
+/// While new weights were rolled out, prompts were read again by one engine after the other, since
+/// the stores were full of parts of the old weights. An engine read a part that no store had
+/// capacity for, and the next call with it went to another engine. The fault was that engines
+/// fetched from stores only.
 #[test]
 fn an_engine_fetches_from_another_engine_that_caches_a_part() {
     let cases = [
         Case {
-            what: "nobody keeps it",
+            what: "no engine has it cached",
             change: |_| {},
             expected: None,
         },
         Case {
-            what: "another engine does",
+            what: "another engine has it cached",
             change: |site| site.cache_parts("b", "w1"),
             expected: Some(engine_address("b")),
         },
@@ -166,7 +167,7 @@
             expected: None,
         },
         Case {
-            what: "an engine that gets new weights",
+            what: "an engine that is reserved to get new weights",
             change: |site| {
                 site.cache_parts("b", "w1");
                 let hash = site.table.get(&id("b")).unwrap().short_name;
@@ -182,7 +183,7 @@
 fn stores_are_preferred_to_engine_caches() {
     let cases = [
         Case {
-            what: "a store's word goes before a belief",
+            what: "a store is preferred to an engine cache",
             change: |site| {
                 site.cache_parts("b", "w1");
                 site.store_part("w1");
@@ -190,7 +191,7 @@
             expected: Some(address(STORE_PORT)),
         },
         Case {
-            what: "the store also gives parts of weights that are being replaced",
+            what: "the store also serves parts of weights that are being replaced",
             change: |site| {
                 site.wanted.record_version(WeightNumber::new(2), NOW);
                 site.store_part("w1");
@@ -198,7 +199,7 @@
             expected: Some(address(STORE_PORT)),
         },
         Case {
-            what: "the source is named also where the engine is believed to keep the part",
+            what: "a source is also given if the engine probably has the part cached",
             change: |site| {
                 site.cache_parts("a", "w1");
                 site.store_part("w1");
@@ -209,8 +210,8 @@
     check(&cases);
 }
 
-/// Symptom: calls wait for one store although engines and other stores are idle. Cause: a part at the
-/// start of most prompts was fetched by all engines from the one store that keeps it.
+/// Calls waited for one store although engines and other stores were idle. The fault was that all
+/// engines fetched a part at the start of most prompts from the one store that had it.
 #[test]
 fn widely_cached_parts_are_fetched_from_engines() {
     let mut site = Site::new(&["b", "c", "d", "e"]);
@@ -224,9 +225,9 @@
     assert!(["b", "c", "d", "e"].map(engine_address).contains(&source));
 }
 
-/// Symptom: first events are late although all parts were found. Sequence: the link of a store turns
-/// slow; all calls with parts there go on fetching them. Cause: fetches were taken to be as quick as
-/// the link's rate, whatever they took.
+/// First events were late although all parts were found: the link of a store became slow, and all
+/// calls with parts there went on fetching them. The fault was that the nominal rate of the link
+/// was used whatever the fetches took.
 #[test]
 fn nothing_is_fetched_over_a_slow_link() {
     let mut site = Site::new(&[]);
@@ -244,8 +245,8 @@
     assert_eq!(site.sources()[0], None);
 }
 
-/// Symptom: all daemons fetch a part from the same engine, whose link then holds everybody up.
-/// Cause: the source was the first in an order that all share.
+/// All daemons fetched a part from the same engine, whose link then delayed everyone. The fault was
+/// that the source was the first in an order that all daemons share.
 #[test]
 fn fetches_of_a_part_are_spread_over_engines() {
     let mut site = Site::new(&["b", "c"]);
--- a/crates/wisteriahitch-relay/tests/all/part_stores.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_stores.rs
@@ -1,4 +1,4 @@
-//! What is saved at stores, fetched from them and freed there.
+//! Saving parts at stores, fetching them from there and freeing them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -66,9 +66,9 @@
         .is_some()
 }
 
-/// Symptom: an engine takes memory that isn't whole. Sequence: a part is being saved, or the store
-/// came back empty and somebody writes the part again, while a request fetches it. Cause: a part
-/// counted as there because it had been asked for, or had been there before.
+/// An engine must not fetch incomplete memory: a part is still being saved, or the store came back
+/// empty and the part is being written again, while a request fetches it. The fault was that a part
+/// counted as stored because its save had been requested or because it had been there before.
 #[test]
 fn parts_are_fetched_only_on_fresh_store_reports() {
     struct Case {
@@ -111,7 +111,7 @@
             expected: false,
         },
         Case {
-            what: "another life of the store",
+            what: "another epoch of the store",
             change: |stores| {
                 assert!(!stores.apply_changes(address(1), changes(6, vec![]), at_ms(10)));
             },
@@ -131,7 +131,7 @@
             expected: false,
         },
         Case {
-            what: "the store is silent",
+            what: "the store does not answer",
             change: |stores| stores.record_unreachable(address(1)),
             now_ms: 100,
             expected: false,
@@ -159,7 +159,7 @@
     assert_eq!(
         stores.choose_save_target(key(1), 1_000, &AllowedZones::default(), at_ms(20)),
         None,
-        "it is on its way"
+        "the save is pending"
     );
     assert!(!can_fetch(&stores, 1, at_ms(30)));
     let event = PartEvent {
@@ -191,7 +191,7 @@
     assert_eq!(
         stores.choose_save_target(key(2), 9_000, &AllowedZones::default(), at_ms(10)),
         None,
-        "no room"
+        "no capacity"
     );
     assert_eq!(
         stores.choose_save_target(key(3), 5_000, &AllowedZones::default(), at_ms(10)),
@@ -200,7 +200,7 @@
     assert_eq!(
         stores.choose_save_target(key(4), 5_000, &AllowedZones::default(), at_ms(10)),
         None,
-        "the last room is on its way to be used"
+        "pending saves count against the capacity"
     );
     assert_eq!(
         stores.choose_save_target(key(5), 31, &AllowedZones::default(), at_ms(10)),
@@ -209,8 +209,8 @@
     );
 }
 
-/// Symptom: after a few changes of weights nothing is kept any more. Cause: parts of replaced
-/// weights fill the stores, which free nothing on their own.
+/// After a few weight changes nothing could be saved any more, since parts of replaced weights
+/// filled the stores, which free nothing on their own.
 #[test]
 fn parts_are_freed_once_no_engine_has_their_weights() {
     struct Case {
@@ -236,7 +236,7 @@
             freed: false,
         },
         Case {
-            what: "an engine that nobody knows of may come back with them",
+            what: "a currently unknown engine may come back with them",
             lowest: 2,
             since_ms: 5_000,
             may_fetch_parts: true,
@@ -266,8 +266,8 @@
     }
 }
 
-/// Symptom: a process that was suspended in the middle lets an engine fetch what was freed
-/// meanwhile. A fetch carries the time by which it must have ended, on the stores' clock.
+/// A process that is suspended during a call must not let an engine fetch what was freed meanwhile.
+/// Therefore a fetch carries its deadline on the stores' clock.
 #[test]
 fn fetches_carry_a_deadline_on_the_store_clock() {
     let mut stores = listed(&[]);
--- a/crates/wisteriahitch-relay/tests/all/parts.rs
+++ b/crates/wisteriahitch-relay/tests/all/parts.rs
@@ -1,14 +1,14 @@
-//! What an engine is believed to keep.
+//! Estimated cache contents of an engine.
 
 use wisteriahitch_relay::{EndpointTable, Load, PartKeyHasher};
 use wisteriahitch_types::TimeUs;
 
 use crate::fixture::{MEMORY_TOKENS, at_ms, engine, id, model, ms};
 
-/// Symptom: a third of the shared parts is read again although engines are believed to keep them.
-/// Sequence: long prompts pass through an engine, and each displaces what was there; other daemons'
-/// prompts are known by their load alone. Cause: a part counted as kept until known parts had filled
-/// the memory.
+/// A third of the shared parts was read again although engines were estimated to have them cached.
+/// Long prompts pass through an engine and each displaces earlier parts, and the prompts of other
+/// daemons are known by their load only. The fault was that a part counted as cached until known
+/// parts had filled the memory.
 #[test]
 fn cache_retention_follows_memory_turnover() {
     struct Case {
@@ -19,7 +19,7 @@
     }
     let cases = [
         Case {
-            what: "half of the memory is used anew in 1.2 s",
+            what: "half of the memory turns over in 1.2 s",
             running_tokens: MEMORY_TOKENS / 2,
             used_before_ms: 1_100,
             is_kept: true,
@@ -31,7 +31,7 @@
             is_kept: false,
         },
         Case {
-            what: "little comes in",
+            what: "low inflow",
             running_tokens: MEMORY_TOKENS / 10,
             used_before_ms: 10_000,
             is_kept: true,
@@ -43,7 +43,7 @@
             is_kept: false,
         },
         Case {
-            what: "what was used just now is there in any case",
+            what: "a part that was just used is always cached",
             running_tokens: MEMORY_TOKENS,
             used_before_ms: 100,
             is_kept: true,
--- a/crates/wisteriahitch-relay/tests/all/placement.rs
+++ b/crates/wisteriahitch-relay/tests/all/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoint is chosen, and when none is.
+//! Choice of an endpoint, and refusals.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -84,8 +84,8 @@
     }
 }
 
-/// Symptom: each endpoint that a suspect request ends takes its usual load of other calls along. Cause: it was placed
-/// like any other, where its parts are kept.
+/// Each endpoint that a suspect request crashed also lost its usual load of other calls. The fault
+/// was that the request was placed like any other, where its parts are cached.
 #[test]
 fn suspect_calls_go_to_the_endpoint_with_the_fewest_running() {
     struct Case {
@@ -121,17 +121,17 @@
     }
     let cases = [
         Case {
-            what: "the one with less to read",
+            what: "the one with the shorter backlog",
             change: |site| site.load("a", 40_000),
             expected: "b",
         },
         Case {
-            what: "the one that keeps the shared part",
+            what: "the one that has the shared part cached",
             change: |site| site.cache_parts("b", &prompt(9_000, 1_000), "w1"),
             expected: "b",
         },
         Case {
-            what: "the one that keeps the part, although it has some work",
+            what: "the one that has the part cached, although it has some backlog",
             change: |site| {
                 site.cache_parts("b", &prompt(9_000, 1_000), "w1");
                 site.load("b", 1_500);
@@ -139,7 +139,7 @@
             expected: "b",
         },
         Case {
-            what: "not the one that keeps the part but is full",
+            what: "not the one that has the part cached but is full",
             change: |site| {
                 site.cache_parts("b", &prompt(9_000, 1_000), "w1");
                 site.load("b", 60_000);
@@ -147,7 +147,7 @@
             expected: "a",
         },
         Case {
-            what: "parts of other weights count for nothing",
+            what: "parts of other weights do not count",
             change: |site| {
                 site.cache_parts("b", &prompt(9_000, 1_000), "w2");
                 site.load("b", 2_000);
@@ -155,7 +155,7 @@
             expected: "a",
         },
         Case {
-            what: "not the one that was tried",
+            what: "not the one that was already tried",
             change: |site| site.excluded = vec![id("a")],
             expected: "b",
         },
@@ -167,7 +167,7 @@
             expected: "b",
         },
         Case {
-            what: "not the one under an order",
+            what: "not the one that is reserved for an order",
             change: |site| site.table.get_mut(&id("a")).unwrap().reserved_until_us = at_ms(60_000),
             expected: "b",
         },
@@ -194,9 +194,9 @@
     }
 }
 
-/// Symptom: a service whose endpoints had all failed a moment before refused every call, although
-/// they answered again. Sequence: a fault of all endpoints; each is ejected. Cause: ejection took
-/// the last one away too.
+/// A service whose endpoints had all failed a moment before refused every call although they
+/// answered again: a fault of all endpoints ejected each of them. The fault was that ejection
+/// removed the last endpoint too.
 #[test]
 fn ejection_never_leaves_a_service_without_endpoints() {
     let mut site = Site::new(&["a", "b"]);
@@ -208,9 +208,9 @@
     assert!(site.place(&prompt(100, 100), 1).is_ok());
 }
 
-/// Symptom: an answer was made from cached parts of old weights, or of another workspace.
-/// Sequence: weights change, or an isolated workspace asks, while an engine keeps an equal part.
-/// Cause: engines find parts by the scope text alone.
+/// An answer must not be made from cached parts of old weights or of another workspace, when
+/// weights change or an isolated workspace calls while an engine has an equal part cached. Engines
+/// find parts by the scope text alone.
 #[test]
 fn cache_scope_includes_weights_and_isolated_workspace() {
     let mut site = Site::new(&["a"]);
@@ -230,7 +230,7 @@
     struct Case {
         what: &'static str,
         change: fn(&mut Site),
-        /// Endpoint; any where there is none.
+        /// Expected endpoint; `None` accepts any.
         expected: Option<&'static str>,
         /// Weights that the call expects there.
         weights: u64,
@@ -249,7 +249,7 @@
             weights: 1,
         },
         Case {
-            what: "later new ones go first",
+            what: "after a while new weights are preferred",
             change: |site| {
                 site.table
                     .saw_weights(&id("b"), &model(), WeightNumber::new(2));
@@ -261,7 +261,7 @@
             weights: 2,
         },
         Case {
-            what: "old ones aren't used for ever",
+            what: "old weights go out of use",
             change: |site| {
                 site.wanted
                     .record_version(WeightNumber::new(2), at_ms(43_000));
@@ -270,7 +270,7 @@
             weights: 2,
         },
         Case {
-            what: "nor kept in use by a series of versions",
+            what: "a series of versions does not keep old weights in use",
             change: |site| {
                 site.wanted
                     .record_version(WeightNumber::new(2), at_ms(43_000));
@@ -281,7 +281,7 @@
             weights: 3,
         },
         Case {
-            what: "a stream goes on with the weights that it began on",
+            what: "a stream continues on the weights that it started on",
             change: |site| {
                 site.table
                     .saw_weights(&id("b"), &model(), WeightNumber::new(2));
@@ -303,9 +303,9 @@
     }
 }
 
-/// Load pattern: engines have more to read than they can in a target. A call that would wait longer
-/// than its bound is refused now, with the time by which the queue has shrunk; one that wouldn't is
-/// let in, however long its own prompt is.
+/// Load pattern: engines have more to read than they can within the target. A call that would wait
+/// longer than its limit is refused at once, with the time by which the queue has shrunk; any other
+/// call is accepted, however long its own prompt is.
 #[test]
 fn a_full_queue_refuses_at_once_with_a_retry_time() {
     struct Case {
@@ -354,10 +354,10 @@
     }
 }
 
-/// Symptom: a daemon refuses every call although all engines are well. Sequence: another daemon has
-/// them load new weights, and the store goes away before they have registered again; this one knows
-/// them with the old weights only. Cause: engines with weights that may no longer be used were left
-/// out, so that no answer could tell of the new ones.
+/// A daemon refused every call although all engines worked: another daemon had them load new
+/// weights, and the store became unavailable before they had registered again, so that this daemon
+/// knew only their old weights. The fault was that engines whose known weights may no longer be
+/// used were left out, so that no answer could show the new ones.
 #[test]
 fn engines_with_outdated_known_weights_are_tried_with_wanted_weights() {
     let mut site = Site::new(&["a"]);
@@ -371,7 +371,7 @@
     assert_eq!(
         refusal.code,
         Code::NoEndpoint,
-        "a stream goes on at its own weights alone"
+        "a stream continues on its own weights only"
     );
     site.required = None;
     let mut newer = engine("b");
@@ -381,11 +381,11 @@
     assert_eq!(
         site.chosen(&prompt(100, 100)),
         "b",
-        "as long as there is one that has them"
+        "an engine that is known to have them is preferred"
     );
 }
 
-/// An engine with work to read is passed over for one that fetches the part from it meanwhile.
+/// An engine with a backlog is passed over for an idle one that fetches the part from it meanwhile.
 #[test]
 fn an_idle_engine_that_fetches_is_preferred_to_a_busy_holder() {
     let mut site = Site::new(&["a", "b"]);
@@ -395,14 +395,14 @@
     assert_eq!(site.chosen(&prompt(9_000, 1_000)), "a");
 }
 
-/// Symptom: right after a report all daemons send to the same endpoint. Cause: equal news and a
-/// choice of the least alone. Daemons with different draws spread over endpoints that are as good
-/// as equal, and keep equal prompts together.
+/// Right after a load report all daemons sent to the same endpoint. The fault was that equal
+/// reports always led to the single cheapest one. Daemons with different random seeds must spread
+/// over endpoints that are about equal, and keep equal prompts together.
 #[test]
 fn different_prompts_spread_over_equal_endpoints() {
     let site = Site::new(&["a", "b", "c", "d"]);
     let mut most_seen = 0;
-    // A draw near an end of its range always takes the first or the last endpoint.
+    // A sample near an end of its range always picks the first or the last endpoint.
     for seed in 0..5 {
         let mut seen = std::collections::BTreeSet::new();
         for part in 0..40 {
@@ -415,8 +415,8 @@
     assert_eq!(most_seen, 4);
 }
 
-/// Load pattern: many daemons choose by the same news. All of them would take the least endpoint
-/// until they hear of each other, some hundred milliseconds later.
+/// Load pattern: many daemons decide on the same updates. All of them would choose the cheapest
+/// endpoint until they receive each other's updates, some hundred milliseconds later.
 #[test]
 fn large_fleets_spread_calls_over_similar_endpoints() {
     struct Case {
@@ -454,9 +454,9 @@
     }
 }
 
-/// Load pattern: streams fill every slot. A slot becomes free each time one of them ends, so that
-/// the wait grows with how long they last; with a wait that is taken too short, endpoints are sent
-/// more than their queues hold.
+/// Load pattern: streams fill every slot. A slot becomes free each time one of them ends, so the
+/// wait grows with their duration. If the wait is underestimated, endpoints get more calls than
+/// their queues hold.
 #[test]
 fn endpoints_without_a_free_slot_cost_the_slot_wait() {
     let mut site = Site::new(&["a", "b"]);
@@ -474,6 +474,6 @@
     assert_eq!(
         site.chosen(&prompt(100, 100)),
         "a",
-        "b has told that it is fuller"
+        "b has reported more requests than a has"
     );
 }
--- a/crates/wisteriahitch-relay/tests/all/rollout.rs
+++ b/crates/wisteriahitch-relay/tests/all/rollout.rs
@@ -1,4 +1,4 @@
-//! Bringing engines to wanted weights.
+//! Bringing engines to the wanted weights.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::fixture::{at_ms, id, model, ms};
 
-/// So few that the least number at once counts.
+/// So few that the minimum number of parallel engines applies.
 const ENGINES: usize = 3;
 
 fn row(name: &str, current: u64, wanted: u64, running: u32) -> RolloutRow {
@@ -24,7 +24,7 @@
     }
 }
 
-/// A fifth of the engines are out at once, but so many in any case.
+/// A fifth of the engines may be reserved at once, but at least `parallel_min`.
 fn rollout(parallel_min: usize) -> Rollout {
     Rollout::new(ConcurrencyOptions {
         parallel_min,
@@ -56,10 +56,14 @@
     let behind = [row("a", 1, 2, 5), row("b", 1, 2, 0), row("c", 1, 2, 2)];
     assert!(
         rollout.tick(&behind, ENGINES, at_ms(0)).is_empty(),
-        "nothing is ordered yet"
+        "no order before the announcement"
     );
     let reserved: Vec<_> = rollout.reserved().cloned().collect();
-    assert_eq!(reserved, [id("b"), id("c")], "those with the least work");
+    assert_eq!(
+        reserved,
+        [id("b"), id("c")],
+        "those with the fewest running requests"
+    );
     let steps = rollout.tick(&behind, ENGINES, at_ms(150));
     assert_eq!(
         steps,
@@ -75,25 +79,29 @@
     );
     assert!(
         rollout.tick(&behind, ENGINES, at_ms(180)).is_empty(),
-        "given once"
+        "an order is given once"
     );
     rollout.record_order_outcome(&id("b"), &OrderOutcome::Accepted, at_ms(190));
     rollout.apply_report(&id("b"), Some(&report(2, 5)), at_ms(900));
     let behind = [row("a", 1, 2, 5), row("c", 1, 2, 2)];
     rollout.tick(&behind, ENGINES, at_ms(910));
     let reserved: Vec<_> = rollout.reserved().cloned().collect();
-    assert_eq!(reserved, [id("a"), id("c")], "the next one's turn");
+    assert_eq!(
+        reserved,
+        [id("a"), id("c")],
+        "the next one gets the free slot"
+    );
 }
 
-/// Symptom: new weights stay away for seconds while few engines crash; then calls are refused, since the
-/// weights that engines have are out of use. Sequence: engines that are to get an order crash; their
-/// registrations stay for some heartbeats, and each order or question to them fails. Cause: an engine that
-/// couldn't be reached kept its place among the few that are taken out at once.
+/// New weights were delayed by seconds while a few engines crashed; then calls were refused, since
+/// the weights that engines had were out of use. Engines that were to get an order crashed, their
+/// registrations remained for some heartbeats, and every order or report request to them failed.
+/// The fault was that an unreachable engine kept one of the few slots.
 #[test]
 fn an_unreachable_engine_yields_its_slot() {
     struct Case {
         what: &'static str,
-        /// What becomes of the question for a report, and of the order where one is given.
+        /// Outcome of reading the report, and of the order if one is given.
         fail: fn(&mut Rollout),
     }
     let cases = [
@@ -106,7 +114,7 @@
             fail: |rollout| give_order(rollout, &OrderOutcome::Refused(421)),
         },
         Case {
-            what: "nobody listens",
+            what: "no process listens",
             fail: |rollout| give_order(rollout, &OrderOutcome::NotSent(String::new())),
         },
     ];
@@ -119,12 +127,12 @@
         rollout.tick(&behind, ENGINES, at_ms(250));
         let reserved: Vec<_> = rollout.reserved().cloned().collect();
         assert_eq!(reserved, [id("b")], "{}", case.what);
-        // It may be back: it is tried again once there is a place.
+        // It may be back, so it is tried again once there is a free slot.
         rollout.tick(&[row("a", 1, 2, 0)], ENGINES, at_ms(2_000));
         let reserved: Vec<_> = rollout.reserved().cloned().collect();
         assert_eq!(reserved, [id("a")], "{}", case.what);
     }
-    // One that has accepted an order is loading: its place stays taken while nothing is heard of it.
+    // An engine that has accepted an order is loading: it keeps its slot while it does not respond.
     let mut rollout = rollout(1);
     let behind = [row("a", 1, 2, 0), row("b", 1, 2, 5)];
     rollout.tick(&behind, ENGINES, at_ms(0));
@@ -160,10 +168,10 @@
     assert_eq!(rollout.reserved().cloned().collect::<Vec<_>>(), [id("b")]);
 }
 
-/// Symptom: some engines still have weights that were replaced twice when all must have new ones, and others
-/// have loaded twice. Sequence: the next version is named while engines load the one before; those get
-/// their second order at once, while others wait for their first. Cause: an engine kept its place among the
-/// few that are taken out at once.
+/// At the deadline for new weights some engines still had weights that had been replaced twice,
+/// while others had loaded twice. The next version was named while engines loaded the one before;
+/// those got their second order at once, while others waited for their first. The fault was that an
+/// engine kept its slot for the second order.
 #[test]
 fn engines_with_older_weights_go_before_a_second_load() {
     let mut rollout = rollout(1);
@@ -179,9 +187,9 @@
     assert_eq!(rollout.reserved().cloned().collect::<Vec<_>>(), [id("b")]);
 }
 
-/// Symptom: an engine carries out an order twice, or ends with the older one. Sequence: an order's
-/// answer is lost; the next order follows; the first one is carried out seconds later. Cause: the
-/// second order didn't say how many orders it expects to come after.
+/// An engine must not carry out an order twice or end with the older one: the answer to an order is
+/// lost, the next order follows, and the first one is carried out seconds later. The fault was that
+/// the second order did not state how many orders it expects to follow.
 #[test]
 fn an_unanswered_order_is_repeated_with_the_same_number() {
     let mut rollout = rollout(1);
@@ -200,7 +208,7 @@
     );
     assert!(
         rollout.tick(&behind, ENGINES, at_ms(1_000)).is_empty(),
-        "it is looked at first"
+        "the report is read first"
     );
     assert_eq!(
         rollout.tick(&behind, ENGINES, at_ms(1_300)),
@@ -211,16 +219,16 @@
         rollout.tick(&behind, ENGINES, at_ms(1_320)),
         [order("a", 2, 0)]
     );
-    // The first one came before it after all.
+    // The first order arrived before it after all.
     rollout.record_order_outcome(&id("a"), &OrderOutcome::Conflict, at_ms(1_330));
     rollout.tick(&behind, ENGINES, at_ms(1_700));
     rollout.apply_report(&id("a"), Some(&report(2, 1)), at_ms(1_710));
     assert!(rollout.is_idle());
 }
 
-/// Symptom: an engine stays on the version between two for four seconds. Sequence: while it loads
-/// one version, the next one is named; it reports the first as loaded. Cause: its load was taken to
-/// be still under way, because it didn't have the newest version.
+/// An engine stayed on an intermediate version for four seconds: while it loaded one version the
+/// next one was named, and it reported the first as loaded. The fault was that its load counted as
+/// unfinished because it did not have the newest version.
 #[test]
 fn a_version_named_during_a_load_is_ordered_right_after_it() {
     let mut rollout = rollout(1);
@@ -255,9 +263,9 @@
     assert!(rollout.is_idle());
 }
 
-/// Symptom: engines still had old weights when all of them had to have new ones, and nothing said so.
-/// Sequence: weights that take long to load are named at a deployment with many engines. Cause: how
-/// many are out at once doesn't follow from the bound, so the bound may be too short.
+/// Engines still had old weights at the deadline, and nothing reported it: weights that take long
+/// to load were named at a deployment with many engines. How many engines are reserved at once does
+/// not depend on the deadline, so the deadline may be too short.
 #[test]
 fn a_rollout_that_cannot_finish_in_time_is_reported() {
     struct Case {
@@ -269,14 +277,14 @@
     }
     let cases = [
         Case {
-            what: "nine engines in three rounds of the first guess",
+            what: "nine engines in three rounds of the initial estimate",
             behind: 9,
             taken_ms: 1_500,
             now_ms: 0,
             needed_ms: None,
         },
         Case {
-            what: "so many that the rounds take longer",
+            what: "so many engines that the rounds take longer",
             behind: 30,
             taken_ms: 1_500,
             now_ms: 0,
--- a/crates/wisteriahitch-relay/tests/all/store_retry.rs
+++ b/crates/wisteriahitch-relay/tests/all/store_retry.rs
@@ -1,13 +1,13 @@
-//! Asking a store again that is away.
+//! Retries of calls to an unavailable store.
 
 use wisteriahitch_relay::store_retry_backoff;
 use wisteriahitch_types::DurationUs;
 
 use crate::fixture::ms;
 
-/// Symptom: calls of the store are the dearest price of a day with an outage, and when the store is back it
-/// answers late. Sequence: the store is away; all daemons of a large fleet ask again every 0.8 s. Cause:
-/// those that hear of the store from others asked as often as those that follow it.
+/// Store calls dominated the cost of a day with an outage, and the store was slow when it came
+/// back, since all daemons of a large fleet retried every 0.8 s. The fault was that daemons which
+/// receive updates from others retried as often as those that follow the store.
 #[test]
 fn a_large_fleet_retries_an_unavailable_store_at_a_bounded_rate() {
     struct Case {
@@ -19,35 +19,35 @@
     }
     let cases = [
         Case {
-            what: "one that follows the store, at first",
+            what: "a daemon that follows the store, first failure",
             failures: 0,
             receives_updates: false,
             daemons: 200,
             pause: ms(100),
         },
         Case {
-            what: "one that follows the store, after a while",
+            what: "a daemon that follows the store, many failures",
             failures: 9,
             receives_updates: false,
             daemons: 200,
             pause: ms(800),
         },
         Case {
-            what: "one that hears of it, in a small fleet",
+            what: "a daemon that receives updates, small fleet",
             failures: 1,
             receives_updates: true,
             daemons: 2,
             pause: ms(200),
         },
         Case {
-            what: "one that hears of it, in a large fleet",
+            what: "a daemon that receives updates, large fleet",
             failures: 0,
             receives_updates: true,
             daemons: 60,
             pause: ms(3_000),
         },
         Case {
-            what: "one that hears of it, in a very large fleet",
+            what: "a daemon that receives updates, very large fleet",
             failures: 0,
             receives_updates: true,
             daemons: 1_000,
--- a/crates/wisteriahitch-relay/tests/all/stream_events.rs
+++ b/crates/wisteriahitch-relay/tests/all/stream_events.rs
@@ -1,11 +1,11 @@
-//! Whole events out of pieces.
+//! Assembly of complete events from chunks.
 
 use bytes::Bytes;
 use wisteriahitch_relay::{EventFramer, FramingError};
 
-/// Symptom: a caller gets half an event, and then the rest of the stream from elsewhere. Sequence:
-/// an endpoint breaks off in the middle of an event; the stream goes on at another one. Cause:
-/// bytes were passed on as they came.
+/// A caller must not get a partial event followed by the rest of the stream from another endpoint:
+/// an endpoint fails in the middle of an event, and the stream continues elsewhere. The fault was
+/// that bytes were passed on as they arrived.
 #[test]
 fn only_complete_events_are_passed_on() {
     struct Case {
@@ -65,8 +65,8 @@
     }
 }
 
-/// Symptom: an event comes twice, or one is missing, after a stream went on elsewhere. Cause: the
-/// second endpoint didn't go on where it was asked to.
+/// An event must not be duplicated or lost when a stream continues at another endpoint that does
+/// not start at the requested position.
 #[test]
 fn event_ids_that_do_not_increase_are_rejected() {
     for (after, events) in [
--- a/crates/wisteriahitch-relay/tests/all/suspects.rs
+++ b/crates/wisteriahitch-relay/tests/all/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints crash: who is blamed, and who gets to know.
+//! Requests that endpoints crash under: which are blocked, and how daemons share that.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,27 +17,27 @@
     RequestFingerprint::of(None, "/x/", name.as_bytes())
 }
 
-/// What a table gets to know.
+/// An event that a table records.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A life crashed with a request on board.
+    /// An endpoint instance crashed while a request was running.
     Crash(&'static str, u32),
     Answer(&'static str),
     Lift(&'static str),
     Tick,
 }
 
-/// What one table gets to know, and what is blocked in the end.
+/// The events of one table, and the requests that are blocked in the end.
 struct Case {
     what: &'static str,
-    /// Steps with their times in milliseconds.
+    /// Events with their times in milliseconds.
     steps: &'static [(u64, Step)],
     blocked: &'static [&'static str],
 }
 
 const CASES: [Case; 14] = [
     Case {
-        what: "three lives ended under it",
+        what: "three instances crashed under it",
         steps: &[
             (0, Crash("bad", 1)),
             (700, Crash("bad", 2)),
@@ -46,12 +46,12 @@
         blocked: &["bad"],
     },
     Case {
-        what: "two did",
+        what: "two instances crashed under it",
         steps: &[(0, Crash("bad", 1)), (700, Crash("bad", 2))],
         blocked: &[],
     },
     Case {
-        what: "one did, and several daemons say so",
+        what: "one instance crashed, reported by several daemons",
         steps: &[
             (0, Crash("bad", 1)),
             (0, Crash("bad", 1)),
@@ -80,7 +80,7 @@
         blocked: &[],
     },
     Case {
-        what: "an answer that comes after the proof, of a copy that was under way",
+        what: "an answer after the block, of a copy that was still running",
         steps: &[
             (0, Crash("good", 1)),
             (0, Crash("good", 2)),
@@ -90,7 +90,7 @@
         blocked: &[],
     },
     Case {
-        what: "a popular one is on board where power is lost",
+        what: "a popular request runs at all endpoints that lose power",
         steps: &[
             (0, Answer("good")),
             (700, Crash("good", 1)),
@@ -100,7 +100,7 @@
         blocked: &[],
     },
     Case {
-        what: "an answer of long ago says nothing",
+        what: "an expired answer does not clear it",
         steps: &[
             (0, Answer("bad")),
             (90_000, Crash("bad", 1)),
@@ -110,7 +110,7 @@
         blocked: &["bad"],
     },
     Case {
-        what: "one that shared two crashes with a blocked one sees two more",
+        what: "a request that shared two crashes with a blocked one sees two more",
         steps: &[
             (0, Crash("bad", 1)),
             (0, Crash("good", 1)),
@@ -123,7 +123,7 @@
         blocked: &["bad"],
     },
     Case {
-        what: "news of a crash that is explained come late",
+        what: "late updates about an explained crash",
         steps: &[
             (0, Crash("bad", 1)),
             (700, Crash("bad", 2)),
@@ -135,7 +135,7 @@
         blocked: &["bad"],
     },
     Case {
-        what: "an operator lifts it, and what was told before comes again",
+        what: "an operator lifts the block, and earlier crashes are reported again",
         steps: &[
             (0, Crash("bad", 1)),
             (700, Crash("bad", 2)),
@@ -148,7 +148,7 @@
         blocked: &[],
     },
     Case {
-        what: "lifted, it ends three more",
+        what: "after a lift it crashes three more",
         steps: &[
             (0, Crash("bad", 1)),
             (700, Crash("bad", 2)),
@@ -161,7 +161,7 @@
         blocked: &["bad"],
     },
     Case {
-        what: "it hasn't come for more than an hour",
+        what: "it has not arrived for more than an hour",
         steps: &[
             (0, Crash("bad", 1)),
             (700, Crash("bad", 2)),
@@ -181,8 +181,8 @@
     },
 ];
 
-/// Symptom: a request that ends endpoints goes on being sent, or an innocent one is refused. Cause: the crash of one
-/// endpoint says the same of all that were on board.
+/// A request that crashes endpoints must be blocked, and an innocent one must not. The crash of one
+/// endpoint counts equally against all requests that were running there.
 #[test]
 fn only_the_request_common_to_all_crashes_is_blocked() {
     for case in CASES {
@@ -212,14 +212,14 @@
     }
 }
 
-/// What is held against a request decides how it is sent, before there is proof.
+/// The crashes of a request decide how it is sent, before there is enough evidence to block it.
 #[test]
 fn suspects_are_isolated_before_they_are_blocked() {
     let mut table = SuspectTable::default();
     let bad = request("bad");
     assert!(!table.needs_isolation(bad));
     table.record_request_crash(bad, 1, true, at_ms(0));
-    // Whoever was on board of one crash may go on elsewhere, as most do.
+    // A request that has seen one crash may be sent to another endpoint, as most are innocent.
     assert_eq!(table.crashes_elsewhere(bad, 1), 0);
     assert_eq!(table.crashes_elsewhere(bad, 2), 1);
     assert!(!table.needs_isolation(bad));
@@ -231,7 +231,8 @@
     assert!(!table.record_arrival(request("good"), at_ms(2_000)));
 }
 
-/// Symptom: memory grows with every body that anybody sends. Cause: a flood of different requests while endpoints crash.
+/// Memory must not grow with every distinct request body when a flood of different requests arrives
+/// while endpoints crash.
 #[test]
 fn tables_are_bounded_and_keep_the_most_suspect() {
     let mut table = SuspectTable::default();
@@ -256,7 +257,7 @@
     assert_eq!(verdict, CrashVerdict::Blocked { is_direct: true });
 }
 
-/// What happens to the tables of a fleet, one after the other, and what all know in the end.
+/// Crashes that different daemons saw add up, and in the end all daemons block the request.
 #[test]
 fn crashes_seen_by_different_daemons_add_up() {
     let mut fleet: Vec<SuspectTable> = (0..3).map(|_| SuspectTable::default()).collect();
@@ -264,25 +265,26 @@
     for (instance, table) in (1..).zip(&mut fleet) {
         table.record_request_crash(bad, instance, true, at_ms(0));
     }
-    // One daemon hears the others only through another one.
+    // The first and the third daemon receive each other's updates only through the second one.
     gossip(&mut fleet, 0, 1, at_ms(100));
     gossip(&mut fleet, 1, 2, at_ms(200));
     assert!(fleet[2].is_blocked(bad));
     gossip(&mut fleet, 2, 1, at_ms(300));
     gossip(&mut fleet, 1, 0, at_ms(400));
     assert!(fleet.iter().all(|table| table.is_blocked(bad)));
-    // One that starts later hears of it, however long ago that was.
+    // A daemon that starts later receives the block, however long ago it was set.
     fleet.push(SuspectTable::default());
     gossip(&mut fleet, 0, 3, at_ms(60_000));
     assert!(fleet[3].is_blocked(bad));
-    // Each time it comes to any daemon, all go on blocking it.
+    // Each arrival at any daemon extends the block at all daemons.
     assert!(fleet[3].record_arrival(bad, at_ms(3_500_000)));
     gossip(&mut fleet, 3, 0, at_ms(3_500_100));
     assert_eq!(fleet[0].tick(at_ms(3_700_000)), vec![]);
 }
 
-/// Symptom: a request that an operator has let through again, or that was answered, stays refused by some daemons.
-/// Cause: those that hadn't heard of it told the others of the block.
+/// A request whose block an operator has lifted, or that was answered, must not stay blocked at
+/// some daemons. The fault was that daemons that had not yet received the unblock gossiped the
+/// block again.
 #[test]
 fn unblocking_wins_over_gossip_of_the_block() {
     for by_operator in [true, false] {
@@ -296,7 +298,7 @@
             true => assert!(fleet[0].lift_block(restored, now)),
             false => assert!(fleet[0].record_answer(restored, now)),
         }
-        // Its own messages get lost for a while; the other's don't.
+        // Its own messages are lost for a while; those of the other daemon are not.
         gossip(&mut fleet, 1, 0, at_ms(8_000));
         assert!(!fleet[0].is_blocked(restored));
         gossip(&mut fleet, 0, 1, at_ms(8_100));
@@ -311,7 +313,7 @@
     fleet[to].apply_peer_update(&update, now);
 }
 
-/// A call in the replay.
+/// A running call in the simulation.
 #[derive(Clone, Debug)]
 struct RunningCall {
     request: RequestFingerprint,
@@ -321,14 +323,14 @@
     has_retry: bool,
 }
 
-/// Engines that bad requests, and nobody, end.
+/// A fleet whose engines are crashed by bad requests, or without a cause in any request.
 struct Simulation {
     tables: Vec<SuspectTable>,
-    /// Life of each engine, and until when it is down.
+    /// Current instance of each engine, and until when it is down.
     engines: Vec<(u32, u64)>,
     running: BTreeMap<u32, Vec<RunningCall>>,
     next_instance: u32,
-    /// When engines ended under each bad request, and when it was sent.
+    /// Times at which engines crashed under each bad request, and at which it was sent.
     crashes: BTreeMap<RequestFingerprint, Vec<u64>>,
     sent: BTreeMap<RequestFingerprint, Vec<u64>>,
     blocked_innocents: BTreeSet<RequestFingerprint>,
@@ -338,7 +340,7 @@
 const STEP_MS: u64 = 20;
 const DAEMONS: usize = 6;
 const ENGINES: usize = 9;
-/// Time from the beginning of a bad request's run to the end of its engine.
+/// Time from the start of a bad request to the crash of its engine.
 const BAD_RUN_MS: u64 = 100;
 const GOOD_RUN_MS: u64 = 600;
 const DOWN_MS: u64 = 2_000;
@@ -380,7 +382,8 @@
         self.running.entry(instance).or_default().push(call);
     }
 
-    /// Ends an engine: its daemons see it, and innocents are sent once more.
+    /// Crashes an engine: the daemons of its calls observe the crash, and innocent calls are
+    /// retried once.
     fn crash_engine(&mut self, instance: u32, now_ms: u64) {
         let engine = self
             .engines
@@ -437,9 +440,9 @@
     }
 }
 
-/// The load that the limits stand for: two bad requests come every second at each of six daemons, beside sixty
-/// innocents a second with a repeat each, while three of nine engines crash three times with no reason in the
-/// requests.
+/// The load for which the limits were chosen: two bad requests arrive every second at each of six
+/// daemons, beside sixty innocent requests per second with one retry each, while three of nine
+/// engines crash three times without a cause in the requests.
 #[test]
 fn bad_requests_crash_few_engines_and_others_are_served() {
     for seed in 1..=8 {
@@ -495,7 +498,7 @@
                 .iter()
                 .filter(|at| **at > third_ms + 300);
             assert_eq!(late.count(), 0, "seed {seed}: sent after three messages");
-            // Two more copies may be on their way when the third engine ends, one every 160 ms.
+            // Two more copies may be in progress when the third engine crashes, one every 160 ms.
             assert!(
                 crashes.len() <= CRASHES_TO_BLOCK + 2,
                 "seed {seed}: {crashes:?}"
--- a/crates/wisteriahitch-relay/tests/all/suspicion.rs
+++ b/crates/wisteriahitch-relay/tests/all/suspicion.rs
@@ -1,4 +1,4 @@
-//! Endpoints that several daemons can't reach.
+//! Endpoints that several daemons cannot reach.
 
 use std::collections::HashSet;
 
@@ -7,50 +7,52 @@
 
 use crate::fixture::{at_ms, engine, id};
 
-/// Symptom: for seconds after engines fall silent, calls wait for connections that don't open, at every daemon
-/// of the fleet anew. Cause: each daemon found out about each engine by its own calls.
+/// For seconds after engines became unreachable, calls waited for connections that did not open, at
+/// every daemon of the fleet. The fault was that each daemon detected each engine by its own calls
+/// only.
 #[test]
 fn endpoints_unreachable_by_two_daemons_are_suspected() {
     struct Case {
         what: &'static str,
         own: bool,
-        /// Peers that say so, and whether they have weighed what several said.
+        /// Peers that report it, and whether their report already combines those of several
+        /// daemons.
         peers: &'static [(u64, bool)],
         is_suspected: bool,
     }
     let cases = [
         Case {
-            what: "nobody",
+            what: "no daemon reports it",
             own: false,
             peers: &[],
             is_suspected: false,
         },
         Case {
-            what: "this daemon alone, which its own ejection is for",
+            what: "this daemon alone, which handles it by ejection",
             own: true,
             peers: &[],
             is_suspected: false,
         },
         Case {
-            what: "one other",
+            what: "one other daemon",
             own: false,
             peers: &[(7, false)],
             is_suspected: false,
         },
         Case {
-            what: "this one and another",
+            what: "this daemon and another one",
             own: true,
             peers: &[(7, false)],
             is_suspected: true,
         },
         Case {
-            what: "two others",
+            what: "two other daemons",
             own: false,
             peers: &[(7, false), (8, false)],
             is_suspected: true,
         },
         Case {
-            what: "a hub that has heard it from several",
+            what: "a hub that combines reports of several daemons",
             own: false,
             peers: &[(7, true)],
             is_suspected: true,
@@ -77,7 +79,7 @@
             case.what
         );
         assert!(!suspected("b", at_ms(100)), "{}", case.what);
-        // Without further evidence calls try it again.
+        // Without further reports calls try the endpoint again.
         assert!(!suspected("a", at_ms(2_000)), "{}", case.what);
     }
 }
--- a/crates/wisteriahitch-relay/tests/all/wanted_weights.rs
+++ b/crates/wisteriahitch-relay/tests/all/wanted_weights.rs
@@ -32,9 +32,9 @@
     }
 }
 
-/// Symptom: an engine reads a part that is being freed. Sequence: newer weights are named; calls go on
-/// to engines with the old ones and fetch parts; somebody frees those parts. Cause: parts were freed
-/// while a call that was sent to old weights could still be fetching them.
+/// An engine must not fetch a part that is being freed: newer weights are named, calls still go to
+/// engines with the old ones and fetch parts, and those parts are freed. The fault was that parts
+/// were freed while a call that was sent to old weights could still be fetching them.
 #[test]
 fn parts_outlive_calls_that_may_fetch_them() {
     struct Case {
