--- a/crates/wisteriahitch-relay/src/decide/placement.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement.rs
@@ -1,8 +1,9 @@
-//! Where a call runs.
+//! Chooses the endpoint at which a call runs.
 //!
-//! For each endpoint the time until its first event is estimated: what it still has to read, what
-//! of this prompt it doesn't keep, how full it is. The least one is taken.
-//! `docs/design/platform.md` gives the reasons and the figures.
+//! For each endpoint the time until the call's first event is estimated from the tokens that the
+//! endpoint still has to read, the part of this prompt that it has not cached, and its free
+//! capacity. The endpoint with the lowest cost is preferred. `docs/design/platform.md` gives the
+//! reasons and the figures.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,64 +14,67 @@
 use super::endpoint_admission::{Admission, CallPermits, LimitCause};
 use super::endpoint_row::{EndpointLife, EndpointRow};
 use super::endpoint_table::EndpointTable;
-use super::offer::{Homes, MainFetch, Offer, offer};
 use super::overload::retry_after;
 use super::part_sources::PartSources;
 use super::part_stores::PartStores;
+use super::placement_candidate::{MainFetch, PlacementCandidate, PreferredEngines, evaluate};
 use super::placement_request::{EngineCall, PlacementRequest};
 use crate::border::Refusal;
 
-/// Milliseconds by which endpoints count as about equal in a small fleet; one of them is drawn.
+/// Cost difference, in milliseconds, below which candidates count as about equal in a small fleet;
+/// one of them is sampled.
 const MIN_SPREAD_MS: f64 = 2.0;
-/// The same for each daemon of a large fleet: the more daemons choose by the same news, and the
-/// older it is, the more of them would send to the same endpoint before they hear of each other.
+/// Cost difference per daemon in a large fleet, in milliseconds. The more daemons decide on the
+/// same updates, and the older these are, the more daemons would choose the same endpoint before
+/// they receive each other's updates.
 const SPREAD_MS_PER_DAEMON: f64 = 0.35;
-/// Most that it grows to.
+/// Maximum cost difference that counts as about equal, in milliseconds.
 const MAX_SPREAD_MS: f64 = 40.0;
-/// Endpoints that cost so many times the spread more than the least one aren't drawn.
-const MAX_SPREADS: f64 = 4.0;
-/// When a caller may come back where no endpoint takes requests.
+/// Multiple of the spread above the lowest cost beyond which candidates are not sampled.
+const MAX_SPREAD_MULTIPLE: f64 = 4.0;
+/// Retry time for the caller if no endpoint accepts requests.
 const NO_ENDPOINT_RETRY_US: DurationUs = DurationUs::from_ms(400);
-/// The same where all zones are evacuated, the time in which the end of an evacuation is known everywhere.
+/// Retry time for the caller if all zones are evacuated: the time within which all daemons know
+/// that an evacuation has ended.
 const EVACUATED_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Where a call runs, and what that was decided by.
+/// The endpoint chosen for a call, and the estimates behind the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// Endpoint, in the life that the decision was made for.
+    /// Endpoint instance for which the decision was made.
     pub endpoint: EndpointInstance,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Weights that it has.
+    /// Weights that the endpoint is expected to have; `None` if the service has no engines.
     pub weights: Option<WeightNumber>,
-    /// Text under which it keeps parts.
+    /// Scope under which the endpoint caches parts.
     pub cache_scope: Option<String>,
-    /// Prompt tokens that it is believed to keep.
+    /// Prompt tokens that the endpoint probably has cached.
     pub cached_tokens: u64,
     /// Prompt tokens that it fetches from stores and other engines.
     pub fetched_tokens: u64,
-    /// For each part of the prompt, where it can be fetched; empty where nothing is known.
+    /// Source of each part of the prompt, where it can be fetched; empty if nothing is known.
     pub fetch_from: Vec<Option<SocketAddr>>,
-    /// The source of most of what is fetched, and the time that all of it takes.
+    /// Source of most of the fetched tokens, and the time that all fetches take.
     pub main_fetch: Option<MainFetch>,
     /// Prompt tokens that it has to read.
     pub unread_tokens: u64,
-    /// Estimated wait for the work of others.
+    /// Estimated wait for the work of other calls.
     pub queue_us: DurationUs,
     /// Estimated time until the first event.
     pub expected_us: DurationUs,
-    /// Endpoints that were compared.
+    /// Number of endpoints that were compared.
     pub candidates: usize,
-    /// Permits under which an endpoint whose calls are bounded gets the call.
+    /// Permits that the call uses if the endpoint's call rate is limited.
     pub permits: CallPermits,
 }
 
-/// Chooses an endpoint.
+/// Chooses an endpoint for a call.
 ///
 /// # Errors
 ///
-/// Refuses where no endpoint takes requests, or where none would give a first event in time: such
-/// a call is told so at once instead of waiting until its deadline has passed.
+/// Refuses the call if no endpoint accepts requests, or if none would produce the first event in
+/// time, so that the caller learns it at once instead of after its deadline.
 pub fn place(
     table: &EndpointTable,
     stores: &PartStores,
@@ -78,40 +82,40 @@
     now: TimeUs,
     rng: &mut impl Rng,
 ) -> Result<Placement, Refusal> {
-    let rows = candidates(table, request, now);
+    let rows = eligible_endpoints(table, request, now);
     let call = EngineCall::new(request, stores, now);
     let call = call.as_ref();
     let sources = call.map_or_else(Vec::new, |call| part_sources(table, &rows, call, rng));
-    let homes = Homes::of(&rows, call, draw_width(request.daemons));
-    let offers: Vec<Offer<'_>> = rows
+    let preferred = PreferredEngines::rank(&rows, call, spread_fraction(request.daemons));
+    let evaluated: Vec<PlacementCandidate<'_>> = rows
         .iter()
-        .map(|row| offer(row, call, &sources, &homes, request.zone, now))
+        .map(|row| evaluate(row, call, &sources, &preferred, request.zone, now))
         .collect();
-    let least = offers
+    let lowest_cost = evaluated
         .iter()
-        .map(|offer| offer.cost_ms)
+        .map(|candidate| candidate.cost_ms)
         .min_by(f64::total_cmp);
-    let Some(least) = least else {
-        return Err(no_candidate(table, request, now, rng));
+    let Some(lowest_cost) = lowest_cost else {
+        return Err(no_candidate_refusal(table, request, now, rng));
     };
-    let chosen = match request.is_isolated {
-        true => least_loaded(&offers),
-        false => draw(&offers, least, spread_ms(request.daemons), rng),
+    let chosen = match request.needs_isolation {
+        true => fewest_running(&evaluated),
+        false => sample_candidate(&evaluated, lowest_cost, spread_ms(request.daemons), rng),
     };
     let expected_us = DurationUs::from_secs_f64(chosen.wait_ms / 1_000.0);
     let queue_us = DurationUs::from_secs_f64(chosen.queue_ms / 1_000.0);
-    let late_us = expected_us - request.patience_us;
-    let excess_us = late_us.max(queue_us - request.longest_queue_us);
+    let late_us = expected_us - request.max_first_event_us;
+    let excess_us = late_us.max(queue_us - request.max_queue_us);
     if excess_us > DurationUs::ZERO {
         let refusal = Refusal::new(Code::DeadlineUnreachable);
-        let refusal = refusal.with_queue(queue_us, request.longest_queue_us);
+        let refusal = refusal.with_queue(queue_us, request.max_queue_us);
         return Err(refusal.retry_after(retry_after(excess_us, rng)));
     }
     let prompt_tokens = request
         .prompt
         .map_or(0, |prompt| prompt.prompt_tokens.get());
     let fetch_from = match (chosen.parts, call) {
-        (Some(parts), Some(call)) => parts.addresses(chosen.row, call),
+        (Some(parts), Some(call)) => parts.source_addresses(chosen.row, call),
         _ => Vec::new(),
     };
     Ok(Placement {
@@ -126,7 +130,7 @@
         unread_tokens: prompt_tokens.saturating_sub(chosen.cached_tokens + chosen.fetched_tokens),
         queue_us,
         expected_us,
-        candidates: offers.len(),
+        candidates: evaluated.len(),
         permits: match table.admission(chosen.row, now) {
             Admission::Permit(permits) => permits,
             _ => CallPermits::default(),
@@ -134,14 +138,15 @@
     })
 }
 
-/// Says why no endpoint may take a call.
-fn no_candidate(
+/// Returns the refusal for a call that has no eligible endpoint, with the reason and the retry
+/// time.
+fn no_candidate_refusal(
     table: &EndpointTable,
     request: &PlacementRequest<'_>,
     now: TimeUs,
     rng: &mut impl Rng,
 ) -> Refusal {
-    let rows: Vec<&EndpointRow> = takers(table, request).collect();
+    let rows: Vec<&EndpointRow> = endpoints_taking_requests(table, request).collect();
     let is_allowed = |row: &&&EndpointRow| request.allowed_zones.contains(&row.endpoint.zone);
     let allowed: Vec<&EndpointRow> = rows.iter().filter(is_allowed).copied().collect();
     if !rows.is_empty() && allowed.is_empty() {
@@ -169,8 +174,8 @@
     Refusal::new(Code::NoEndpoint).retry_after(NO_ENDPOINT_RETRY_US)
 }
 
-/// Returns how wide the draw is, from 0 where it is narrowest to 1.
-fn draw_width(daemons: usize) -> f64 {
+/// Returns the width of the sampling spread, from 0 at its minimum to 1 at its maximum.
+fn spread_fraction(daemons: usize) -> f64 {
     (spread_ms(daemons) - MIN_SPREAD_MS) / (MAX_SPREAD_MS - MIN_SPREAD_MS)
 }
 
@@ -178,82 +183,88 @@
     (daemons as f64 * SPREAD_MS_PER_DAEMON).clamp(MIN_SPREAD_MS, MAX_SPREAD_MS)
 }
 
-/// Draws one of the offers that are about as good as the least one, the better the likelier.
+/// Samples one of the candidates whose cost is close to `lowest_cost`, with exponentially
+/// decreasing weight.
 ///
-/// Load pattern: many daemons with the same news, some hundred milliseconds old. Taken by all, the
-/// least one gets a hundred requests before anybody hears of them, and refuses what its queue can't
-/// hold; one would notice by refusals of single endpoints while others are idle.
-fn draw<'a, 'b>(
-    offers: &'a [Offer<'b>],
-    least: f64,
+/// Load pattern: many daemons have the same updates, some hundred milliseconds old. If all chose
+/// the cheapest endpoint, it would get a hundred requests before any daemon received an update, and
+/// would refuse what exceeds its queue. The symptom is refusals of single endpoints while others
+/// are idle.
+fn sample_candidate<'a, 'b>(
+    evaluated: &'a [PlacementCandidate<'b>],
+    lowest_cost: f64,
     spread_ms: f64,
     rng: &mut impl Rng,
-) -> &'a Offer<'b> {
-    let weight = |offer: &Offer<'_>| {
-        let spreads = (offer.cost_ms - least) / spread_ms;
-        if spreads > MAX_SPREADS {
+) -> &'a PlacementCandidate<'b> {
+    let weight = |candidate: &PlacementCandidate<'_>| {
+        let spreads = (candidate.cost_ms - lowest_cost) / spread_ms;
+        if spreads > MAX_SPREAD_MULTIPLE {
             0.0
         } else {
             (-spreads).exp()
         }
     };
-    let total: f64 = offers.iter().map(weight).sum();
-    let mut left = rng.random_range(0.0..total.max(f64::MIN_POSITIVE));
-    for offer in offers {
-        let weight = weight(offer);
-        if weight > 0.0 && left < weight {
-            return offer;
+    let total: f64 = evaluated.iter().map(weight).sum();
+    let mut remaining = rng.random_range(0.0..total.max(f64::MIN_POSITIVE));
+    for candidate in evaluated {
+        let weight = weight(candidate);
+        if weight > 0.0 && remaining < weight {
+            return candidate;
         }
-        left -= weight;
+        remaining -= weight;
     }
-    // Rounding alone comes here; the least one is as good an answer as any.
-    let by_cost = |a: &&Offer<'_>, b: &&Offer<'_>| a.cost_ms.total_cmp(&b.cost_ms);
-    offers.iter().min_by(by_cost).unwrap_or(&offers[0])
+    // Reached only through rounding; the cheapest candidate is as good as any.
+    let by_cost =
+        |a: &&PlacementCandidate<'_>, b: &&PlacementCandidate<'_>| a.cost_ms.total_cmp(&b.cost_ms);
+    evaluated.iter().min_by(by_cost).unwrap_or(&evaluated[0])
 }
 
-/// Returns the offer of the endpoint at which the fewest calls run, of several the one that costs least.
+/// Returns the candidate with the fewest running requests, and among equals the one with the lowest
+/// cost.
 ///
-/// What the call is suspected of ends all that runs there: one of the others would be lost with it for each call.
-fn least_loaded<'a, 'b>(offers: &'a [Offer<'b>]) -> &'a Offer<'b> {
-    let running = |offer: &Offer<'_>| offer.row.load().running;
-    let by_loss = |a: &&Offer<'_>, b: &&Offer<'_>| {
+/// The call is suspected of crashing endpoints, and every request that runs at the endpoint would
+/// be lost with it.
+fn fewest_running<'a, 'b>(evaluated: &'a [PlacementCandidate<'b>]) -> &'a PlacementCandidate<'b> {
+    let running = |candidate: &PlacementCandidate<'_>| candidate.row.load().running;
+    let by_running = |a: &&PlacementCandidate<'_>, b: &&PlacementCandidate<'_>| {
         let by_cost = || a.cost_ms.total_cmp(&b.cost_ms);
         running(a).cmp(&running(b)).then_with(by_cost)
     };
-    offers.iter().min_by(by_loss).unwrap_or(&offers[0])
+    evaluated.iter().min_by(by_running).unwrap_or(&evaluated[0])
 }
 
-/// Returns the endpoints that may take the call.
+/// Returns the endpoints that may get the call.
 ///
-/// Those that are ejected or under an order are left out as long as others are there: an ejection
-/// is a suspicion, and a service whose endpoints are all suspected still has to be tried.
-fn candidates<'a>(
+/// Endpoints that are ejected, suspected or reserved for an order are left out as long as there are
+/// others: an ejection is a suspicion, and a service whose endpoints are all suspected still has to
+/// be tried.
+fn eligible_endpoints<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
     now: TimeUs,
 ) -> Vec<&'a EndpointRow> {
-    let usable = usable(table, request, now);
+    let usable_endpoints = usable_endpoints(table, request, now);
     let is_free = |row: &&EndpointRow| row.reserved_until_us <= now;
-    let is_good =
+    let is_trusted =
         |row: &&EndpointRow| !row.outlier.is_ejected(now) && row.suspected_until_us <= now;
-    let is_there = |row: &&EndpointRow| row.life == EndpointLife::Ready && !row.is_displaced;
-    let best: Vec<&EndpointRow> = usable
+    let is_ready = |row: &&EndpointRow| row.life == EndpointLife::Ready && !row.is_displaced;
+    let best: Vec<&EndpointRow> = usable_endpoints
         .iter()
         .copied()
-        .filter(|row| is_free(row) && is_good(row) && is_there(row))
+        .filter(|row| is_free(row) && is_trusted(row) && is_ready(row))
         .collect();
     if !best.is_empty() {
         return best;
     }
-    let free: Vec<&EndpointRow> = usable.iter().copied().filter(is_free).collect();
+    let free: Vec<&EndpointRow> = usable_endpoints.iter().copied().filter(is_free).collect();
     match free.is_empty() {
-        true => usable,
+        true => usable_endpoints,
         false => free,
     }
 }
 
-/// Returns the endpoints of the call's service that take requests at all.
-fn takers<'a>(
+/// Returns the endpoints of the call's service that accept requests at all.
+fn endpoints_taking_requests<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
 ) -> impl Iterator<Item = &'a EndpointRow> {
@@ -265,42 +276,43 @@
 
 /// Returns the endpoints that have weights which the call may use.
 ///
-/// If none seems to, all that may have got the wanted ones since are tried. What is known of them
-/// may be old: another daemon had them load new weights, and the store was away before they could
-/// register again. Left out, they would never be asked, so that nothing new would be learnt, and
-/// every call would be refused for as long as the outage lasts. One that does have old weights
-/// refuses the call without running it.
-fn usable<'a>(
+/// If none is known to, all endpoints that may have loaded the wanted weights since are tried.
+/// Their known weights may be outdated: another daemon had them load new weights, and the
+/// platform's store was unavailable before they could register again. If they were left out, they
+/// would never be called, nothing new would be learned, and every call would be refused for as long
+/// as the outage lasts. An endpoint that does have old weights refuses the call without running it.
+fn usable_endpoints<'a>(
     table: &'a EndpointTable,
     request: &PlacementRequest<'_>,
     now: TimeUs,
 ) -> Vec<&'a EndpointRow> {
-    let (right, others): (Vec<&EndpointRow>, Vec<&EndpointRow>) = takers(table, request)
-        .filter(|row| !request.excluded.contains(row.instance()))
-        .filter(|row| request.allowed_zones.contains(&row.endpoint.zone))
-        .filter(|row| table.admission(row, now).is_open())
-        .partition(|row| has_right_weights(row, request, now));
-    if !right.is_empty() {
-        return right;
+    let (matching, others): (Vec<&EndpointRow>, Vec<&EndpointRow>) =
+        endpoints_taking_requests(table, request)
+            .filter(|row| !request.excluded.contains(row.instance()))
+            .filter(|row| request.allowed_zones.contains(&row.endpoint.zone))
+            .filter(|row| table.admission(row, now).is_open())
+            .partition(|row| has_expected_weights(row, request, now));
+    if !matching.is_empty() {
+        return matching;
     }
     let may_have_wanted = |row: &&EndpointRow| {
-        let assumed = request.weights_of(row, now);
+        let assumed = request.expected_weights(row, now);
         assumed.is_some() && request.required_weights.is_none_or(|r| Some(r) == assumed)
     };
     others.into_iter().filter(may_have_wanted).collect()
 }
 
-fn has_right_weights(row: &EndpointRow, request: &PlacementRequest<'_>, now: TimeUs) -> bool {
+fn has_expected_weights(row: &EndpointRow, request: &PlacementRequest<'_>, now: TimeUs) -> bool {
     let Some(prompt) = request.prompt else {
         return true;
     };
-    let has = row.weights(&prompt.model);
-    let is_required = request.required_weights.is_none_or(|r| Some(r) == has);
-    has.is_some() && is_required && has == request.weights_of(row, now)
+    let known = row.weights(&prompt.model);
+    let is_required = request.required_weights.is_none_or(|r| Some(r) == known);
+    known.is_some() && is_required && known == request.expected_weights(row, now)
 }
 
-/// Finds the prompt's parts once for each version of the weights that candidates have, which are
-/// mostly one.
+/// Looks up the prompt's parts once for each version of the weights that candidates have, which is
+/// mostly a single one.
 fn part_sources<'a>(
     table: &'a EndpointTable,
     rows: &[&EndpointRow],
@@ -309,7 +321,7 @@
 ) -> Vec<PartSources<'a>> {
     let versions: BTreeSet<WeightNumber> = rows
         .iter()
-        .filter_map(|row| call.request.weights_of(row, call.now))
+        .filter_map(|row| call.request.expected_weights(row, call.now))
         .collect();
     versions
         .into_iter()
--- a/crates/wisteriahitch-relay/src/decide/suspects.rs
+++ b/crates/wisteriahitch-relay/src/decide/suspects.rs
@@ -1,14 +1,17 @@
-//! Requests under which endpoints crash.
+//! Detects requests that crash endpoints, and blocks them.
 //!
-//! Load pattern: a request that ends each endpoint which begins to run it is sent again and again, by its caller, at
-//! any daemon. With each endpoint go all that run there, some fifteen others, and its kept parts; a fleet of nine
-//! engines lost 31 of them in 35 s. Nothing in one crash says which of the requests on board did it, so all are
-//! suspects, and what is known of them is added up over all daemons:
+//! Load pattern: a request that crashes each endpoint which begins to run it is sent again and
+//! again by its caller, to any daemon. With each endpoint all requests that run there, about
+//! fifteen others, and its cached parts are lost; a fleet of nine engines lost 31 of them in 35 s.
+//! A single crash does not show which of the running requests caused it, so all are suspects, and
+//! the evidence is added up over all daemons:
 //!
-//! - A whole answer of any endpoint clears a request: one that ends whoever runs it never has one.
-//! - A request under which [`CRASHES_TO_BLOCK`] endpoints have crashed is blocked: no daemon sends it to an
-//!   endpoint any more.
-//! - What one request is blocked for is held against no other that was on board with it.
+//! - A complete answer of any endpoint clears a request: one that crashes every endpoint never gets
+//!   one.
+//! - A request under which [`CRASHES_TO_BLOCK`] endpoints have crashed is blocked: no daemon sends
+//!   it to an endpoint any more.
+//! - Crashes that are explained by a blocked request no longer count against other requests that
+//!   were running at the same time.
 //!
 //! `docs/design/crashing-requests.md` gives the reasons of each limit.
 
@@ -20,81 +23,85 @@
 
 use super::gossip_message::CrashUpdate;
 use super::recent_updates::RecentUpdates;
-use super::suspect_gossip::weight;
+use super::suspect_gossip::crash_priority;
 use crate::site::RequestFingerprint;
 
-/// Crashes after which a request is blocked. The users allow three, and fewer would blame more innocents: one that
-/// is sent again after each of two crashes nobody caused has seen two.
+/// Number of crashes after which a request is blocked. The users allow three, and fewer would block
+/// more innocent requests: one that is retried after each of two unrelated crashes has seen two.
 pub const CRASHES_TO_BLOCK: usize = 3;
 
-/// Crashes from which a request gets an endpoint with as little to lose as there is. All that were on board of one
-/// crash have seen one; hardly an innocent sees two without an answer in between.
+/// Number of crashes from which on a request is sent to the endpoint with the fewest running
+/// requests. All requests that ran during one crash have seen one; an innocent one hardly ever sees
+/// two without an answer in between.
 const CRASHES_TO_ISOLATE: usize = 2;
 
-/// Time for which an answer speaks for a request. A popular look-up is under way at all endpoints at once, and a
-/// loss of power of a third of them would be held against it thrice.
-const CLEARED_FOR_US: DurationUs = DurationUs::from_ms(60_000);
+/// Time for which an answer clears a request. A popular request runs at all endpoints at once, and
+/// a power loss of a third of them would otherwise count as three crashes against it.
+const CLEARED_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Time after which what is held against a request is forgotten, and after which one that is blocked and no longer
-/// comes is sent again. A caller that repeats for longer than an hour has paused by then; should the request end an
-/// endpoint again, three are lost in an hour.
-const REMEMBERED_FOR_US: DurationUs = DurationUs::from_ms(3_600_000);
+/// Time after which the crashes of a request expire, and after which a blocked request that no
+/// longer arrives is unblocked. A caller that repeats for longer than an hour has paused by then;
+/// if the request crashes endpoints again, three are lost per hour.
+const RECORD_TTL_US: DurationUs = DurationUs::from_ms(3_600_000);
 
-/// Time for which a lifted block isn't taken over again from daemons that haven't heard of it.
-const LIFTED_FOR_US: DurationUs = DurationUs::from_ms(10_000);
+/// Time for which a lifted block is not applied again from daemons that have not yet received the
+/// lift.
+const LIFTED_TTL_US: DurationUs = DurationUs::from_ms(10_000);
 
-/// Suspects that are remembered: all that were on board of thirty in a hundred of 1,200 engines with ten requests
-/// each. Of more, those with the fewest crashes are forgotten, the oldest first.
+/// Maximum number of suspects: all requests that run on 30% of 1,200 engines with ten requests
+/// each. Beyond that, those with the fewest crashes are evicted, the oldest first.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Requests that are blocked. Of more, the one that hasn't come for longest is sent again.
+/// Maximum number of blocked requests. Beyond that, the one that has not arrived for longest is
+/// unblocked.
 const MAX_BLOCKED: usize = 256;
 
-/// Requests that are remembered as answered: half a minute of a busy daemon.
+/// Maximum number of recorded answers: half a minute of a busy daemon.
 const MAX_ANSWERED: NonZeroUsize = match NonZeroUsize::new(4_096) {
-    Some(most) => most,
+    Some(max) => max,
     None => NonZeroUsize::MIN,
 };
 
-/// Crashes that are remembered as explained.
-const MAX_EXPLAINED: usize = 1_024;
+/// Maximum number of crashes recorded as explained by a blocked request.
+const MAX_EXPLAINED_CRASHES: usize = 1_024;
 
-/// What is held against one request.
+/// Crashes that count against one request.
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
-    /// Short names of the lives that ended while it was under way there.
+    /// Short names of the endpoint instances that crashed while the request was running there.
     pub(super) crashes: BTreeSet<u32>,
-    /// Whether a call of this daemon was one of them.
-    is_own: bool,
-    last_at_us: TimeUs,
+    /// Whether this daemon observed one of the crashes itself.
+    is_direct: bool,
+    last_crash_us: TimeUs,
 }
 
 /// A request that no endpoint gets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Blocked {
-    pub(super) learnt_at_us: TimeUs,
-    pub(super) last_came_at_us: TimeUs,
+    pub(super) blocked_at_us: TimeUs,
+    pub(super) last_seen_us: TimeUs,
 }
 
-/// What follows from a crash.
+/// Result of recording a crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashVerdict {
-    /// Nothing is to be done. It may be held against the request, or was known, or has another cause.
-    Nothing,
-    /// The request is blocked from now on. Whether a call of this daemon is part of the proof says who writes it
-    /// down.
+    /// Nothing is to be done: the crash may count against the request, was already known, or is
+    /// explained by another request.
+    NoAction,
+    /// The request is blocked from now on.
     Blocked {
-        /// Whether this daemon saw one of the crashes itself.
-        is_own: bool,
+        /// Whether this daemon observed one of the crashes itself, which decides who stores the
+        /// block.
+        is_direct: bool,
     },
 }
 
-/// What a message of another daemon changed.
+/// Blocks and unblocks that an update of another daemon caused.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RequestChanges {
-    /// Requests that are blocked now, and whether this daemon saw one of the crashes itself.
+    /// Requests that are blocked now, and whether this daemon observed one of the crashes itself.
     pub blocked: Vec<(RequestFingerprint, bool)>,
-    /// Requests that aren't any more.
+    /// Requests that are no longer blocked.
     pub unblocked: Vec<RequestFingerprint>,
 }
 
@@ -105,11 +112,11 @@
     pub(super) blocked: HashMap<RequestFingerprint, Blocked>,
     answered: LruCache<RequestFingerprint, TimeUs>,
     pub(super) lifted: HashMap<RequestFingerprint, TimeUs>,
-    /// Crashes that a blocked request was on board of, the oldest first.
+    /// Crashes that are explained by a blocked request, oldest first.
     explained: VecDeque<u32>,
-    pub(super) fresh_crashes: RecentUpdates<CrashUpdate>,
-    pub(super) fresh_cleared: RecentUpdates<RequestFingerprint>,
-    pub(super) fresh_lifted: RecentUpdates<RequestFingerprint>,
+    pub(super) recent_crashes: RecentUpdates<CrashUpdate>,
+    pub(super) recent_cleared: RecentUpdates<RequestFingerprint>,
+    pub(super) recent_lifted: RecentUpdates<RequestFingerprint>,
 }
 
 impl Default for SuspectTable {
@@ -120,79 +127,84 @@
             answered: LruCache::new(MAX_ANSWERED),
             lifted: HashMap::new(),
             explained: VecDeque::new(),
-            fresh_crashes: RecentUpdates::default(),
-            fresh_cleared: RecentUpdates::default(),
-            fresh_lifted: RecentUpdates::default(),
+            recent_crashes: RecentUpdates::default(),
+            recent_cleared: RecentUpdates::default(),
+            recent_lifted: RecentUpdates::default(),
         }
     }
 }
 
 impl SuspectTable {
-    /// Notes that a life of an endpoint crashed with a request on board, as this daemon saw (`is_own`) or was told.
-    pub fn crashed(
+    /// Records that an endpoint instance crashed while a request was running there. `is_direct`
+    /// says whether this daemon observed the crash itself or another daemon reported it.
+    pub fn record_request_crash(
         &mut self,
         request: RequestFingerprint,
-        life: u32,
-        is_own: bool,
+        instance: u32,
+        is_direct: bool,
         now: TimeUs,
     ) -> CrashVerdict {
         if self.is_cleared(request, now) {
-            // Whoever suspects it hasn't heard of the answer.
-            self.fresh_cleared.add(request, now);
-            return CrashVerdict::Nothing;
+            // A daemon that still suspects the request has not received the answer.
+            self.recent_cleared.add(request, now);
+            return CrashVerdict::NoAction;
         }
-        if self.blocked.contains_key(&request) || self.explained.contains(&life) {
-            return CrashVerdict::Nothing;
+        if self.blocked.contains_key(&request) || self.explained.contains(&instance) {
+            return CrashVerdict::NoAction;
         }
-        self.make_room();
+        self.evict_suspects();
         let suspect = self.suspects.entry(request).or_default();
-        if now.since(suspect.last_at_us) > REMEMBERED_FOR_US {
+        if now.since(suspect.last_crash_us) > RECORD_TTL_US {
             *suspect = Suspect::default();
         }
-        suspect.is_own |= is_own;
-        suspect.last_at_us = now;
-        if !suspect.crashes.insert(life) {
-            return CrashVerdict::Nothing;
+        suspect.is_direct |= is_direct;
+        suspect.last_crash_us = now;
+        if !suspect.crashes.insert(instance) {
+            return CrashVerdict::NoAction;
         }
-        let (crashes, is_own) = (suspect.crashes.len(), suspect.is_own);
-        let news = CrashUpdate {
+        let (crashes, is_direct) = (suspect.crashes.len(), suspect.is_direct);
+        let update = CrashUpdate {
             request,
-            endpoint: life,
+            endpoint: instance,
         };
-        if self.fresh_crashes.is_full() {
-            self.fresh_crashes
-                .drop_least(|news| weight(&self.suspects, news));
+        if self.recent_crashes.is_full() {
+            self.recent_crashes
+                .remove_least_important(|update| crash_priority(&self.suspects, update));
         }
-        self.fresh_crashes.add(news, now);
+        self.recent_crashes.add(update, now);
         if crashes < CRASHES_TO_BLOCK {
-            return CrashVerdict::Nothing;
+            return CrashVerdict::NoAction;
         }
         self.block(request, now, now);
-        CrashVerdict::Blocked { is_own }
+        CrashVerdict::Blocked { is_direct }
     }
 
-    /// Notes a whole answer, which clears a request of what is held against it, and returns whether that ends a
-    /// block.
-    pub fn answered(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    /// Records a complete answer, which clears a request of all its crashes. Returns whether that
+    /// ends a block.
+    pub fn record_answer(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         self.answered.put(request, now);
         let was_suspect = self.suspects.remove(&request).is_some();
         let was_blocked = self.blocked.remove(&request).is_some();
         if was_suspect || was_blocked {
-            self.fresh_cleared.add(request, now);
+            self.recent_cleared.add(request, now);
         }
         was_blocked
     }
 
-    /// Returns how many endpoints crashed under a request elsewhere than at this life.
-    pub fn crashes_elsewhere(&self, request: RequestFingerprint, life: u32) -> usize {
+    /// Returns how many endpoint instances other than this one crashed under a request.
+    pub fn crashes_elsewhere(&self, request: RequestFingerprint, instance: u32) -> usize {
         let suspect = self.suspects.get(&request);
         suspect.map_or(0, |suspect| {
-            suspect.crashes.iter().filter(|l| **l != life).count()
+            suspect
+                .crashes
+                .iter()
+                .filter(|crashed| **crashed != instance)
+                .count()
         })
     }
 
-    /// Returns whether a request goes where little is lost with it.
-    pub fn is_isolated(&self, request: RequestFingerprint) -> bool {
+    /// Returns whether a request is to be sent to the endpoint with the fewest running requests.
+    pub fn needs_isolation(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| suspect.crashes.len() >= CRASHES_TO_ISOLATE)
     }
@@ -202,17 +214,17 @@
         self.blocked.contains_key(&request)
     }
 
-    /// Notes that a request has come, and returns whether it is blocked.
-    pub fn came(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    /// Records that a request has arrived. Returns whether it is blocked.
+    pub fn record_arrival(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         let blocked = self.blocked.get_mut(&request);
         blocked.is_some_and(|blocked| {
-            blocked.last_came_at_us = now;
+            blocked.last_seen_us = now;
             true
         })
     }
 
-    /// Takes over a block that was written down, and returns whether that is new.
-    pub fn restored(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    /// Restores a block from persistent storage. Returns whether it is new.
+    pub fn restore_block(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         if self.is_blocked(request) || self.is_cleared(request, now) {
             return false;
         }
@@ -220,76 +232,78 @@
         true
     }
 
-    /// Ends a block by an operator's order, and returns whether there was one.
+    /// Ends a block by an operator's order. Returns whether there was one.
     ///
-    /// What was held against the request so far no longer counts.
-    pub fn lift(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
+    /// Crashes recorded for the request so far no longer count.
+    pub fn lift_block(&mut self, request: RequestFingerprint, now: TimeUs) -> bool {
         self.suspects.remove(&request);
-        self.lifted.insert(request, now + LIFTED_FOR_US);
-        self.fresh_lifted.add(request, now);
+        self.lifted.insert(request, now + LIFTED_TTL_US);
+        self.recent_lifted.add(request, now);
         self.blocked.remove(&request).is_some()
     }
 
-    /// Ends what is too old, and returns the requests that are no longer blocked.
+    /// Removes expired records, and returns the requests that are no longer blocked.
     pub fn tick(&mut self, now: TimeUs) -> Vec<RequestFingerprint> {
         self.lifted.retain(|_, until| *until > now);
-        let is_over = |blocked: &Blocked| now.since(blocked.last_came_at_us) > REMEMBERED_FOR_US;
-        let over = self.blocked.iter().filter(|(_, b)| is_over(b));
-        let over: Vec<RequestFingerprint> = over.map(|(request, _)| *request).collect();
-        for request in &over {
+        let is_expired = |blocked: &Blocked| now.since(blocked.last_seen_us) > RECORD_TTL_US;
+        let expired = self.blocked.iter().filter(|(_, b)| is_expired(b));
+        let expired: Vec<RequestFingerprint> = expired.map(|(request, _)| *request).collect();
+        for request in &expired {
             self.blocked.remove(request);
         }
-        over
+        expired
     }
 
-    /// Blocks a request, and holds what it is blocked for against no other.
-    pub(super) fn block(&mut self, request: RequestFingerprint, came_at_us: TimeUs, now: TimeUs) {
+    /// Blocks a request, and removes the crashes that this explains from all other suspects.
+    pub(super) fn block(&mut self, request: RequestFingerprint, seen_at_us: TimeUs, now: TimeUs) {
         let crashes = self.suspects.remove(&request).unwrap_or_default().crashes;
         for suspect in self.suspects.values_mut() {
-            suspect.crashes.retain(|life| !crashes.contains(life));
+            suspect
+                .crashes
+                .retain(|instance| !crashes.contains(instance));
         }
         self.suspects
             .retain(|_, suspect| !suspect.crashes.is_empty());
         self.explained.extend(crashes);
-        let surplus = self.explained.len().saturating_sub(MAX_EXPLAINED);
+        let surplus = self.explained.len().saturating_sub(MAX_EXPLAINED_CRASHES);
         self.explained.drain(..surplus);
         if self.blocked.len() >= MAX_BLOCKED {
-            let oldest = self.blocked.iter().min_by_key(|(_, b)| b.last_came_at_us);
+            let oldest = self.blocked.iter().min_by_key(|(_, b)| b.last_seen_us);
             if let Some(oldest) = oldest.map(|(request, _)| *request) {
                 self.blocked.remove(&oldest);
             }
         }
         let blocked = Blocked {
-            learnt_at_us: now,
-            last_came_at_us: came_at_us,
+            blocked_at_us: now,
+            last_seen_us: seen_at_us,
         };
         self.blocked.insert(request, blocked);
     }
 
     pub(super) fn is_cleared(&self, request: RequestFingerprint, now: TimeUs) -> bool {
         let answered_at = self.answered.peek(&request);
-        answered_at.is_some_and(|at| now.since(*at) <= CLEARED_FOR_US)
+        answered_at.is_some_and(|at| now.since(*at) <= CLEARED_TTL_US)
     }
 
-    /// Forgets a quarter of the suspects where there are too many.
-    fn make_room(&mut self) {
+    /// Evicts a quarter of the suspects if there are too many.
+    fn evict_suspects(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let mut known: Vec<_> = self
+        let mut ranked: Vec<_> = self
             .suspects
             .iter()
-            .map(|(request, suspect)| (suspect.crashes.len(), suspect.last_at_us, *request))
+            .map(|(request, suspect)| (suspect.crashes.len(), suspect.last_crash_us, *request))
             .collect();
-        known.sort_unstable();
-        for (_, _, request) in known.into_iter().take(MAX_SUSPECTS / 4) {
+        ranked.sort_unstable();
+        for (_, _, request) in ranked.into_iter().take(MAX_SUSPECTS / 4) {
             self.suspects.remove(&request);
         }
     }
 
-    /// Returns the blocked requests, and for how long each hasn't come.
+    /// Returns the blocked requests, and the time since each last arrived.
     pub fn blocked(&self, now: TimeUs) -> Vec<(RequestFingerprint, DurationUs)> {
-        let absent = |blocked: &Blocked| now.since(blocked.last_came_at_us);
+        let absent = |blocked: &Blocked| now.since(blocked.last_seen_us);
         let mut blocked: Vec<_> = self
             .blocked
             .iter()
@@ -299,12 +313,12 @@
         blocked
     }
 
-    /// Returns how many requests are blocked.
+    /// Returns the number of blocked requests.
     pub fn blocked_count(&self) -> usize {
         self.blocked.len()
     }
 
-    /// Returns how many requests something is held against.
+    /// Returns the number of suspects.
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
--- a/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
+++ b/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
@@ -215,7 +215,7 @@
         let Some(request) = parse_name(shared, &object) else {
             continue;
         };
-        if shared.suspects.lock().restored(request, shared.now()) {
+        if shared.suspects.lock().restore_block(request, shared.now()) {
             record_blocked(shared, request, BlockSource::Store);
         }
     }
@@ -277,7 +277,7 @@
 pub(super) fn lift(shared: &Shared, path: &str) -> Option<Bytes> {
     let request = path.strip_prefix(BLOCKED_PATH)?.strip_prefix('/')?;
     let request: RequestFingerprint = request.parse().ok()?;
-    let was_blocked = shared.suspects.lock().lift(request, shared.now());
+    let was_blocked = shared.suspects.lock().lift_block(request, shared.now());
     if !was_blocked {
         return None;
     }
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -14,7 +14,7 @@
 use super::attempt::Call;
 use super::blocked_requests::{BlockSource, UnblockReason, record_blocked, record_unblocked};
 use super::shared::Shared;
-use crate::decide::crash_evidence::{BreakMeaning, ConnectFailure};
+use crate::decide::crash_evidence::{BrokenCallVerdict, ConnectFailure};
 use crate::decide::endpoint_row::EndpointLife;
 use crate::decide::endpoint_table::life_name;
 use crate::decide::gossip_message::RequestUpdate;
@@ -77,11 +77,13 @@
     let instance_name = life_name(&placement.endpoint);
     let meaning = {
         let mut evidence = shared.crash_evidence.lock();
-        evidence.broke(instance_name, call.fingerprint, shared.now())
+        evidence.record_broken_call(instance_name, call.fingerprint, shared.now())
     };
     match meaning {
-        BreakMeaning::Crashed => record_crash_suspects(shared, &[call.fingerprint], instance_name),
-        BreakMeaning::Look(after_us) => {
+        BrokenCallVerdict::Crashed => {
+            record_crash_suspects(shared, &[call.fingerprint], instance_name)
+        }
+        BrokenCallVerdict::Probe(after_us) => {
             let (endpoint, address) = (placement.endpoint.clone(), placement.address);
             let probe = probe_endpoint(Arc::clone(shared), endpoint, address);
             tokio::spawn(async move {
@@ -89,7 +91,7 @@
                 probe.await;
             });
         }
-        BreakMeaning::Unknown => {}
+        BrokenCallVerdict::Unknown => {}
     }
 }
 
@@ -110,15 +112,17 @@
         let Ok(opened) = timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address)).await else {
             return;
         };
-        match opened.map_err(|error| ConnectFailure::of(error.kind())) {
+        match opened.map_err(|error| ConnectFailure::from_error_kind(error.kind())) {
             Ok(connection) => {
                 if !closes_soon(connection).await {
                     let mut evidence = shared.crash_evidence.lock();
-                    return evidence.found_alive(instance_name, probe_started_at_us);
+                    return evidence.record_alive(instance_name, probe_started_at_us);
                 }
             }
-            Err(ConnectFailure::Gone) => return on_crash(&shared, &probed, EvidenceKind::Refused),
-            Err(ConnectFailure::Ending) => {}
+            Err(ConnectFailure::Refused) => {
+                return on_crash(&shared, &probed, EvidenceKind::Refused);
+            }
+            Err(ConnectFailure::Reset) => {}
             Err(ConnectFailure::Unknown) => return,
         }
         tokio::time::sleep(PROBE_INTERVAL).await;
@@ -142,7 +146,7 @@
     let calls_in_flight = shared
         .crash_evidence
         .lock()
-        .crashed(instance_name, shared.now());
+        .record_crash(instance_name, shared.now());
     let Some(calls_in_flight) = calls_in_flight.filter(|calls| !calls.is_empty()) else {
         return;
     };
@@ -160,10 +164,11 @@
 fn record_crash_suspects(shared: &Shared, requests: &[RequestFingerprint], instance_name: u32) {
     let now = shared.now();
     for request in requests {
-        let verdict = shared
-            .suspects
-            .lock()
-            .crashed(*request, instance_name, true, now);
+        let verdict =
+            shared
+                .suspects
+                .lock()
+                .record_request_crash(*request, instance_name, true, now);
         if let CrashVerdict::Blocked { .. } = verdict {
             record_blocked(shared, *request, BlockSource::Own);
         }
@@ -180,7 +185,10 @@
         let endpoint = format!("{:08x}", crash.endpoint);
         on_named_crash(shared, crash.endpoint, &endpoint, EvidenceKind::Reported);
     }
-    let changes = shared.suspects.lock().told(update, shared.now());
+    let changes = shared
+        .suspects
+        .lock()
+        .apply_peer_update(update, shared.now());
     for (request, is_own) in changes.blocked {
         let source = match is_own {
             true => BlockSource::Own,
@@ -214,7 +222,7 @@
 }
 
 fn record_answered(shared: &Shared, request: RequestFingerprint) {
-    let was_blocked = shared.suspects.lock().answered(request, shared.now());
+    let was_blocked = shared.suspects.lock().record_answer(request, shared.now());
     if was_blocked {
         record_unblocked(shared, request, UnblockReason::Answered);
     }
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -96,7 +96,7 @@
         let last = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.into_iter().enumerate() {
             // The last part belongs to this request or its session; no other request asks for it.
-            if !row.parts.used(key, tokens, now) || index == last {
+            if !row.parts.record_use(key, tokens, now) || index == last {
                 continue;
             }
             updates.push(PartUpdate {
@@ -155,10 +155,10 @@
     let other_us = placement.expected_us - fetch.expected_us;
     let fetch_us = DurationUs::from(elapsed) - other_us;
     let links = &mut endpoints.links;
-    links.fetched(
+    links.record_fetch(
         fetch.source,
         placement.address,
-        fetch.usual_us,
+        fetch.nominal_us,
         fetch_us,
         now,
     );
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -141,7 +141,7 @@
         }
         let prompt = self.call.head.prompt.as_ref();
         let is_stream = self.route.kind == CallKind::Stream;
-        let patience_us = match is_stream {
+        let max_first_event_us = match is_stream {
             true => DurationUs::from(left).min(stream_patience(&self.route)),
             false => DurationUs::from(left),
         };
@@ -155,16 +155,19 @@
             service: &self.service,
             engine: self.call.engine.as_ref(),
             prompt,
-            wall: isolated_workspace.map(|workspace| &workspace.id),
+            isolated_workspace: isolated_workspace.map(|workspace| &workspace.id),
             zone: &shared.settings.zone,
             daemons: shared.peers.daemons(),
             duration_us,
             memory_duration_us,
-            patience_us,
-            longest_queue_us: self.longest_queue_us,
+            max_first_event_us,
+            max_queue_us: self.longest_queue_us,
             allowed_zones: &self.call.allowed_zones,
             excluded: &self.tried_endpoints,
-            is_isolated: shared.suspects.lock().is_isolated(self.call.fingerprint),
+            needs_isolation: shared
+                .suspects
+                .lock()
+                .needs_isolation(self.call.fingerprint),
             required_weights,
             wanted_weights: wanted.as_ref(),
         };
@@ -283,7 +286,7 @@
         loop {
             let changed = shared.site.wanted_changed();
             let wanted = shared.site.wanted(model);
-            let begin_by = wanted.and_then(|wanted| wanted.must_begin_by(weights));
+            let begin_by = wanted.and_then(|wanted| wanted.start_deadline(weights));
             match begin_by {
                 Some(begin_by) => {
                     return tokio::time::sleep(begin_by.since(shared.now()).into()).await;
--- a/crates/wisteriahitch-relay/src/shell/transfers.rs
+++ b/crates/wisteriahitch-relay/src/shell/transfers.rs
@@ -36,7 +36,7 @@
         let mut transfers = Self {
             fetch_from: placement.fetch_from.clone(),
             save_to: Vec::new(),
-            fetch_deadline_ms: stores.fetch_until_ms(now),
+            fetch_deadline_ms: stores.fetch_deadline_ms(now),
         };
         if newest.is_some_and(|newest| placement.weights != Some(newest)) {
             return transfers;
@@ -45,7 +45,7 @@
         let shared_parts = keys.len().saturating_sub(1);
         for (index, (key, tokens)) in keys.iter().enumerate() {
             let store = match index < shared_parts {
-                true => stores.save(*key, *tokens, &call.allowed_zones, now),
+                true => stores.choose_save_target(*key, *tokens, &call.allowed_zones, now),
                 false => None,
             };
             transfers.save_to.push(store);
--- a/crates/wisteriahitch-relay/tests/all/part_sources.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_sources.rs
@@ -1,11 +1,11 @@
-//! From where an engine fetches parts that it doesn't keep.
+//! Sources from which an engine fetches parts that it has not cached.
 
 use std::net::SocketAddr;
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    EndpointTable, Load, PartListing, PartNamer, PartStore, PartStores, PlacementRequest,
+    EndpointTable, Load, PartKeyHasher, PartListing, PartStore, PartStores, PlacementRequest,
     PromptShape, StoredPart, WantedVersions, place,
 };
 use wisteriahitch_types::{TimeUs, TokenCount, WeightNumber, WorkspaceId};
@@ -21,11 +21,11 @@
     table: EndpointTable,
     stores: PartStores,
     wanted: WantedVersions,
-    wall: Option<WorkspaceId>,
+    isolated_workspace: Option<WorkspaceId>,
 }
 
 impl Site {
-    /// Engine `a` gets the call; the others are full.
+    /// Engine `a` gets the call; the other engines are full.
     fn new(others: &[&str]) -> Self {
         let mut table = EndpointTable::default();
         table.registered(engine("a"), NOW);
@@ -41,19 +41,20 @@
             table,
             stores: PartStores::default(),
             wanted: wanted_versions(),
-            wall: None,
+            isolated_workspace: None,
         }
     }
 
-    fn keep(&mut self, name: &str, scope: &str) {
-        let namer = PartNamer::new(&model(), scope);
+    fn cache_parts(&mut self, name: &str, scope: &str) {
+        let hasher = PartKeyHasher::new(&model(), scope);
         let row = self.table.get_mut(&id(name)).unwrap();
         for part in &shape().parts {
-            row.parts.used(namer.key(part.id), part.tokens.get(), NOW);
+            row.parts
+                .record_use(hasher.key(part.id), part.tokens.get(), NOW);
         }
     }
 
-    fn keep_at_store(&mut self, scope: &str) {
+    fn store_part(&mut self, scope: &str) {
         let store = PartStore {
             address: address(STORE_PORT),
             zone: "a".parse().unwrap(),
@@ -62,7 +63,7 @@
             first_byte: std::time::Duration::from_millis(6),
             is_managed: true,
         };
-        self.stores.configured(std::iter::once(store));
+        self.stores.configure(std::iter::once(store));
         let part = StoredPart {
             scope: scope.to_owned(),
             id: shape().parts[0].id,
@@ -75,10 +76,10 @@
             parts: vec![part],
             partial_tokens: 0,
         };
-        self.stores.listed(address(STORE_PORT), listing, NOW);
+        self.stores.apply_listing(address(STORE_PORT), listing, NOW);
     }
 
-    /// Returns where engine `a` fetches the shared part, and the part of the call's own.
+    /// Returns the sources from which engine `a` fetches the shared part and the call's own part.
     fn sources(&self) -> Vec<Option<SocketAddr>> {
         self.sources_by(1)
     }
@@ -86,8 +87,8 @@
     fn sources_by(&self, seed: u64) -> Vec<Option<SocketAddr>> {
         let (setting, shape) = (CallSetting::in_zone("a"), shape());
         let request = PlacementRequest {
-            wall: self.wall.as_ref(),
-            longest_queue_us: ms(3_200),
+            isolated_workspace: self.isolated_workspace.as_ref(),
+            max_queue_us: ms(3_200),
             wanted_weights: Some(&self.wanted),
             ..setting.request(&shape)
         };
@@ -111,7 +112,7 @@
         let sources = site.sources();
         assert_eq!(sources.len(), 2, "{}", case.what);
         assert_eq!(sources[0], case.expected, "{}", case.what);
-        assert_eq!(sources[1], None, "{}: no other call has it", case.what);
+        assert_eq!(sources[1], None, "{}: no other call shares it", case.what);
     }
 }
 
@@ -119,55 +120,56 @@
     prompt(9_000, 1_000)
 }
 
-/// Symptom: prompts are read again by one engine after the other while new weights are brought in,
-/// since stores are full of parts of the old ones. Sequence: an engine reads a part that no store has
-/// room for; the next call with it goes to another engine. Cause: engines fetched from stores alone.
+/// While new weights were rolled out, prompts were read again by one engine after the other, since
+/// the stores were full of parts of the old weights. An engine read a part that no store had
+/// capacity for, and the next call with it went to another engine. The fault was that engines
+/// fetched from stores only.
 #[test]
-fn an_engine_fetches_from_another_one_that_keeps_a_part() {
+fn an_engine_fetches_from_another_engine_that_caches_a_part() {
     let cases = [
         Case {
-            what: "nobody keeps it",
+            what: "no engine has it cached",
             change: |_| {},
             expected: None,
         },
         Case {
-            what: "another engine does",
-            change: |site| site.keep("b", "w1"),
+            what: "another engine has it cached",
+            change: |site| site.cache_parts("b", "w1"),
             expected: Some(engine_address("b")),
         },
         Case {
             what: "only under other weights",
-            change: |site| site.keep("b", "w2"),
+            change: |site| site.cache_parts("b", "w2"),
             expected: None,
         },
         Case {
             what: "only for another workspace",
             change: |site| {
-                site.wall = Some("seller".parse().unwrap());
-                site.keep("b", "w1");
+                site.isolated_workspace = Some("seller".parse().unwrap());
+                site.cache_parts("b", "w1");
             },
             expected: None,
         },
         Case {
             what: "for this workspace",
             change: |site| {
-                site.wall = Some("seller".parse().unwrap());
-                site.keep("b", "w1.seller");
+                site.isolated_workspace = Some("seller".parse().unwrap());
+                site.cache_parts("b", "w1.seller");
             },
             expected: Some(engine_address("b")),
         },
         Case {
             what: "an engine that is about to leave",
             change: |site| {
-                site.keep("b", "w1");
+                site.cache_parts("b", "w1");
                 site.table.registered(draining("b"), NOW);
             },
             expected: None,
         },
         Case {
-            what: "an engine that gets new weights",
+            what: "an engine that is reserved to get new weights",
             change: |site| {
-                site.keep("b", "w1");
+                site.cache_parts("b", "w1");
                 let hash = site.table.get(&id("b")).unwrap().short_name;
                 site.table.reserve(hash, NOW + ms(500), NOW);
             },
@@ -178,29 +180,29 @@
 }
 
 #[test]
-fn what_a_store_says_goes_before_what_is_believed() {
+fn stores_are_preferred_to_engine_caches() {
     let cases = [
         Case {
-            what: "a store's word goes before a belief",
+            what: "a store is preferred to an engine cache",
             change: |site| {
-                site.keep("b", "w1");
-                site.keep_at_store("w1");
+                site.cache_parts("b", "w1");
+                site.store_part("w1");
             },
             expected: Some(address(STORE_PORT)),
         },
         Case {
-            what: "the store also gives parts of weights that are being replaced",
+            what: "the store also serves parts of weights that are being replaced",
             change: |site| {
-                site.wanted.named(WeightNumber::new(2), NOW);
-                site.keep_at_store("w1");
+                site.wanted.record_version(WeightNumber::new(2), NOW);
+                site.store_part("w1");
             },
             expected: Some(address(STORE_PORT)),
         },
         Case {
-            what: "the source is named also where the engine is believed to keep the part",
+            what: "a source is also given if the engine probably has the part cached",
             change: |site| {
-                site.keep("a", "w1");
-                site.keep_at_store("w1");
+                site.cache_parts("a", "w1");
+                site.store_part("w1");
             },
             expected: Some(address(STORE_PORT)),
         },
@@ -208,48 +210,48 @@
     check(&cases);
 }
 
-/// Symptom: calls wait for one store although engines and other stores are idle. Cause: a part at the
-/// start of most prompts was fetched by all engines from the one store that keeps it.
+/// Calls waited for one store although engines and other stores were idle. The fault was that all
+/// engines fetched a part at the start of most prompts from the one store that had it.
 #[test]
-fn a_part_that_many_use_is_fetched_from_engines() {
+fn widely_cached_parts_are_fetched_from_engines() {
     let mut site = Site::new(&["b", "c", "d", "e"]);
-    site.keep_at_store("w1");
+    site.store_part("w1");
     for name in ["b", "c", "d"] {
-        site.keep(name, "w1");
+        site.cache_parts(name, "w1");
     }
     assert_eq!(site.sources()[0], Some(address(STORE_PORT)));
-    site.keep("e", "w1");
+    site.cache_parts("e", "w1");
     let source = site.sources()[0].unwrap();
     assert!(["b", "c", "d", "e"].map(engine_address).contains(&source));
 }
 
-/// Symptom: first events are late although all parts were found. Sequence: the link of a store turns
-/// slow; all calls with parts there go on fetching them. Cause: fetches were taken to be as quick as
-/// the link's rate, whatever they took.
+/// First events were late although all parts were found: the link of a store became slow, and all
+/// calls with parts there went on fetching them. The fault was that the nominal rate of the link
+/// was used whatever the fetches took.
 #[test]
-fn nothing_is_fetched_over_a_link_that_has_turned_slow() {
+fn nothing_is_fetched_over_a_slow_link() {
     let mut site = Site::new(&[]);
-    site.keep_at_store("w1");
+    site.store_part("w1");
     let (store, reader) = (address(STORE_PORT), engine_address("a"));
     assert_eq!(site.sources()[0], Some(store));
     for _ in 0..10 {
         let links = &mut site.table.links;
-        links.fetched(store, reader, ms(50), ms(800), NOW);
+        links.record_fetch(store, reader, ms(50), ms(800), NOW);
         for other in 2..6 {
             let (source, reader) = (address(other), address(20 + other));
-            links.fetched(source, reader, ms(50), ms(50), NOW);
+            links.record_fetch(source, reader, ms(50), ms(50), NOW);
         }
     }
     assert_eq!(site.sources()[0], None);
 }
 
-/// Symptom: all daemons fetch a part from the same engine, whose link then holds everybody up.
-/// Cause: the source was the first in an order that all share.
+/// All daemons fetched a part from the same engine, whose link then delayed everyone. The fault was
+/// that the source was the first in an order that all daemons share.
 #[test]
-fn sources_of_a_part_are_spread() {
+fn fetches_of_a_part_are_spread_over_engines() {
     let mut site = Site::new(&["b", "c"]);
-    site.keep("b", "w1");
-    site.keep("c", "w1");
+    site.cache_parts("b", "w1");
+    site.cache_parts("c", "w1");
     let mut seen = std::collections::BTreeSet::new();
     for seed in 0..20 {
         seen.extend(site.sources_by(seed)[0]);
