--- a/crates/wisteriahitch-core/benches/route.rs
+++ b/crates/wisteriahitch-core/benches/route.rs
@@ -115,11 +115,13 @@
         ..Configuration::default()
     };
     let mut router = Router::new(Box::new(CostPolicy::default()), 7);
-    router.endpoints.configured(&configuration, NOW);
+    router
+        .endpoints
+        .apply_endpoint_configuration(&configuration, NOW);
     for number in 0..endpoints {
         router
             .endpoints
-            .report(&endpoint(number), load(generator), NOW);
+            .record_report(&endpoint(number), load(generator), NOW);
     }
     router
 }
@@ -156,11 +158,11 @@
             for number in 0..holders {
                 router
                     .directory
-                    .listing(&endpoint(number), &keys[..PIECES / 2]);
+                    .replace_endpoint_listing(&endpoint(number), &keys[..PIECES / 2]);
             }
             let in_memory: Vec<(BlockKey, Tier)> =
                 keys.iter().map(|key| (*key, Tier::Memory)).collect();
-            router.directory.store_listing(&store(), &in_memory);
+            router.directory.replace_store_listing(&store(), &in_memory);
             group.bench_with_input(
                 BenchmarkId::new(name, endpoints),
                 &request,
@@ -187,8 +189,8 @@
         let chain = random_chain(generator, PIECES);
         let holder = endpoint(generator.random_range(0..1_200));
         for piece in &chain.blocks {
-            directory.stored(&holder, &piece.key);
-            directory.store_stored(&store(), Tier::Disk, &piece.key);
+            directory.record_stored(&holder, &piece.key);
+            directory.record_tier_stored(&store(), Tier::Disk, &piece.key);
         }
         if number % 100 == 0 {
             kept.push(chain);
@@ -217,26 +219,26 @@
     group.bench_function("tier_prefix_50_pieces", |bencher| {
         bencher.iter(|| {
             next = (next + 1) % chains.len();
-            directory.tier_prefix(black_box(&chains[next]))
+            directory.tier_locations(black_box(&chains[next]))
         });
     });
     let holder = endpoint(17);
     group.bench_function("resident_prefix_50_pieces", |bencher| {
         bencher.iter(|| {
             next = (next + 1) % chains.len();
-            directory.resident_prefix(&holder, black_box(&chains[next]))
+            directory.resident_prefix_tokens(&holder, black_box(&chains[next]))
         });
     });
     group.bench_function("store_and_evict_one", |bencher| {
         bencher.iter(|| {
             let key = random_key(&mut generator);
-            directory.stored(&holder, black_box(&key));
-            directory.evicted(&holder, black_box(&key));
+            directory.record_stored(&holder, black_box(&key));
+            directory.record_evicted(&holder, black_box(&key));
         });
     });
     group.bench_function("sweep_one_of_256_after_a_listing", |bencher| {
         bencher.iter(|| {
-            directory.listing(&holder, &[]);
+            directory.replace_endpoint_listing(&holder, &[]);
             directory.sweep(1);
         });
     });
@@ -271,19 +273,19 @@
             ..Configuration::default()
         };
         let mut admission = Admission::default();
-        admission.configured(&configuration, 1, NOW);
+        admission.apply_quota_configuration(&configuration, 1, NOW);
         admission.set_capacity(&"assistant".parse().unwrap(), 1, NOW);
         let mut running = "first".parse().unwrap();
-        admission.arrive(ask("first".to_owned(), 0), NOW);
+        admission.submit_request(ask("first".to_owned(), 0), NOW);
         for number in 0..count {
-            admission.arrive(ask(format!("wait-{number}"), number), NOW);
+            admission.submit_request(ask(format!("wait-{number}"), number), NOW);
         }
         let mut next = 0;
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
                 next += 1;
-                admission.arrive(ask(format!("r{next}"), next % count), NOW);
-                for command in admission.finished(&running, NOW) {
+                admission.submit_request(ask(format!("r{next}"), next % count), NOW);
+                for command in admission.finish_request(&running, NOW) {
                     if let AdmissionCommand::Start(id) = command {
                         running = id;
                     }
--- a/crates/wisteriahitch-core/src/route/admission/ending.rs
+++ b/crates/wisteriahitch-core/src/route/admission/ending.rs
@@ -2,14 +2,14 @@
 
 use wisteriahitch_types::{Code, DurationUs, RequestId, TimeUs};
 
-use super::entry::{Entry, Standing};
+use super::entry::{Entry, EntryState};
 use super::refusal::refuse;
 use super::{Admission, AdmissionCommand};
 
 impl Admission {
     /// Records that a started request has ended, in whatever way, and starts the next.
-    pub fn finished(&mut self, request: &RequestId, now: TimeUs) -> Vec<AdmissionCommand> {
-        let is_running = |entry: &Entry| matches!(entry.standing, Standing::Running);
+    pub fn finish_request(&mut self, request: &RequestId, now: TimeUs) -> Vec<AdmissionCommand> {
+        let is_running = |entry: &Entry| matches!(entry.state, EntryState::Running);
         if !self.entries.get(request).is_some_and(is_running) {
             return Vec::new();
         }
@@ -17,19 +17,19 @@
             return Vec::new();
         };
         if let Some(gate) = self.gates.get_mut(&entry.service) {
-            gate.ended(now);
+            gate.record_end(now);
         }
-        self.start_next(&entry.service, now)
+        self.start_waiting(&entry.service, now)
     }
 
     /// Takes a request back that waits, and returns whether it did; it was not run.
     ///
-    /// One that was started stays counted until [`Admission::finished`].
+    /// One that was started stays counted until [`Admission::finish_request`].
     pub fn cancel(&mut self, request: &RequestId) -> bool {
         let Some(entry) = self.entries.get(request) else {
             return false;
         };
-        let Standing::Waiting { rank, deadline_us } = entry.standing else {
+        let EntryState::Waiting { rank, deadline_us } = entry.state else {
             return false;
         };
         let (workspace, service) = (entry.workspace.clone(), entry.service.clone());
@@ -45,7 +45,7 @@
     /// Refuses requests whose deadline has passed while they waited, and forgets idle workspaces.
     pub fn tick(&mut self, now: TimeUs) -> Vec<AdmissionCommand> {
         for gate in self.gates.values_mut() {
-            gate.queue.forget_idle();
+            gate.queue.remove_idle();
         }
         self.expire(now)
     }
@@ -57,7 +57,9 @@
                 break;
             }
             let service = self.entries.get(&request).map(|entry| &entry.service);
-            let drain = service.map_or(DurationUs::ZERO, |service| self.drain_time(service));
+            let drain = service.map_or(DurationUs::ZERO, |service| {
+                self.estimate_drain_time(service)
+            });
             self.cancel(&request);
             self.deadlines.remove(&(deadline, request.clone()));
             commands.push(refuse(request, Code::DeadlineUnreachable, drain));
--- a/crates/wisteriahitch-core/src/route/admission/entry.rs
+++ b/crates/wisteriahitch-core/src/route/admission/entry.rs
@@ -6,7 +6,7 @@
 
 /// Says whether a request waits or runs.
 #[derive(Clone, Debug)]
-pub(super) enum Standing {
+pub(super) enum EntryState {
     Waiting { rank: Rank, deadline_us: TimeUs },
     Running,
 }
@@ -16,5 +16,5 @@
 pub(super) struct Entry {
     pub(super) workspace: WorkspaceId,
     pub(super) service: ServiceName,
-    pub(super) standing: Standing,
+    pub(super) state: EntryState,
 }
--- a/crates/wisteriahitch-core/src/route/admission/fair_queue.rs
+++ b/crates/wisteriahitch-core/src/route/admission/fair_queue.rs
@@ -10,10 +10,10 @@
 
 /// Workspaces whose weights stand for those of all that wait, so that a step costs no more with
 /// thousands of them.
-const MAX_LOOKED_AT: usize = 64;
+const MAX_SAMPLED_WEIGHTS: usize = 64;
 
 /// Virtual time of one unit of cost at weight one.
-const SCALE: u128 = 1 << 20;
+const VIRTUAL_TIME_SCALE: u128 = 1 << 20;
 
 /// Place of a request in its workspace's queue: highest priority first, then in order of arrival.
 ///
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Rank {
     priority: Reverse<u8>,
-    number: u64,
+    arrival_number: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -39,10 +39,10 @@
 /// sends more only lengthens its own queue, because each start moves its own tag on.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
-    now: VirtualTime,
+    virtual_now: VirtualTime,
     flows: HashMap<WorkspaceId, Flow>,
     order: BTreeSet<(VirtualTime, WorkspaceId)>,
-    next_number: u64,
+    next_arrival_number: u64,
     len: usize,
 }
 
@@ -51,14 +51,14 @@
     pub(crate) fn push(&mut self, workspace: &WorkspaceId, priority: u8, cost: u64) -> Rank {
         let rank = Rank {
             priority: Reverse(priority),
-            number: self.next_number,
+            arrival_number: self.next_arrival_number,
         };
-        self.next_number += 1;
+        self.next_arrival_number += 1;
         self.len += 1;
         let flow = self.flows.entry(workspace.clone()).or_default();
         flow.waiting.insert(rank, cost.max(1));
         if flow.start.is_none() {
-            let start = flow.finish.max(self.now);
+            let start = flow.finish.max(self.virtual_now);
             flow.start = Some(start);
             self.order.insert((start, workspace.clone()));
         }
@@ -71,9 +71,9 @@
         let flow = self.flows.get_mut(&workspace)?;
         let (rank, cost) = flow.waiting.pop_first()?;
         self.len -= 1;
-        self.now = self.now.max(start);
+        self.virtual_now = self.virtual_now.max(start);
         let weight = u128::from(weight(&workspace).max(1));
-        flow.finish = start + u128::from(cost) * SCALE / weight;
+        flow.finish = start + u128::from(cost) * VIRTUAL_TIME_SCALE / weight;
         flow.start = None;
         if !flow.waiting.is_empty() {
             flow.start = Some(flow.finish);
@@ -99,8 +99,8 @@
     }
 
     /// Forgets workspaces that wait for nothing and whose past no longer matters.
-    pub(crate) fn forget_idle(&mut self) {
-        let now = self.now;
+    pub(crate) fn remove_idle(&mut self) {
+        let now = self.virtual_now;
         self.flows
             .retain(|_, flow| flow.start.is_some() || flow.finish > now);
     }
@@ -111,10 +111,10 @@
     }
 
     /// Returns how many requests of a workspace go before one more of this priority.
-    pub(crate) fn ahead_of(&self, workspace: &WorkspaceId, priority: u8) -> usize {
+    pub(crate) fn count_ahead_of(&self, workspace: &WorkspaceId, priority: u8) -> usize {
         let lowest = Rank {
             priority: Reverse(priority),
-            number: u64::MAX,
+            arrival_number: u64::MAX,
         };
         let flow = self.flows.get(workspace);
         flow.map_or(0, |flow| flow.waiting.range(..lowest).count())
@@ -128,8 +128,8 @@
     ) -> f64 {
         let own = f64::from(weight(workspace).max(1));
         let others = self.order.iter().filter(|(_, other)| other != workspace);
-        let looked_at = others.take(MAX_LOOKED_AT);
-        let weights: Vec<f64> = looked_at
+        let sampled = others.take(MAX_SAMPLED_WEIGHTS);
+        let weights: Vec<f64> = sampled
             .map(|(_, other)| f64::from(weight(other).max(1)))
             .collect();
         if weights.is_empty() {
@@ -143,7 +143,7 @@
     }
 
     /// Returns how many requests of a workspace wait.
-    pub(crate) fn waiting_of(&self, workspace: &WorkspaceId) -> usize {
+    pub(crate) fn count_waiting_of(&self, workspace: &WorkspaceId) -> usize {
         let flow = self.flows.get(workspace);
         flow.map_or(0, |flow| flow.waiting.len())
     }
--- a/crates/wisteriahitch-core/src/route/admission/gate.rs
+++ b/crates/wisteriahitch-core/src/route/admission/gate.rs
@@ -7,7 +7,7 @@
 use super::fair_queue::{FairQueue, Rank};
 
 /// Part of a new sample in the moving mean of the time between two ends.
-const SAMPLE_WEIGHT: f64 = 0.1;
+const END_INTERVAL_SMOOTHING: f64 = 0.1;
 
 /// Holds the requests of one service.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     pub(crate) running: usize,
     pub(crate) capacity: usize,
     last_end_at_us: Option<TimeUs>,
-    end_interval_us: f64,
+    mean_end_interval_us: f64,
 }
 
 impl Gate {
@@ -30,12 +30,12 @@
             running: 0,
             capacity,
             last_end_at_us: None,
-            end_interval_us: 0.0,
+            mean_end_interval_us: 0.0,
         }
     }
 
     /// Returns whether another request may start.
-    pub(crate) fn has_room(&self) -> bool {
+    pub(crate) fn has_free_slot(&self) -> bool {
         self.running < self.capacity
     }
 
@@ -43,40 +43,40 @@
     ///
     /// The time between two ends tells how fast the queue moves only while there is one: the pauses
     /// of a quiet hour would make the next burst look as if it could never be served.
-    pub(crate) fn ended(&mut self, now: TimeUs) {
+    pub(crate) fn record_end(&mut self, now: TimeUs) {
         self.running = self.running.saturating_sub(1);
         if let Some(last) = self.last_end_at_us {
             let sample = now.since(last).as_f64();
-            self.end_interval_us = match self.end_interval_us {
+            self.mean_end_interval_us = match self.mean_end_interval_us {
                 0.0 => sample,
-                mean => mean + SAMPLE_WEIGHT * (sample - mean),
+                mean => mean + END_INTERVAL_SMOOTHING * (sample - mean),
             };
         }
-        let is_waited_for = self.queue.len() > 0;
-        self.last_end_at_us = is_waited_for.then_some(now);
+        let has_waiting = self.queue.len() > 0;
+        self.last_end_at_us = has_waiting.then_some(now);
     }
 
     /// Estimates how long one more request of a workspace would wait behind those that rank before
     /// it, at the workspace's share; zero while nothing waits.
     ///
     /// Something always may wait, so that a bad estimate is put right by the next ends.
-    pub(crate) fn wait_time(
+    pub(crate) fn estimate_wait(
         &self,
         workspace: &WorkspaceId,
         priority: u8,
         weight: impl Fn(&WorkspaceId) -> u32,
     ) -> DurationUs {
-        if self.has_room() || self.queue.len() == 0 {
+        if self.has_free_slot() || self.queue.len() == 0 {
             return DurationUs::ZERO;
         }
-        let ahead = self.queue.ahead_of(workspace, priority) as f64 + 1.0;
+        let ahead = self.queue.count_ahead_of(workspace, priority) as f64 + 1.0;
         let ends =
             (ahead / self.queue.share_of(workspace, weight)).min(self.queue.len() as f64 + 1.0);
-        DurationUs::new((ends * self.end_interval_us) as u64)
+        DurationUs::new((ends * self.mean_end_interval_us) as u64)
     }
 
     /// Estimates when the requests that wait will have started.
-    pub(crate) fn drain_time(&self) -> DurationUs {
-        DurationUs::new((self.queue.len() as f64 * self.end_interval_us) as u64)
+    pub(crate) fn estimate_drain_time(&self) -> DurationUs {
+        DurationUs::new((self.queue.len() as f64 * self.mean_end_interval_us) as u64)
     }
 }
--- a/crates/wisteriahitch-core/src/route/admission/quota.rs
+++ b/crates/wisteriahitch-core/src/route/admission/quota.rs
@@ -29,26 +29,26 @@
 
     /// Takes over changed bounds; what has been used stays used.
     pub(crate) fn configure(&mut self, workspace: &Workspace, daemons: u32, now: TimeUs) {
-        let share = 1.0 / f64::from(daemons.max(1));
+        let daemon_share = 1.0 / f64::from(daemons.max(1));
         self.weight = workspace.weight;
         self.max_queued = workspace.max_queued as usize;
         let requests_per_s = workspace.requests_per_s.map(f64::from);
         let tokens_per_s = workspace.prompt_tokens_per_s.map(|rate| rate.as_f64());
         set_rate(
             &mut self.requests,
-            requests_per_s.map(|rate| rate * share),
+            requests_per_s.map(|rate| rate * daemon_share),
             now,
         );
         set_rate(
             &mut self.prompt_tokens,
-            tokens_per_s.map(|rate| rate * share),
+            tokens_per_s.map(|rate| rate * daemon_share),
             now,
         );
     }
 
     /// Takes a request out of the quota, or returns how long to wait before it would fit.
-    pub(crate) fn take(&mut self, prompt_tokens: TokenCount, now: TimeUs) -> DurationUs {
-        let wait_of = |bucket: &mut TokenBucket| bucket.wait(now);
+    pub(crate) fn try_charge(&mut self, prompt_tokens: TokenCount, now: TimeUs) -> DurationUs {
+        let wait_of = |bucket: &mut TokenBucket| bucket.time_until_available(now);
         let requests_wait = self.requests.as_mut().map_or(DurationUs::ZERO, wait_of);
         let tokens_wait = self
             .prompt_tokens
@@ -59,10 +59,10 @@
             return wait;
         }
         if let Some(bucket) = &mut self.requests {
-            bucket.take(1.0);
+            bucket.consume(1.0);
         }
         if let Some(bucket) = &mut self.prompt_tokens {
-            bucket.take(prompt_tokens.as_f64());
+            bucket.consume(prompt_tokens.as_f64());
         }
         DurationUs::ZERO
     }
--- a/crates/wisteriahitch-core/src/route/admission/request.rs
+++ b/crates/wisteriahitch-core/src/route/admission/request.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionCommand {
-    /// Let the request run; [`Admission::finished`](super::Admission::finished) must follow.
+    /// Let the request run; [`Admission::finish_request`](super::Admission::finish_request) must follow.
     Start(RequestId),
     /// Refuse the request, which was not run.
     Refuse {
--- a/crates/wisteriahitch-core/src/route/admission/table.rs
+++ b/crates/wisteriahitch-core/src/route/admission/table.rs
@@ -5,7 +5,7 @@
 use wisteriahitch_config::Configuration;
 use wisteriahitch_types::{Code, DurationUs, RequestId, ServiceName, TimeUs, WorkspaceId};
 
-use super::entry::{Entry, Standing};
+use super::entry::{Entry, EntryState};
 use super::gate::Gate;
 use super::quota::Quota;
 use super::refusal::refuse;
@@ -31,7 +31,12 @@
     /// Takes over weights, quotas and bounds of a configuration.
     ///
     /// `daemons` is how many daemons share the callers: each grants its part of a site's quota.
-    pub fn configured(&mut self, configuration: &Configuration, daemons: u32, now: TimeUs) {
+    pub fn apply_quota_configuration(
+        &mut self,
+        configuration: &Configuration,
+        daemons: u32,
+        now: TimeUs,
+    ) {
         let known = |id: &WorkspaceId| configuration.workspaces.contains_key(id);
         self.quotas.retain(|id, _| known(id));
         for (id, workspace) in &configuration.workspaces {
@@ -56,13 +61,17 @@
         if let Some(gate) = self.gates.get_mut(service) {
             gate.capacity = capacity;
         }
-        self.start_next(service, now)
+        self.start_waiting(service, now)
     }
 
     /// Takes a request in: it starts, waits or is refused.
     ///
     /// A second request of the same id changes nothing while the first waits or runs.
-    pub fn arrive(&mut self, request: AdmissionRequest, now: TimeUs) -> Vec<AdmissionCommand> {
+    pub fn submit_request(
+        &mut self,
+        request: AdmissionRequest,
+        now: TimeUs,
+    ) -> Vec<AdmissionCommand> {
         if self.entries.contains_key(&request.request) {
             return Vec::new();
         }
@@ -83,10 +92,10 @@
         let entry = Entry {
             workspace: request.workspace,
             service: request.service.clone(),
-            standing: Standing::Waiting { rank, deadline_us },
+            state: EntryState::Waiting { rank, deadline_us },
         };
         self.entries.insert(request.request, entry);
-        self.start_next(&request.service, now)
+        self.start_waiting(&request.service, now)
     }
 
     fn check(&mut self, request: &AdmissionRequest, now: TimeUs) -> Result<(), AdmissionCommand> {
@@ -94,15 +103,15 @@
         if request.deadline_us <= now {
             return Err(refuse(id, Code::DeadlineUnreachable, DurationUs::ZERO));
         }
-        let drain = self.drain_time(&request.service);
-        let waiting = self.waiting_of(request);
+        let drain_us = self.estimate_drain_time(&request.service);
+        let waiting = self.count_waiting_of(request);
         let Some(quota) = self.quotas.get(&request.workspace) else {
             return Err(refuse(id, Code::UnknownKey, DurationUs::ZERO));
         };
         if waiting >= quota.max_queued {
-            return Err(refuse(id, Code::QueueFull, drain));
+            return Err(refuse(id, Code::QueueFull, drain_us));
         }
-        self.check_wait(request, now)?;
+        self.check_deadline(request, now)?;
         self.check_quota(request, now)
     }
 
@@ -113,9 +122,15 @@
         now: TimeUs,
     ) -> Result<(), AdmissionCommand> {
         let quota = self.quotas.get_mut(&request.workspace);
-        let wait = quota.map_or(DurationUs::ZERO, |q| q.take(request.prompt_tokens, now));
-        match wait > DurationUs::ZERO {
-            true => Err(refuse(request.request.clone(), Code::QuotaExceeded, wait)),
+        let wait_us = quota.map_or(DurationUs::ZERO, |quota| {
+            quota.try_charge(request.prompt_tokens, now)
+        });
+        match wait_us > DurationUs::ZERO {
+            true => Err(refuse(
+                request.request.clone(),
+                Code::QuotaExceeded,
+                wait_us,
+            )),
             false => Ok(()),
         }
     }
@@ -124,23 +139,31 @@
     ///
     /// Let into the queue, it would be told so only at its deadline, when its caller could long
     /// have asked elsewhere or come back later.
-    fn check_wait(&self, request: &AdmissionRequest, now: TimeUs) -> Result<(), AdmissionCommand> {
+    fn check_deadline(
+        &self,
+        request: &AdmissionRequest,
+        now: TimeUs,
+    ) -> Result<(), AdmissionCommand> {
         let Some(gate) = self.gates.get(&request.service) else {
             return Ok(());
         };
         let quotas = &self.quotas;
         let weight = |id: &WorkspaceId| quotas.get(id).map_or(1, |quota| quota.weight);
-        let wait = gate.wait_time(&request.workspace, request.priority, weight);
-        let left = request.deadline_us.since(now);
-        if wait <= left {
+        let wait_us = gate.estimate_wait(&request.workspace, request.priority, weight);
+        let remaining_us = request.deadline_us.since(now);
+        if wait_us <= remaining_us {
             return Ok(());
         }
         let id = request.request.clone();
-        Err(refuse(id, Code::DeadlineUnreachable, wait - left))
+        Err(refuse(
+            id,
+            Code::DeadlineUnreachable,
+            wait_us - remaining_us,
+        ))
     }
 
     /// Starts what fits; requests that nobody waits for any more are refused before.
-    pub(super) fn start_next(
+    pub(super) fn start_waiting(
         &mut self,
         service: &ServiceName,
         now: TimeUs,
@@ -151,7 +174,7 @@
         };
         let quotas = &self.quotas;
         let weight = |id: &WorkspaceId| quotas.get(id).map_or(1, |quota| quota.weight);
-        while gate.has_room() {
+        while gate.has_free_slot() {
             let Some(rank) = gate.queue.pop(weight) else {
                 break;
             };
@@ -159,10 +182,10 @@
                 continue;
             };
             if let Some(entry) = self.entries.get_mut(&request) {
-                if let Standing::Waiting { deadline_us, .. } = entry.standing {
+                if let EntryState::Waiting { deadline_us, .. } = entry.state {
                     self.deadlines.remove(&(deadline_us, request.clone()));
                 }
-                entry.standing = Standing::Running;
+                entry.state = EntryState::Running;
             }
             gate.running += 1;
             commands.push(AdmissionCommand::Start(request));
@@ -171,17 +194,17 @@
     }
 
     fn capacity_of(&self, service: &ServiceName) -> usize {
-        let told = self.capacities.get(service).copied();
-        told.unwrap_or(DEFAULT_CAPACITY)
+        let configured = self.capacities.get(service).copied();
+        configured.unwrap_or(DEFAULT_CAPACITY)
     }
 
-    pub(super) fn drain_time(&self, service: &ServiceName) -> DurationUs {
+    pub(super) fn estimate_drain_time(&self, service: &ServiceName) -> DurationUs {
         let gate = self.gates.get(service);
-        gate.map_or(DurationUs::ZERO, Gate::drain_time)
+        gate.map_or(DurationUs::ZERO, Gate::estimate_drain_time)
     }
 
-    fn waiting_of(&self, request: &AdmissionRequest) -> usize {
-        let of_gate = |gate: &Gate| gate.queue.waiting_of(&request.workspace);
+    fn count_waiting_of(&self, request: &AdmissionRequest) -> usize {
+        let of_gate = |gate: &Gate| gate.queue.count_waiting_of(&request.workspace);
         self.gates.values().map(of_gate).sum()
     }
 }
--- a/crates/wisteriahitch-core/src/route/admission/token_bucket.rs
+++ b/crates/wisteriahitch-core/src/route/admission/token_bucket.rs
@@ -4,7 +4,7 @@
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 /// Span whose flow may come at once.
-const BURST_S: f64 = 2.0;
+const BURST_WINDOW_S: f64 = 2.0;
 
 /// Lets a bounded flow through and allows a burst of two seconds' flow.
 ///
@@ -25,24 +25,24 @@
             level: 0.0,
             filled_at_us: now,
         };
-        bucket.level = bucket.burst();
+        bucket.level = bucket.capacity();
         bucket
     }
 
     /// Takes over another rate and keeps the level.
     pub(crate) fn set_rate(&mut self, rate_per_s: f64, now: TimeUs) {
-        self.fill(now);
+        self.refill(now);
         self.rate_per_s = rate_per_s;
-        self.level = self.level.min(self.burst());
+        self.level = self.level.min(self.capacity());
     }
 
     /// Returns how long to wait until something may pass; zero where it may now.
-    pub(crate) fn wait(&mut self, now: TimeUs) -> DurationUs {
-        self.fill(now);
+    pub(crate) fn time_until_available(&mut self, now: TimeUs) -> DurationUs {
+        self.refill(now);
         if self.level > 0.0 {
             return DurationUs::ZERO;
         }
-        let missing = 1.0_f64.min(self.burst()) - self.level;
+        let missing = 1.0_f64.min(self.capacity()) - self.level;
         match self.rate_per_s > 0.0 {
             true => DurationUs::from_secs_f64(missing / self.rate_per_s),
             false => DurationUs::MAX,
@@ -50,17 +50,17 @@
     }
 
     /// Takes what passes.
-    pub(crate) fn take(&mut self, amount: f64) {
+    pub(crate) fn consume(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    fn fill(&mut self, now: TimeUs) {
-        let gathered = now.since(self.filled_at_us).as_secs_f64() * self.rate_per_s;
-        self.level = (self.level + gathered).min(self.burst());
+    fn refill(&mut self, now: TimeUs) {
+        let refilled = now.since(self.filled_at_us).as_secs_f64() * self.rate_per_s;
+        self.level = (self.level + refilled).min(self.capacity());
         self.filled_at_us = self.filled_at_us.max(now);
     }
 
-    fn burst(&self) -> f64 {
-        (self.rate_per_s * BURST_S).max(1.0)
+    fn capacity(&self) -> f64 {
+        (self.rate_per_s * BURST_WINDOW_S).max(1.0)
     }
 }
--- a/crates/wisteriahitch-core/src/route/directory/chain_holders.rs
+++ b/crates/wisteriahitch-core/src/route/directory/chain_holders.rs
@@ -31,19 +31,22 @@
         if !self.places.is_trusted(place) {
             return 0;
         }
-        let is_held = |holders: &&Option<&Holders>| {
+        let is_resident = |holders: &&Option<&Holders>| {
             holders.is_some_and(|holders| holders.contains(place, self.spill))
         };
-        self.pieces.iter().take_while(is_held).count()
+        self.pieces.iter().take_while(is_resident).count()
     }
 
     /// Iterates over the tiers that hold a piece.
-    pub(crate) fn stores(&self, piece: usize) -> impl Iterator<Item = (&'a StoreId, Tier)> + '_ {
+    pub(crate) fn store_tiers(
+        &self,
+        piece: usize,
+    ) -> impl Iterator<Item = (&'a StoreId, Tier)> + '_ {
         let holders = self.pieces.get(piece).copied().flatten();
         let (spill, places) = (self.spill, self.places);
         holders
             .into_iter()
-            .flat_map(move |holders| holders.stores(spill))
+            .flat_map(move |holders| holders.store_places(spill))
             .filter(move |place| places.is_trusted(*place))
             .filter_map(move |place| match places.holder(place) {
                 Holder::Store(store, tier) => Some((store, *tier)),
@@ -51,20 +54,20 @@
             })
     }
 
-    /// Returns up to `most` endpoints that hold late pieces, those of the latest piece first.
+    /// Returns up to `max_count` endpoints that hold late pieces, those of the latest piece first.
     ///
-    /// `skip` rotates the holders of each piece, so that many holders of a popular prefix all get
-    /// their turn. At most twice `most` holders of a piece are looked at, so that a prefix which
+    /// `rotation` rotates the holders of each piece, so that many holders of a popular prefix all get
+    /// their turn. At most twice `max_count` holders of a piece are looked at, so that a prefix which
     /// every endpoint holds costs no more than one that a few hold.
-    pub(crate) fn endpoints(&self, most: usize, skip: usize) -> Vec<&'a EndpointId> {
+    pub(crate) fn endpoints(&self, max_count: usize, rotation: usize) -> Vec<&'a EndpointId> {
         let mut found: Vec<&EndpointId> = Vec::new();
         for holders in self.pieces.iter().rev().flatten() {
-            let looked_at = holders.len(self.spill).min(2 * most);
-            for step in 0..looked_at {
-                let Some(endpoint) = self.endpoint_at(holders, skip.wrapping_add(step)) else {
+            let visited = holders.len(self.spill).min(2 * max_count);
+            for step in 0..visited {
+                let Some(endpoint) = self.endpoint_at(holders, rotation.wrapping_add(step)) else {
                     continue;
                 };
-                if found.len() >= most {
+                if found.len() >= max_count {
                     return found;
                 }
                 if !found.contains(&endpoint) {
@@ -76,7 +79,7 @@
     }
 
     fn endpoint_at(&self, holders: &Holders, index: usize) -> Option<&'a EndpointId> {
-        let place = holders.get_round(index, self.spill)?;
+        let place = holders.get_wrapping(index, self.spill)?;
         if !self.places.is_trusted(place) {
             return None;
         }
--- a/crates/wisteriahitch-core/src/route/directory/mod.rs
+++ b/crates/wisteriahitch-core/src/route/directory/mod.rs
@@ -2,8 +2,8 @@
 
 mod chain_holders;
 mod holders;
-mod numbers;
 mod place;
+mod place_allocator;
 mod segment;
 mod shard;
 mod table;
--- a/crates/wisteriahitch-core/src/route/directory/place.rs
+++ b/crates/wisteriahitch-core/src/route/directory/place.rs
@@ -5,7 +5,7 @@
 
 use wisteriahitch_types::{EndpointId, StoreId, Tier};
 
-use super::numbers::{Numbers, Place, SWEEPS_TO_FREE};
+use super::place_allocator::{Place, PlaceAllocator, SWEEPS_TO_FREE};
 
 /// Names one holder of blocks.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -38,61 +38,61 @@
 /// Gives numbers to the holders.
 #[derive(Debug)]
 pub(crate) struct Places {
-    store_numbers: Numbers,
-    endpoint_numbers: Numbers,
+    store_ids: PlaceAllocator,
+    endpoint_ids: PlaceAllocator,
     endpoints: HashMap<EndpointId, PlaceId>,
     stores: HashMap<(StoreId, Tier), PlaceId>,
     /// Dead places whose entries may still be in the table.
-    dying: usize,
+    unfreed_retired: usize,
 }
 
 impl Default for Places {
     fn default() -> Self {
         Self {
-            store_numbers: Numbers::new(0, PlaceId::FIRST_ENDPOINT),
-            endpoint_numbers: Numbers::new(PlaceId::FIRST_ENDPOINT, PlaceId::LIMIT),
+            store_ids: PlaceAllocator::new(0, PlaceId::FIRST_ENDPOINT),
+            endpoint_ids: PlaceAllocator::new(PlaceId::FIRST_ENDPOINT, PlaceId::LIMIT),
             endpoints: HashMap::new(),
             stores: HashMap::new(),
-            dying: 0,
+            unfreed_retired: 0,
         }
     }
 }
 
 impl Places {
     /// Returns the live number of an endpoint.
-    pub(crate) fn endpoint(&self, endpoint: &EndpointId) -> Option<PlaceId> {
+    pub(crate) fn endpoint_place(&self, endpoint: &EndpointId) -> Option<PlaceId> {
         self.endpoints.get(endpoint).copied()
     }
 
     /// Returns the live number of a store's tier.
-    pub(crate) fn store(&self, store: &StoreId, tier: Tier) -> Option<PlaceId> {
+    pub(crate) fn store_place(&self, store: &StoreId, tier: Tier) -> Option<PlaceId> {
         self.stores.get(&(store.clone(), tier)).copied()
     }
 
     /// Returns the number of a holder, a new one where it has none, or nothing where all are used.
     pub(crate) fn get_or_add(&mut self, holder: &Holder) -> Option<PlaceId> {
         let known = match holder {
-            Holder::Endpoint(endpoint) => self.endpoint(endpoint),
-            Holder::Store(store, tier) => self.store(store, *tier),
+            Holder::Endpoint(endpoint) => self.endpoint_place(endpoint),
+            Holder::Store(store, tier) => self.store_place(store, *tier),
         };
         known.or_else(|| self.add(holder))
     }
 
     /// Gives a holder a new number; what lies under its old one counts no more.
-    pub(crate) fn renew(&mut self, holder: &Holder) -> Option<PlaceId> {
-        self.kill(holder);
+    pub(crate) fn reassign(&mut self, holder: &Holder) -> Option<PlaceId> {
+        self.retire(holder);
         self.add(holder)
     }
 
     /// Takes a holder's number away.
-    pub(crate) fn kill(&mut self, holder: &Holder) {
-        let dead = match holder {
+    pub(crate) fn retire(&mut self, holder: &Holder) {
+        let retired = match holder {
             Holder::Endpoint(endpoint) => self.endpoints.remove(endpoint),
             Holder::Store(store, tier) => self.stores.remove(&(store.clone(), *tier)),
         };
-        if let Some(id) = dead {
+        if let Some(id) = retired {
             self.get_mut(id).sweeps_left = Some(SWEEPS_TO_FREE);
-            self.dying += 1;
+            self.unfreed_retired += 1;
         }
     }
 
@@ -104,12 +104,12 @@
         };
         match holder {
             Holder::Endpoint(endpoint) => {
-                let id = self.endpoint_numbers.put(place)?;
+                let id = self.endpoint_ids.allocate(place)?;
                 self.endpoints.insert(endpoint.clone(), id);
                 Some(id)
             }
             Holder::Store(store, tier) => {
-                let id = self.store_numbers.put(place)?;
+                let id = self.store_ids.allocate(place)?;
                 self.stores.insert((store.clone(), *tier), id);
                 Some(id)
             }
@@ -117,7 +117,7 @@
     }
 
     /// Makes a holder's entries count for nothing until they are listed again.
-    pub(crate) fn suspect(&mut self, id: PlaceId) {
+    pub(crate) fn mark_suspect(&mut self, id: PlaceId) {
         self.get_mut(id).is_suspect = true;
     }
 
@@ -139,8 +139,8 @@
 
     /// Returns how many numbers are in use and how many of those are suspect.
     pub(crate) fn counts(&self) -> (usize, usize) {
-        let places = self.store_numbers.places.iter();
-        let places = places.chain(&self.endpoint_numbers.places);
+        let places = self.store_ids.places.iter();
+        let places = places.chain(&self.endpoint_ids.places);
         let live = places.filter(|place| place.sweeps_left.is_none());
         let suspect = live.clone().filter(|place| place.is_suspect);
         (live.count(), suspect.count())
@@ -148,26 +148,26 @@
 
     /// Returns whether entries of dead places may be left in the table.
     pub(crate) fn needs_sweep(&self) -> bool {
-        self.dying > 0
+        self.unfreed_retired > 0
     }
 
     /// Records that a sweep has passed the whole table.
-    pub(crate) fn swept(&mut self) {
-        let freed = self.store_numbers.swept() + self.endpoint_numbers.swept();
-        self.dying -= freed;
+    pub(crate) fn record_full_sweep(&mut self) {
+        let freed = self.store_ids.record_full_sweep() + self.endpoint_ids.record_full_sweep();
+        self.unfreed_retired -= freed;
     }
 
     fn get(&self, id: PlaceId) -> &Place {
         match id.is_store() {
-            true => self.store_numbers.get(id),
-            false => self.endpoint_numbers.get(id),
+            true => self.store_ids.get(id),
+            false => self.endpoint_ids.get(id),
         }
     }
 
     fn get_mut(&mut self, id: PlaceId) -> &mut Place {
         match id.is_store() {
-            true => self.store_numbers.get_mut(id),
-            false => self.endpoint_numbers.get_mut(id),
+            true => self.store_ids.get_mut(id),
+            false => self.endpoint_ids.get_mut(id),
         }
     }
 }
--- a/crates/wisteriahitch-core/src/route/directory/numbers.rs
+++ b/crates/wisteriahitch-core/src/route/directory/place_allocator.rs
@@ -19,7 +19,7 @@
 
 /// Gives numbers from a range.
 #[derive(Debug)]
-pub(crate) struct Numbers {
+pub(crate) struct PlaceAllocator {
     first: u16,
     limit: u16,
     /// Numbers that were given, in their order.
@@ -27,7 +27,7 @@
     free: Vec<PlaceId>,
 }
 
-impl Numbers {
+impl PlaceAllocator {
     /// Gives numbers from `first` to before `limit`.
     pub(crate) fn new(first: u16, limit: u16) -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 
     /// Gives a number, unless all are used.
-    pub(crate) fn put(&mut self, place: Place) -> Option<PlaceId> {
+    pub(crate) fn allocate(&mut self, place: Place) -> Option<PlaceId> {
         if let Some(id) = self.free.pop() {
             *self.get_mut(id) = place;
             return Some(id);
@@ -64,7 +64,7 @@
     }
 
     /// Counts a whole sweep and returns how many places became free by it.
-    pub(crate) fn swept(&mut self) -> usize {
+    pub(crate) fn record_full_sweep(&mut self) -> usize {
         let free_before = self.free.len();
         for (number, place) in (self.first..).zip(&mut self.places) {
             match place.sweeps_left {
--- a/crates/wisteriahitch-core/src/route/directory/segment.rs
+++ b/crates/wisteriahitch-core/src/route/directory/segment.rs
@@ -29,15 +29,15 @@
 }
 
 /// Returns the number of the segment that a key belongs to, from bytes outside the fingerprint.
-pub(crate) fn segment_of(key: &BlockKey) -> usize {
+pub(crate) fn segment_index(key: &BlockKey) -> usize {
     usize::from(key.as_bytes()[15]) % SEGMENTS
 }
 
 /// Passes a fingerprint on, since it is part of a hash already.
 #[derive(Default)]
-pub(crate) struct PassHasher(u64);
+pub(crate) struct IdentityHasher(u64);
 
-impl Hasher for PassHasher {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -54,4 +54,4 @@
 }
 
 /// Maps fingerprints to holders.
-pub(crate) type Segment = HashMap<Fingerprint, Holders, BuildHasherDefault<PassHasher>>;
+pub(crate) type Segment = HashMap<Fingerprint, Holders, BuildHasherDefault<IdentityHasher>>;
--- a/crates/wisteriahitch-core/src/route/endpoint/flight.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/attempt.rs
@@ -8,9 +8,9 @@
 /// Names one attempt that was sent to an endpoint, within this process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct FlightId(pub(crate) u64);
+pub struct AttemptId(pub(crate) u64);
 
-impl fmt::Display for FlightId {
+impl fmt::Display for AttemptId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -19,7 +19,7 @@
 /// Says how an attempt ended that brought no whole answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FlightFailure {
+pub enum AttemptFailure {
     /// The endpoint said that it did not run it: it is busy, leaving or has other models than it
     /// reported.
     Refused,
@@ -31,11 +31,11 @@
 
 /// Holds one attempt that was sent and has not ended.
 #[derive(Clone, Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     /// Row of the endpoint.
     pub(crate) row: usize,
     /// Life of the row's endpoint that the attempt was sent to.
-    pub(crate) life_number: u64,
+    pub(crate) instance_number: u64,
     /// When it was sent.
     pub(crate) sent_at_us: TimeUs,
     /// Prompt tokens that the endpoint was to compute.
--- a/crates/wisteriahitch-core/src/route/endpoint/leaving.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/leaving.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records a new life, told by the endpoint itself.
-    pub(crate) fn reborn(&mut self) {
+    pub(crate) fn record_restart(&mut self) {
         *self = Self {
             came_back: self.came_back || self.is_leaving,
             ..Self::default()
--- a/crates/wisteriahitch-core/src/route/endpoint/lookup.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/lookup.rs
@@ -4,11 +4,11 @@
 
 use wisteriahitch_types::{EndpointId, ModelName, ServiceName, WeightVersion};
 
-use super::{EndpointTable, LifeState, Pool, PoolKey, Served, Standing};
+use super::{EndpointState, EndpointTable, Pool, PoolKey, PoolMembershipState, ServingRequirement};
 
 impl EndpointTable {
     /// Returns the endpoint's step of life, or nothing for one that isn't configured.
-    pub fn get_state(&self, endpoint: &EndpointId) -> Option<LifeState> {
+    pub fn get_state(&self, endpoint: &EndpointId) -> Option<EndpointState> {
         let row = *self.by_id.get(endpoint)?;
         Some(self.rows[row].state())
     }
@@ -20,12 +20,12 @@
     pub fn confirmed_leaving(&self) -> impl Iterator<Item = (&EndpointId, Option<&str>)> {
         self.by_id.iter().filter_map(|(id, &row)| {
             let record = &self.rows[row];
-            let life = record
+            let instance = record
                 .report
                 .as_ref()
-                .and_then(|held| held.load.life.as_deref());
-            let is_leaving = record.state() == LifeState::Leaving;
-            (is_leaving && record.leaving.is_confirmed()).then_some((id, life))
+                .and_then(|received| received.load.life.as_deref());
+            let is_leaving = record.state() == EndpointState::Leaving;
+            (is_leaving && record.leaving.is_confirmed()).then_some((id, instance))
         })
     }
 
@@ -47,8 +47,8 @@
     /// more, requests wait at the endpoints, where workspaces have no shares.
     pub fn ready_slots(&self, service: &ServiceName) -> u64 {
         let of_service = self.rows.iter().filter(|record| record.service == *service);
-        let ready = of_service.filter(|record| record.state() == LifeState::Ready);
-        ready.map(|record| record.slots()).sum()
+        let ready = of_service.filter(|record| record.state() == EndpointState::Ready);
+        ready.map(|record| record.batch_slots()).sum()
     }
 
     /// Returns the weight versions of a model that endpoints of a service have ready, with how
@@ -86,18 +86,22 @@
         let mut of_service = self
             .rows
             .iter()
-            .filter(|record| record.service == *service && record.state() != LifeState::Gone);
+            .filter(|record| record.service == *service && record.state() != EndpointState::Gone);
         of_service.any(|record| match &record.report {
-            Some(held) => held.load.models.iter().any(|loaded| loaded.model == *model),
+            Some(received) => received
+                .load
+                .models
+                .iter()
+                .any(|loaded| loaded.model == *model),
             None => true,
         })
     }
 
     /// Returns whether a row of the right pool may take a request now.
-    pub(crate) fn is_eligible(&self, row: usize, served: &Served) -> bool {
+    pub(crate) fn is_eligible(&self, row: usize, requirement: &ServingRequirement) -> bool {
         let record = &self.rows[row];
         let is_probe_busy = record.outlier.is_probing && record.in_flight > 0;
-        let has_adapter = match (&served.model, &served.adapter) {
+        let has_adapter = match (&requirement.model, &requirement.adapter) {
             (Some((model, _)), Some(adapter)) => record.has_adapter(model, adapter),
             _ => true,
         };
@@ -107,13 +111,13 @@
     /// Returns whether every pool of the row keeps another endpoint that takes work.
     pub(crate) fn is_replaceable(&self, row: usize) -> bool {
         let membership = &self.rows[row].membership;
-        let least_ready = match membership.standing {
-            Standing::Ready => 2,
+        let min_ready = match membership.state {
+            PoolMembershipState::Ready => 2,
             _ => 1,
         };
         membership.keys.iter().all(|key| {
             let pool = self.pools.get(key);
-            pool.is_some_and(|pool| pool.ready.len() >= least_ready)
+            pool.is_some_and(|pool| pool.ready.len() >= min_ready)
         })
     }
 }
--- a/crates/wisteriahitch-core/src/route/endpoint/mod.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/mod.rs
@@ -1,9 +1,8 @@
 //! Endpoints: their life, their load and the outliers among them.
 
-mod flight;
+mod attempt;
 mod freshness;
 mod leaving;
-mod life;
 mod load;
 mod lookup;
 mod options;
@@ -13,27 +12,28 @@
 mod reported;
 mod scan;
 mod sent_load;
-mod served;
+mod serving_requirement;
 mod slowness;
 mod snapshot;
+mod state;
 mod table;
 mod traffic;
 
-pub use flight::{FlightFailure, FlightId};
+pub use attempt::{AttemptFailure, AttemptId};
 pub use leaving::LeavingSource;
-pub use life::LifeState;
 pub use load::{EndpointLoad, LoadedModel};
 pub use options::EndpointOptions;
-pub use served::Served;
+pub use serving_requirement::ServingRequirement;
 pub use slowness::Slowness;
 pub use snapshot::EndpointSnapshot;
-pub use table::{EndpointChange, EndpointTable};
+pub use state::EndpointState;
+pub use table::{EndpointStateChange, EndpointTable};
 
-pub(crate) use flight::Flight;
-pub(crate) use freshness::{Freshness, HeldReport, PastLives};
+pub(crate) use attempt::InFlightAttempt;
+pub(crate) use freshness::{Freshness, PreviousInstances, ReceivedReport};
 pub(crate) use leaving::LeavingClaims;
-pub(crate) use life::{Life, LifeEvent};
-pub(crate) use outlier::Outlier;
-pub(crate) use pool::{Membership, Pool, PoolKey, Pools, Standing};
+pub(crate) use outlier::OutlierCounters;
+pub(crate) use pool::{Pool, PoolKey, PoolMembership, PoolMembershipState, Pools};
 pub(crate) use record::EndpointRecord;
 pub(crate) use sent_load::SentLoad;
+pub(crate) use state::{EndpointStateEvent, EndpointStateMachine};
--- a/crates/wisteriahitch-core/src/route/endpoint/outlier.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/outlier.rs
@@ -6,11 +6,11 @@
 use super::{EndpointOptions, Slowness};
 
 /// Doublings after which an ejection grows no more.
-const MAX_DOUBLINGS: u32 = 16;
+const MAX_EJECTION_DOUBLINGS: u32 = 16;
 
 /// Holds the outlier counters of one endpoint.
 #[derive(Clone, Debug, Default, Serialize)]
-pub(crate) struct Outlier {
+pub(crate) struct OutlierCounters {
     /// Failures since the last success.
     pub(crate) failures_in_row: u32,
     /// Refusals since the last success.
@@ -27,19 +27,19 @@
     pub(crate) is_probing: bool,
 }
 
-impl Outlier {
-    /// Records a first token after `taken`, where `expected` had been estimated.
-    pub(crate) fn first_token(&mut self, taken: DurationUs, expected: DurationUs) {
-        let sample = Slowness::of(taken, expected);
+impl OutlierCounters {
+    /// Records a first token after `actual`, where `expected` had been estimated.
+    pub(crate) fn record_first_token(&mut self, actual: DurationUs, expected: DurationUs) {
+        let sample = Slowness::from_sample(actual, expected);
         self.slowness = match self.samples {
             0 => sample,
-            _ => self.slowness.towards(sample),
+            _ => self.slowness.updated_with(sample),
         };
         self.samples = self.samples.saturating_add(1);
     }
 
     /// Records an answer that ended well.
-    pub(crate) fn succeeded(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.failures_in_row = 0;
         self.refusals_in_row = 0;
         if self.is_probing {
@@ -49,28 +49,32 @@
     }
 
     /// Records a failure and returns whether it is one too many.
-    pub(crate) fn failed(&mut self, options: &EndpointOptions) -> bool {
+    pub(crate) fn record_failure(&mut self, options: &EndpointOptions) -> bool {
         self.failures_in_row = self.failures_in_row.saturating_add(1);
-        self.is_probing || self.failures_in_row >= options.max_failures
+        self.is_probing || self.failures_in_row >= options.max_consecutive_failures
     }
 
     /// Records a refusal and returns whether it is one too many.
-    pub(crate) fn refused(&mut self, options: &EndpointOptions) -> bool {
+    pub(crate) fn record_refusal(&mut self, options: &EndpointOptions) -> bool {
         self.refusals_in_row = self.refusals_in_row.saturating_add(1);
-        self.refusals_in_row >= options.max_refusals
+        self.refusals_in_row >= options.max_consecutive_refusals
     }
 
     /// Returns whether the endpoint is slow against the `median` of its service.
     pub(crate) fn is_slow(&self, median: Slowness, options: &EndpointOptions) -> bool {
-        self.samples >= options.min_samples && self.slowness.is_far_above(median, options)
+        self.samples >= options.min_first_token_samples
+            && self.slowness.is_far_above(median, options)
     }
 
     /// Begins an ejection at `now`.
     pub(crate) fn eject(&mut self, options: &EndpointOptions, now: TimeUs) {
-        let doublings = self.ejections_in_row.min(MAX_DOUBLINGS);
-        let span_us = options.ejection_us.get().saturating_mul(1 << doublings);
-        let span = DurationUs::new(span_us).min(options.max_ejection_us);
-        self.ejected_until_us = Some(now + span);
+        let doublings = self.ejections_in_row.min(MAX_EJECTION_DOUBLINGS);
+        let duration_us = options
+            .base_ejection_us
+            .get()
+            .saturating_mul(1 << doublings);
+        let duration = DurationUs::new(duration_us).min(options.max_ejection_us);
+        self.ejected_until_us = Some(now + duration);
         self.ejections_in_row = self.ejections_in_row.saturating_add(1);
         self.samples = 0;
         self.is_probing = false;
--- a/crates/wisteriahitch-core/src/route/endpoint/pool.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/pool.rs
@@ -17,14 +17,14 @@
 
 /// Says how willingly an endpoint is given work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum Standing {
+pub(crate) enum PoolMembershipState {
     /// It takes work.
     Ready,
     /// It takes work only where no other endpoint can.
     LastResort,
     /// It takes no work.
     #[default]
-    Out,
+    Excluded,
 }
 
 /// Holds the rows of one pool.
@@ -38,28 +38,28 @@
 
 /// Remembers in which pools a row stands.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Membership {
+pub(crate) struct PoolMembership {
     /// Pools.
     pub(crate) keys: Vec<PoolKey>,
     /// Place within each of them.
-    pub(crate) standing: Standing,
+    pub(crate) state: PoolMembershipState,
 }
 
 impl Pool {
     /// Returns the rows of one standing.
-    pub(crate) fn rows(&self, standing: Standing) -> &[usize] {
-        match standing {
-            Standing::Ready => &self.ready,
-            Standing::LastResort => &self.last_resort,
-            Standing::Out => &[],
+    pub(crate) fn rows(&self, state: PoolMembershipState) -> &[usize] {
+        match state {
+            PoolMembershipState::Ready => &self.ready,
+            PoolMembershipState::LastResort => &self.last_resort,
+            PoolMembershipState::Excluded => &[],
         }
     }
 }
 
-impl Membership {
+impl PoolMembership {
     /// Returns whether the row stands so in this pool.
-    pub(crate) fn is_in(&self, key: &PoolKey, standing: Standing) -> bool {
-        self.standing == standing && self.keys.contains(key)
+    pub(crate) fn is_member(&self, key: &PoolKey, state: PoolMembershipState) -> bool {
+        self.state == state && self.keys.contains(key)
     }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Moves `row` from its `old` pools to its `new` ones.
-    pub(crate) fn set(&mut self, row: usize, old: &Membership, new: &Membership) {
+    pub(crate) fn move_row(&mut self, row: usize, old: &PoolMembership, new: &PoolMembership) {
         if old == new {
             return;
         }
@@ -90,10 +90,10 @@
         }
         for key in &new.keys {
             let pool = self.by_key.entry(key.clone()).or_default();
-            match new.standing {
-                Standing::Ready => pool.ready.push(row),
-                Standing::LastResort => pool.last_resort.push(row),
-                Standing::Out => {}
+            match new.state {
+                PoolMembershipState::Ready => pool.ready.push(row),
+                PoolMembershipState::LastResort => pool.last_resort.push(row),
+                PoolMembershipState::Excluded => {}
             }
         }
     }
--- a/crates/wisteriahitch-core/src/route/endpoint/record.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/record.rs
@@ -10,14 +10,15 @@
 };
 
 use super::{
-    EndpointLoad, EndpointOptions, Freshness, HeldReport, LeavingClaims, LeavingSource, Life,
-    LifeEvent, LifeState, Membership, Outlier, PastLives, PoolKey, SentLoad, Standing,
+    EndpointLoad, EndpointOptions, EndpointState, EndpointStateEvent, EndpointStateMachine,
+    Freshness, LeavingClaims, LeavingSource, OutlierCounters, PoolKey, PoolMembership,
+    PoolMembershipState, PreviousInstances, ReceivedReport, SentLoad,
 };
 
 /// Part of a new sample in the moving mean of the time that a request takes.
-const SERVICE_TIME_WEIGHT: f64 = 0.1;
+const SERVICE_TIME_SMOOTHING: f64 = 0.1;
 /// How far the difference of two clocks may drift from one report to the next.
-const CLOCK_DRIFT_US: i64 = 50;
+const MAX_CLOCK_DRIFT_US: i64 = 50;
 
 /// Holds what is known of one endpoint.
 #[derive(Debug)]
@@ -28,18 +29,18 @@
     pub(crate) address: SocketAddr,
     pub(crate) availability_zone: AvailabilityZone,
     pub(crate) checks_fence: bool,
-    pub(crate) report: Option<HeldReport>,
+    pub(crate) report: Option<ReceivedReport>,
     pub(crate) leaving: LeavingClaims,
-    pub(crate) outlier: Outlier,
-    pub(crate) sent: SentLoad,
+    pub(crate) outlier: OutlierCounters,
+    pub(crate) sent_load: SentLoad,
     /// Attempts of this daemon that have not ended.
     pub(crate) in_flight: u64,
     /// Counts the lives that this row has held, so that a late end of an earlier one is told apart.
-    pub(crate) life_number: u64,
-    pub(crate) membership: Membership,
-    life: InitializedStateMachine<Life>,
-    past_lives: PastLives,
-    service_time_us: Option<f64>,
+    pub(crate) instance_number: u64,
+    pub(crate) membership: PoolMembership,
+    state_machine: InitializedStateMachine<EndpointStateMachine>,
+    previous_instances: PreviousInstances,
+    mean_service_time_us: Option<f64>,
     clock_offset_us: Option<i64>,
 }
 
@@ -49,7 +50,7 @@
         service: ServiceName,
         kind: ServiceKind,
         endpoint: &Endpoint,
-        life_number: u64,
+        instance_number: u64,
     ) -> Self {
         Self {
             id: endpoint.id.clone(),
@@ -60,122 +61,136 @@
             checks_fence: endpoint.checks_fence,
             report: None,
             leaving: LeavingClaims::default(),
-            outlier: Outlier::default(),
-            sent: SentLoad::default(),
+            outlier: OutlierCounters::default(),
+            sent_load: SentLoad::default(),
             in_flight: 0,
-            life_number,
-            membership: Membership::default(),
-            life: Life.uninitialized_state_machine().init(),
-            past_lives: PastLives::default(),
-            service_time_us: None,
+            instance_number,
+            membership: PoolMembership::default(),
+            state_machine: EndpointStateMachine.uninitialized_state_machine().init(),
+            previous_instances: PreviousInstances::default(),
+            mean_service_time_us: None,
             clock_offset_us: None,
         }
     }
 
     /// Returns the step of life.
-    pub(crate) fn state(&self) -> LifeState {
-        self.life.state().into()
+    pub(crate) fn state(&self) -> EndpointState {
+        self.state_machine.state().into()
     }
 
     /// Lets an event change the life.
-    pub(crate) fn handle(&mut self, event: LifeEvent) {
-        self.life.handle(&event);
+    pub(crate) fn handle(&mut self, event: EndpointStateEvent) {
+        self.state_machine.handle(&event);
     }
 
     /// Takes a report over and changes the life accordingly; a late one changes nothing.
-    pub(crate) fn accept(&mut self, load: EndpointLoad, options: &EndpointOptions, now: TimeUs) {
-        let held = self.report.as_ref();
+    pub(crate) fn apply_report(
+        &mut self,
+        load: EndpointLoad,
+        options: &EndpointOptions,
+        now: TimeUs,
+    ) {
+        let received = self.report.as_ref();
         match self
-            .past_lives
-            .judge(held, &load, self.leaving.is_leaving, now)
+            .previous_instances
+            .classify_report(received, &load, self.leaving.is_leaving, now)
         {
-            Freshness::Late => return,
-            Freshness::SameLife => {}
+            Freshness::Stale => return,
+            Freshness::SameInstance => {}
             Freshness::ClockSetBack => self.clock_offset_us = None,
-            Freshness::NewLife => self.begin_life(),
+            Freshness::NewInstance => self.begin_instance(),
         }
-        let made_at = self.made_at(&load, options, now);
-        self.sent.forget_before(made_at);
+        let made_at = self.estimate_made_at(&load, options, now);
+        self.sent_load.drop_before(made_at);
         let is_leaving = load.leaving;
-        self.report = Some(HeldReport {
+        self.report = Some(ReceivedReport {
             load,
             received_at_us: now,
         });
-        self.handle(LifeEvent::Reported);
+        self.handle(EndpointStateEvent::Reported);
         if is_leaving {
             self.leaving.claim(&LeavingSource::OwnReport);
-            self.handle(LifeEvent::Left);
+            self.handle(EndpointStateEvent::LeavingAnnounced);
         }
     }
 
-    fn begin_life(&mut self) {
-        let held = self.report.take();
-        if let Some(life) = held.and_then(|held| held.load.life) {
-            self.past_lives.push(life);
+    fn begin_instance(&mut self) {
+        let received = self.report.take();
+        if let Some(instance) = received.and_then(|received| received.load.life) {
+            self.previous_instances.push(instance);
         }
-        self.life_number += 1;
+        self.instance_number += 1;
         self.in_flight = 0;
-        self.sent.clear();
-        self.outlier = Outlier::default();
-        self.service_time_us = None;
+        self.sent_load.clear();
+        self.outlier = OutlierCounters::default();
+        self.mean_service_time_us = None;
         self.clock_offset_us = None;
-        self.leaving.reborn();
-        self.handle(LifeEvent::Reborn);
+        self.leaving.record_restart();
+        self.handle(EndpointStateEvent::Restarted);
     }
 
     /// Returns when a report was made, on this process's clock.
     ///
     /// The smallest difference seen between arrival and the endpoint's own time stands for the
     /// difference of the clocks; what a report exceeds it by is its lag.
-    fn made_at(&mut self, load: &EndpointLoad, options: &EndpointOptions, now: TimeUs) -> TimeUs {
+    fn estimate_made_at(
+        &mut self,
+        load: &EndpointLoad,
+        options: &EndpointOptions,
+        now: TimeUs,
+    ) -> TimeUs {
         let now_us = i64::try_from(now.get()).unwrap_or(i64::MAX);
-        let made_us = i64::try_from(load.made_at_ms.saturating_mul(1_000)).unwrap_or(i64::MAX);
-        let seen = now_us.saturating_sub(made_us);
+        let remote_made_us =
+            i64::try_from(load.made_at_ms.saturating_mul(1_000)).unwrap_or(i64::MAX);
+        let observed_offset = now_us.saturating_sub(remote_made_us);
         let offset = match self.clock_offset_us {
-            Some(offset) => seen.min(offset.saturating_add(CLOCK_DRIFT_US)),
-            None => seen,
+            Some(offset) => observed_offset.min(offset.saturating_add(MAX_CLOCK_DRIFT_US)),
+            None => observed_offset,
         };
         self.clock_offset_us = Some(offset);
-        let made_here_us = made_us.saturating_add(offset).max(0).unsigned_abs();
-        TimeUs::new(made_here_us.saturating_sub(options.least_lag_us.get()))
+        let local_made_us = remote_made_us.saturating_add(offset).max(0).unsigned_abs();
+        TimeUs::new(local_made_us.saturating_sub(options.min_report_lag_us.get()))
     }
 
     /// Records how long a request held its slot.
-    pub(crate) fn took(&mut self, span: DurationUs) {
-        let sample = span.as_f64();
-        self.service_time_us = Some(match self.service_time_us {
-            Some(mean) => mean + SERVICE_TIME_WEIGHT * (sample - mean),
+    pub(crate) fn record_service_time(&mut self, service_time: DurationUs) {
+        let sample = service_time.as_f64();
+        self.mean_service_time_us = Some(match self.mean_service_time_us {
+            Some(mean) => mean + SERVICE_TIME_SMOOTHING * (sample - mean),
             None => sample,
         });
     }
 
     /// Returns requests that run or wait, with this daemon's changes since the report.
-    pub(crate) fn requests(&self) -> u64 {
+    pub(crate) fn estimated_requests(&self) -> u64 {
         let reported = self
             .report
             .as_ref()
-            .map_or(0, |held| held.load.running + held.load.queued);
-        self.sent.correct_requests(reported)
+            .map_or(0, |received| received.load.running + received.load.queued);
+        self.sent_load.correct_requests(reported)
     }
 
     /// Returns prompt tokens that wait, with this daemon's changes since the report.
-    pub(crate) fn queued_tokens(&self) -> TokenCount {
+    pub(crate) fn estimated_queued_tokens(&self) -> TokenCount {
         let reported = self
             .report
             .as_ref()
-            .map_or(0, |held| held.load.queued_tokens.get());
-        TokenCount::new(self.sent.correct_tokens(reported))
+            .map_or(0, |received| received.load.queued_tokens.get());
+        TokenCount::new(self.sent_load.correct_tokens(reported))
     }
 
     /// Returns requests that can run at once, at least one.
-    pub(crate) fn slots(&self) -> u64 {
-        let reported = self.report.as_ref().map_or(1, |held| held.load.batch_slots);
+    pub(crate) fn batch_slots(&self) -> u64 {
+        let reported = self
+            .report
+            .as_ref()
+            .map_or(1, |received| received.load.batch_slots);
         reported.max(1)
     }
 
     /// Returns requests over slots, both as known here.
     pub(crate) fn utilisation(&self) -> f64 {
-        self.requests() as f64 / self.slots() as f64
+        self.estimated_requests() as f64 / self.batch_slots() as f64
     }
 
     /// Returns how long `tokens` take to be read.
@@ -183,7 +198,7 @@
         let reported = self
             .report
             .as_ref()
-            .map(|held| held.load.prefill_tokens_per_s);
+            .map(|received| received.load.prefill_tokens_per_s);
         let rate = reported.filter(|rate| rate.get() > 0);
         let rate = rate.unwrap_or(options.default_prefill_tokens_per_s);
         rate.time_for(tokens)
@@ -191,36 +206,37 @@
 
     /// Estimates the wait before a new request is begun: for a slot, then for the prompts ahead.
     pub(crate) fn queue_time(&self, options: &EndpointOptions) -> DurationUs {
-        let slots = self.slots();
-        let waiting = (self.requests() + 1).saturating_sub(slots);
-        let service_time_us = self
-            .service_time_us
-            .unwrap_or(options.default_service_us.as_f64());
-        let for_slot_us = waiting as f64 * service_time_us / slots as f64;
-        DurationUs::new(for_slot_us as u64) + self.prefill_time(self.queued_tokens(), options)
+        let slots = self.batch_slots();
+        let waiting = (self.estimated_requests() + 1).saturating_sub(slots);
+        let mean_service_time_us = self
+            .mean_service_time_us
+            .unwrap_or(options.default_service_time_us.as_f64());
+        let slot_wait_us = waiting as f64 * mean_service_time_us / slots as f64;
+        DurationUs::new(slot_wait_us as u64)
+            + self.prefill_time(self.estimated_queued_tokens(), options)
     }
 
     /// Returns whether the adapter is loaded for the model.
     pub(crate) fn has_adapter(&self, model: &ModelName, adapter: &AdapterName) -> bool {
-        let Some(held) = &self.report else {
+        let Some(received) = &self.report else {
             return false;
         };
-        let mut models = held.load.models.iter();
+        let mut models = received.load.models.iter();
         models.any(|loaded| loaded.model == *model && loaded.adapters.contains(adapter))
     }
 
     /// Works out the pools that the row belongs to now.
-    pub(crate) fn wanted_membership(&self) -> Membership {
-        let standing = match self.state() {
-            LifeState::Ready => Standing::Ready,
-            LifeState::Suspect => Standing::LastResort,
-            _ => Standing::Out,
+    pub(crate) fn compute_membership(&self) -> PoolMembership {
+        let state = match self.state() {
+            EndpointState::Ready => PoolMembershipState::Ready,
+            EndpointState::Suspect => PoolMembershipState::LastResort,
+            _ => PoolMembershipState::Excluded,
         };
-        let keys = match standing {
-            Standing::Out => Vec::new(),
+        let keys = match state {
+            PoolMembershipState::Excluded => Vec::new(),
             _ => self.pool_keys(),
         };
-        Membership { keys, standing }
+        PoolMembership { keys, state }
     }
 
     fn pool_keys(&self) -> Vec<PoolKey> {
@@ -231,7 +247,10 @@
                 model: None,
             }];
         }
-        let models = self.report.iter().flat_map(|held| &held.load.models);
+        let models = self
+            .report
+            .iter()
+            .flat_map(|received| &received.load.models);
         let ready = models.filter(|loaded| loaded.is_ready);
         let mut keys: Vec<PoolKey> = Vec::new();
         for loaded in ready {
--- a/crates/wisteriahitch-core/src/route/endpoint/reported.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/reported.rs
@@ -2,13 +2,16 @@
 
 use wisteriahitch_types::{EndpointId, ModelName, TokenRate, WeightVersion};
 
-use super::{EndpointLoad, EndpointTable, LifeState};
+use super::{EndpointLoad, EndpointState, EndpointTable};
 
 impl EndpointTable {
     /// Returns the last report of an endpoint.
     pub fn get_report(&self, endpoint: &EndpointId) -> Option<&EndpointLoad> {
         let row = *self.by_id.get(endpoint)?;
-        self.rows[row].report.as_ref().map(|held| &held.load)
+        self.rows[row]
+            .report
+            .as_ref()
+            .map(|received| &received.load)
     }
 
     /// Returns the version of a model that an endpoint has ready, unless it is gone.
@@ -19,7 +22,7 @@
         endpoint: &EndpointId,
         model: &ModelName,
     ) -> Option<WeightVersion> {
-        if self.get_state(endpoint)? == LifeState::Gone {
+        if self.get_state(endpoint)? == EndpointState::Gone {
             return None;
         }
         let models = self.get_report(endpoint)?.models.iter();
--- a/crates/wisteriahitch-core/src/route/endpoint/scan.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/scan.rs
@@ -4,33 +4,36 @@
 
 use wisteriahitch_types::{ServiceName, TimeUs};
 
-use super::{EndpointTable, LifeEvent, LifeState, Slowness};
+use super::{EndpointState, EndpointStateEvent, EndpointTable, Slowness};
 
 /// Endpoints with enough samples without which a service has no median to compare with.
-const MIN_COMPARED: usize = 2;
+const MIN_ENDPOINTS_FOR_MEDIAN: usize = 2;
 
 impl EndpointTable {
     /// Finds missing reports, ends ejections and looks for slow endpoints.
     pub fn tick(&mut self, now: TimeUs) {
-        self.find_silent(now);
+        self.mark_silent_suspect(now);
         self.end_ejections(now);
-        if now.since(self.last_scan_at_us) >= self.options.scan_interval_us {
+        if now.since(self.last_scan_at_us) >= self.options.outlier_scan_interval_us {
             self.last_scan_at_us = now;
-            self.eject_slow(now);
+            self.eject_slow_endpoints(now);
         }
     }
 
-    fn find_silent(&mut self, now: TimeUs) {
-        let silence_us = self.options.silence_us;
+    fn mark_silent_suspect(&mut self, now: TimeUs) {
+        let suspect_after_us = self.options.suspect_after_us;
         let is_silent = |row: &usize| {
             let record = &self.rows[*row];
             let report = record.report.as_ref();
-            let is_old = report.is_some_and(|held| now.since(held.received_at_us) > silence_us);
-            is_old && record.state() == LifeState::Ready
+            let is_old = report
+                .is_some_and(|received| now.since(received.received_at_us) > suspect_after_us);
+            is_old && record.state() == EndpointState::Ready
         };
         let silent: Vec<usize> = (0..self.rows.len()).filter(is_silent).collect();
         for row in silent {
-            self.change(row, |record| record.handle(LifeEvent::Silent));
+            self.update_row(row, |record| {
+                record.handle(EndpointStateEvent::ReportsMissing)
+            });
         }
     }
 
@@ -41,18 +44,18 @@
         };
         let over: Vec<usize> = (0..self.rows.len()).filter(is_over).collect();
         for row in over {
-            self.change(row, |record| {
+            self.update_row(row, |record| {
                 record.outlier.begin_probing();
-                record.handle(LifeEvent::Probed);
+                record.handle(EndpointStateEvent::EjectionEnded);
             });
         }
     }
 
-    fn eject_slow(&mut self, now: TimeUs) {
-        let medians = self.medians();
+    fn eject_slow_endpoints(&mut self, now: TimeUs) {
+        let median_slowness_by_service = self.median_slowness_by_service();
         for row in 0..self.rows.len() {
             let record = &self.rows[row];
-            let Some(median) = medians.get(&record.service) else {
+            let Some(median) = median_slowness_by_service.get(&record.service) else {
                 continue;
             };
             if record.outlier.is_slow(*median, &self.options) {
@@ -62,18 +65,21 @@
     }
 
     /// Returns the median slowness of each service that has enough endpoints to compare.
-    fn medians(&self) -> HashMap<ServiceName, Slowness> {
+    fn median_slowness_by_service(&self) -> HashMap<ServiceName, Slowness> {
         let mut by_service: HashMap<ServiceName, Vec<Slowness>> = HashMap::new();
         for record in &self.rows {
-            let takes_work = matches!(record.state(), LifeState::Ready | LifeState::Suspect);
-            if takes_work && record.outlier.samples >= self.options.min_samples {
+            let takes_work = matches!(
+                record.state(),
+                EndpointState::Ready | EndpointState::Suspect
+            );
+            if takes_work && record.outlier.samples >= self.options.min_first_token_samples {
                 let values = by_service.entry(record.service.clone()).or_default();
                 values.push(record.outlier.slowness);
             }
         }
         by_service
             .into_iter()
-            .filter(|(_, values)| values.len() >= MIN_COMPARED)
+            .filter(|(_, values)| values.len() >= MIN_ENDPOINTS_FOR_MEDIAN)
             .filter_map(|(service, values)| Some((service, Slowness::median(&values)?)))
             .collect()
     }
@@ -83,23 +89,23 @@
     /// Without the floor a fault that all endpoints share, such as a slow link, would eject one
     /// after the other; one would notice by refusals while every endpoint still answers.
     pub(crate) fn try_eject(&mut self, row: usize, now: TimeUs) {
-        if !self.is_replaceable(row) || !self.has_ejection_left(row) {
+        if !self.is_replaceable(row) || !self.is_ejection_allowed(row) {
             return;
         }
         if !matches!(
             self.rows[row].state(),
-            LifeState::Ready | LifeState::Suspect
+            EndpointState::Ready | EndpointState::Suspect
         ) {
             return;
         }
         let options = self.options.clone();
-        self.change(row, |record| {
+        self.update_row(row, |record| {
             record.outlier.eject(&options, now);
-            record.handle(LifeEvent::Ejected);
+            record.handle(EndpointStateEvent::Ejected);
         });
     }
 
-    fn has_ejection_left(&self, row: usize) -> bool {
+    fn is_ejection_allowed(&self, row: usize) -> bool {
         let service = &self.rows[row].service;
         let states = self
             .rows
@@ -108,10 +114,10 @@
             .map(|record| record.state());
         let (mut all, mut ejected) = (0_usize, 0_usize);
         for state in states {
-            all += usize::from(state != LifeState::Gone);
-            ejected += usize::from(state == LifeState::Ejected);
+            all += usize::from(state != EndpointState::Gone);
+            ejected += usize::from(state == EndpointState::Ejected);
         }
-        let allowed = (all as f64 * self.options.max_ejected_share) as usize;
+        let allowed = (all as f64 * self.options.max_ejected_fraction) as usize;
         ejected < allowed.max(1)
     }
 }
--- a/crates/wisteriahitch-core/src/route/endpoint/sent_load.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/sent_load.rs
@@ -7,7 +7,7 @@
 
 /// Most changes that are kept apart; older ones are merged so that memory stays bounded while
 /// reports are missing.
-const MAX_CHANGES: usize = 1024;
+const MAX_LOAD_CHANGES: usize = 1024;
 
 #[derive(Clone, Copy, Debug, Serialize)]
 struct LoadChange {
@@ -34,13 +34,13 @@
             requests,
             tokens,
         });
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_LOAD_CHANGES {
             self.merge_oldest();
         }
     }
 
     /// Drops the changes that a report made at `made_at` already contains.
-    pub(crate) fn forget_before(&mut self, made_at: TimeUs) {
+    pub(crate) fn drop_before(&mut self, made_at: TimeUs) {
         while let Some(oldest) = self.changes.front() {
             if oldest.at_us >= made_at {
                 break;
--- a/crates/wisteriahitch-core/src/route/endpoint/served.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/serving_requirement.rs
@@ -6,7 +6,7 @@
 
 /// Says what a request needs its endpoint to serve.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Served {
+pub struct ServingRequirement {
     /// Service that the rules chose.
     pub service: ServiceName,
     /// Model and weight version that the request is decided for; nothing for a plain service.
@@ -15,7 +15,7 @@
     pub adapter: Option<AdapterName>,
 }
 
-impl Served {
+impl ServingRequirement {
     /// Returns the key of the pool that can serve it.
     pub(crate) fn pool_key(&self) -> PoolKey {
         PoolKey {
--- a/crates/wisteriahitch-core/src/route/endpoint/slowness.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/slowness.rs
@@ -6,7 +6,7 @@
 use super::EndpointOptions;
 
 /// Part of a new sample in the moving means.
-const SAMPLE_WEIGHT: f64 = 0.2;
+const SAMPLE_SMOOTHING: f64 = 0.2;
 /// Shorter estimates count as so long, because a ratio to nearly nothing says nothing.
 const MIN_EXPECTED_US: f64 = 1_000.0;
 
@@ -25,26 +25,26 @@
 
 impl Slowness {
     /// Compares one time with its estimate.
-    pub(crate) fn of(taken: DurationUs, expected: DurationUs) -> Self {
+    pub(crate) fn from_sample(actual: DurationUs, expected: DurationUs) -> Self {
         Self {
-            ratio: taken.as_f64() / expected.as_f64().max(MIN_EXPECTED_US),
-            excess_us: taken.as_f64() - expected.as_f64(),
+            ratio: actual.as_f64() / expected.as_f64().max(MIN_EXPECTED_US),
+            excess_us: actual.as_f64() - expected.as_f64(),
         }
     }
 
     /// Moves the means towards a sample.
-    pub(crate) fn towards(self, sample: Self) -> Self {
-        let mix = |mean: f64, sample: f64| mean + SAMPLE_WEIGHT * (sample - mean);
+    pub(crate) fn updated_with(self, sample: Self) -> Self {
+        let blend = |mean: f64, sample: f64| mean + SAMPLE_SMOOTHING * (sample - mean);
         Self {
-            ratio: mix(self.ratio, sample.ratio),
-            excess_us: mix(self.excess_us, sample.excess_us),
+            ratio: blend(self.ratio, sample.ratio),
+            excess_us: blend(self.excess_us, sample.excess_us),
         }
     }
 
     /// Returns whether this is far above the `median` of a service in both ways.
     pub(crate) fn is_far_above(self, median: Self, options: &EndpointOptions) -> bool {
-        let usual_us = median.excess_us.max(0.0) * options.slow_factor;
-        let allowed_us = usual_us + options.slow_margin_us.as_f64();
+        let median_excess_us = median.excess_us.max(0.0) * options.slow_factor;
+        let allowed_us = median_excess_us + options.slow_margin_us.as_f64();
         self.ratio > median.ratio * options.slow_factor && self.excess_us > allowed_us
     }
 
--- a/crates/wisteriahitch-core/src/route/endpoint/snapshot.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/snapshot.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use wisteriahitch_types::{AvailabilityZone, EndpointId, ServiceName, TimeUs, TokenCount};
 
-use super::{EndpointLoad, EndpointRecord, EndpointTable, LifeState, Slowness};
+use super::{EndpointLoad, EndpointRecord, EndpointState, EndpointTable, Slowness};
 
 /// Shows what is known of one endpoint.
 #[derive(Clone, Debug, Serialize)]
@@ -15,7 +15,7 @@
     /// Availability zone.
     pub availability_zone: AvailabilityZone,
     /// Step of life.
-    pub state: LifeState,
+    pub state: EndpointState,
     /// Last report.
     pub report: Option<EndpointLoad>,
     /// When the last report came.
@@ -42,23 +42,26 @@
         let mut rows: Vec<EndpointSnapshot> = self
             .by_id
             .values()
-            .map(|row| show(&self.rows[*row]))
+            .map(|row| row_snapshot(&self.rows[*row]))
             .collect();
         rows.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
         rows
     }
 }
 
-fn show(record: &EndpointRecord) -> EndpointSnapshot {
+fn row_snapshot(record: &EndpointRecord) -> EndpointSnapshot {
     EndpointSnapshot {
         endpoint: record.id.clone(),
         service: record.service.clone(),
         availability_zone: record.availability_zone.clone(),
         state: record.state(),
-        report: record.report.as_ref().map(|held| held.load.clone()),
-        reported_at_us: record.report.as_ref().map(|held| held.received_at_us),
-        requests: record.requests(),
-        queued_tokens: record.queued_tokens(),
+        report: record.report.as_ref().map(|received| received.load.clone()),
+        reported_at_us: record
+            .report
+            .as_ref()
+            .map(|received| received.received_at_us),
+        requests: record.estimated_requests(),
+        queued_tokens: record.estimated_queued_tokens(),
         in_flight: record.in_flight,
         failures_in_row: record.outlier.failures_in_row,
         slowness: record.outlier.slowness,
--- a/crates/wisteriahitch-core/src/route/endpoint/life.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/state.rs
@@ -8,7 +8,7 @@
 /// Names the steps of an endpoint's life.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LifeState {
+pub enum EndpointState {
     /// It is configured, and no report of it has come yet.
     Starting,
     /// It takes work.
@@ -25,65 +25,65 @@
 
 /// What can change an endpoint's life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum LifeEvent {
+pub(crate) enum EndpointStateEvent {
     /// A report of it came.
     Reported,
     /// No report came for long.
-    Silent,
+    ReportsMissing,
     /// It was found an outlier.
     Ejected,
     /// Its ejection is over.
-    Probed,
+    EjectionEnded,
     /// Some source says that it is leaving.
-    Left,
+    LeavingAnnounced,
     /// Its own report speaks of a new life.
-    Reborn,
+    Restarted,
     /// The VM list took back what it alone had said of this life.
-    Retracted,
+    LeavingRetracted,
     /// It was taken out of the configuration.
     Removed,
 }
 
 /// Holds no data of its own: the state is all there is.
 #[derive(Debug, Default)]
-pub(crate) struct Life;
+pub(crate) struct EndpointStateMachine;
 
 #[state_machine(
     initial = "State::starting()",
     visibility = "pub(crate)",
     state(derive(Clone, Debug, PartialEq))
 )]
-impl Life {
+impl EndpointStateMachine {
     #[state(superstate = "configured")]
-    fn starting(event: &LifeEvent) -> Outcome<State> {
+    fn starting(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Reported => Transition(State::ready()),
+            EndpointStateEvent::Reported => Transition(State::ready()),
             _ => Super,
         }
     }
 
     #[state(superstate = "configured")]
-    fn ready(event: &LifeEvent) -> Outcome<State> {
+    fn ready(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Silent => Transition(State::suspect()),
-            LifeEvent::Ejected => Transition(State::ejected()),
+            EndpointStateEvent::ReportsMissing => Transition(State::suspect()),
+            EndpointStateEvent::Ejected => Transition(State::ejected()),
             _ => Super,
         }
     }
 
     #[state(superstate = "configured")]
-    fn suspect(event: &LifeEvent) -> Outcome<State> {
+    fn suspect(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Reported => Transition(State::ready()),
-            LifeEvent::Ejected => Transition(State::ejected()),
+            EndpointStateEvent::Reported => Transition(State::ready()),
+            EndpointStateEvent::Ejected => Transition(State::ejected()),
             _ => Super,
         }
     }
 
     #[state(superstate = "configured")]
-    fn ejected(event: &LifeEvent) -> Outcome<State> {
+    fn ejected(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Probed => Transition(State::ready()),
+            EndpointStateEvent::EjectionEnded => Transition(State::ready()),
             _ => Super,
         }
     }
@@ -94,9 +94,11 @@
     /// A VM list or a peer that lags would otherwise put an endpoint back to work that has said
     /// it is leaving; one would notice by requests cut off when it goes.
     #[state(superstate = "configured")]
-    fn leaving(event: &LifeEvent) -> Outcome<State> {
+    fn leaving(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Reborn | LifeEvent::Retracted => Transition(State::ready()),
+            EndpointStateEvent::Restarted | EndpointStateEvent::LeavingRetracted => {
+                Transition(State::ready())
+            }
             _ => Super,
         }
     }
@@ -107,25 +109,25 @@
     }
 
     #[superstate]
-    fn configured(event: &LifeEvent) -> Outcome<State> {
+    fn configured(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Left => Transition(State::leaving()),
-            LifeEvent::Reborn => Transition(State::ready()),
-            LifeEvent::Removed => Transition(State::gone()),
+            EndpointStateEvent::LeavingAnnounced => Transition(State::leaving()),
+            EndpointStateEvent::Restarted => Transition(State::ready()),
+            EndpointStateEvent::Removed => Transition(State::gone()),
             _ => Handled,
         }
     }
 }
 
-impl From<&State> for LifeState {
+impl From<&State> for EndpointState {
     fn from(state: &State) -> Self {
         match state {
-            State::Starting {} => LifeState::Starting,
-            State::Ready {} => LifeState::Ready,
-            State::Suspect {} => LifeState::Suspect,
-            State::Ejected {} => LifeState::Ejected,
-            State::Leaving {} => LifeState::Leaving,
-            State::Gone { .. } => LifeState::Gone,
+            State::Starting {} => EndpointState::Starting,
+            State::Ready {} => EndpointState::Ready,
+            State::Suspect {} => EndpointState::Suspect,
+            State::Ejected {} => EndpointState::Ejected,
+            State::Leaving {} => EndpointState::Leaving,
+            State::Gone { .. } => EndpointState::Gone,
         }
     }
 }
--- a/crates/wisteriahitch-core/src/route/endpoint/traffic.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/traffic.rs
@@ -2,63 +2,67 @@
 
 use wisteriahitch_types::{DurationUs, EndpointId, TimeUs, TokenCount};
 
-use super::{EndpointTable, Flight, FlightFailure, FlightId};
+use super::{AttemptFailure, AttemptId, EndpointTable, InFlightAttempt};
 
 impl EndpointTable {
     /// Records an attempt that is sent now, and names it for the calls that follow.
     ///
     /// `prefill_tokens` are the prompt tokens that the endpoint is to compute, and `expected_us`
     /// is the estimate of the time to the first token. Returns nothing for an unknown endpoint.
-    pub fn sent(
+    pub fn begin_attempt(
         &mut self,
         endpoint: &EndpointId,
         prefill_tokens: TokenCount,
         expected_us: DurationUs,
         now: TimeUs,
-    ) -> Option<FlightId> {
+    ) -> Option<AttemptId> {
         let row = *self.by_id.get(endpoint)?;
         let record = &mut self.rows[row];
         record.in_flight += 1;
-        record.sent.add(1, signed(prefill_tokens), now);
-        let id = FlightId(self.next_flight);
-        self.next_flight += 1;
-        let flight = Flight {
+        record.sent_load.add(1, to_signed(prefill_tokens), now);
+        let id = AttemptId(self.next_attempt_id);
+        self.next_attempt_id += 1;
+        let attempt = InFlightAttempt {
             row,
-            life_number: record.life_number,
+            instance_number: record.instance_number,
             sent_at_us: now,
             prefill_tokens,
             expected_us,
             has_first_token: false,
         };
-        self.flights.insert(id, flight);
+        self.attempts.insert(id, attempt);
         Some(id)
     }
 
     /// Records the first token of an attempt.
-    pub fn first_token(&mut self, id: FlightId, now: TimeUs) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+    pub fn record_first_token(&mut self, id: AttemptId, now: TimeUs) {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        if flight.has_first_token {
+        if attempt.has_first_token {
             return;
         }
-        flight.has_first_token = true;
-        let record = &mut self.rows[flight.row];
-        if record.life_number != flight.life_number {
+        attempt.has_first_token = true;
+        let record = &mut self.rows[attempt.row];
+        if record.instance_number != attempt.instance_number {
             return;
         }
-        record.sent.add(0, -signed(flight.prefill_tokens), now);
-        let taken = now.since(flight.sent_at_us);
-        record.outlier.first_token(taken, flight.expected_us);
+        record
+            .sent_load
+            .add(0, -to_signed(attempt.prefill_tokens), now);
+        let elapsed = now.since(attempt.sent_at_us);
+        record
+            .outlier
+            .record_first_token(elapsed, attempt.expected_us);
     }
 
     /// Records the good end of an attempt.
-    pub fn finished(&mut self, id: FlightId, now: TimeUs) {
-        self.first_token(id, now);
-        let Some(row) = self.land_and_unload(id, now) else {
+    pub fn record_success(&mut self, id: AttemptId, now: TimeUs) {
+        self.record_first_token(id, now);
+        let Some(row) = self.remove_attempt_and_load(id, now) else {
             return;
         };
-        self.rows[row].outlier.succeeded();
+        self.rows[row].outlier.record_success();
     }
 
     /// Records the bad end of an attempt; the endpoint may be ejected by it.
@@ -66,57 +70,57 @@
     /// What was refused stays counted as load until the next report is made. An endpoint that
     /// refuses at once while its report says that it is idle would otherwise look best to every
     /// request and draw them all; one would notice by refusals while other endpoints have room.
-    pub fn failed(&mut self, id: FlightId, failure: FlightFailure, now: TimeUs) {
-        let is_refused = failure == FlightFailure::Refused;
+    pub fn record_failure(&mut self, id: AttemptId, failure: AttemptFailure, now: TimeUs) {
+        let is_refused = failure == AttemptFailure::Refused;
         let row = match is_refused {
-            true => self.land(id),
-            false => self.land_and_unload(id, now),
+            true => self.remove_attempt(id),
+            false => self.remove_attempt_and_load(id, now),
         };
         let Some(row) = row else {
             return;
         };
         let outlier = &mut self.rows[row].outlier;
-        let is_too_many = match failure {
-            FlightFailure::Refused => outlier.refused(&self.options),
-            FlightFailure::Broken => outlier.failed(&self.options),
-            FlightFailure::Cancelled => false,
+        let is_limit_reached = match failure {
+            AttemptFailure::Refused => outlier.record_refusal(&self.options),
+            AttemptFailure::Broken => outlier.record_failure(&self.options),
+            AttemptFailure::Cancelled => false,
         };
-        if is_too_many {
+        if is_limit_reached {
             self.try_eject(row, now);
         }
     }
 
     /// Removes a flight with its load and returns its row, if that still holds the same life.
-    fn land_and_unload(&mut self, id: FlightId, now: TimeUs) -> Option<usize> {
-        let flight = self.flights.get(&id)?.clone();
-        let row = self.land(id)?;
+    fn remove_attempt_and_load(&mut self, id: AttemptId, now: TimeUs) -> Option<usize> {
+        let attempt = self.attempts.get(&id)?.clone();
+        let row = self.remove_attempt(id)?;
         let record = &mut self.rows[row];
-        let tokens = match flight.has_first_token {
+        let tokens = match attempt.has_first_token {
             true => 0,
-            false => -signed(flight.prefill_tokens),
+            false => -to_signed(attempt.prefill_tokens),
         };
-        record.sent.add(-1, tokens, now);
-        if flight.has_first_token {
+        record.sent_load.add(-1, tokens, now);
+        if attempt.has_first_token {
             // The expected wait isn't learned as work: estimates would grow with every queue,
             // which one would notice by refusals for deadlines that could be met.
-            let span = now.since(flight.sent_at_us);
-            record.took(span.saturating_sub(flight.expected_us));
+            let elapsed = now.since(attempt.sent_at_us);
+            record.record_service_time(elapsed.saturating_sub(attempt.expected_us));
         }
         Some(row)
     }
 
     /// Removes a flight and returns its row, if that still holds the same life.
-    fn land(&mut self, id: FlightId) -> Option<usize> {
-        let flight = self.flights.remove(&id)?;
-        let record = &mut self.rows[flight.row];
-        if record.life_number != flight.life_number {
+    fn remove_attempt(&mut self, id: AttemptId) -> Option<usize> {
+        let attempt = self.attempts.remove(&id)?;
+        let record = &mut self.rows[attempt.row];
+        if record.instance_number != attempt.instance_number {
             return None;
         }
         record.in_flight = record.in_flight.saturating_sub(1);
-        Some(flight.row)
+        Some(attempt.row)
     }
 }
 
-fn signed(tokens: TokenCount) -> i64 {
+fn to_signed(tokens: TokenCount) -> i64 {
     i64::try_from(tokens.get()).unwrap_or(i64::MAX)
 }
--- a/crates/wisteriahitch-core/src/route/pieces.rs
+++ b/crates/wisteriahitch-core/src/route/pieces.rs
@@ -90,7 +90,7 @@
         if piece_tokens == 0 || prompt_tokens % piece_tokens != 0 {
             continue;
         }
-        let piece_end = end_of(token, prompt);
+        let piece_end = end_offset(token, prompt);
         let text = &prompt.as_bytes()[piece_start..piece_end];
         previous = BlockKey::derive(PIECE_CONTEXT, &[previous.as_bytes(), text]);
         blocks.push(Piece {
@@ -106,6 +106,6 @@
 }
 
 /// Returns the offset right after `token`, which is a slice of `prompt`.
-fn end_of(token: &str, prompt: &str) -> usize {
+fn end_offset(token: &str, prompt: &str) -> usize {
     token.as_ptr().addr() - prompt.as_ptr().addr() + token.len()
 }
--- a/crates/wisteriahitch-core/src/route/policy/baseline.rs
+++ b/crates/wisteriahitch-core/src/route/policy/baseline.rs
@@ -5,14 +5,14 @@
 
 use wisteriahitch_types::TimeUs;
 
-use super::candidates::{all_candidates, no_endpoint};
-use super::sources::Sources;
-use super::weigh::Weigher;
+use super::candidates::{all_candidate_rows, no_endpoint_refusal};
+use super::scorer::Scorer;
+use super::sources::PieceSources;
 use super::{Choice, CostOptions, NoLinks, Policy, RouteRefusal, RouteRequest, View};
 use crate::route::EndpointTable;
 use crate::route::directory::rendezvous_score;
-use crate::route::draw::Draw;
 use crate::route::endpoint::EndpointRecord;
+use crate::route::seeded_sampler::SeededSampler;
 
 /// Takes the endpoints in turn.
 #[derive(Debug, Default)]
@@ -29,82 +29,88 @@
 pub struct Affinity;
 
 /// Picks one of the candidates; everything else in a decision is the same for all baselines.
-pub(crate) trait Pick: fmt::Debug + Send + Sync {
+pub(crate) trait BaselinePolicy: fmt::Debug + Send + Sync {
     /// Returns the name that operators choose the policy by.
     fn name(&self) -> &'static str;
 
     /// Returns one of `rows`, which are the candidates' rows in the table and never empty.
-    fn pick(
+    fn pick_row(
         &self,
         request: &RouteRequest,
         endpoints: &EndpointTable,
         rows: &[usize],
-        draw: &mut Draw,
+        sampler: &mut SeededSampler,
     ) -> usize;
 }
 
-impl Pick for RoundRobin {
+impl BaselinePolicy for RoundRobin {
     fn name(&self) -> &'static str {
         "round_robin"
     }
 
-    fn pick(&self, _: &RouteRequest, _: &EndpointTable, rows: &[usize], _: &mut Draw) -> usize {
-        let turn = self.next.fetch_add(1, Ordering::Relaxed);
-        rows[turn % rows.len()]
+    fn pick_row(
+        &self,
+        _: &RouteRequest,
+        _: &EndpointTable,
+        rows: &[usize],
+        _: &mut SeededSampler,
+    ) -> usize {
+        let call_number = self.next.fetch_add(1, Ordering::Relaxed);
+        rows[call_number % rows.len()]
     }
 }
 
-impl Pick for LeastLoaded {
+impl BaselinePolicy for LeastLoaded {
     fn name(&self) -> &'static str {
         "least_loaded"
     }
 
-    fn pick(
+    fn pick_row(
         &self,
         _: &RouteRequest,
         endpoints: &EndpointTable,
         rows: &[usize],
-        draw: &mut Draw,
+        sampler: &mut SeededSampler,
     ) -> usize {
-        let reported = |row: usize| {
+        let reported_requests = |row: usize| {
             let report = endpoints.rows[row].report.as_ref();
             report.map_or(0, |held| held.load.running + held.load.queued)
         };
-        let least = rows.iter().map(|row| reported(*row)).min();
-        let equal: Vec<usize> = rows
+        let fewest = rows.iter().map(|row| reported_requests(*row)).min();
+        let tied: Vec<usize> = rows
             .iter()
             .copied()
-            .filter(|row| Some(reported(*row)) == least)
+            .filter(|row| Some(reported_requests(*row)) == fewest)
             .collect();
-        equal[draw.below(equal.len())]
+        tied[sampler.below(tied.len())]
     }
 }
 
-impl Pick for Affinity {
+impl BaselinePolicy for Affinity {
     fn name(&self) -> &'static str {
         "affinity"
     }
 
-    fn pick(
+    fn pick_row(
         &self,
         request: &RouteRequest,
         endpoints: &EndpointTable,
         rows: &[usize],
-        draw: &mut Draw,
+        sampler: &mut SeededSampler,
     ) -> usize {
         let Some(head) = request.chain.blocks.first() else {
-            return rows[draw.below(rows.len())];
+            return rows[sampler.below(rows.len())];
         };
         let score =
             |record: &EndpointRecord| rendezvous_score(head.key.as_bytes(), record.id.as_str());
-        let strongest = rows.iter().max_by_key(|row| score(&endpoints.rows[**row]));
-        *strongest.unwrap_or(&rows[0])
+        let highest = rows.iter().max_by_key(|row| score(&endpoints.rows[**row]));
+        *highest.unwrap_or(&rows[0])
     }
 }
 
-impl<P: Pick> Policy for P {
+impl<P: BaselinePolicy> Policy for P {
     fn name(&self) -> &'static str {
-        Pick::name(self)
+        BaselinePolicy::name(self)
     }
 
     /// Estimates the picked row without imports.
@@ -115,14 +121,14 @@
         now: TimeUs,
     ) -> Result<Choice, RouteRefusal> {
         let holders = view.directory.chain_holders(&request.chain);
-        let mut draw = Draw::new(view.draw);
-        let rows = all_candidates(request, view)?;
-        let row = self.pick(request, view.endpoints, &rows, &mut draw);
-        let sources = Sources::find(request, &holders, &NoLinks, now);
+        let mut sampler = SeededSampler::new(view.random_seed);
+        let rows = all_candidate_rows(request, view)?;
+        let row = self.pick_row(request, view.endpoints, &rows, &mut sampler);
+        let sources = PieceSources::find(request, &holders, &NoLinks, now);
         let options = CostOptions::default();
-        let weigher = Weigher::new(request, view, &holders, &sources, &options, now);
-        let offers = weigher.offers(&[row]);
-        let offer = offers.first().ok_or_else(no_endpoint)?;
-        Ok(weigher.choice(offer, &[]))
+        let scorer = Scorer::new(request, view, &holders, &sources, &options, now);
+        let candidates = scorer.score_rows(&[row]);
+        let candidate = candidates.first().ok_or_else(no_endpoint_refusal)?;
+        Ok(scorer.choice(candidate, &[]))
     }
 }
--- a/crates/wisteriahitch-core/src/route/policy/candidates.rs
+++ b/crates/wisteriahitch-core/src/route/policy/candidates.rs
@@ -6,44 +6,45 @@
 
 use super::{RouteRefusal, RouteRequest, View};
 use crate::route::EndpointTable;
-use crate::route::Served;
+use crate::route::ServingRequirement;
 use crate::route::directory::ChainHolders;
-use crate::route::draw::Draw;
-use crate::route::endpoint::{Pool, PoolKey, Standing};
+use crate::route::endpoint::{Pool, PoolKey, PoolMembershipState};
+use crate::route::seeded_sampler::SeededSampler;
 
 /// Pools up to this size are looked at whole.
-const FULL_SCAN: usize = 32;
+const MAX_FULL_SCAN: usize = 32;
 /// Most holders of the prompt's blocks that are looked at in a larger pool.
-const MAX_HOLDERS: usize = 8;
+const MAX_SAMPLED_HOLDERS: usize = 8;
 /// Endpoints that are drawn at random in a larger pool, besides one for each doubling of its size.
-const MIN_SAMPLED: usize = 4;
+const MIN_RANDOM_SAMPLES: usize = 4;
 /// Draws for each endpoint wanted, after which the pool is searched in order instead.
-const DRAWS_PER_SAMPLE: usize = 8;
+const MAX_DRAWS_PER_SAMPLE: usize = 8;
 /// Standings in the order in which they are tried.
-const STANDINGS: [Standing; 2] = [Standing::Ready, Standing::LastResort];
+const STATES_BY_PREFERENCE: [PoolMembershipState; 2] =
+    [PoolMembershipState::Ready, PoolMembershipState::LastResort];
 /// When a caller may come back where no endpoint is to be had.
-const RETRY_NO_ENDPOINT_US: DurationUs = DurationUs::from_ms(1_000);
+const NO_ENDPOINT_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(1_000);
 
 /// Returns the rows that a decision compares; never an empty list.
 ///
 /// A small pool is looked at whole. Of a larger one, holders of the prompt's late pieces and some
 /// others at random are, so that the cost of a decision grows with the logarithm of the pool.
-pub(crate) fn candidates(
+pub(crate) fn candidate_rows(
     request: &RouteRequest,
     view: &View<'_>,
     holders: &ChainHolders<'_>,
-    draw: &mut Draw,
+    sampler: &mut SeededSampler,
 ) -> Result<Vec<usize>, RouteRefusal> {
-    let choosable = Choosable::find(request, view)?;
-    for standing in STANDINGS {
-        let rows = choosable.pool.rows(standing);
+    let eligible = EligiblePool::for_request(request, view)?;
+    for state in STATES_BY_PREFERENCE {
+        let rows = eligible.pool.rows(state);
         let found = match rows.len() {
-            0..=FULL_SCAN => choosable.all(standing),
+            0..=MAX_FULL_SCAN => eligible.eligible_rows(state),
             len => {
-                let known = holders.endpoints(MAX_HOLDERS, draw.below(len));
+                let known = holders.endpoints(MAX_SAMPLED_HOLDERS, sampler.below(len));
                 let mut found: Vec<usize> = view.endpoints.rows_of(&known).collect();
-                found.retain(|row| choosable.is_member(*row, standing));
-                choosable.sample(rows, draw, &mut found);
+                found.retain(|row| eligible.is_eligible_member(*row, state));
+                eligible.add_random_rows(rows, sampler, &mut found);
                 found
             }
         };
@@ -51,43 +52,43 @@
             return Ok(found);
         }
     }
-    Err(no_endpoint())
+    Err(no_endpoint_refusal())
 }
 
 /// Returns every row that may take the request, in order; never an empty list.
-pub(crate) fn all_candidates(
+pub(crate) fn all_candidate_rows(
     request: &RouteRequest,
     view: &View<'_>,
 ) -> Result<Vec<usize>, RouteRefusal> {
-    let choosable = Choosable::find(request, view)?;
-    for standing in STANDINGS {
-        let mut found = choosable.all(standing);
+    let eligible = EligiblePool::for_request(request, view)?;
+    for state in STATES_BY_PREFERENCE {
+        let mut found = eligible.eligible_rows(state);
         if !found.is_empty() {
             found.sort_unstable();
             return Ok(found);
         }
     }
-    Err(no_endpoint())
+    Err(no_endpoint_refusal())
 }
 
 /// Holds the pool of a request and what rules a row of it out.
-struct Choosable<'a> {
-    served: Served,
+struct EligiblePool<'a> {
+    requirement: ServingRequirement,
     key: PoolKey,
     pool: &'a Pool,
     excluded: HashSet<&'a EndpointId>,
     endpoints: &'a EndpointTable,
 }
 
-impl<'a> Choosable<'a> {
-    fn find(request: &'a RouteRequest, view: &View<'a>) -> Result<Self, RouteRefusal> {
-        let served = request.served();
-        let key = served.pool_key();
+impl<'a> EligiblePool<'a> {
+    fn for_request(request: &'a RouteRequest, view: &View<'a>) -> Result<Self, RouteRefusal> {
+        let requirement = request.serving_requirement();
+        let key = requirement.pool_key();
         let Some(pool) = view.endpoints.pool(&key) else {
-            return Err(no_pool(request, view));
+            return Err(no_pool_refusal(request, view));
         };
         Ok(Self {
-            served,
+            requirement,
             key,
             pool,
             excluded: request.exclude.iter().collect(),
@@ -95,51 +96,54 @@
         })
     }
 
-    fn may_take(&self, row: usize) -> bool {
+    fn is_eligible_row(&self, row: usize) -> bool {
         let id = &self.endpoints.rows[row].id;
         let is_excluded = !self.excluded.is_empty() && self.excluded.contains(id);
-        !is_excluded && self.endpoints.is_eligible(row, &self.served)
+        !is_excluded && self.endpoints.is_eligible(row, &self.requirement)
     }
 
-    fn is_member(&self, row: usize, standing: Standing) -> bool {
+    fn is_eligible_member(&self, row: usize, state: PoolMembershipState) -> bool {
         let membership = &self.endpoints.rows[row].membership;
-        membership.is_in(&self.key, standing) && self.may_take(row)
+        membership.is_member(&self.key, state) && self.is_eligible_row(row)
     }
 
-    fn all(&self, standing: Standing) -> Vec<usize> {
-        let rows = self.pool.rows(standing).iter().copied();
-        rows.filter(|row| self.may_take(*row)).collect()
+    fn eligible_rows(&self, state: PoolMembershipState) -> Vec<usize> {
+        let rows = self.pool.rows(state).iter().copied();
+        rows.filter(|row| self.is_eligible_row(*row)).collect()
     }
 
     /// Adds rows at random to `found`, and searches the pool in order where hardly any may be
     /// taken.
-    fn sample(&self, rows: &[usize], draw: &mut Draw, found: &mut Vec<usize>) {
-        let wanted = found.len() + MIN_SAMPLED + rows.len().ilog2() as usize;
-        for _ in 0..wanted * DRAWS_PER_SAMPLE {
-            if found.len() >= wanted {
+    fn add_random_rows(&self, rows: &[usize], sampler: &mut SeededSampler, found: &mut Vec<usize>) {
+        let target_len = found.len() + MIN_RANDOM_SAMPLES + rows.len().ilog2() as usize;
+        for _ in 0..target_len * MAX_DRAWS_PER_SAMPLE {
+            if found.len() >= target_len {
                 return;
             }
-            let row = rows[draw.below(rows.len())];
-            if self.may_take(row) && !found.contains(&row) {
+            let row = rows[sampler.below(rows.len())];
+            if self.is_eligible_row(row) && !found.contains(&row) {
                 found.push(row);
             }
         }
         if found.is_empty() {
-            let allowed = rows.iter().copied().filter(|row| self.may_take(*row));
-            found.extend(allowed.take(wanted));
+            let allowed = rows
+                .iter()
+                .copied()
+                .filter(|row| self.is_eligible_row(*row));
+            found.extend(allowed.take(target_len));
         }
     }
 }
 
 /// Refuses for want of an endpoint that takes work.
-pub(crate) fn no_endpoint() -> RouteRefusal {
+pub(crate) fn no_endpoint_refusal() -> RouteRefusal {
     RouteRefusal {
         code: Code::NoEndpoint,
-        retry_after_us: RETRY_NO_ENDPOINT_US,
+        retry_after_us: NO_ENDPOINT_RETRY_AFTER_US,
     }
 }
 
-fn no_pool(request: &RouteRequest, view: &View<'_>) -> RouteRefusal {
+fn no_pool_refusal(request: &RouteRequest, view: &View<'_>) -> RouteRefusal {
     let is_served = match &request.model {
         Some(model) => view.endpoints.may_serve(&request.service, model),
         None => true,
@@ -150,6 +154,6 @@
     };
     RouteRefusal {
         code,
-        retry_after_us: RETRY_NO_ENDPOINT_US,
+        retry_after_us: NO_ENDPOINT_RETRY_AFTER_US,
     }
 }
--- a/crates/wisteriahitch-core/src/route/policy/choice.rs
+++ b/crates/wisteriahitch-core/src/route/policy/choice.rs
@@ -13,7 +13,7 @@
     /// Times that are expected.
     pub estimate: Estimate,
     /// Every candidate, the cheapest first; empty unless it was asked for.
-    pub weighed: Vec<Weighed>,
+    pub weighed: Vec<ScoredCandidate>,
 }
 
 /// Says what becomes of a prompt at its endpoint.
@@ -58,7 +58,7 @@
 
 /// Shows one candidate, for the operators' `explain`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Weighed {
+pub struct ScoredCandidate {
     /// Endpoint.
     pub endpoint: EndpointId,
     /// Times expected there.
--- a/crates/wisteriahitch-core/src/route/policy/mod.rs
+++ b/crates/wisteriahitch-core/src/route/policy/mod.rs
@@ -6,11 +6,11 @@
 mod cost;
 mod kind;
 mod request;
+mod scorer;
 mod sources;
-mod weigh;
 
 pub use baseline::{Affinity, LeastLoaded, RoundRobin};
-pub use choice::{Choice, Estimate, ImportStep, Plan, RouteRefusal, Weighed};
+pub use choice::{Choice, Estimate, ImportStep, Plan, RouteRefusal, ScoredCandidate};
 pub use cost::{CostOptions, CostPolicy};
 pub use kind::{ParsePolicyError, PolicyKind};
 pub use request::{LinkView, NoLinks, RouteRequest, View};
--- a/crates/wisteriahitch-core/src/route/policy/request.rs
+++ b/crates/wisteriahitch-core/src/route/policy/request.rs
@@ -5,7 +5,7 @@
     Share, StoreId, Tier, TimeUs, TokenCount, WeightVersion,
 };
 
-use crate::route::{Directory, EndpointTable, PieceChain, Served};
+use crate::route::{Directory, EndpointTable, PieceChain, ServingRequirement};
 
 /// Asks where a request is to run.
 #[derive(Clone, Debug)]
@@ -40,8 +40,8 @@
 
 impl RouteRequest {
     /// Returns what the endpoint must serve.
-    pub fn served(&self) -> Served {
-        Served {
+    pub fn serving_requirement(&self) -> ServingRequirement {
+        ServingRequirement {
             service: self.service.clone(),
             model: self.model.clone().zip(self.weight_version.clone()),
             adapter: self.adapter.clone(),
@@ -82,5 +82,5 @@
     /// Links to the store VMs.
     pub links: &'a dyn LinkView,
     /// Random number for this decision alone, drawn by the [`Router`](crate::route::Router).
-    pub draw: u64,
+    pub random_seed: u64,
 }
--- a/crates/wisteriahitch-core/src/route/policy/weigh.rs
+++ b/crates/wisteriahitch-core/src/route/policy/scorer.rs
@@ -5,14 +5,14 @@
 
 use wisteriahitch_types::{DurationUs, TimeUs, TokenCount};
 
-use super::sources::{Cut, Sources};
-use super::{Choice, CostOptions, Estimate, ImportStep, Plan, RouteRequest, View, Weighed};
+use super::sources::{ImportOption, PieceSources};
+use super::{Choice, CostOptions, Estimate, ImportStep, Plan, RouteRequest, ScoredCandidate, View};
 use crate::route::directory::ChainHolders;
 use crate::route::endpoint::EndpointRecord;
 
 /// Holds the best plan for one endpoint.
 #[derive(Clone, Debug)]
-pub(crate) struct Offer {
+pub(crate) struct Candidate {
     pub(crate) row: usize,
     /// Pieces that the endpoint holds.
     resident_pieces: usize,
@@ -23,24 +23,24 @@
 }
 
 /// Weighs the endpoints for one request.
-pub(crate) struct Weigher<'a> {
+pub(crate) struct Scorer<'a> {
     request: &'a RouteRequest,
     view: &'a View<'a>,
     holders: &'a ChainHolders<'a>,
-    sources: &'a Sources<'a>,
+    sources: &'a PieceSources<'a>,
     options: &'a CostOptions,
     now: TimeUs,
     /// Tokens of the first pieces, by their number.
     prefix_tokens: Vec<TokenCount>,
 }
 
-impl<'a> Weigher<'a> {
+impl<'a> Scorer<'a> {
     /// Combines what the estimates need.
     pub(crate) fn new(
         request: &'a RouteRequest,
         view: &'a View<'a>,
         holders: &'a ChainHolders<'a>,
-        sources: &'a Sources<'a>,
+        sources: &'a PieceSources<'a>,
         options: &'a CostOptions,
         now: TimeUs,
     ) -> Self {
@@ -58,26 +58,27 @@
     /// Returns for each row its cheapest plan; one that meets the deadline goes first.
     ///
     /// Rows that hold equally much share the estimates of the imports.
-    pub(crate) fn offers(&self, rows: &[usize]) -> Vec<Offer> {
-        let mut cuts_by_start: BTreeMap<usize, Vec<Cut>> = BTreeMap::new();
-        let mut offer_from = |row: usize, start: usize| {
-            let cuts = cuts_by_start.entry(start).or_insert_with(|| {
+    pub(crate) fn score_rows(&self, rows: &[usize]) -> Vec<Candidate> {
+        let mut options_by_start: BTreeMap<usize, Vec<ImportOption>> = BTreeMap::new();
+        let mut score_with_import = |row: usize, start: usize| {
+            let import_options = options_by_start.entry(start).or_insert_with(|| {
                 self.sources
-                    .cuts(start, self.request, self.view.links, self.now)
+                    .import_options(start, self.request, self.view.links, self.now)
             });
-            self.offer(row, start, cuts)
+            self.score_row(row, start, import_options)
         };
-        let offer = |row: &usize| {
+        let best_candidate = |row: &usize| {
             let resident = self.resident_pieces(*row);
             if !self.is_being_evicted(resident) {
-                return offer_from(*row, resident);
+                return score_with_import(*row, resident);
             }
-            let without_import = self.offer(*row, resident, &[Cut::none(resident)]);
-            let anew = offer_from(*row, 0);
-            let both = without_import.into_iter().chain(anew);
+            let without_import =
+                self.score_row(*row, resident, &[ImportOption::no_import(resident)]);
+            let from_start = score_with_import(*row, 0);
+            let both = without_import.into_iter().chain(from_start);
             both.min_by(|a, b| self.compare(a, b))
         };
-        rows.iter().filter_map(offer).collect()
+        rows.iter().filter_map(best_candidate).collect()
     }
 
     /// Returns whether an endpoint that holds so many pieces is about to lose them.
@@ -88,8 +89,8 @@
     /// would notice returns without any cached token although all their pieces were saved. So
     /// such a beginning is used as it is, or everything is imported, at whichever endpoint.
     fn is_being_evicted(&self, resident: usize) -> bool {
-        let is_rest_saved = self.sources.run_end(resident) > resident;
-        resident > 0 && is_rest_saved && self.sources.run_end(0) > resident
+        let is_rest_saved = self.sources.importable_run_end(resident) > resident;
+        resident > 0 && is_rest_saved && self.sources.importable_run_end(0) > resident
     }
 
     fn resident_pieces(&self, row: usize) -> usize {
@@ -98,17 +99,23 @@
         place.map_or(0, |place| self.holders.resident_pieces(place))
     }
 
-    fn offer(&self, row: usize, resident_pieces: usize, cuts: &[Cut]) -> Option<Offer> {
+    fn score_row(
+        &self,
+        row: usize,
+        resident_pieces: usize,
+        import_options: &[ImportOption],
+    ) -> Option<Candidate> {
         let record = &self.view.endpoints.rows[row];
         let queue_us = record.queue_time(&self.view.endpoints.options);
-        let load_us = record.utilisation() * self.options.full_load_us.as_f64();
-        cuts.iter()
-            .map(|cut| {
-                let estimate = self.estimate(record, queue_us, *cut);
-                Offer {
+        let load_us = record.utilisation() * self.options.full_load_penalty_us.as_f64();
+        import_options
+            .iter()
+            .map(|import_option| {
+                let estimate = self.estimate(record, queue_us, *import_option);
+                Candidate {
                     row,
                     resident_pieces,
-                    import_end: cut.end,
+                    import_end: import_option.end_piece,
                     estimate,
                     cost_us: self.cost_us(&estimate) + load_us,
                 }
@@ -116,25 +123,32 @@
             .min_by(|a, b| self.compare(a, b))
     }
 
-    fn compare(&self, a: &Offer, b: &Offer) -> Ordering {
-        let is_late = |offer: &Offer| offer.estimate.first_token_us > self.request.deadline_us;
+    fn compare(&self, a: &Candidate, b: &Candidate) -> Ordering {
+        let is_late =
+            |candidate: &Candidate| candidate.estimate.first_token_us > self.request.deadline_us;
         let by_deadline = is_late(a).cmp(&is_late(b));
         by_deadline.then(a.cost_us.total_cmp(&b.cost_us))
     }
 
-    fn estimate(&self, record: &EndpointRecord, queue_us: DurationUs, cut: Cut) -> Estimate {
+    fn estimate(
+        &self,
+        record: &EndpointRecord,
+        queue_us: DurationUs,
+        import_option: ImportOption,
+    ) -> Estimate {
         let options = &self.view.endpoints.options;
-        let prefill_us = record.prefill_time(self.recompute_tokens(cut.end), options);
+        let prefill_us =
+            record.prefill_time(self.recompute_tokens(import_option.end_piece), options);
         let is_near = record.availability_zone == self.request.availability_zone;
-        let way_us = match is_near {
+        let zone_penalty_us = match is_near {
             true => DurationUs::ZERO,
-            false => self.options.other_zone_us,
+            false => self.options.other_zone_round_trip_us,
         };
         Estimate {
             queue_us,
-            transfer_us: cut.transfer_us,
+            transfer_us: import_option.transfer_us,
             prefill_us,
-            first_token_us: queue_us.max(cut.transfer_us) + prefill_us + way_us,
+            first_token_us: queue_us.max(import_option.transfer_us) + prefill_us + zone_penalty_us,
         }
     }
 
@@ -143,15 +157,15 @@
         weight * estimate.first_token_us.as_f64() + (1.0 - weight) * estimate.prefill_us.as_f64()
     }
 
-    fn recompute_tokens(&self, pieces_kept: usize) -> TokenCount {
-        let kept = self.prefix_tokens[pieces_kept];
-        self.request.chain.prompt_tokens.saturating_sub(kept)
+    fn recompute_tokens(&self, available_pieces: usize) -> TokenCount {
+        let available = self.prefix_tokens[available_pieces];
+        self.request.chain.prompt_tokens.saturating_sub(available)
     }
 
     /// Turns an offer into the choice that the caller gets.
-    pub(crate) fn choice(&self, offer: &Offer, weighed: &[Weighed]) -> Choice {
+    pub(crate) fn choice(&self, candidate: &Candidate, scored: &[ScoredCandidate]) -> Choice {
         let chain = &self.request.chain;
-        let import = (offer.resident_pieces..offer.import_end)
+        let import = (candidate.resident_pieces..candidate.import_end)
             .filter_map(|piece| {
                 let source = self.sources.get(piece)?;
                 Some(ImportStep {
@@ -163,15 +177,15 @@
             })
             .collect();
         let plan = Plan {
-            resident_tokens: chain.prefix_tokens(offer.resident_pieces),
+            resident_tokens: chain.prefix_tokens(candidate.resident_pieces),
             import,
-            recompute_tokens: self.recompute_tokens(offer.import_end),
+            recompute_tokens: self.recompute_tokens(candidate.import_end),
         };
         Choice {
-            endpoint: self.view.endpoints.rows[offer.row].id.clone(),
+            endpoint: self.view.endpoints.rows[candidate.row].id.clone(),
             plan,
-            estimate: offer.estimate,
-            weighed: weighed.to_vec(),
+            estimate: candidate.estimate,
+            weighed: scored.to_vec(),
         }
     }
 }
--- a/crates/wisteriahitch-core/src/route/policy/sources.rs
+++ b/crates/wisteriahitch-core/src/route/policy/sources.rs
@@ -7,47 +7,47 @@
 
 /// Names where one piece is imported from.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Source<'a> {
+pub(crate) struct PieceSource<'a> {
     pub(crate) store: &'a StoreId,
     pub(crate) tier: Tier,
 }
 
 /// Holds the best source of each piece.
-pub(crate) struct Sources<'a> {
-    sources: Vec<Option<Source<'a>>>,
+pub(crate) struct PieceSources<'a> {
+    sources: Vec<Option<PieceSource<'a>>>,
     /// For each piece, the end of the run of importable pieces that begins with it.
-    run_ends: Vec<usize>,
+    importable_run_ends: Vec<usize>,
 }
 
 /// Most lengths of the imported part that are compared.
-const MAX_CUTS: usize = 8;
+const MAX_IMPORT_OPTIONS: usize = 8;
 
 /// Gives one end of an import.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Cut {
+pub(crate) struct ImportOption {
     /// Piece before which the import ends.
-    pub(crate) end: usize,
+    pub(crate) end_piece: usize,
     /// Time that it takes.
     pub(crate) transfer_us: DurationUs,
 }
 
-impl Cut {
+impl ImportOption {
     /// Imports nothing where so many pieces are resident.
-    pub(crate) const fn none(resident: usize) -> Self {
+    pub(crate) const fn no_import(resident: usize) -> Self {
         Self {
-            end: resident,
+            end_piece: resident,
             transfer_us: DurationUs::ZERO,
         }
     }
 }
 
 /// Adds up what is imported from one tier.
-struct Load<'a> {
-    source: Source<'a>,
+struct TierTransfer<'a> {
+    source: PieceSource<'a>,
     bytes: ByteCount,
 }
 
-impl<'a> Sources<'a> {
+impl<'a> PieceSources<'a> {
     /// Finds for each piece the tier that brings it soonest.
     pub(crate) fn find(
         request: &RouteRequest,
@@ -57,25 +57,31 @@
     ) -> Self {
         let mut sources = Vec::with_capacity(request.chain.blocks.len());
         for (index, piece) in request.chain.blocks.iter().enumerate() {
-            let bytes = bytes_of(piece.tokens.get(), request);
+            let bytes = kv_cache_bytes(piece.tokens.get(), request);
             let best = holders
-                .stores(index)
+                .store_tiers(index)
                 .map(|(store, tier)| (links.transfer_time(store, tier, bytes, now), tier, store))
                 .filter(|(time, ..)| *time < DurationUs::MAX)
                 .min();
-            sources.push(best.map(|(_, tier, store)| Source { store, tier }));
+            sources.push(best.map(|(_, tier, store)| PieceSource { store, tier }));
+        }
+        let importable_run_ends = importable_run_ends(&sources);
+        Self {
+            sources,
+            importable_run_ends,
         }
-        let run_ends = run_ends(&sources);
-        Self { sources, run_ends }
     }
 
     /// Returns the end of the run of importable pieces that begins at `start`.
-    pub(super) fn run_end(&self, start: usize) -> usize {
-        self.run_ends.get(start).copied().unwrap_or(start)
+    pub(super) fn importable_run_end(&self, start: usize) -> usize {
+        self.importable_run_ends
+            .get(start)
+            .copied()
+            .unwrap_or(start)
     }
 
     /// Returns the source of a piece.
-    pub(crate) fn get(&self, piece: usize) -> Option<Source<'a>> {
+    pub(crate) fn get(&self, piece: usize) -> Option<PieceSource<'a>> {
         self.sources.get(piece).copied().flatten()
     }
 
@@ -83,57 +89,78 @@
     ///
     /// The first end is `start` itself. Imports from one store share its link and follow each
     /// other; those from several stores run side by side.
-    pub(crate) fn cuts(
+    pub(crate) fn import_options(
         &self,
         start: usize,
         request: &RouteRequest,
         links: &dyn LinkView,
         now: TimeUs,
-    ) -> Vec<Cut> {
-        let len = self.run_end(start) - start;
-        let count = len.min(MAX_CUTS);
-        let mut loads: Vec<Load<'_>> = Vec::new();
-        let mut cuts = vec![Cut::none(start)];
+    ) -> Vec<ImportOption> {
+        let len = self.importable_run_end(start) - start;
+        let count = len.min(MAX_IMPORT_OPTIONS);
+        let mut transfers: Vec<TierTransfer<'_>> = Vec::new();
+        let mut import_options = vec![ImportOption::no_import(start)];
         let mut from = start;
         for step in 1..=count {
-            let end = start + len * step / count;
-            (from..end).for_each(|piece| self.add_piece(piece, request, &mut loads));
-            cuts.push(Cut {
-                end,
-                transfer_us: slowest_store(&loads, links, now),
+            let end_piece = start + len * step / count;
+            (from..end_piece)
+                .for_each(|piece| self.add_to_transfers(piece, request, &mut transfers));
+            import_options.push(ImportOption {
+                end_piece,
+                transfer_us: slowest_store_time(&transfers, links, now),
             });
-            from = end;
+            from = end_piece;
         }
-        cuts
+        import_options
     }
 
-    fn add_piece(&self, piece: usize, request: &RouteRequest, loads: &mut Vec<Load<'a>>) {
+    fn add_to_transfers(
+        &self,
+        piece: usize,
+        request: &RouteRequest,
+        transfers: &mut Vec<TierTransfer<'a>>,
+    ) {
         let Some(source) = self.get(piece) else {
             return;
         };
-        let bytes = bytes_of(request.chain.blocks[piece].tokens.get(), request);
-        let is_same = |load: &&mut Load<'_>| {
-            load.source.store == source.store && load.source.tier == source.tier
+        let bytes = kv_cache_bytes(request.chain.blocks[piece].tokens.get(), request);
+        let is_same_tier = |transfer: &&mut TierTransfer<'_>| {
+            transfer.source.store == source.store && transfer.source.tier == source.tier
         };
-        match loads.iter_mut().find(is_same) {
-            Some(load) => load.bytes += bytes,
-            None => loads.push(Load { source, bytes }),
+        match transfers.iter_mut().find(is_same_tier) {
+            Some(transfer) => transfer.bytes += bytes,
+            None => transfers.push(TierTransfer { source, bytes }),
         }
     }
 }
 
-fn slowest_store(loads: &[Load<'_>], links: &dyn LinkView, now: TimeUs) -> DurationUs {
-    let time_of =
-        |load: &Load<'_>| links.transfer_time(load.source.store, load.source.tier, load.bytes, now);
-    let time_of_store = |store: &StoreId| -> DurationUs {
-        let of_store = loads.iter().filter(|load| load.source.store == store);
-        of_store.map(time_of).sum()
+fn slowest_store_time(
+    transfers: &[TierTransfer<'_>],
+    links: &dyn LinkView,
+    now: TimeUs,
+) -> DurationUs {
+    let transfer_time_of = |transfer: &TierTransfer<'_>| {
+        links.transfer_time(
+            transfer.source.store,
+            transfer.source.tier,
+            transfer.bytes,
+            now,
+        )
+    };
+    let total_time_of_store = |store: &StoreId| -> DurationUs {
+        let from_store = transfers
+            .iter()
+            .filter(|transfer| transfer.source.store == store);
+        from_store.map(transfer_time_of).sum()
     };
-    let stores = loads.iter().map(|load| load.source.store);
-    stores.map(time_of_store).max().unwrap_or(DurationUs::ZERO)
+    let stores = transfers.iter().map(|transfer| transfer.source.store);
+    stores
+        .map(total_time_of_store)
+        .max()
+        .unwrap_or(DurationUs::ZERO)
 }
 
-fn run_ends(sources: &[Option<Source<'_>>]) -> Vec<usize> {
+fn importable_run_ends(sources: &[Option<PieceSource<'_>>]) -> Vec<usize> {
     let mut ends = vec![0; sources.len()];
     let mut end = sources.len();
     for (index, source) in sources.iter().enumerate().rev() {
@@ -145,6 +172,6 @@
     ends
 }
 
-fn bytes_of(tokens: u64, request: &RouteRequest) -> ByteCount {
+fn kv_cache_bytes(tokens: u64, request: &RouteRequest) -> ByteCount {
     ByteCount::new(tokens.saturating_mul(request.bytes_per_token.get()))
 }
--- a/crates/wisteriahitch-core/src/route/retry.rs
+++ b/crates/wisteriahitch-core/src/route/retry.rs
@@ -3,9 +3,9 @@
 use serde::Serialize;
 
 /// Retries that may follow a quiet start before requests have paid for them.
-const FIRST_RETRIES: f64 = 3.0;
+const INITIAL_RETRIES: f64 = 3.0;
 /// Most retries that can be saved up, so that a quiet hour doesn't pay for a burst.
-const MAX_SAVED: f64 = 20.0;
+const DEFAULT_MAX_SAVED: f64 = 20.0;
 
 /// Keeps retries a bounded share of the requests.
 ///
@@ -25,8 +25,8 @@
     pub fn new(share: f64) -> Self {
         Self {
             share: share.clamp(0.0, 1.0),
-            saved: FIRST_RETRIES,
-            max_saved: MAX_SAVED,
+            saved: INITIAL_RETRIES,
+            max_saved: DEFAULT_MAX_SAVED,
             granted: 0,
             denied: 0,
         }
@@ -49,7 +49,7 @@
     }
 
     /// Returns how many retries are left.
-    pub fn left(&self) -> f64 {
+    pub fn available(&self) -> f64 {
         self.saved
     }
 
@@ -59,12 +59,12 @@
     }
 
     /// Records a request of a caller; retries are not counted here.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.saved = (self.saved + self.share).min(self.max_saved);
     }
 
     /// Takes one retry out of the budget, if there is one left.
-    pub fn try_take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let is_granted = self.share > 0.0 && self.saved >= 1.0;
         match is_granted {
             true => {
--- a/crates/wisteriahitch-core/src/route/router.rs
+++ b/crates/wisteriahitch-core/src/route/router.rs
@@ -11,7 +11,7 @@
 };
 
 /// Parts of the directory that are swept each tick; 256 make it whole.
-const SWEPT_EACH_TICK: usize = 1;
+const SWEEP_SEGMENTS_PER_TICK: usize = 1;
 
 /// Decides where requests run.
 ///
@@ -41,8 +41,8 @@
 ///
 /// let mut router = Router::new(Box::new(CostPolicy::default()), 7);
 /// let now = TimeUs::new(1_000_000);
-/// router.endpoints.configured(&configuration, now);
-/// router.endpoints.report(&endpoint.id, EndpointLoad::default(), now);
+/// router.endpoints.apply_endpoint_configuration(&configuration, now);
+/// router.endpoints.record_report(&endpoint.id, EndpointLoad::default(), now);
 ///
 /// let request = RouteRequest {
 ///     service: service.name,
@@ -70,7 +70,7 @@
     /// Hints of where blocks lie.
     pub directory: Directory,
     policy: Box<dyn Policy>,
-    generator: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 /// Shows a router, for the dump.
@@ -93,7 +93,7 @@
             endpoints: EndpointTable::default(),
             directory: Directory::default(),
             policy,
-            generator: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
@@ -112,7 +112,7 @@
             endpoints: &self.endpoints,
             directory: &self.directory,
             links,
-            draw: self.generator.next_u64(),
+            random_seed: self.rng.next_u64(),
         };
         self.policy.choose(request, &view, now)
     }
@@ -120,13 +120,13 @@
     /// Runs the systems of the tables.
     pub fn tick(&mut self, now: TimeUs) {
         self.endpoints.tick(now);
-        for endpoint in std::mem::take(&mut self.endpoints.removed) {
+        for endpoint in std::mem::take(&mut self.endpoints.removed_since_tick) {
             // One that was only moved to another address has been listed anew, or will be.
             if self.endpoints.get_state(&endpoint).is_none() {
-                self.directory.endpoint_gone(&endpoint);
+                self.directory.remove_endpoint(&endpoint);
             }
         }
-        self.directory.sweep(SWEPT_EACH_TICK);
+        self.directory.sweep(SWEEP_SEGMENTS_PER_TICK);
     }
 
     /// Shows the whole state.
--- a/crates/wisteriahitch-core/src/route/draw.rs
+++ b/crates/wisteriahitch-core/src/route/seeded_sampler.rs
@@ -5,9 +5,9 @@
 
 /// Gives the random numbers of one decision, so that a policy keeps no generator of its own.
 #[derive(Clone, Debug)]
-pub(crate) struct Draw(u64);
+pub(crate) struct SeededSampler(u64);
 
-impl Draw {
+impl SeededSampler {
     /// Begins the run that follows from `seed`.
     pub(crate) fn new(seed: u64) -> Self {
         Self(seed)
--- a/crates/wisteriahitch-core/tests/all/route_admission.rs
+++ b/crates/wisteriahitch-core/tests/all/route_admission.rs
@@ -35,7 +35,7 @@
         ..Configuration::default()
     };
     let mut admission = Admission::default();
-    admission.configured(&configuration, 1, START);
+    admission.apply_quota_configuration(&configuration, 1, START);
     assert!(
         admission
             .set_capacity(&service(), capacity, START)
@@ -103,7 +103,7 @@
         let request = ask(&id, workspace, cost);
         let held = (request.workspace.clone(), cost, self.now);
         self.known.insert(request.request.clone(), held);
-        let commands = self.admission.arrive(request, self.now);
+        let commands = self.admission.submit_request(request, self.now);
         self.take(commands);
     }
 
@@ -128,7 +128,7 @@
         };
         self.now = end;
         *self.work.entry(workspace.to_string()).or_default() += cost;
-        let commands = self.admission.finished(&id, self.now);
+        let commands = self.admission.finish_request(&id, self.now);
         self.take(commands);
     }
 }
@@ -229,7 +229,7 @@
 #[test]
 fn priorities_order_a_workspace_within_itself() {
     let mut admission = admission(&[workspace("galle", 1), workspace("kandy", 1)], 1);
-    admission.arrive(ask("running", "galle", 1), START);
+    admission.submit_request(ask("running", "galle", 1), START);
     let arrivals = [
         ("low", "galle", 0),
         ("high", "galle", 9),
@@ -241,12 +241,12 @@
             priority,
             ..ask(id, workspace, 1)
         };
-        assert!(admission.arrive(request, START).is_empty());
+        assert!(admission.submit_request(request, START).is_empty());
     }
     let mut last = "running".to_owned();
     let mut order = Vec::new();
     for _ in arrivals {
-        last = started(&admission.finished(&last.parse().unwrap(), START)).remove(0);
+        last = started(&admission.finish_request(&last.parse().unwrap(), START)).remove(0);
         order.push(last.clone());
     }
     let of_galle: Vec<&String> = order.iter().filter(|id| *id != "other").collect();
@@ -350,10 +350,10 @@
             workspaces: BTreeMap::from([(quota.id.clone(), quota)]),
             ..Configuration::default()
         };
-        admission.configured(&configuration, case.daemons, START);
+        admission.apply_quota_configuration(&configuration, case.daemons, START);
         for (number, (tokens, at_ms, refused_ms)) in case.sent.iter().enumerate() {
             let request = ask(&format!("r{number}"), "galle", *tokens);
-            let commands = admission.arrive(request, after_ms(*at_ms));
+            let commands = admission.submit_request(request, after_ms(*at_ms));
             let seen = quota_wait_ms(&commands);
             assert_eq!(seen, *refused_ms, "{}, request {number}", case.name);
         }
@@ -368,15 +368,27 @@
     };
     let mut admission = admission(&[small, workspace("large", 1)], 1);
     assert_eq!(
-        started(&admission.arrive(ask("a", "small", 1), START)),
+        started(&admission.submit_request(ask("a", "small", 1), START)),
         ["a"]
     );
-    assert!(admission.arrive(ask("b", "small", 1), START).is_empty());
-    assert!(admission.arrive(ask("c", "small", 1), START).is_empty());
-    let full = admission.arrive(ask("d", "small", 1), START);
+    assert!(
+        admission
+            .submit_request(ask("b", "small", 1), START)
+            .is_empty()
+    );
+    assert!(
+        admission
+            .submit_request(ask("c", "small", 1), START)
+            .is_empty()
+    );
+    let full = admission.submit_request(ask("d", "small", 1), START);
     assert_eq!(refused(&full), [("d".to_owned(), Code::QueueFull)]);
-    assert!(admission.arrive(ask("e", "large", 1), START).is_empty());
-    let stranger = admission.arrive(ask("f", "nobody", 1), START);
+    assert!(
+        admission
+            .submit_request(ask("e", "large", 1), START)
+            .is_empty()
+    );
+    let stranger = admission.submit_request(ask("f", "nobody", 1), START);
     assert_eq!(refused(&stranger), [("f".to_owned(), Code::UnknownKey)]);
 }
 
@@ -387,20 +399,20 @@
         deadline_us: after_ms(ms),
         ..ask(id, "galle", 1)
     };
-    admission.arrive(soon("running", 10), START);
-    admission.arrive(soon("first", 20), START);
-    admission.arrive(soon("second", 30), START);
-    admission.arrive(soon("third", 90), START);
+    admission.submit_request(soon("running", 10), START);
+    admission.submit_request(soon("first", 20), START);
+    admission.submit_request(soon("second", 30), START);
+    admission.submit_request(soon("third", 90), START);
     assert!(admission.tick(after_ms(19)).is_empty());
     let late = [("first".to_owned(), Code::DeadlineUnreachable)];
     assert_eq!(refused(&admission.tick(after_ms(20))), late);
-    let commands = admission.finished(&"running".parse().unwrap(), after_ms(40));
+    let commands = admission.finish_request(&"running".parse().unwrap(), after_ms(40));
     assert_eq!(
         refused(&commands),
         [("second".to_owned(), Code::DeadlineUnreachable)]
     );
     assert_eq!(started(&commands), ["third"]);
-    let past = admission.arrive(soon("past", 40), after_ms(40));
+    let past = admission.submit_request(soon("past", 40), after_ms(40));
     assert_eq!(
         refused(&past),
         [("past".to_owned(), Code::DeadlineUnreachable)]
@@ -413,14 +425,18 @@
 #[test]
 fn cancelling_the_last_request_of_a_workspace_lets_the_others_on() {
     let mut admission = admission(&[workspace("galle", 1), workspace("kandy", 1)], 1);
-    admission.arrive(ask("running", "kandy", 9), START);
-    admission.arrive(ask("cancelled", "galle", 1), START);
-    admission.arrive(ask("waiting", "kandy", 1), START);
+    admission.submit_request(ask("running", "kandy", 9), START);
+    admission.submit_request(ask("cancelled", "galle", 1), START);
+    admission.submit_request(ask("waiting", "kandy", 1), START);
     assert!(admission.cancel(&"cancelled".parse().unwrap()));
-    let commands = admission.finished(&"running".parse().unwrap(), START);
+    let commands = admission.finish_request(&"running".parse().unwrap(), START);
     assert_eq!(started(&commands), ["waiting"]);
-    assert!(admission.arrive(ask("again", "galle", 1), START).is_empty());
-    let commands = admission.finished(&"waiting".parse().unwrap(), START);
+    assert!(
+        admission
+            .submit_request(ask("again", "galle", 1), START)
+            .is_empty()
+    );
+    let commands = admission.finish_request(&"waiting".parse().unwrap(), START);
     assert_eq!(started(&commands), ["again"]);
 }
 
@@ -428,29 +444,31 @@
 fn cancelling_and_capacity_keep_the_counts_right() {
     let mut admission = admission(&[workspace("galle", 1)], 1);
     for id in ["a", "b", "c", "d", "e"] {
-        admission.arrive(ask(id, "galle", 1), START);
+        admission.submit_request(ask(id, "galle", 1), START);
     }
     let id = |name: &str| name.parse::<RequestId>().unwrap();
     assert!(admission.cancel(&id("b")));
     assert!(!admission.cancel(&id("b")));
     assert!(!admission.cancel(&id("a")), "a runs and stays counted");
     assert!(
-        admission.finished(&id("c"), START).is_empty(),
+        admission.finish_request(&id("c"), START).is_empty(),
         "c has not started"
     );
     assert!(
-        admission.arrive(ask("c", "galle", 1), START).is_empty(),
+        admission
+            .submit_request(ask("c", "galle", 1), START)
+            .is_empty(),
         "c waits already"
     );
     assert_eq!(
         started(&admission.set_capacity(&service(), 2, START)),
         ["c"]
     );
-    assert_eq!(started(&admission.finished(&id("a"), START)), ["d"]);
+    assert_eq!(started(&admission.finish_request(&id("a"), START)), ["d"]);
     let given_up = admission.refuse_waiting(Code::Draining);
     assert_eq!(refused(&given_up), [("e".to_owned(), Code::Draining)]);
-    admission.finished(&id("c"), START);
-    admission.finished(&id("d"), START);
+    admission.finish_request(&id("c"), START);
+    admission.finish_request(&id("d"), START);
     let gate = admission.snapshot().remove(0);
     assert_eq!((gate.running, gate.waiting, gate.capacity), (0, 0, 2));
 }
@@ -460,11 +478,11 @@
 fn learn_pace(admission: &mut Admission, workspace: &str, start_ms: u64, count: u64) -> u64 {
     let name = |number| format!("{workspace}-{start_ms}-{number}");
     for number in 0..=count {
-        admission.arrive(ask(&name(number), workspace, 1), after_ms(start_ms));
+        admission.submit_request(ask(&name(number), workspace, 1), after_ms(start_ms));
     }
     for number in 0..count {
         let now = after_ms(start_ms + 1_000 * (number + 1));
-        admission.finished(&name(number).parse().unwrap(), now);
+        admission.finish_request(&name(number).parse().unwrap(), now);
     }
     start_ms + 1_000 * count
 }
@@ -486,21 +504,21 @@
     let now = after_ms(now_ms);
     for number in 0..5 {
         let waits = ask_within(&format!("w{number}"), "kandy", now_ms, 60_000);
-        assert!(admission.arrive(waits, now).is_empty());
+        assert!(admission.submit_request(waits, now).is_empty());
     }
-    let commands = admission.arrive(ask_within("late", "kandy", now_ms, 3_000), now);
+    let commands = admission.submit_request(ask_within("late", "kandy", now_ms, 3_000), now);
     let expected = ("late".to_owned(), Code::DeadlineUnreachable);
     assert_eq!(refused(&commands), [expected]);
     // One that can wait longer, goes first by its priority, or has its own share is let in.
     let patient = ask_within("patient", "kandy", now_ms, 10_000);
-    assert!(admission.arrive(patient, now).is_empty());
+    assert!(admission.submit_request(patient, now).is_empty());
     let urgent = AdmissionRequest {
         priority: 9,
         ..ask_within("urgent", "kandy", now_ms, 3_000)
     };
-    assert!(admission.arrive(urgent, now).is_empty());
+    assert!(admission.submit_request(urgent, now).is_empty());
     let other = ask_within("other", "galle", now_ms, 3_000);
-    assert!(admission.arrive(other, now).is_empty());
+    assert!(admission.submit_request(other, now).is_empty());
 }
 
 #[test]
@@ -510,16 +528,17 @@
     // pace of the service.
     let mut admission = admission(&[workspace("kandy", 1)], 1);
     let mut now_ms = learn_pace(&mut admission, "kandy", 0, 20);
-    admission.finished(&"kandy-0-20".parse().unwrap(), after_ms(now_ms));
+    admission.finish_request(&"kandy-0-20".parse().unwrap(), after_ms(now_ms));
     for number in 0..20 {
         now_ms += 600_000;
         let id = format!("night-{number}");
-        admission.arrive(ask(&id, "kandy", 1), after_ms(now_ms));
-        admission.finished(&id.parse().unwrap(), after_ms(now_ms + 500));
+        admission.submit_request(ask(&id, "kandy", 1), after_ms(now_ms));
+        admission.finish_request(&id.parse().unwrap(), after_ms(now_ms + 500));
     }
     for number in 0..4 {
         let id = format!("morning-{number}");
-        let commands = admission.arrive(ask_within(&id, "kandy", now_ms, 8_000), after_ms(now_ms));
+        let commands =
+            admission.submit_request(ask_within(&id, "kandy", now_ms, 8_000), after_ms(now_ms));
         assert!(refused(&commands).is_empty(), "{commands:?}");
     }
 }
--- a/crates/wisteriahitch-core/tests/all/route_directory.rs
+++ b/crates/wisteriahitch-core/tests/all/route_directory.rs
@@ -125,24 +125,30 @@
 fn apply(directory: &mut Directory, event: &Event) {
     let hub = store("hub-cache");
     match event {
-        Event::Stored(holder, number) => directory.stored(&endpoint(*holder), &key(*number)),
-        Event::Evicted(holder, number) => directory.evicted(&endpoint(*holder), &key(*number)),
+        Event::Stored(holder, number) => directory.record_stored(&endpoint(*holder), &key(*number)),
+        Event::Evicted(holder, number) => {
+            directory.record_evicted(&endpoint(*holder), &key(*number))
+        }
         Event::Listing(holder, numbers) => {
             let keys: Vec<BlockKey> = numbers.iter().map(|number| key(*number)).collect();
-            directory.listing(&endpoint(*holder), &keys);
+            directory.replace_endpoint_listing(&endpoint(*holder), &keys);
+        }
+        Event::Gap(holder) => directory.mark_event_gap(&endpoint(*holder)),
+        Event::Gone(holder) => directory.remove_endpoint(&endpoint(*holder)),
+        Event::StoreStored(tier, number) => {
+            directory.record_tier_stored(&hub, *tier, &key(*number))
+        }
+        Event::StoreEvicted(tier, number) => {
+            directory.record_tier_evicted(&hub, *tier, &key(*number))
         }
-        Event::Gap(holder) => directory.gap(&endpoint(*holder)),
-        Event::Gone(holder) => directory.endpoint_gone(&endpoint(*holder)),
-        Event::StoreStored(tier, number) => directory.store_stored(&hub, *tier, &key(*number)),
-        Event::StoreEvicted(tier, number) => directory.store_evicted(&hub, *tier, &key(*number)),
         Event::StoreListing(blocks) => {
             let blocks: Vec<(BlockKey, Tier)> = blocks
                 .iter()
                 .map(|(number, tier)| (key(*number), *tier))
                 .collect();
-            directory.store_listing(&hub, &blocks);
+            directory.replace_store_listing(&hub, &blocks);
         }
-        Event::StoreGone => directory.store_gone(&hub),
+        Event::StoreGone => directory.remove_store(&hub),
         Event::Sweep(segments) => directory.sweep(*segments),
     }
 }
@@ -159,7 +165,7 @@
             apply(&mut directory, event);
             plain.apply(event);
             let tiers: Vec<Option<Tier>> = directory
-                .tier_prefix(&chains[0])
+                .tier_locations(&chains[0])
                 .into_iter()
                 .map(|place| place.map(|(_, tier)| tier))
                 .collect();
@@ -167,7 +173,7 @@
             prop_assert_eq!(tiers, expected);
             for holder in 0..HOLDERS {
                 for (chain, first) in chains.iter().zip((0..KEYS).step_by(3)) {
-                    let tokens = directory.resident_prefix(&endpoint(holder), chain);
+                    let tokens = directory.resident_prefix_tokens(&endpoint(holder), chain);
                     prop_assert_eq!(tokens.get(), 10 * plain.prefix(holder, first));
                 }
             }
@@ -183,16 +189,25 @@
     let chain = chain("kandy", &words(30));
     let keys: Vec<BlockKey> = chain.blocks.iter().map(|piece| piece.key).collect();
     let mut directory = Directory::default();
-    directory.listing(&endpoint(1), &keys);
-    directory.gap(&endpoint(1));
-    directory.gap(&endpoint(2));
-    directory.stored(&endpoint(2), &keys[0]);
-    directory.stored(&endpoint(1), &keys[0]);
-    assert_eq!(directory.resident_prefix(&endpoint(1), &chain).get(), 0);
-    assert_eq!(directory.resident_prefix(&endpoint(2), &chain).get(), 0);
+    directory.replace_endpoint_listing(&endpoint(1), &keys);
+    directory.mark_event_gap(&endpoint(1));
+    directory.mark_event_gap(&endpoint(2));
+    directory.record_stored(&endpoint(2), &keys[0]);
+    directory.record_stored(&endpoint(1), &keys[0]);
+    assert_eq!(
+        directory.resident_prefix_tokens(&endpoint(1), &chain).get(),
+        0
+    );
+    assert_eq!(
+        directory.resident_prefix_tokens(&endpoint(2), &chain).get(),
+        0
+    );
     assert_eq!(directory.snapshot().suspect_holders, 2);
-    directory.listing(&endpoint(1), &keys[..2]);
-    assert_eq!(directory.resident_prefix(&endpoint(1), &chain).get(), 20);
+    directory.replace_endpoint_listing(&endpoint(1), &keys[..2]);
+    assert_eq!(
+        directory.resident_prefix_tokens(&endpoint(1), &chain).get(),
+        20
+    );
     assert_eq!(directory.snapshot().suspect_holders, 1);
 }
 
@@ -205,7 +220,7 @@
     let whole_sweep = 256;
     for round in 0..70_000_u32 {
         let key = BlockKey::derive("wisteriahitch test key", &[&round.to_le_bytes()]);
-        directory.listing(&endpoint(1), &[key]);
+        directory.replace_endpoint_listing(&endpoint(1), &[key]);
         directory.sweep(8);
     }
     directory.sweep(whole_sweep);
--- a/crates/wisteriahitch-core/tests/all/route_endpoint.rs
+++ b/crates/wisteriahitch-core/tests/all/route_endpoint.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 use wisteriahitch_config::ServiceKind;
 use wisteriahitch_core::route::{
-    EndpointLoad, EndpointOptions, EndpointTable, FlightFailure, LeavingSource, LifeState, NoLinks,
+    AttemptFailure, EndpointLoad, EndpointOptions, EndpointState, EndpointTable, LeavingSource,
+    NoLinks,
 };
 use wisteriahitch_types::{BlockKey, DurationUs, TimeUs, TokenCount};
 
@@ -14,31 +15,31 @@
 
 fn table(endpoints: usize) -> EndpointTable {
     let mut table = EndpointTable::new(EndpointOptions::default());
-    table.configured(&configuration(ServiceKind::Engine, endpoints), START);
+    table.apply_endpoint_configuration(&configuration(ServiceKind::Engine, endpoints), START);
     for number in 0..endpoints {
-        table.report(&endpoint(number), idle(START), START);
+        table.record_report(&endpoint(number), idle(START), START);
     }
     table
 }
 
-fn state(table: &EndpointTable, number: usize) -> LifeState {
+fn state(table: &EndpointTable, number: usize) -> EndpointState {
     table.get_state(&endpoint(number)).unwrap()
 }
 
 fn fail(table: &mut EndpointTable, number: usize, times: usize, now: TimeUs) {
     for _ in 0..times {
         let flight = table
-            .sent(&endpoint(number), TokenCount::ZERO, EXPECTED, now)
+            .begin_attempt(&endpoint(number), TokenCount::ZERO, EXPECTED, now)
             .unwrap();
-        table.failed(flight, FlightFailure::Broken, now);
+        table.record_failure(flight, AttemptFailure::Broken, now);
     }
 }
 
 fn succeed(table: &mut EndpointTable, number: usize, taken_ms: u64, now: TimeUs) {
     let flight = table
-        .sent(&endpoint(number), TokenCount::ZERO, EXPECTED, now)
+        .begin_attempt(&endpoint(number), TokenCount::ZERO, EXPECTED, now)
         .unwrap();
-    table.finished(flight, now + DurationUs::from_ms(taken_ms));
+    table.record_success(flight, now + DurationUs::from_ms(taken_ms));
 }
 
 #[derive(Clone, Copy)]
@@ -55,18 +56,18 @@
         life: Some(life.to_owned()),
     };
     match step {
-        Step::Leaving("list") => table.leaving(&id, &LeavingSource::VmList, now),
-        Step::Leaving("peer") => table.leaving(&id, &LeavingSource::Peer { life: None }, now),
-        Step::Leaving(_) => table.leaving(&id, &LeavingSource::OwnReport, now),
-        Step::LeavingByOldPeer => table.leaving(&id, &peer("first"), now),
-        Step::ListLive => table.vm_list_live(&id, now),
+        Step::Leaving("list") => table.mark_leaving(&id, &LeavingSource::VmList, now),
+        Step::Leaving("peer") => table.mark_leaving(&id, &LeavingSource::Peer { life: None }, now),
+        Step::Leaving(_) => table.mark_leaving(&id, &LeavingSource::OwnReport, now),
+        Step::LeavingByOldPeer => table.mark_leaving(&id, &peer("first"), now),
+        Step::ListLive => table.retract_vm_list_leaving(&id, now),
         Step::Report { life, leaving } => {
             let load = EndpointLoad {
                 life: Some(life.to_owned()),
                 leaving,
                 ..idle(now)
             };
-            table.report(&id, load, now);
+            table.record_report(&id, load, now);
         }
     }
 }
@@ -74,10 +75,10 @@
 struct LeavingCase {
     name: &'static str,
     steps: &'static [Step],
-    state: LifeState,
+    state: EndpointState,
 }
 
-const fn case(name: &'static str, state: LifeState, steps: &'static [Step]) -> LeavingCase {
+const fn case(name: &'static str, state: EndpointState, steps: &'static [Step]) -> LeavingCase {
     LeavingCase { name, steps, state }
 }
 
@@ -90,8 +91,8 @@
 const SAME: Step = report("first", false);
 const REBORN: Step = report("second", false);
 const REBORN_LEAVING: Step = report("second", true);
-const LEAVING: LifeState = LifeState::Leaving;
-const READY: LifeState = LifeState::Ready;
+const LEAVING: EndpointState = EndpointState::Leaving;
+const READY: EndpointState = EndpointState::Ready;
 
 const LEAVING_CASES: &[LeavingCase] = &[
     case("the list says so", LEAVING, &[LIST]),
@@ -155,7 +156,7 @@
         /// When the report comes and when it was made, in milliseconds.
         came_ms: u64,
         made_ms: u64,
-        state: LifeState,
+        state: EndpointState,
     }
     let case = |name, came_ms, made_ms, state| Case {
         name,
@@ -172,15 +173,15 @@
     ];
     for case in cases {
         let mut table = EndpointTable::new(EndpointOptions::default());
-        table.configured(&configuration(ServiceKind::Engine, 1), START);
+        table.apply_endpoint_configuration(&configuration(ServiceKind::Engine, 1), START);
         let load = |made_at_ms| EndpointLoad {
             life: None,
             made_at_ms,
             ..idle(START)
         };
-        table.report(&endpoint(0), load(60_000), after_ms(60_000));
-        table.leaving(&endpoint(0), &LeavingSource::VmList, after_ms(60_001));
-        table.report(&endpoint(0), load(case.made_ms), after_ms(case.came_ms));
+        table.record_report(&endpoint(0), load(60_000), after_ms(60_000));
+        table.mark_leaving(&endpoint(0), &LeavingSource::VmList, after_ms(60_001));
+        table.record_report(&endpoint(0), load(case.made_ms), after_ms(case.came_ms));
         assert_eq!(state(&table, 0), case.state, "{}", case.name);
     }
 }
@@ -193,14 +194,14 @@
     let mut table = table(1);
     let hour_ms = 3_600_000;
     let later = |ms| after_ms(2 * hour_ms + ms);
-    table.report(&endpoint(0), idle(later(0)), later(0));
-    let sent = table.sent(&endpoint(0), TokenCount::ZERO, EXPECTED, later(1));
+    table.record_report(&endpoint(0), idle(later(0)), later(0));
+    let sent = table.begin_attempt(&endpoint(0), TokenCount::ZERO, EXPECTED, later(1));
     assert!(sent.is_some());
     let load = EndpointLoad {
         running: 1,
         ..idle(after_ms(hour_ms))
     };
-    table.report(&endpoint(0), load, later(1_000));
+    table.record_report(&endpoint(0), load, later(1_000));
     let shown = &table.snapshot()[0];
     assert_eq!((shown.requests, shown.in_flight), (1, 1));
 }
@@ -209,12 +210,12 @@
 fn missing_reports_make_suspect_and_a_report_ready() {
     let mut table = table(2);
     table.tick(after_ms(5_000));
-    assert_eq!(state(&table, 0), LifeState::Ready);
+    assert_eq!(state(&table, 0), EndpointState::Ready);
     table.tick(after_ms(5_001));
-    assert_eq!(state(&table, 0), LifeState::Suspect);
-    table.report(&endpoint(0), idle(after_ms(5_100)), after_ms(5_100));
-    assert_eq!(state(&table, 0), LifeState::Ready);
-    assert_eq!(table.take_changes().len(), 5);
+    assert_eq!(state(&table, 0), EndpointState::Suspect);
+    table.record_report(&endpoint(0), idle(after_ms(5_100)), after_ms(5_100));
+    assert_eq!(state(&table, 0), EndpointState::Ready);
+    assert_eq!(table.drain_state_changes().len(), 5);
 }
 
 /// Symptom: a daemon piles requests on the endpoint whose report looks idle.
@@ -227,28 +228,28 @@
         running,
         ..idle(made)
     };
-    table.report(&endpoint(0), load_at(after_ms(1_000), 0), after_ms(1_000));
+    table.record_report(&endpoint(0), load_at(after_ms(1_000), 0), after_ms(1_000));
     let tokens = TokenCount::new(500);
     let first = table
-        .sent(&endpoint(0), tokens, EXPECTED, after_ms(1_100))
+        .begin_attempt(&endpoint(0), tokens, EXPECTED, after_ms(1_100))
         .unwrap();
     let second = table
-        .sent(&endpoint(0), tokens, EXPECTED, after_ms(1_600))
+        .begin_attempt(&endpoint(0), tokens, EXPECTED, after_ms(1_600))
         .unwrap();
     let seen = |table: &EndpointTable| {
         let shown = &table.snapshot()[0];
         (shown.requests, shown.queued_tokens.get())
     };
     assert_eq!(seen(&table), (2, 1_000));
-    table.report(&endpoint(0), load_at(after_ms(1_050), 0), after_ms(1_700));
+    table.record_report(&endpoint(0), load_at(after_ms(1_050), 0), after_ms(1_700));
     assert_eq!(seen(&table), (2, 1_000));
-    table.report(&endpoint(0), load_at(after_ms(1_400), 1), after_ms(1_800));
+    table.record_report(&endpoint(0), load_at(after_ms(1_400), 1), after_ms(1_800));
     assert_eq!(seen(&table), (2, 500));
-    table.first_token(second, after_ms(1_900));
+    table.record_first_token(second, after_ms(1_900));
     assert_eq!(seen(&table), (2, 0));
-    table.finished(first, after_ms(2_000));
+    table.record_success(first, after_ms(2_000));
     assert_eq!(seen(&table), (1, 0));
-    table.finished(second, after_ms(2_100));
+    table.record_success(second, after_ms(2_100));
     assert_eq!(seen(&table), (0, 0));
 }
 
@@ -258,24 +259,24 @@
     fail(&mut table, 0, 4, START);
     succeed(&mut table, 0, 100, START);
     fail(&mut table, 0, 4, START);
-    assert_eq!(state(&table, 0), LifeState::Ready);
+    assert_eq!(state(&table, 0), EndpointState::Ready);
     fail(&mut table, 0, 1, START);
-    assert_eq!(state(&table, 0), LifeState::Ejected);
+    assert_eq!(state(&table, 0), EndpointState::Ejected);
     table.tick(after_ms(9_999));
-    assert_eq!(state(&table, 0), LifeState::Ejected);
+    assert_eq!(state(&table, 0), EndpointState::Ejected);
     let keep_fresh = |table: &mut EndpointTable, now| {
         for number in 0..4 {
-            table.report(&endpoint(number), idle(now), now);
+            table.record_report(&endpoint(number), idle(now), now);
         }
         table.tick(now);
     };
     keep_fresh(&mut table, after_ms(10_000));
-    assert_eq!(state(&table, 0), LifeState::Ready);
+    assert_eq!(state(&table, 0), EndpointState::Ready);
     assert!(table.snapshot()[0].is_probing);
     fail(&mut table, 0, 1, after_ms(10_001));
-    assert_eq!(state(&table, 0), LifeState::Ejected);
+    assert_eq!(state(&table, 0), EndpointState::Ejected);
     keep_fresh(&mut table, after_ms(20_002));
-    assert_eq!(state(&table, 0), LifeState::Ejected);
+    assert_eq!(state(&table, 0), EndpointState::Ejected);
     keep_fresh(&mut table, after_ms(30_001));
     succeed(&mut table, 0, 100, after_ms(30_002));
     assert!(!table.snapshot()[0].is_probing);
@@ -313,7 +314,7 @@
         for number in 0..case.endpoints {
             fail(&mut table, number, 20, START);
         }
-        let is_ejected = |number: &usize| state(&table, *number) == LifeState::Ejected;
+        let is_ejected = |number: &usize| state(&table, *number) == EndpointState::Ejected;
         let ejected = (0..case.endpoints).filter(is_ejected).count();
         assert_eq!(ejected, case.ejected, "{} endpoints", case.endpoints);
     }
@@ -372,12 +373,13 @@
         for _ in 0..10 {
             for number in 0..4 {
                 let expected = DurationUs::from_ms(case.expected_ms[number]);
-                let flight = table.sent(&endpoint(number), TokenCount::ZERO, expected, START);
-                table.finished(flight.unwrap(), after_ms(case.taken_ms[number]));
+                let flight =
+                    table.begin_attempt(&endpoint(number), TokenCount::ZERO, expected, START);
+                table.record_success(flight.unwrap(), after_ms(case.taken_ms[number]));
             }
         }
         table.tick(after_ms(1_000));
-        let ejected = (0..4).find(|number| state(&table, *number) == LifeState::Ejected);
+        let ejected = (0..4).find(|number| state(&table, *number) == EndpointState::Ejected);
         assert_eq!(ejected, case.ejected, "{}", case.name);
     }
 }
@@ -390,21 +392,21 @@
     let mut table = table(2);
     let end = |table: &mut EndpointTable, failure, times| {
         for _ in 0..times {
-            let flight = table.sent(&endpoint(0), TokenCount::new(9), EXPECTED, START);
-            table.failed(flight.unwrap(), failure, START);
+            let flight = table.begin_attempt(&endpoint(0), TokenCount::new(9), EXPECTED, START);
+            table.record_failure(flight.unwrap(), failure, START);
         }
     };
-    end(&mut table, FlightFailure::Cancelled, 50);
+    end(&mut table, AttemptFailure::Cancelled, 50);
     assert_eq!(table.snapshot()[0].requests, 0);
-    end(&mut table, FlightFailure::Refused, 19);
+    end(&mut table, AttemptFailure::Refused, 19);
     let shown = &table.snapshot()[0];
     let load = (shown.requests, shown.queued_tokens.get(), shown.in_flight);
     assert_eq!(load, (19, 171, 0));
-    assert_eq!(state(&table, 0), LifeState::Ready);
-    table.report(&endpoint(0), idle(after_ms(500)), after_ms(500));
+    assert_eq!(state(&table, 0), EndpointState::Ready);
+    table.record_report(&endpoint(0), idle(after_ms(500)), after_ms(500));
     assert_eq!(table.snapshot()[0].requests, 0);
-    end(&mut table, FlightFailure::Refused, 1);
-    assert_eq!(state(&table, 0), LifeState::Ejected);
+    end(&mut table, AttemptFailure::Refused, 1);
+    assert_eq!(state(&table, 0), EndpointState::Ejected);
 }
 
 /// Symptom: an endpoint that just started counts as busy or as failing.
@@ -414,22 +416,22 @@
 fn late_ends_of_an_earlier_life_are_ignored() {
     let mut table = table(2);
     let sent: Vec<_> = (0..6)
-        .filter_map(|_| table.sent(&endpoint(0), TokenCount::new(10), EXPECTED, START))
+        .filter_map(|_| table.begin_attempt(&endpoint(0), TokenCount::new(10), EXPECTED, START))
         .collect();
     let now = after_ms(500);
     let load = EndpointLoad {
         life: Some("second".to_owned()),
         ..idle(now)
     };
-    table.report(&endpoint(0), load, now);
-    let fresh = table.sent(&endpoint(0), TokenCount::new(10), EXPECTED, after_ms(600));
+    table.record_report(&endpoint(0), load, now);
+    let fresh = table.begin_attempt(&endpoint(0), TokenCount::new(10), EXPECTED, after_ms(600));
     for flight in sent {
-        table.failed(flight, FlightFailure::Broken, after_ms(700));
+        table.record_failure(flight, AttemptFailure::Broken, after_ms(700));
     }
-    assert_eq!(state(&table, 0), LifeState::Ready);
+    assert_eq!(state(&table, 0), EndpointState::Ready);
     assert_eq!(table.get_in_flight(&endpoint(0)), Some(1));
     assert_eq!(table.snapshot()[0].requests, 1);
-    table.finished(fresh.unwrap(), after_ms(800));
+    table.record_success(fresh.unwrap(), after_ms(800));
     assert_eq!(table.get_in_flight(&endpoint(0)), Some(0));
 }
 
@@ -450,7 +452,7 @@
             let (target, life) = match step {
                 RandomStep::Leaving(target, source) => {
                     is_leaving[target] = true;
-                    router.endpoints.leaving(&endpoint(target), &source, now);
+                    router.endpoints.mark_leaving(&endpoint(target), &source, now);
                     continue;
                 }
                 RandomStep::NewLife(target) => (target, newest[target] + 1),
@@ -462,7 +464,7 @@
                 made_at_ms: made_ms,
                 ..idle(now)
             };
-            router.endpoints.report(&endpoint(target), load, now);
+            router.endpoints.record_report(&endpoint(target), load, now);
             if life > newest[target] {
                 newest[target] = life;
                 is_leaving[target] = false;
@@ -515,24 +517,24 @@
     for number in 0..2_000 {
         let now = after_ms(6_000 * (number + 1));
         table.tick(now);
-        table.report(&endpoint(0), idle(now), now);
+        table.record_report(&endpoint(0), idle(now), now);
     }
-    assert_eq!(table.take_changes().len(), 1_024);
-    assert!(table.take_changes().is_empty());
+    assert_eq!(table.drain_state_changes().len(), 1_024);
+    assert!(table.drain_state_changes().is_empty());
 }
 
 #[test]
 fn a_removed_endpoint_leaves_the_directory_too() {
     let mut router = router(3);
     let key = BlockKey::derive("wisteriahitch test key", &[]);
-    (0..3).for_each(|number| router.directory.stored(&endpoint(number), &key));
+    (0..3).for_each(|number| router.directory.record_stored(&endpoint(number), &key));
     assert_eq!(
         router.endpoints.ready_slots(&"assistant".parse().unwrap()),
         24
     );
     router
         .endpoints
-        .configured(&configuration(ServiceKind::Engine, 2), START);
+        .apply_endpoint_configuration(&configuration(ServiceKind::Engine, 2), START);
     router.tick(START);
     assert_eq!(router.directory.snapshot().holders, 2);
     assert_eq!(
@@ -544,16 +546,16 @@
 #[test]
 fn a_configuration_adds_moves_and_removes() {
     let mut table = table(3);
-    table.configured(&configuration(ServiceKind::Engine, 2), after_ms(1));
+    table.apply_endpoint_configuration(&configuration(ServiceKind::Engine, 2), after_ms(1));
     assert_eq!(table.get_state(&endpoint(2)), None);
-    assert_eq!(state(&table, 0), LifeState::Ready);
+    assert_eq!(state(&table, 0), EndpointState::Ready);
     let mut moved = configuration(ServiceKind::Engine, 4);
     let service = moved.services.values_mut().next().unwrap();
     service.endpoints[0].address = "127.0.0.1:9000".parse().unwrap();
-    table.configured(&moved, after_ms(2));
-    assert_eq!(state(&table, 0), LifeState::Starting);
-    assert_eq!(state(&table, 1), LifeState::Ready);
-    assert_eq!(state(&table, 3), LifeState::Starting);
+    table.apply_endpoint_configuration(&moved, after_ms(2));
+    assert_eq!(state(&table, 0), EndpointState::Starting);
+    assert_eq!(state(&table, 1), EndpointState::Ready);
+    assert_eq!(state(&table, 3), EndpointState::Starting);
     let versions = table.ready_versions(&"assistant".parse().unwrap(), &"hist-7b".parse().unwrap());
     assert_eq!(versions, vec![("v1".parse().unwrap(), 1)]);
 }
--- a/crates/wisteriahitch-core/tests/all/route_fixture.rs
+++ b/crates/wisteriahitch-core/tests/all/route_fixture.rs
@@ -76,11 +76,13 @@
 pub(crate) fn router_with(policy: Box<dyn Policy>, endpoints: usize) -> Router {
     let mut router = Router::new(policy, 11);
     let configuration = configuration(ServiceKind::Engine, endpoints);
-    router.endpoints.configured(&configuration, START);
+    router
+        .endpoints
+        .apply_endpoint_configuration(&configuration, START);
     for number in 0..endpoints {
         router
             .endpoints
-            .report(&endpoint(number), idle(START), START);
+            .record_report(&endpoint(number), idle(START), START);
     }
     router
 }
--- a/crates/wisteriahitch-core/tests/all/route_policy.rs
+++ b/crates/wisteriahitch-core/tests/all/route_policy.rs
@@ -4,8 +4,9 @@
 
 use wisteriahitch_config::ServiceKind;
 use wisteriahitch_core::route::{
-    Affinity, Choice, CostPolicy, EndpointLoad, FlightFailure, LeastLoaded, LeavingSource, NoLinks,
-    ParsePolicyError, Policy, PolicyKind, RoundRobin, RouteRequest, Router, engine_priority,
+    Affinity, AttemptFailure, Choice, CostPolicy, EndpointLoad, LeastLoaded, LeavingSource,
+    NoLinks, ParsePolicyError, Policy, PolicyKind, RoundRobin, RouteRequest, Router,
+    engine_priority,
 };
 use wisteriahitch_types::{
     BlockKey, ByteRate, Code, DurationUs, EndpointId, Share, Tier, TokenCount, TokenRate,
@@ -143,16 +144,16 @@
             queued_tokens: TokenCount::new(case.queued_tokens),
             ..idle(START)
         };
-        router.endpoints.report(&endpoint(0), load, START);
+        router.endpoints.record_report(&endpoint(0), load, START);
         router
             .directory
-            .listing(&endpoint(0), &keys[..case.kept[0]]);
+            .replace_endpoint_listing(&endpoint(0), &keys[..case.kept[0]]);
         let hub = store("hub-cache");
         let in_tier = |count: usize, tier| keys[..count].iter().map(move |key| (*key, tier));
         let blocks: Vec<(BlockKey, Tier)> = in_tier(case.kept[1], Tier::Memory)
             .chain(in_tier(case.kept[2], Tier::Disk))
             .collect();
-        router.directory.store_listing(&hub, &blocks);
+        router.directory.replace_store_listing(&hub, &blocks);
         let choice = router.choose(&request, &case.links, START).unwrap();
         let plan = [
             choice.plan.resident_tokens.get(),
@@ -191,8 +192,10 @@
             queued_tokens: TokenCount::new(200),
             ..idle(START)
         };
-        router.endpoints.report(&endpoint(0), load, START);
-        router.directory.listing(&endpoint(0), &keys(&request));
+        router.endpoints.record_report(&endpoint(0), load, START);
+        router
+            .directory
+            .replace_endpoint_listing(&endpoint(0), &keys(&request));
         let choice = router.choose(&request, &NoLinks, START).unwrap();
         assert_eq!(
             choice.endpoint,
@@ -209,7 +212,9 @@
 fn another_workspace_finds_nothing_of_the_same_text() {
     let mut router = router(1);
     let of_kandy = request(100);
-    router.directory.listing(&endpoint(0), &keys(&of_kandy));
+    router
+        .directory
+        .replace_endpoint_listing(&endpoint(0), &keys(&of_kandy));
     let of_galle = RouteRequest {
         chain: crate::route_fixture::chain("galle", &crate::route_fixture::words(100)),
         ..request(100)
@@ -255,8 +260,8 @@
         }),
         case("every endpoint is leaving", unserved, |router, _| {
             let source = LeavingSource::VmList;
-            router.endpoints.leaving(&endpoint(0), &source, START);
-            router.endpoints.leaving(&endpoint(1), &source, START);
+            router.endpoints.mark_leaving(&endpoint(0), &source, START);
+            router.endpoints.mark_leaving(&endpoint(1), &source, START);
         }),
         case("missing reports, the last resort", None, |router, _| {
             router.tick(after_ms(60_000));
@@ -284,8 +289,10 @@
         queued_tokens: TokenCount::new(500),
         ..idle(START)
     };
-    router.endpoints.report(&endpoint(0), load, START);
-    router.directory.listing(&endpoint(0), &keys(&request));
+    router.endpoints.record_report(&endpoint(0), load, START);
+    router
+        .directory
+        .replace_endpoint_listing(&endpoint(0), &keys(&request));
     let choice = router.choose(&request, &NoLinks, START).unwrap();
     assert_ne!(choice.endpoint, endpoint(0));
 }
@@ -319,7 +326,7 @@
             .collect();
         router
             .directory
-            .store_listing(&store("hub-cache"), &on_disk);
+            .replace_store_listing(&store("hub-cache"), &on_disk);
         let slow_disk = FixedLinks {
             disk_rate: ByteRate::new(500_000),
             ..links(10, 1, 0)
@@ -339,11 +346,11 @@
         let mut router = Router::new(Box::new(CostPolicy::default()), seed);
         router
             .endpoints
-            .configured(&configuration(ServiceKind::Engine, 8), START);
+            .apply_endpoint_configuration(&configuration(ServiceKind::Engine, 8), START);
         for number in 0..8 {
             router
                 .endpoints
-                .report(&endpoint(number), idle(START), START);
+                .record_report(&endpoint(number), idle(START), START);
         }
         let choice = router.choose(&request(1_000), &NoLinks, START).unwrap();
         *counts.entry(choice.endpoint).or_default() += 1;
@@ -371,7 +378,9 @@
 fn a_large_pool_still_finds_the_holder_and_the_last_free_endpoint() {
     let mut router = router(1_200);
     let request = request(1_000);
-    router.directory.listing(&endpoint(777), &keys(&request));
+    router
+        .directory
+        .replace_endpoint_listing(&endpoint(777), &keys(&request));
     let choice = router.choose(&request, &NoLinks, START).unwrap();
     assert_eq!(choice.endpoint, endpoint(777));
     assert!(choice.weighed.len() < 30, "{}", choice.weighed.len());
@@ -390,17 +399,20 @@
 fn a_probed_endpoint_gets_one_request_at_a_time() {
     let mut router = router(2);
     let broken = |router: &mut Router| {
-        let flight = router
-            .endpoints
-            .sent(&endpoint(0), TokenCount::ZERO, DurationUs::ZERO, START);
+        let flight =
+            router
+                .endpoints
+                .begin_attempt(&endpoint(0), TokenCount::ZERO, DurationUs::ZERO, START);
         router
             .endpoints
-            .failed(flight.unwrap(), FlightFailure::Broken, START);
+            .record_failure(flight.unwrap(), AttemptFailure::Broken, START);
     };
     (0..5).for_each(|_| broken(&mut router));
     let now = after_ms(10_000);
     for number in 0..2 {
-        router.endpoints.report(&endpoint(number), idle(now), now);
+        router
+            .endpoints
+            .record_report(&endpoint(number), idle(now), now);
     }
     router.tick(now);
     let only_probed = RouteRequest {
@@ -409,12 +421,13 @@
     };
     let choice = router.choose(&only_probed, &NoLinks, now).unwrap();
     assert_eq!(choice.endpoint, endpoint(0));
-    let probe = router
-        .endpoints
-        .sent(&endpoint(0), TokenCount::ZERO, DurationUs::ZERO, now);
+    let probe =
+        router
+            .endpoints
+            .begin_attempt(&endpoint(0), TokenCount::ZERO, DurationUs::ZERO, now);
     let refused = router.choose(&only_probed, &NoLinks, now).unwrap_err();
     assert_eq!(refused.code, Code::NoEndpoint);
-    router.endpoints.finished(probe.unwrap(), now);
+    router.endpoints.record_success(probe.unwrap(), now);
     assert!(router.choose(&only_probed, &NoLinks, now).is_ok());
 }
 
@@ -447,7 +460,7 @@
         let mut router = Router::new(Box::new(CostPolicy::default()), 3);
         router
             .endpoints
-            .configured(&configuration(ServiceKind::Plain, 3), START);
+            .apply_endpoint_configuration(&configuration(ServiceKind::Plain, 3), START);
         for (number, running) in case.running.into_iter().enumerate() {
             let load = EndpointLoad {
                 running,
@@ -456,7 +469,9 @@
                 prefill_tokens_per_s: TokenRate::ZERO,
                 ..idle(START)
             };
-            router.endpoints.report(&endpoint(number), load, START);
+            router
+                .endpoints
+                .record_report(&endpoint(number), load, START);
         }
         let request = RouteRequest {
             model: None,
@@ -480,7 +495,7 @@
         batch_slots: 1,
         ..idle(START)
     };
-    router.endpoints.report(&endpoint(0), load, START);
+    router.endpoints.record_report(&endpoint(0), load, START);
     for _ in 0..50 {
         let wait = router
             .choose(&request(0), &NoLinks, START)
@@ -489,9 +504,9 @@
             .first_token_us;
         let flight = router
             .endpoints
-            .sent(&endpoint(0), TokenCount::ZERO, wait, START);
+            .begin_attempt(&endpoint(0), TokenCount::ZERO, wait, START);
         let end = START + wait + DurationUs::from_ms(30);
-        router.endpoints.finished(flight.unwrap(), end);
+        router.endpoints.record_success(flight.unwrap(), end);
     }
     let estimate = router
         .choose(&request(0), &NoLinks, START)
@@ -508,7 +523,7 @@
         queued_tokens: TokenCount::new(100_000),
         ..idle(START)
     };
-    router.endpoints.report(&endpoint(0), load, START);
+    router.endpoints.record_report(&endpoint(0), load, START);
     let choice = router.choose(&request(100), &NoLinks, START).unwrap();
     assert_eq!(choice.endpoint, endpoint(1));
 }
@@ -546,7 +561,9 @@
                 running,
                 ..idle(START)
             };
-            router.endpoints.report(&endpoint(number), load, START);
+            router
+                .endpoints
+                .record_report(&endpoint(number), load, START);
         }
         let chosen = case.chosen.map(|_| {
             router
--- a/crates/wisteriahitch-core/tests/all/route_retry.rs
+++ b/crates/wisteriahitch-core/tests/all/route_retry.rs
@@ -37,8 +37,8 @@
         let mut budget = RetryBudget::new(case.share);
         let mut granted = 0;
         for _ in 0..case.requests {
-            budget.request();
-            granted += u32::from(budget.try_take());
+            budget.record_request();
+            granted += u32::from(budget.try_acquire());
         }
         assert!(
             (case.least..=case.most).contains(&granted),
@@ -52,8 +52,8 @@
 fn a_quiet_hour_pays_for_no_burst() {
     let mut budget = RetryBudget::new(0.1);
     for _ in 0..100_000 {
-        budget.request();
+        budget.record_request();
     }
-    let granted = (0..1_000).filter(|_| budget.try_take()).count();
+    let granted = (0..1_000).filter(|_| budget.try_acquire()).count();
     assert_eq!(granted, 20);
 }
--- a/crates/wisteriahitch-node/src/config/apply.rs
+++ b/crates/wisteriahitch-node/src/config/apply.rs
@@ -48,7 +48,10 @@
         }
         let now = self.clock.now();
         let daemons = self.count_daemons();
-        self.router.lock().endpoints.configured(&configuration, now);
+        self.router
+            .lock()
+            .endpoints
+            .apply_endpoint_configuration(&configuration, now);
         self.tiers.with(|tiers| tiers.configured(&configuration));
         self.admission.configured(&configuration, daemons, now);
         let in_force = InForce {
--- a/crates/wisteriahitch-node/src/dispatch/completion_attempt.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_attempt.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use tokio::task::JoinHandle;
-use wisteriahitch_core::route::{FlightFailure, engine_priority};
+use wisteriahitch_core::route::{AttemptFailure, engine_priority};
 use wisteriahitch_wire::engine::{BlockRef, CompletionRequest, EngineError, EngineErrorKind};
 
 use super::completion_plan::Plan;
@@ -118,7 +118,7 @@
                 );
             }
             Ended::CallerGone => {
-                flight.failed(FlightFailure::Cancelled);
+                flight.failed(AttemptFailure::Cancelled);
                 self.keep_for_resumption(plan);
                 // There is no further attempt that this could end.
                 drop(self.shared.cancel_at(address, &self.call.request_id));
@@ -161,11 +161,11 @@
     }
 }
 
-fn failure(kind: EngineErrorKind) -> FlightFailure {
+fn failure(kind: EngineErrorKind) -> AttemptFailure {
     match kind {
         EngineErrorKind::NotRun | EngineErrorKind::OtherVersion | EngineErrorKind::Rejected => {
-            FlightFailure::Refused
+            AttemptFailure::Refused
         }
-        _ => FlightFailure::Broken,
+        _ => AttemptFailure::Broken,
     }
 }
--- a/crates/wisteriahitch-node/src/dispatch/engine_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/engine_calls.rs
@@ -40,7 +40,11 @@
     };
     let result = shared.outside.engine.import(address, request).await;
     if result.is_ok() {
-        shared.router.lock().directory.stored(&endpoint, &key);
+        shared
+            .router
+            .lock()
+            .directory
+            .record_stored(&endpoint, &key);
     }
     let result = result.map_err(|error| engine_failure(&error));
     Some(TierEvent::Imported { transfer, result })
--- a/crates/wisteriahitch-node/src/dispatch/plain_call.rs
+++ b/crates/wisteriahitch-node/src/dispatch/plain_call.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method};
 use wisteriahitch_config::Route;
-use wisteriahitch_core::route::{FlightFailure, PieceChain, RouteRequest};
+use wisteriahitch_core::route::{AttemptFailure, PieceChain, RouteRequest};
 use wisteriahitch_types::{ByteCount, Code, DurationUs, EndpointId, RequestId, TimeUs, TokenCount};
 use wisteriahitch_wire::service::{
     ServiceError, ServiceErrorKind, ServiceRequest, ServiceResponse,
@@ -188,9 +188,9 @@
     }
 }
 
-fn failure(kind: ServiceErrorKind) -> FlightFailure {
+fn failure(kind: ServiceErrorKind) -> AttemptFailure {
     match kind {
-        ServiceErrorKind::NotRun | ServiceErrorKind::TooLarge => FlightFailure::Refused,
-        _ => FlightFailure::Broken,
+        ServiceErrorKind::NotRun | ServiceErrorKind::TooLarge => AttemptFailure::Refused,
+        _ => AttemptFailure::Broken,
     }
 }
--- a/crates/wisteriahitch-node/src/operator/explain.rs
+++ b/crates/wisteriahitch-node/src/operator/explain.rs
@@ -8,7 +8,9 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 use wisteriahitch_config::{Action, Model, RequestFacts, Route};
-use wisteriahitch_core::route::{ChainScope, PieceChain, RouteRequest, Weighed, piece_chain};
+use wisteriahitch_core::route::{
+    ChainScope, PieceChain, RouteRequest, ScoredCandidate, piece_chain,
+};
 use wisteriahitch_types::{
     AdapterName, ByteCount, Code, ModelName, TokenCount, WeightVersion, WorkspaceId,
 };
@@ -146,7 +148,7 @@
     }
 }
 
-fn weighed_json(weighed: &Weighed) -> Value {
+fn weighed_json(weighed: &ScoredCandidate) -> Value {
     json!({
         "endpoint": weighed.endpoint,
         "cost": weighed.cost_us,
@@ -185,7 +187,7 @@
     let adapter = question.adapter.as_ref();
     let chain = chain(&question, adapter, model, &model.weight_version);
     let router = shared.router.lock();
-    let tiers = router.directory.tier_prefix(&chain);
+    let tiers = router.directory.tier_locations(&chain);
     let mut start = TokenCount::ZERO;
     let mut blocks = Vec::new();
     for (index, piece) in chain.blocks.iter().enumerate() {
@@ -193,7 +195,12 @@
         let services = in_force.configuration.services.values();
         let holders = services
             .flat_map(|service| &service.endpoints)
-            .filter(|endpoint| router.directory.resident_prefix(&endpoint.id, &chain) >= start);
+            .filter(|endpoint| {
+                router
+                    .directory
+                    .resident_prefix_tokens(&endpoint.id, &chain)
+                    >= start
+            });
         let endpoints: Vec<_> = holders.map(|endpoint| &endpoint.id).collect();
         let stores: Vec<_> = tiers.get(index).into_iter().flatten().collect();
         blocks.push(json!({
--- a/crates/wisteriahitch-node/src/peering/handler.rs
+++ b/crates/wisteriahitch-node/src/peering/handler.rs
@@ -143,7 +143,7 @@
             self.router
                 .lock()
                 .endpoints
-                .leaving(&endpoint, &source, now);
+                .mark_leaving(&endpoint, &source, now);
             return Some(());
         }
         if hint.is_store {
@@ -153,8 +153,8 @@
         let key = hint.block_key().ok()?;
         let mut router = self.router.lock();
         match hint.kind() {
-            HintKind::Stored => router.directory.stored(&endpoint, &key),
-            HintKind::Evicted => router.directory.evicted(&endpoint, &key),
+            HintKind::Stored => router.directory.record_stored(&endpoint, &key),
+            HintKind::Evicted => router.directory.record_evicted(&endpoint, &key),
             _ => return None,
         }
         Some(())
--- a/crates/wisteriahitch-node/src/state/admission.rs
+++ b/crates/wisteriahitch-node/src/state/admission.rs
@@ -74,7 +74,9 @@
         let mut inner = self.inner.lock();
         inner.daemons = daemons;
         inner.budget.set_share(configuration.limits.retry_share);
-        inner.admission.configured(configuration, daemons, now);
+        inner
+            .admission
+            .apply_quota_configuration(configuration, daemons, now);
     }
 
     /// Returns whether the quotas are shared by another number of daemons.
@@ -105,7 +107,7 @@
             .remove(&self.request);
         self.shared.admission.step(|admission| {
             admission.cancel(&self.request);
-            admission.finished(&self.request, now)
+            admission.finish_request(&self.request, now)
         });
     }
 }
@@ -137,7 +139,7 @@
         let (sender, receiver) = oneshot::channel();
         {
             let mut inner = self.admission.inner.lock();
-            inner.budget.request();
+            inner.budget.record_request();
             // The bound of each workspace's queue doesn't bound all of them together.
             if inner.waiters.len() >= self.settings.limits.queued_requests as usize {
                 let refusal = Refusal::new(Code::QueueFull);
@@ -152,7 +154,7 @@
             request: turn_id,
         };
         self.admission
-            .step(|admission| admission.arrive(request, now));
+            .step(|admission| admission.submit_request(request, now));
         match receiver.await {
             Ok(Ok(())) => Ok(permit),
             Ok(Err(refusal)) => Err(refusal),
@@ -162,6 +164,6 @@
 
     /// Takes one retry out of the budget, if there is one left.
     pub(crate) fn try_retry(&self) -> bool {
-        self.admission.inner.lock().budget.try_take()
+        self.admission.inner.lock().budget.try_acquire()
     }
 }
--- a/crates/wisteriahitch-node/src/state/models.rs
+++ b/crates/wisteriahitch-node/src/state/models.rs
@@ -81,7 +81,7 @@
         {
             let mut router = self.router.lock();
             for piece in &chain.blocks {
-                router.directory.stored(endpoint, &piece.key);
+                router.directory.record_stored(endpoint, &piece.key);
             }
         }
         self.step_tiers(|tiers, now| tiers.finished(&finished, now));
--- a/crates/wisteriahitch-node/src/state/route.rs
+++ b/crates/wisteriahitch-node/src/state/route.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use wisteriahitch_core::route::{Choice, FlightFailure, FlightId, LinkView, RouteRequest};
+use wisteriahitch_core::route::{AttemptFailure, AttemptId, Choice, LinkView, RouteRequest};
 use wisteriahitch_types::{ByteCount, DurationUs, EndpointId, StoreId, Tier, TimeUs, TokenCount};
 
 use crate::caller::Refusal;
@@ -43,7 +43,7 @@
         let address = router.endpoints.get_address(endpoint)?;
         let id = router
             .endpoints
-            .sent(endpoint, prefill_tokens, expected_us, now)?;
+            .begin_attempt(endpoint, prefill_tokens, expected_us, now)?;
         Some(Flight {
             shared: Arc::clone(self),
             id,
@@ -59,7 +59,7 @@
 /// would make its endpoint look busier for ever, and it would slowly get no work.
 pub(crate) struct Flight {
     shared: Arc<Shared>,
-    id: FlightId,
+    id: AttemptId,
     address: SocketAddr,
     has_landed: bool,
 }
@@ -77,22 +77,26 @@
             .router
             .lock()
             .endpoints
-            .first_token(self.id, now);
+            .record_first_token(self.id, now);
     }
 
     /// Notes a whole answer.
     pub(crate) fn finished(mut self) {
         let now = self.shared.clock.now();
-        self.shared.router.lock().endpoints.finished(self.id, now);
+        self.shared
+            .router
+            .lock()
+            .endpoints
+            .record_success(self.id, now);
         self.has_landed = true;
     }
 
     /// Notes that there is no whole answer.
-    pub(crate) fn failed(mut self, failure: FlightFailure) {
+    pub(crate) fn failed(mut self, failure: AttemptFailure) {
         self.land(failure);
     }
 
-    fn land(&mut self, failure: FlightFailure) {
+    fn land(&mut self, failure: AttemptFailure) {
         if self.has_landed {
             return;
         }
@@ -101,13 +105,13 @@
             .router
             .lock()
             .endpoints
-            .failed(self.id, failure, now);
+            .record_failure(self.id, failure, now);
         self.has_landed = true;
     }
 }
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        self.land(FlightFailure::Cancelled);
+        self.land(AttemptFailure::Cancelled);
     }
 }
--- a/crates/wisteriahitch-node/src/task/endpoints.rs
+++ b/crates/wisteriahitch-node/src/task/endpoints.rs
@@ -97,11 +97,11 @@
     let now = shared.clock.now();
     let is_leaving = load.leaving;
     let mut router = shared.router.lock();
-    router.endpoints.report(&endpoint.id, load, now);
+    router.endpoints.record_report(&endpoint.id, load, now);
     if is_leaving {
         router
             .endpoints
-            .leaving(&endpoint.id, &LeavingSource::OwnReport, now);
+            .mark_leaving(&endpoint.id, &LeavingSource::OwnReport, now);
     }
 }
 
@@ -155,7 +155,7 @@
     };
     let is_same_life = events.incarnation == place.incarnation;
     if !is_same_life || events.first > place.next {
-        shared.router.lock().directory.gap(&endpoint.id);
+        shared.router.lock().directory.mark_event_gap(&endpoint.id);
         list_cache(shared, endpoint, places).await;
         return;
     }
@@ -175,14 +175,14 @@
                     .router
                     .lock()
                     .directory
-                    .stored(&endpoint.id, &event.key);
+                    .record_stored(&endpoint.id, &event.key);
             }
             CacheEventKind::Evicted => {
                 shared
                     .router
                     .lock()
                     .directory
-                    .evicted(&endpoint.id, &event.key);
+                    .record_evicted(&endpoint.id, &event.key);
                 shared.note_tier(TierEvent::EndpointEvicted { key: event.key });
             }
         }
@@ -197,7 +197,7 @@
         .router
         .lock()
         .directory
-        .listing(&endpoint.id, &listing.keys);
+        .replace_endpoint_listing(&endpoint.id, &listing.keys);
     let place = CachePlace {
         incarnation: listing.incarnation,
         next: listing.next,
--- a/crates/wisteriahitch-node/src/task/stores.rs
+++ b/crates/wisteriahitch-node/src/task/stores.rs
@@ -76,7 +76,7 @@
     let removed: Vec<StoreId> = lives.keys().filter(|id| !is_known(id)).cloned().collect();
     for store in removed {
         lives.remove(&store);
-        shared.router.lock().directory.store_gone(&store);
+        shared.router.lock().directory.remove_store(&store);
     }
 }
 
@@ -86,14 +86,14 @@
         shared.note_tier(TierEvent::StoreLost {
             store: store.id.clone(),
         });
-        shared.router.lock().directory.store_gone(&store.id);
+        shared.router.lock().directory.remove_store(&store.id);
         return;
     };
     let life = report.incarnation.clone();
     let known = lives.lock().insert(store.id.clone(), life.clone());
     let is_new_life = known.as_ref() != Some(&life);
     if is_new_life {
-        shared.router.lock().directory.store_gone(&store.id);
+        shared.router.lock().directory.remove_store(&store.id);
     }
     shared.note_tier(seen(&store.id, &report));
     if is_new_life || is_listing_due {
@@ -124,7 +124,7 @@
         .router
         .lock()
         .directory
-        .store_listing(&store.id, &readable);
+        .replace_store_listing(&store.id, &readable);
     let keys = readable.iter().map(|(key, _)| *key).collect();
     for (number, block) in listing.blocks.into_iter().enumerate() {
         // A large listing takes a good part of a second. Without a pause the requests that are
--- a/crates/wisteriahitch-node/src/task/vm_list.rs
+++ b/crates/wisteriahitch-node/src/task/vm_list.rs
@@ -114,9 +114,9 @@
             Some(VmPhase::Leaving) => {
                 router
                     .endpoints
-                    .leaving(&endpoint.id, &LeavingSource::VmList, now);
+                    .mark_leaving(&endpoint.id, &LeavingSource::VmList, now);
             }
-            Some(VmPhase::Live) => router.endpoints.vm_list_live(&endpoint.id, now),
+            Some(VmPhase::Live) => router.endpoints.retract_vm_list_leaving(&endpoint.id, now),
             None => {}
         }
     }
--- a/crates/wisteriahitch-relay/src/shell/budgets.rs
+++ b/crates/wisteriahitch-relay/src/shell/budgets.rs
@@ -39,17 +39,17 @@
 
     /// Counts a caller's request.
     pub(crate) fn request(&self, service: &ServiceName) {
-        self.with(service, RetryBudget::request);
+        self.with(service, RetryBudget::record_request);
     }
 
     /// Takes one retry, if there is one left.
     pub(crate) fn try_take(&self, service: &ServiceName) -> bool {
-        self.with(service, RetryBudget::try_take)
+        self.with(service, RetryBudget::try_acquire)
     }
 
     /// Returns how many retries are left.
     pub(crate) fn left(&self, service: &ServiceName) -> f64 {
-        self.with(service, |budget| budget.left())
+        self.with(service, |budget| budget.available())
     }
 
     fn with<T>(&self, service: &ServiceName, change: impl FnOnce(&mut RetryBudget) -> T) -> T {
--- a/crates/wisteriahitch/examples/route.rs
+++ b/crates/wisteriahitch/examples/route.rs
@@ -77,9 +77,11 @@
         Configuration::check(CONFIGURATION).map_err(|report| anyhow::anyhow!("{report}"))?;
     let (busy, idle): (EndpointId, EndpointId) = ("till-1".parse()?, "till-2".parse()?);
     let mut router = Router::new(Box::new(CostPolicy::default()), SEED);
-    router.endpoints.configured(&configuration, NOW);
-    router.endpoints.report(&busy, load(4), NOW);
-    router.endpoints.report(&idle, load(0), NOW);
+    router
+        .endpoints
+        .apply_endpoint_configuration(&configuration, NOW);
+    router.endpoints.record_report(&busy, load(4), NOW);
+    router.endpoints.record_report(&idle, load(0), NOW);
 
     println!("one endpoint is busy, one idle:");
     let first = choose(&mut router, &configuration)?;
@@ -87,7 +89,7 @@
 
     println!("the idle one says that it leaves:");
     let source = LeavingSource::OwnReport;
-    router.endpoints.leaving(&idle, &source, NOW);
+    router.endpoints.mark_leaving(&idle, &source, NOW);
     let second = choose(&mut router, &configuration)?;
     ensure!(
         second.endpoint == busy,
