--- a/crates/wisteriahitch-core/src/route/policy/baseline.rs
+++ b/crates/wisteriahitch-core/src/route/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple policies to measure [`CostPolicy`](super::CostPolicy) against.
+//! Simple routing policies that serve as baselines for [`CostPolicy`](super::CostPolicy).
 
 use std::fmt;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,26 +14,32 @@
 use crate::route::endpoint::EndpointRecord;
 use crate::route::seeded_sampler::SeededSampler;
 
-/// Takes the endpoints in turn.
+/// Chooses the eligible endpoints in round-robin order.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: AtomicUsize,
 }
 
-/// Takes the endpoint whose last report, late as it is, shows the fewest requests.
+/// Chooses the endpoint with the fewest requests in its last report.
+///
+/// Requests that this daemon sent since that report are not counted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
-/// Keeps prompts of a workspace that begin alike at one endpoint and uses no tier.
+/// Sends prompts of one workspace that share their first piece to the same endpoint.
+///
+/// It never imports blocks from store VMs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Affinity;
 
-/// Picks one of the candidates; everything else in a decision is the same for all baselines.
+/// Selects one of the eligible rows; the rest of a decision is the same for all baselines.
 pub(crate) trait BaselinePolicy: fmt::Debug + Send + Sync {
-    /// Returns the name that operators choose the policy by.
+    /// Returns the name of the policy in settings and reports.
     fn name(&self) -> &'static str;
 
-    /// Returns one of `rows`, which are the candidates' rows in the table and never empty.
+    /// Returns one of `rows`, the indexes of the eligible endpoints in the table.
+    ///
+    /// `rows` is never empty.
     fn pick_row(
         &self,
         request: &RouteRequest,
@@ -113,7 +119,7 @@
         BaselinePolicy::name(self)
     }
 
-    /// Estimates the picked row without imports.
+    /// Selects a row and estimates it without imports.
     fn choose(
         &self,
         request: &RouteRequest,
--- a/crates/wisteriahitch-core/src/route/policy/candidates.rs
+++ b/crates/wisteriahitch-core/src/route/policy/candidates.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a decision looks at.
+//! Selection of the endpoints that a routing decision compares.
 
 use std::collections::HashSet;
 
@@ -11,24 +11,25 @@
 use crate::route::endpoint::{Pool, PoolKey, PoolMembershipState};
 use crate::route::seeded_sampler::SeededSampler;
 
-/// Pools up to this size are looked at whole.
+/// Maximum size of a pool of which every eligible endpoint is compared.
 const MAX_FULL_SCAN: usize = 32;
-/// Most holders of the prompt's blocks that are looked at in a larger pool.
+/// Maximum number of holders of the prompt's blocks that are compared in a larger pool.
 const MAX_SAMPLED_HOLDERS: usize = 8;
-/// Endpoints that are drawn at random in a larger pool, besides one for each doubling of its size.
+/// Number of random endpoints that are compared in a larger pool, on top of log2 of its size.
 const MIN_RANDOM_SAMPLES: usize = 4;
-/// Draws for each endpoint wanted, after which the pool is searched in order instead.
+/// Maximum number of random draws per wanted endpoint; after that the pool is searched in order.
 const MAX_DRAWS_PER_SAMPLE: usize = 8;
-/// Standings in the order in which they are tried.
+/// Pool states that can be chosen, in order of preference.
 const STATES_BY_PREFERENCE: [PoolMembershipState; 2] =
     [PoolMembershipState::Ready, PoolMembershipState::LastResort];
-/// When a caller may come back where no endpoint is to be had.
+/// Retry delay that is returned to a caller when no endpoint is eligible.
 const NO_ENDPOINT_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Returns the rows that a decision compares; never an empty list.
+/// Returns the rows that a decision compares; the list is never empty.
 ///
-/// A small pool is looked at whole. Of a larger one, holders of the prompt's late pieces and some
-/// others at random are, so that the cost of a decision grows with the logarithm of the pool.
+/// All eligible rows of a small pool are compared. Of a larger pool, only holders of the prompt's
+/// last pieces and a random sample are, so that the cost of a decision grows with the logarithm of
+/// the pool size.
 pub(crate) fn candidate_rows(
     request: &RouteRequest,
     view: &View<'_>,
@@ -55,7 +56,7 @@
     Err(no_endpoint_refusal())
 }
 
-/// Returns every row that may take the request, in order; never an empty list.
+/// Returns all eligible rows in ascending order; the list is never empty.
 pub(crate) fn all_candidate_rows(
     request: &RouteRequest,
     view: &View<'_>,
@@ -71,7 +72,7 @@
     Err(no_endpoint_refusal())
 }
 
-/// Holds the pool of a request and what rules a row of it out.
+/// The pool that can serve a request, with the conditions that exclude single rows of it.
 struct EligiblePool<'a> {
     requirement: ServingRequirement,
     key: PoolKey,
@@ -112,8 +113,9 @@
         rows.filter(|row| self.is_eligible_row(*row)).collect()
     }
 
-    /// Adds rows at random to `found`, and searches the pool in order where hardly any may be
-    /// taken.
+    /// Adds random eligible rows to `found`.
+    ///
+    /// If the random draws find none and `found` is empty, the pool is searched in order.
     fn add_random_rows(&self, rows: &[usize], sampler: &mut SeededSampler, found: &mut Vec<usize>) {
         let target_len = found.len() + MIN_RANDOM_SAMPLES + rows.len().ilog2() as usize;
         for _ in 0..target_len * MAX_DRAWS_PER_SAMPLE {
@@ -135,7 +137,7 @@
     }
 }
 
-/// Refuses for want of an endpoint that takes work.
+/// Returns the refusal for a request that no endpoint can take now.
 pub(crate) fn no_endpoint_refusal() -> RouteRefusal {
     RouteRefusal {
         code: Code::NoEndpoint,
--- a/crates/wisteriahitch-core/src/route/policy/choice.rs
+++ b/crates/wisteriahitch-core/src/route/policy/choice.rs
@@ -1,78 +1,79 @@
-//! What a policy decides.
+//! The result of a routing decision.
 
 use serde::Serialize;
 use wisteriahitch_types::{BlockKey, Code, DurationUs, EndpointId, StoreId, Tier, TokenCount};
 
-/// Says where a request runs and what is done before.
+/// The endpoint chosen for a request, with the plan for its prompt.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Choice {
-    /// Endpoint.
+    /// Endpoint that the request is sent to.
     pub endpoint: EndpointId,
-    /// What becomes of the prompt's pieces there.
+    /// Which pieces of the prompt are resident, imported and computed there.
     pub plan: Plan,
-    /// Times that are expected.
+    /// Estimated times at this endpoint.
     pub estimate: Estimate,
-    /// Every candidate, the cheapest first; empty unless it was asked for.
+    /// All candidates that were compared, the cheapest first; empty unless
+    /// [`RouteRequest::explain`](super::RouteRequest::explain) is set.
     pub weighed: Vec<ScoredCandidate>,
 }
 
-/// Says what becomes of a prompt at its endpoint.
+/// How the KV cache of a prompt is obtained at its endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Plan {
-    /// Tokens from the start that the endpoint holds, by the directory.
+    /// Tokens of the prefix that is in the endpoint's cache, according to the directory.
     pub resident_tokens: TokenCount,
-    /// Pieces to import after those, in their order.
+    /// Pieces to import after the resident prefix, in prompt order.
     pub import: Vec<ImportStep>,
-    /// Tokens that are left to compute.
+    /// Prompt tokens that the endpoint computes.
     pub recompute_tokens: TokenCount,
 }
 
-/// Names one piece to import.
+/// One piece to import from a store VM.
 ///
-/// The router knows pieces by their tokens and tiers; the bytes that cross a link are added for
-/// [`tier::ImportStep`](crate::tier::ImportStep) by the shell, which knows the model's size.
+/// The router counts in tokens. The shell, which knows the model's size, adds the bytes to transfer
+/// for [`tier::ImportStep`](crate::tier::ImportStep).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ImportStep {
-    /// Block.
+    /// Key of the piece's block.
     pub key: BlockKey,
-    /// Store VM that should hold it.
+    /// Store VM that holds the block, according to the directory.
     pub store: StoreId,
-    /// Tier that it should lie in.
+    /// Tier of the store VM that holds the block.
     pub tier: Tier,
-    /// Tokens in the piece.
+    /// Number of tokens in the piece.
     pub tokens: TokenCount,
 }
 
-/// Holds the times that are expected of a request at an endpoint.
+/// Estimated times of a request at one endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Estimate {
-    /// Wait for a slot and for the prompts ahead.
+    /// Wait for a batch slot and for the prompts queued ahead.
     pub queue_us: DurationUs,
-    /// Time of the imports, which run while the request would wait anyway.
+    /// Duration of the imports, which overlap with `queue_us`.
     pub transfer_us: DurationUs,
-    /// Time to read the rest of the prompt.
+    /// Time to compute the part of the prompt that is neither resident nor imported.
     pub prefill_us: DurationUs,
-    /// Time from now to the first token.
+    /// Time from the decision to the first token.
     pub first_token_us: DurationUs,
 }
 
-/// Shows one candidate, for the operators' `explain`.
+/// One candidate of a decision, shown by the operators' `explain` command.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScoredCandidate {
-    /// Endpoint.
+    /// Endpoint of the candidate.
     pub endpoint: EndpointId,
-    /// Times expected there.
+    /// Estimated times at this endpoint.
     pub estimate: Estimate,
-    /// Cost in microseconds; the lowest is best.
+    /// Cost of the candidate's best plan in weighted microseconds; lower is better.
     pub cost_us: f64,
 }
 
-/// Says why no endpoint was chosen; the request was not run.
+/// Why no endpoint was chosen. The request was not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, thiserror::Error)]
 #[error("{code}: {}", code.summary())]
 pub struct RouteRefusal {
     /// [`Code::UnknownModel`], [`Code::NoEndpoint`] or [`Code::DeadlineUnreachable`].
     pub code: Code,
-    /// When it is worth coming back.
+    /// Time after which the caller may retry.
     pub retry_after_us: DurationUs,
 }
--- a/crates/wisteriahitch-core/src/route/policy/cost.rs
+++ b/crates/wisteriahitch-core/src/route/policy/cost.rs
@@ -1,4 +1,4 @@
-//! The policy of this system: the endpoint and the plan that cost least.
+//! The default policy: chooses the endpoint and the import plan with the lowest cost.
 
 use wisteriahitch_types::{Code, DurationUs, TimeUs};
 
@@ -8,23 +8,24 @@
 use super::{Choice, Policy, RouteRefusal, RouteRequest, ScoredCandidate, View};
 use crate::route::seeded_sampler::SeededSampler;
 
-/// Shortest time after which a caller is told to come back.
+/// Minimum retry delay that is returned to a caller.
 const MIN_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(100);
-/// Longest time after which a caller is told to come back.
+/// Maximum retry delay that is returned to a caller.
 const MAX_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(60_000);
-/// Samples of candidates that are tried before a deadline counts as out of reach.
+/// Number of candidate samples that are scored before a request is refused because of its deadline.
 const MAX_SAMPLING_ROUNDS: usize = 2;
 
-/// Holds what a microsecond of each kind costs.
+/// Penalties of the cost function and the margin within which candidates count as equal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CostOptions {
-    /// Added for an endpoint of another availability zone: the way there and back.
+    /// Time added for an endpoint in another availability zone: the network round trip.
     pub other_zone_round_trip_us: DurationUs,
-    /// Added for an endpoint with every slot taken, and in proportion for others.
+    /// Cost added for an endpoint at full utilisation; in proportion for other utilisations.
     pub full_load_penalty_us: DurationUs,
-    /// Candidates count as equal up to so many times the lowest cost.
+    /// Factor on the lowest cost up to which candidates count as equally good.
     pub near_best_factor: f64,
-    /// Candidates count as equal up to so much above the lowest cost.
+    /// Margin that is added to the scaled lowest cost, within which candidates count as equally
+    /// good.
     pub near_best_margin_us: DurationUs,
 }
 
@@ -39,8 +40,9 @@
     }
 }
 
-/// Chooses by the time to the first token and the prompt work recomputed, as the rule weighs them.
+/// Minimises a weighted sum of the time to the first token and the prompt computation.
 ///
+/// The weight is [`RouteRequest::first_token_weight`], which the routing rule sets.
 /// `docs/design/routing.md` derives the cost.
 #[derive(Clone, Debug, Default)]
 pub struct CostPolicy {
@@ -48,16 +50,16 @@
 }
 
 impl CostPolicy {
-    /// Builds the policy.
+    /// Creates the policy.
     pub fn new(options: CostOptions) -> Self {
         Self { options }
     }
 
-    /// Picks among the offers that are as good as equal.
+    /// Picks one of the candidates whose cost is close to the lowest.
     ///
-    /// Daemons see the same lagging reports. If each took the lowest cost, all would send to one
-    /// endpoint until its next report; one would notice by queues that wander. Two drawn at
-    /// random and the better of them spread the work.
+    /// Daemons decide on the same lagging reports. If each took the lowest cost, all of them would
+    /// send to one endpoint until its next report, and the queues would move from endpoint to
+    /// endpoint. Taking the better of two random candidates spreads the requests.
     fn pick<'a>(
         &self,
         candidates: &'a [Candidate],
@@ -120,7 +122,9 @@
     }
 }
 
-/// Tells when the queues will have drained so far that the deadline can be met again.
+/// Refuses a request whose deadline no candidate meets.
+///
+/// The retry delay is the time by which the earliest candidate misses the deadline, within bounds.
 fn deadline_unreachable_refusal(earliest_us: DurationUs, deadline: DurationUs) -> RouteRefusal {
     let late_by_us = earliest_us.saturating_sub(deadline);
     RouteRefusal {
--- a/crates/wisteriahitch-core/src/route/policy/kind.rs
+++ b/crates/wisteriahitch-core/src/route/policy/kind.rs
@@ -1,4 +1,4 @@
-//! The policies by name, for settings and experiments.
+//! Selection of a policy by its name in settings and experiments.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use super::{Affinity, CostPolicy, LeastLoaded, Policy, RoundRobin};
 
-/// Names a policy.
+/// The available policies.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
@@ -22,13 +22,13 @@
     Affinity,
 }
 
-/// Reports a text that names no policy.
+/// Error for a text that is not the name of a policy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the policies are cost, round_robin, least_loaded and affinity")]
 pub struct ParsePolicyError;
 
 impl PolicyKind {
-    /// Lists every policy.
+    /// All policies.
     pub const ALL: [Self; 4] = [
         Self::Cost,
         Self::RoundRobin,
@@ -36,7 +36,7 @@
         Self::Affinity,
     ];
 
-    /// Builds the policy.
+    /// Creates the policy.
     pub fn build(self) -> Box<dyn Policy> {
         match self {
             Self::Cost => Box::new(CostPolicy::default()),
--- a/crates/wisteriahitch-core/src/route/policy/mod.rs
+++ b/crates/wisteriahitch-core/src/route/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Policies: which endpoint gets a request, and what is imported for it.
+//! Routing policies: they choose the endpoint of a request and the blocks to import for it.
 
 mod baseline;
 mod candidates;
@@ -19,17 +19,17 @@
 
 use wisteriahitch_types::TimeUs;
 
-/// Decides where a request runs.
+/// A routing policy, which decides where a request runs.
 pub trait Policy: fmt::Debug + Send + Sync {
-    /// Returns the name that settings and reports use.
+    /// Returns the name of the policy in settings and reports.
     fn name(&self) -> &'static str;
 
-    /// Chooses an endpoint and a plan.
+    /// Chooses an endpoint and the import plan for `request`.
     ///
     /// # Errors
     ///
-    /// A refusal means that nothing was sent: the model isn't served, no endpoint takes work, or
-    /// none can meet the deadline.
+    /// Returns a refusal if the model isn't served, no endpoint is eligible, or none can meet the
+    /// deadline. Nothing was sent.
     fn choose(
         &self,
         request: &RouteRequest,
--- a/crates/wisteriahitch-core/src/route/policy/request.rs
+++ b/crates/wisteriahitch-core/src/route/policy/request.rs
@@ -1,4 +1,4 @@
-//! What a decision needs to know of a request, and what it sees of the world.
+//! Inputs of a routing decision: the request and the state of the site.
 
 use wisteriahitch_types::{
     AdapterName, AvailabilityZone, ByteCount, DurationUs, EndpointId, ModelName, ServiceName,
@@ -7,39 +7,39 @@
 
 use crate::route::{Directory, EndpointTable, PieceChain, ServingRequirement};
 
-/// Asks where a request is to run.
+/// A request to be routed.
 #[derive(Clone, Debug)]
 pub struct RouteRequest {
-    /// Service that the rules chose.
+    /// Service chosen by the routing rules.
     pub service: ServiceName,
-    /// Model; nothing for a plain service.
+    /// Model that the caller asks for; `None` for a plain service.
     pub model: Option<ModelName>,
-    /// Adapter on top of the model.
+    /// Adapter that is applied to the model, if any.
     pub adapter: Option<AdapterName>,
-    /// Version that the chain's keys were made for; nothing for a plain service.
+    /// Weight version that the keys of `chain` are derived for; `None` for a plain service.
     pub weight_version: Option<WeightVersion>,
     /// Pieces of the prompt; empty for a plain service.
     pub chain: PieceChain,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: TokenCount,
-    /// How much the time to the first token counts against the prompt work recomputed.
+    /// Weight of the time to the first token; the prompt computation gets one minus this weight.
     pub first_token_weight: Share,
-    /// Higher goes first at the endpoint.
+    /// Priority that the routing rule gives; higher values run first at the endpoint.
     pub priority: u8,
-    /// Longest wait for the first token from now on.
+    /// Maximum time from now to the first token.
     pub deadline_us: DurationUs,
-    /// Availability zone of this daemon.
+    /// Availability zone of the daemon that decides.
     pub availability_zone: AvailabilityZone,
-    /// Endpoints that were tried before.
+    /// Endpoints that may not be chosen, such as those already tried for this request.
     pub exclude: Vec<EndpointId>,
-    /// Whether the choice is to tell what was weighed.
+    /// Whether [`Choice::weighed`](super::Choice::weighed) lists the compared candidates.
     pub explain: bool,
-    /// Length of the KV cache of one token.
+    /// Size of the KV cache of one token.
     pub bytes_per_token: ByteCount,
 }
 
 impl RouteRequest {
-    /// Returns what the endpoint must serve.
+    /// Returns the service, model version and adapter that the endpoint must have.
     pub fn serving_requirement(&self) -> ServingRequirement {
         ServingRequirement {
             service: self.service.clone(),
@@ -49,10 +49,12 @@
     }
 }
 
-/// Tells how busy the links to the store VMs are.
+/// Estimates transfer times over the links to the store VMs.
 pub trait LinkView {
-    /// Estimates how long `bytes` take from a tier of a store VM at what is left of its link's
-    /// rate, waiting included; [`DurationUs::MAX`] where the store can't be reached.
+    /// Estimates the time to transfer `bytes` from a tier of a store VM, including queueing, at the
+    /// unused rate of its link.
+    ///
+    /// Returns [`DurationUs::MAX`] if the store can't be reached.
     fn transfer_time(
         &self,
         store: &StoreId,
@@ -62,7 +64,7 @@
     ) -> DurationUs;
 }
 
-/// Stands for a site without store VMs, where nothing can be imported.
+/// A site without store VMs: nothing can be imported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoLinks;
 
@@ -72,15 +74,15 @@
     }
 }
 
-/// Holds what a policy may look at.
+/// The state that a policy decides on.
 #[derive(Clone, Copy)]
 pub struct View<'a> {
-    /// Endpoints.
+    /// State and load of all endpoints.
     pub endpoints: &'a EndpointTable,
-    /// Hints of where blocks lie.
+    /// Directory of the blocks that endpoints and store VMs hold; its entries are hints.
     pub directory: &'a Directory,
-    /// Links to the store VMs.
+    /// Transfer times from the store VMs.
     pub links: &'a dyn LinkView,
-    /// Random number for this decision alone, drawn by the [`Router`](crate::route::Router).
+    /// Random seed of this decision, drawn by the [`Router`](crate::route::Router).
     pub random_seed: u64,
 }
--- a/crates/wisteriahitch-core/src/route/policy/scorer.rs
+++ b/crates/wisteriahitch-core/src/route/policy/scorer.rs
@@ -1,4 +1,4 @@
-//! Estimates what a request costs at one endpoint.
+//! Cost estimation of a request at the candidate endpoints.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -10,19 +10,21 @@
 use crate::route::directory::ChainHolders;
 use crate::route::endpoint::EndpointRecord;
 
-/// Holds the best plan for one endpoint.
+/// The cheapest plan for a request at one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
+    /// Row of the endpoint in the table.
     pub(crate) row: usize,
-    /// Pieces that the endpoint holds.
+    /// Number of leading pieces that the endpoint holds and the plan uses.
     resident_pieces: usize,
-    /// Piece before which the import ends.
+    /// Exclusive end of the pieces that are imported after the resident ones.
     import_end: usize,
     pub(crate) estimate: Estimate,
+    /// Cost in weighted microseconds; lower is better.
     pub(crate) cost_us: f64,
 }
 
-/// Weighs the endpoints for one request.
+/// Estimates the cost of one request at the candidate endpoints.
 pub(crate) struct Scorer<'a> {
     request: &'a RouteRequest,
     view: &'a View<'a>,
@@ -30,12 +32,12 @@
     sources: &'a PieceSources<'a>,
     options: &'a CostOptions,
     now: TimeUs,
-    /// Tokens of the first pieces, by their number.
+    /// Number of tokens in the first `n` pieces, by `n`.
     prefix_tokens: Vec<TokenCount>,
 }
 
 impl<'a> Scorer<'a> {
-    /// Combines what the estimates need.
+    /// Creates a scorer for one decision.
     pub(crate) fn new(
         request: &'a RouteRequest,
         view: &'a View<'a>,
@@ -55,9 +57,9 @@
         }
     }
 
-    /// Returns for each row its cheapest plan; one that meets the deadline goes first.
+    /// Returns the best plan of each row: the cheapest that meets the deadline, else the cheapest.
     ///
-    /// Rows that hold equally much share the estimates of the imports.
+    /// Rows with the same resident prefix share the transfer estimates.
     pub(crate) fn score_rows(&self, rows: &[usize]) -> Vec<Candidate> {
         let mut options_by_start: BTreeMap<usize, Vec<ImportOption>> = BTreeMap::new();
         let mut score_with_import = |row: usize, start: usize| {
@@ -81,13 +83,14 @@
         rows.iter().filter_map(best_candidate).collect()
     }
 
-    /// Returns whether an endpoint that holds so many pieces is about to lose them.
+    /// Returns whether an endpoint with `resident` leading pieces is evicting the prompt's chain.
     ///
-    /// Engines evict a chain from its end. Where an endpoint holds only the beginning of what a
-    /// store holds, its eviction is under way, and importing the end there would evict the
-    /// beginning, which is the oldest: the endpoint would then compute the whole prompt again. One
-    /// would notice returns without any cached token although all their pieces were saved. So
-    /// such a beginning is used as it is, or everything is imported, at whichever endpoint.
+    /// Engines evict a chain from its end. If an endpoint holds only the beginning of what a store
+    /// holds of a chain, its eviction is under way. Importing the end there would evict the
+    /// beginning, which is the oldest, and the endpoint would then compute the whole prompt again:
+    /// returning prompts would find no cached tokens although all their pieces are stored. The plan
+    /// therefore either uses the resident beginning without an import or imports the chain from its
+    /// start, at any endpoint.
     fn is_being_evicted(&self, resident: usize) -> bool {
         let is_rest_saved = self.sources.importable_run_end(resident) > resident;
         resident > 0 && is_rest_saved && self.sources.importable_run_end(0) > resident
@@ -123,6 +126,7 @@
             .min_by(|a, b| self.compare(a, b))
     }
 
+    /// Orders candidates that meet the deadline before late ones, then by cost.
     fn compare(&self, a: &Candidate, b: &Candidate) -> Ordering {
         let is_late =
             |candidate: &Candidate| candidate.estimate.first_token_us > self.request.deadline_us;
@@ -162,7 +166,7 @@
         self.request.chain.prompt_tokens.saturating_sub(available)
     }
 
-    /// Turns an offer into the choice that the caller gets.
+    /// Converts a candidate into the choice that is returned to the caller.
     pub(crate) fn choice(&self, candidate: &Candidate, scored: &[ScoredCandidate]) -> Choice {
         let chain = &self.request.chain;
         let import = (candidate.resident_pieces..candidate.import_end)
@@ -190,6 +194,7 @@
     }
 }
 
+/// Returns the number of tokens in the first `n` pieces, for each `n` from 0 to all pieces.
 fn prefix_tokens(request: &RouteRequest) -> Vec<TokenCount> {
     let mut sums = vec![TokenCount::ZERO];
     for piece in &request.chain.blocks {
--- a/crates/wisteriahitch-core/src/route/policy/sources.rs
+++ b/crates/wisteriahitch-core/src/route/policy/sources.rs
@@ -1,38 +1,39 @@
-//! Where each piece of a prompt can be imported from.
+//! Selection of the store VM and tier that each piece of a prompt is imported from.
 
 use wisteriahitch_types::{ByteCount, DurationUs, StoreId, Tier, TimeUs};
 
 use super::{LinkView, RouteRequest};
 use crate::route::directory::ChainHolders;
 
-/// Names where one piece is imported from.
+/// The store VM and tier that one piece is imported from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PieceSource<'a> {
     pub(crate) store: &'a StoreId,
     pub(crate) tier: Tier,
 }
 
-/// Holds the best source of each piece.
+/// The fastest source of each piece of a prompt.
 pub(crate) struct PieceSources<'a> {
+    /// By piece index; `None` for a piece that can't be imported.
     sources: Vec<Option<PieceSource<'a>>>,
-    /// For each piece, the end of the run of importable pieces that begins with it.
+    /// For each piece, the exclusive end of the run of importable pieces that starts there.
     importable_run_ends: Vec<usize>,
 }
 
-/// Most lengths of the imported part that are compared.
+/// Maximum number of import lengths that are compared, besides no import.
 const MAX_IMPORT_OPTIONS: usize = 8;
 
-/// Gives one end of an import.
+/// One possible import: all pieces from a given start to before `end_piece`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ImportOption {
-    /// Piece before which the import ends.
+    /// Exclusive end of the imported pieces.
     pub(crate) end_piece: usize,
-    /// Time that it takes.
+    /// Estimated time of the import.
     pub(crate) transfer_us: DurationUs,
 }
 
 impl ImportOption {
-    /// Imports nothing where so many pieces are resident.
+    /// Returns the option that imports nothing after the first `resident` pieces.
     pub(crate) const fn no_import(resident: usize) -> Self {
         Self {
             end_piece: resident,
@@ -41,14 +42,14 @@
     }
 }
 
-/// Adds up what is imported from one tier.
+/// The bytes that are imported from one tier of one store VM.
 struct TierTransfer<'a> {
     source: PieceSource<'a>,
     bytes: ByteCount,
 }
 
 impl<'a> PieceSources<'a> {
-    /// Finds for each piece the tier that brings it soonest.
+    /// Finds the source of each piece with the shortest transfer time.
     pub(crate) fn find(
         request: &RouteRequest,
         holders: &ChainHolders<'a>,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Returns the end of the run of importable pieces that begins at `start`.
+    /// Returns the exclusive end of the run of importable pieces that starts at `start`.
     pub(super) fn importable_run_end(&self, start: usize) -> usize {
         self.importable_run_ends
             .get(start)
@@ -80,15 +81,15 @@
             .unwrap_or(start)
     }
 
-    /// Returns the source of a piece.
+    /// Returns the source of a piece, or `None` if it can't be imported.
     pub(crate) fn get(&self, piece: usize) -> Option<PieceSource<'a>> {
         self.sources.get(piece).copied().flatten()
     }
 
-    /// Lists ends of an import that begins at `start`, with the time that each takes.
+    /// Lists the imports that start at `start`, in increasing length, with their transfer times.
     ///
-    /// The first end is `start` itself. Imports from one store share its link and follow each
-    /// other; those from several stores run side by side.
+    /// The first one is empty. Imports from one store VM share its link and run one after the
+    /// other; imports from several store VMs run in parallel.
     pub(crate) fn import_options(
         &self,
         start: usize,
@@ -134,6 +135,7 @@
     }
 }
 
+/// Returns the time until the slowest store VM has sent its part.
 fn slowest_store_time(
     transfers: &[TierTransfer<'_>],
     links: &dyn LinkView,
--- a/crates/wisteriahitch-core/src/route/seeded_sampler.rs
+++ b/crates/wisteriahitch-core/src/route/seeded_sampler.rs
@@ -1,19 +1,19 @@
-//! A short run of random numbers that follows from one.
+//! A small deterministic random number generator for one decision.
 
 /// Increment of the SplitMix64 generator by Steele, Lea and Flood.
 const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Gives the random numbers of one decision, so that a policy keeps no generator of its own.
+/// A SplitMix64 generator seeded for one decision, so that policies keep no generator state.
 #[derive(Clone, Debug)]
 pub(crate) struct SeededSampler(u64);
 
 impl SeededSampler {
-    /// Begins the run that follows from `seed`.
+    /// Creates a generator from `seed`.
     pub(crate) fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// Returns the next number.
+    /// Returns the next 64 random bits.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(STEP);
         let mut bits = self.0;
@@ -22,7 +22,7 @@
         bits ^ (bits >> 31)
     }
 
-    /// Returns a number below `bound`, or zero where that is zero.
+    /// Returns a random number less than `bound`, or zero if `bound` is zero.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         let wide = u128::from(self.next()) * bound as u128;
         (wide >> u64::BITS) as usize
