--- a/crates/wisteriahitch-core/src/route/endpoint/attempt.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/attempt.rs
@@ -1,11 +1,11 @@
-//! Requests that this daemon has sent to an endpoint and that have not ended.
+//! Attempts that this daemon sent to endpoints and that have not ended.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{DurationUs, TimeUs, TokenCount};
 
-/// Names one attempt that was sent to an endpoint, within this process.
+/// Identifier of an attempt, unique within this process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AttemptId(pub(crate) u64);
@@ -16,32 +16,32 @@
     }
 }
 
-/// Says how an attempt ended that brought no whole answer.
+/// Why an attempt ended without a whole answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptFailure {
-    /// The endpoint said that it did not run it: it is busy, leaving or has other models than it
-    /// reported.
+    /// The endpoint said that it did not run the request: it is busy, leaving or has other models
+    /// than it reported.
     Refused,
-    /// The connection broke, the answer was late or it was wrong.
+    /// The connection broke, or the answer was late or malformed.
     Broken,
-    /// This daemon gave it up, such as for a caller that went away.
+    /// This daemon cancelled the attempt, such as for a caller that disconnected.
     Cancelled,
 }
 
-/// Holds one attempt that was sent and has not ended.
+/// One attempt that has not ended.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
-    /// Row of the endpoint.
+    /// Row of the endpoint in the table.
     pub(crate) row: usize,
-    /// Life of the row's endpoint that the attempt was sent to.
+    /// Instance number of the row when the attempt was sent.
     pub(crate) instance_number: u64,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at_us: TimeUs,
-    /// Prompt tokens that the endpoint was to compute.
+    /// Number of prompt tokens that the endpoint has to compute.
     pub(crate) prefill_tokens: TokenCount,
-    /// Time to the first token that had been estimated.
+    /// Estimated time from the sending to the first token.
     pub(crate) expected_us: DurationUs,
-    /// Whether the first token has come.
+    /// Whether the first token has arrived.
     pub(crate) has_first_token: bool,
 }
--- a/crates/wisteriahitch-core/src/route/endpoint/load.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/load.rs
@@ -1,44 +1,44 @@
-//! What an endpoint reports of itself.
+//! The load report of an endpoint.
 
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{
     AdapterName, DurationUs, ModelName, TokenCount, TokenRate, WeightVersion,
 };
 
-/// Holds a lagging report of an endpoint, of a model engine or of a plain service.
+/// A report of a model engine or a plain service about itself; it lags behind the actual load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointLoad {
     /// When the report was made, in milliseconds on the endpoint's own clock.
     pub made_at_ms: u64,
-    /// Life of the endpoint, where it tells one; another text means that it started again.
+    /// Identifier of the endpoint's instance, if it reports one; a new value means a restart.
     pub life: Option<String>,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
-    /// Requests that can run at once; zero counts as one.
+    /// Number of requests that can run at once; zero counts as one.
     pub batch_slots: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u64,
-    /// Prompt tokens that wait to be computed.
+    /// Number of prompt tokens that wait to be computed.
     pub queued_tokens: TokenCount,
-    /// Speed of reading prompts; zero where it is unknown.
+    /// Rate at which prompts are computed; zero if unknown.
     pub prefill_tokens_per_s: TokenRate,
     /// Time between two tokens of one answer.
     pub decode_us_per_token: DurationUs,
-    /// Whether the endpoint says that it is leaving.
+    /// Whether the endpoint announces that it is leaving.
     pub leaving: bool,
-    /// Models that are loaded; empty for a plain service.
+    /// Loaded models; empty for a plain service.
     pub models: Vec<LoadedModel>,
 }
 
-/// Holds one model that an endpoint has loaded.
+/// A model that an endpoint has loaded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadedModel {
     /// Name of the model.
     pub model: ModelName,
-    /// Version of the weights that new requests run on.
+    /// Weight version that new requests run on.
     pub weight_version: WeightVersion,
-    /// Adapters that are loaded.
+    /// Adapters that are loaded for the model.
     pub adapters: Vec<AdapterName>,
-    /// Whether requests are taken now.
+    /// Whether the model accepts requests now.
     pub is_ready: bool,
 }
--- a/crates/wisteriahitch-core/src/route/endpoint/lookup.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/lookup.rs
@@ -1,4 +1,4 @@
-//! Questions to the endpoint table that change nothing.
+//! Read-only queries of the endpoint table.
 
 use std::net::SocketAddr;
 
@@ -7,52 +7,54 @@
 use super::{EndpointState, EndpointTable, Pool, PoolKey, PoolMembershipState, ServingRequirement};
 
 impl EndpointTable {
-    /// Returns the endpoint's step of life, or nothing for one that isn't configured.
+    /// Returns the endpoint's state, or `None` if it isn't configured.
     pub fn get_state(&self, endpoint: &EndpointId) -> Option<EndpointState> {
         let row = *self.by_id.get(endpoint)?;
         Some(self.rows[row].state())
     }
 
-    /// Returns each endpoint that it itself or a peer said is leaving, with the life that is.
+    /// Returns the endpoints whose leaving was announced by themselves or by a peer, each with the
+    /// instance that it last reported.
     ///
-    /// One of which only the VM list says so isn't among them: every daemon reads that list, and
-    /// what a peer repeated of it could not be taken back with it.
+    /// Endpoints that only the VM list shows as leaving aren't included: every daemon reads that
+    /// list, and a claim repeated to a peer could not be retracted together with the list.
     pub fn confirmed_leaving(&self) -> impl Iterator<Item = (&EndpointId, Option<&str>)> {
         self.by_id.iter().filter_map(|(id, &row)| {
             let record = &self.rows[row];
             let instance = record
                 .report
                 .as_ref()
-                .and_then(|received| received.load.life.as_deref());
+                .and_then(|report| report.load.life.as_deref());
             let is_leaving = record.state() == EndpointState::Leaving;
             (is_leaving && record.leaving.is_confirmed()).then_some((id, instance))
         })
     }
 
-    /// Returns the endpoint's address.
+    /// Returns the endpoint's address, or `None` if it isn't configured.
     pub fn get_address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         let row = *self.by_id.get(endpoint)?;
         Some(self.rows[row].address)
     }
 
-    /// Returns the attempts of this daemon under way at an endpoint.
+    /// Returns the number of this daemon's unfinished attempts at an endpoint.
     pub fn get_in_flight(&self, endpoint: &EndpointId) -> Option<u64> {
         let row = *self.by_id.get(endpoint)?;
         Some(self.rows[row].in_flight)
     }
 
-    /// Returns how many requests the endpoints of a service that take work can run at once.
+    /// Returns how many requests the ready endpoints of a service can run at once.
     ///
-    /// A daemon's part of it is the capacity for [`Admission`](crate::route::Admission): with much
-    /// more, requests wait at the endpoints, where workspaces have no shares.
+    /// A daemon's share of it is the capacity for [`Admission`](crate::route::Admission). With a
+    /// much higher capacity, requests would queue at the endpoints, which don't divide their slots
+    /// fairly among workspaces.
     pub fn ready_slots(&self, service: &ServiceName) -> u64 {
         let of_service = self.rows.iter().filter(|record| record.service == *service);
         let ready = of_service.filter(|record| record.state() == EndpointState::Ready);
         ready.map(|record| record.batch_slots()).sum()
     }
 
-    /// Returns the weight versions of a model that endpoints of a service have ready, with how
-    /// many endpoints have each, in the order of the versions.
+    /// Returns the weight versions of a model that ready endpoints of a service have loaded,
+    /// sorted, with the number of such endpoints for each.
     pub fn ready_versions(
         &self,
         service: &ServiceName,
@@ -71,24 +73,24 @@
         versions
     }
 
-    /// Returns the pool with this key.
+    /// Returns the pool with this key, or `None` if no endpoint is in it.
     pub(crate) fn pool(&self, key: &PoolKey) -> Option<&Pool> {
         self.pools.get(key)
     }
 
-    /// Returns the rows of those endpoints that are configured.
+    /// Returns the rows of the given endpoints; ids that aren't configured are skipped.
     pub(crate) fn rows_of(&self, ids: &[&EndpointId]) -> impl Iterator<Item = usize> {
         ids.iter().filter_map(|id| self.by_id.get(*id).copied())
     }
 
-    /// Returns whether some endpoint of a service lists the model or has not reported yet.
+    /// Returns whether any endpoint of a service lists the model or has not reported yet.
     pub(crate) fn may_serve(&self, service: &ServiceName, model: &ModelName) -> bool {
         let mut of_service = self
             .rows
             .iter()
             .filter(|record| record.service == *service && record.state() != EndpointState::Gone);
         of_service.any(|record| match &record.report {
-            Some(received) => received
+            Some(report) => report
                 .load
                 .models
                 .iter()
@@ -97,7 +99,9 @@
         })
     }
 
-    /// Returns whether a row of the right pool may take a request now.
+    /// Returns whether a row of the right pool can be given a request now.
+    ///
+    /// A probed endpoint takes one request at a time, and the adapter must be loaded.
     pub(crate) fn is_eligible(&self, row: usize, requirement: &ServingRequirement) -> bool {
         let record = &self.rows[row];
         let is_probe_busy = record.outlier.is_probing && record.in_flight > 0;
@@ -108,7 +112,7 @@
         !is_probe_busy && has_adapter
     }
 
-    /// Returns whether every pool of the row keeps another endpoint that takes work.
+    /// Returns whether every pool of the row keeps a ready endpoint when the row is ejected.
     pub(crate) fn is_replaceable(&self, row: usize) -> bool {
         let membership = &self.rows[row].membership;
         let min_ready = match membership.state {
--- a/crates/wisteriahitch-core/src/route/endpoint/mod.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints: their life, their load and the outliers among them.
+//! The endpoint table: state, load and outlier detection of every endpoint.
 
 mod attempt;
 mod freshness;
--- a/crates/wisteriahitch-core/src/route/endpoint/options.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/options.rs
@@ -1,39 +1,42 @@
-//! Bounds and intervals of the endpoint table.
+//! Limits and intervals of the endpoint table.
 
 use wisteriahitch_types::{DurationUs, TokenRate};
 
-/// Holds the bounds by which endpoints are judged.
+/// Limits and intervals of the endpoint table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointOptions {
-    /// Reports missing for so long make an endpoint suspect.
+    /// Age of the last report after which an endpoint becomes suspect.
     pub suspect_after_us: DurationUs,
-    /// Age that a report has at the least when it arrives.
+    /// Assumed minimum age of a report when it arrives.
     ///
-    /// The clocks of two processes can't be compared, so that a constant lag can't be seen. Too
-    /// small a value loses requests that were just sent; too large a one counts some twice.
+    /// The clocks of two processes can't be compared, so a constant lag can't be measured. If the
+    /// value is too small, requests that were just sent are missed; if it is too large, some are
+    /// counted twice.
     pub min_report_lag_us: DurationUs,
-    /// So many failures in a row eject an endpoint.
+    /// Number of consecutive failures that ejects an endpoint.
     pub max_consecutive_failures: u32,
-    /// So many refusals in a row, with no good answer between, eject an endpoint.
+    /// Number of refusals without a success in between that ejects an endpoint.
     pub max_consecutive_refusals: u32,
-    /// First tokens so many times as slow as the service's median eject an endpoint.
+    /// Factor on the service's median slowness above which an endpoint is ejected.
     pub slow_factor: f64,
-    /// First tokens must be late by so much more than the median's before that counts.
+    /// Margin that the lateness of first tokens must additionally exceed before the endpoint counts
+    /// as slow.
     pub slow_margin_us: DurationUs,
-    /// First tokens that must have been seen before an endpoint may count as slow.
+    /// Number of first tokens that must be recorded before an endpoint can count as slow.
     pub min_first_token_samples: u32,
-    /// Largest part of a service's endpoints that may be ejected at once; one always may, unless
-    /// it is the last that takes work.
+    /// Maximum fraction of a service's endpoints that may be ejected at once.
+    ///
+    /// One always may be, unless it is the last that can be chosen.
     pub max_ejected_fraction: f64,
-    /// Length of the first ejection; each further one in a row doubles it.
+    /// Duration of the first ejection; each consecutive one lasts twice as long.
     pub base_ejection_us: DurationUs,
-    /// Length that no ejection exceeds.
+    /// Maximum duration of an ejection.
     pub max_ejection_us: DurationUs,
-    /// How often slow endpoints are looked for.
+    /// Interval between searches for slow endpoints.
     pub outlier_scan_interval_us: DurationUs,
-    /// Speed of reading prompts of an engine that doesn't report one.
+    /// Prefill rate assumed for an engine that doesn't report one.
     pub default_prefill_tokens_per_s: TokenRate,
-    /// Time that a request takes at an endpoint of which none has finished yet.
+    /// Service time assumed for an endpoint at which no request has finished yet.
     pub default_service_time_us: DurationUs,
 }
 
--- a/crates/wisteriahitch-core/src/route/endpoint/pool.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/pool.rs
@@ -1,52 +1,52 @@
-//! Groups of endpoints that can serve the same requests.
+//! Pools of endpoints that can run the same requests.
 //!
-//! A decision looks only at its own pool, so that its cost doesn't grow with the other services.
+//! A decision reads only its own pool, so that its cost doesn't grow with the number of services.
 
 use std::collections::HashMap;
 
 use wisteriahitch_types::{ModelName, ServiceName, WeightVersion};
 
-/// Names a pool: a service and, for engines, one version of one model.
+/// Key of a pool: a service and, for engines, one weight version of one model.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct PoolKey {
     /// Service of the endpoints.
     pub(crate) service: ServiceName,
-    /// Model and version that they have ready; nothing for plain services.
+    /// Model and weight version that the endpoints have ready; `None` for plain services.
     pub(crate) model: Option<(ModelName, WeightVersion)>,
 }
 
-/// Says how willingly an endpoint is given work.
+/// Whether an endpoint in a pool can be chosen.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum PoolMembershipState {
-    /// It takes work.
+    /// It can be chosen.
     Ready,
-    /// It takes work only where no other endpoint can.
+    /// It is chosen only if no ready endpoint of the pool can be.
     LastResort,
-    /// It takes no work.
+    /// It can't be chosen and belongs to no pool.
     #[default]
     Excluded,
 }
 
-/// Holds the rows of one pool.
+/// The rows of the endpoints in one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
-    /// Endpoints that take work.
+    /// Rows that can be chosen.
     pub(crate) ready: Vec<usize>,
-    /// Endpoints that take work only where no other can.
+    /// Rows that are chosen only if no ready one can be.
     pub(crate) last_resort: Vec<usize>,
 }
 
-/// Remembers in which pools a row stands.
+/// The pools that a row is in.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct PoolMembership {
-    /// Pools.
+    /// Keys of the pools.
     pub(crate) keys: Vec<PoolKey>,
-    /// Place within each of them.
+    /// State of the row, the same in each of its pools.
     pub(crate) state: PoolMembershipState,
 }
 
 impl Pool {
-    /// Returns the rows of one standing.
+    /// Returns the rows with the given state.
     pub(crate) fn rows(&self, state: PoolMembershipState) -> &[usize] {
         match state {
             PoolMembershipState::Ready => &self.ready,
@@ -57,25 +57,25 @@
 }
 
 impl PoolMembership {
-    /// Returns whether the row stands so in this pool.
+    /// Returns whether the row is in the pool `key` with the given state.
     pub(crate) fn is_member(&self, key: &PoolKey, state: PoolMembershipState) -> bool {
         self.state == state && self.keys.contains(key)
     }
 }
 
-/// Holds every pool.
+/// All non-empty pools by key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pools {
     by_key: HashMap<PoolKey, Pool>,
 }
 
 impl Pools {
-    /// Returns the pool with this key.
+    /// Returns the pool with this key, or `None` if it has no endpoints.
     pub(crate) fn get(&self, key: &PoolKey) -> Option<&Pool> {
         self.by_key.get(key)
     }
 
-    /// Iterates over all pools.
+    /// Iterates over all pools and their keys.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&PoolKey, &Pool)> {
         self.by_key.iter()
     }
--- a/crates/wisteriahitch-core/src/route/endpoint/record.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/record.rs
@@ -15,12 +15,12 @@
     PoolMembershipState, PreviousInstances, ReceivedReport, SentLoad,
 };
 
-/// Part of a new sample in the moving mean of the time that a request takes.
+/// Weight of a new sample in the moving mean of the service time.
 const SERVICE_TIME_SMOOTHING: f64 = 0.1;
-/// How far the difference of two clocks may drift from one report to the next.
+/// Maximum drift of the clock offset from one report to the next, in microseconds.
 const MAX_CLOCK_DRIFT_US: i64 = 50;
 
-/// Holds what is known of one endpoint.
+/// Everything known about one endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointRecord {
     pub(crate) id: EndpointId,
@@ -28,24 +28,30 @@
     pub(crate) kind: ServiceKind,
     pub(crate) address: SocketAddr,
     pub(crate) availability_zone: AvailabilityZone,
+    /// Whether the endpoint checks the fence of a request, as configured.
     pub(crate) checks_fence: bool,
+    /// Last report that was accepted from the current instance.
     pub(crate) report: Option<ReceivedReport>,
     pub(crate) leaving: LeavingClaims,
     pub(crate) outlier: OutlierCounters,
+    /// Load that this daemon added or removed since the last report was made.
     pub(crate) sent_load: SentLoad,
-    /// Attempts of this daemon that have not ended.
+    /// Number of this daemon's unfinished attempts.
     pub(crate) in_flight: u64,
-    /// Counts the lives that this row has held, so that a late end of an earlier one is told apart.
+    /// Number of the instance that the row holds; outcomes of attempts at earlier ones are ignored.
     pub(crate) instance_number: u64,
+    /// Pools that the row is in; kept equal to [`Self::compute_membership`].
     pub(crate) membership: PoolMembership,
     state_machine: InitializedStateMachine<EndpointStateMachine>,
     previous_instances: PreviousInstances,
+    /// Moving mean of the time that a request holds its slot, without the expected wait.
     mean_service_time_us: Option<f64>,
+    /// Smallest observed difference between this process's clock and the endpoint's.
     clock_offset_us: Option<i64>,
 }
 
 impl EndpointRecord {
-    /// Builds a row for a configured endpoint.
+    /// Creates a row for a configured endpoint.
     pub(crate) fn new(
         service: ServiceName,
         kind: ServiceKind,
@@ -73,28 +79,30 @@
         }
     }
 
-    /// Returns the step of life.
+    /// Returns the state of the endpoint.
     pub(crate) fn state(&self) -> EndpointState {
         self.state_machine.state().into()
     }
 
-    /// Lets an event change the life.
+    /// Applies an event to the state machine.
     pub(crate) fn handle(&mut self, event: EndpointStateEvent) {
         self.state_machine.handle(&event);
     }
 
-    /// Takes a report over and changes the life accordingly; a late one changes nothing.
+    /// Applies a report and the state changes that follow from it; a stale one changes nothing.
     pub(crate) fn apply_report(
         &mut self,
         load: EndpointLoad,
         options: &EndpointOptions,
         now: TimeUs,
     ) {
-        let received = self.report.as_ref();
-        match self
-            .previous_instances
-            .classify_report(received, &load, self.leaving.is_leaving, now)
-        {
+        let last_report = self.report.as_ref();
+        match self.previous_instances.classify_report(
+            last_report,
+            &load,
+            self.leaving.is_leaving,
+            now,
+        ) {
             Freshness::Stale => return,
             Freshness::SameInstance => {}
             Freshness::ClockSetBack => self.clock_offset_us = None,
@@ -115,8 +123,8 @@
     }
 
     fn begin_instance(&mut self) {
-        let received = self.report.take();
-        if let Some(instance) = received.and_then(|received| received.load.life) {
+        let last_report = self.report.take();
+        if let Some(instance) = last_report.and_then(|report| report.load.life) {
             self.previous_instances.push(instance);
         }
         self.instance_number += 1;
@@ -129,10 +137,10 @@
         self.handle(EndpointStateEvent::Restarted);
     }
 
-    /// Returns when a report was made, on this process's clock.
+    /// Estimates when a report was made, on this process's clock.
     ///
-    /// The smallest difference seen between arrival and the endpoint's own time stands for the
-    /// difference of the clocks; what a report exceeds it by is its lag.
+    /// The smallest difference observed between the arrival time and the endpoint's own time is
+    /// taken as the offset of the clocks; a larger difference is the lag of a report.
     fn estimate_made_at(
         &mut self,
         load: &EndpointLoad,
@@ -161,50 +169,50 @@
         });
     }
 
-    /// Returns requests that run or wait, with this daemon's changes since the report.
+    /// Returns the running and queued requests: the report plus this daemon's changes since it.
     pub(crate) fn estimated_requests(&self) -> u64 {
         let reported = self
             .report
             .as_ref()
-            .map_or(0, |received| received.load.running + received.load.queued);
+            .map_or(0, |report| report.load.running + report.load.queued);
         self.sent_load.correct_requests(reported)
     }
 
-    /// Returns prompt tokens that wait, with this daemon's changes since the report.
+    /// Returns the queued prompt tokens: the report plus this daemon's changes since it.
     pub(crate) fn estimated_queued_tokens(&self) -> TokenCount {
         let reported = self
             .report
             .as_ref()
-            .map_or(0, |received| received.load.queued_tokens.get());
+            .map_or(0, |report| report.load.queued_tokens.get());
         TokenCount::new(self.sent_load.correct_tokens(reported))
     }
 
-    /// Returns requests that can run at once, at least one.
+    /// Returns the number of requests that can run at once, at least one.
     pub(crate) fn batch_slots(&self) -> u64 {
         let reported = self
             .report
             .as_ref()
-            .map_or(1, |received| received.load.batch_slots);
+            .map_or(1, |report| report.load.batch_slots);
         reported.max(1)
     }
 
-    /// Returns requests over slots, both as known here.
+    /// Returns the estimated requests divided by the batch slots.
     pub(crate) fn utilisation(&self) -> f64 {
         self.estimated_requests() as f64 / self.batch_slots() as f64
     }
 
-    /// Returns how long `tokens` take to be read.
+    /// Returns the time to compute `tokens` prompt tokens.
     pub(crate) fn prefill_time(&self, tokens: TokenCount, options: &EndpointOptions) -> DurationUs {
         let reported = self
             .report
             .as_ref()
-            .map(|received| received.load.prefill_tokens_per_s);
+            .map(|report| report.load.prefill_tokens_per_s);
         let rate = reported.filter(|rate| rate.get() > 0);
         let rate = rate.unwrap_or(options.default_prefill_tokens_per_s);
         rate.time_for(tokens)
     }
 
-    /// Estimates the wait before a new request is begun: for a slot, then for the prompts ahead.
+    /// Estimates the wait of a new request: for a batch slot, then for the prompts queued ahead.
     pub(crate) fn queue_time(&self, options: &EndpointOptions) -> DurationUs {
         let slots = self.batch_slots();
         let waiting = (self.estimated_requests() + 1).saturating_sub(slots);
@@ -218,14 +226,14 @@
 
     /// Returns whether the adapter is loaded for the model.
     pub(crate) fn has_adapter(&self, model: &ModelName, adapter: &AdapterName) -> bool {
-        let Some(received) = &self.report else {
+        let Some(report) = &self.report else {
             return false;
         };
-        let mut models = received.load.models.iter();
+        let mut models = report.load.models.iter();
         models.any(|loaded| loaded.model == *model && loaded.adapters.contains(adapter))
     }
 
-    /// Works out the pools that the row belongs to now.
+    /// Computes the pools that the row belongs to now.
     pub(crate) fn compute_membership(&self) -> PoolMembership {
         let state = match self.state() {
             EndpointState::Ready => PoolMembershipState::Ready,
@@ -247,10 +255,7 @@
                 model: None,
             }];
         }
-        let models = self
-            .report
-            .iter()
-            .flat_map(|received| &received.load.models);
+        let models = self.report.iter().flat_map(|report| &report.load.models);
         let ready = models.filter(|loaded| loaded.is_ready);
         let mut keys: Vec<PoolKey> = Vec::new();
         for loaded in ready {
--- a/crates/wisteriahitch-core/src/route/endpoint/reported.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/reported.rs
@@ -1,22 +1,19 @@
-//! What an endpoint has reported of itself, for those outside the router.
+//! Accessors for an endpoint's last report, for use outside the router.
 
 use wisteriahitch_types::{EndpointId, ModelName, TokenRate, WeightVersion};
 
 use super::{EndpointLoad, EndpointState, EndpointTable};
 
 impl EndpointTable {
-    /// Returns the last report of an endpoint.
+    /// Returns the last report of an endpoint, or `None` if it is unknown or has not reported.
     pub fn get_report(&self, endpoint: &EndpointId) -> Option<&EndpointLoad> {
         let row = *self.by_id.get(endpoint)?;
-        self.rows[row]
-            .report
-            .as_ref()
-            .map(|received| &received.load)
+        self.rows[row].report.as_ref().map(|report| &report.load)
     }
 
-    /// Returns the version of a model that an endpoint has ready, unless it is gone.
+    /// Returns the weight version of `model` that an endpoint has ready, unless it was removed.
     ///
-    /// A leaving endpoint counts: it takes no new work, but goes on with what it began.
+    /// A leaving endpoint is included: it gets no new requests, but still runs those it has begun.
     pub fn get_ready_version(
         &self,
         endpoint: &EndpointId,
@@ -30,7 +27,7 @@
         ready.next().map(|loaded| loaded.weight_version.clone())
     }
 
-    /// Returns the speed at which an endpoint reads prompts, if it has reported one.
+    /// Returns the prefill rate that an endpoint reported, or `None` if it has not reported.
     pub fn get_prefill_rate(&self, endpoint: &EndpointId) -> Option<TokenRate> {
         Some(self.get_report(endpoint)?.prefill_tokens_per_s)
     }
--- a/crates/wisteriahitch-core/src/route/endpoint/scan.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/scan.rs
@@ -1,4 +1,4 @@
-//! The systems that run over the endpoint table each tick.
+//! Periodic checks of the endpoint table: missing reports, ejections that end, slow endpoints.
 
 use std::collections::HashMap;
 
@@ -6,11 +6,11 @@
 
 use super::{EndpointState, EndpointStateEvent, EndpointTable, Slowness};
 
-/// Endpoints with enough samples without which a service has no median to compare with.
+/// Minimum number of endpoints with enough samples for a service to have a median.
 const MIN_ENDPOINTS_FOR_MEDIAN: usize = 2;
 
 impl EndpointTable {
-    /// Finds missing reports, ends ejections and looks for slow endpoints.
+    /// Marks endpoints with missing reports as suspect, ends ejections and ejects slow endpoints.
     pub fn tick(&mut self, now: TimeUs) {
         self.mark_silent_suspect(now);
         self.end_ejections(now);
@@ -25,8 +25,8 @@
         let is_silent = |row: &usize| {
             let record = &self.rows[*row];
             let report = record.report.as_ref();
-            let is_old = report
-                .is_some_and(|received| now.since(received.received_at_us) > suspect_after_us);
+            let is_old =
+                report.is_some_and(|report| now.since(report.received_at_us) > suspect_after_us);
             is_old && record.state() == EndpointState::Ready
         };
         let silent: Vec<usize> = (0..self.rows.len()).filter(is_silent).collect();
@@ -84,10 +84,10 @@
             .collect()
     }
 
-    /// Ejects a row unless too much of its service would be out.
+    /// Ejects an endpoint unless too many of its service are ejected or it is the last of a pool.
     ///
-    /// Without the floor a fault that all endpoints share, such as a slow link, would eject one
-    /// after the other; one would notice by refusals while every endpoint still answers.
+    /// Without this limit a fault that all endpoints share, such as a slow link, would eject one
+    /// after the other, and callers would be refused while every endpoint still answers.
     pub(crate) fn try_eject(&mut self, row: usize, now: TimeUs) {
         if !self.is_replaceable(row) || !self.is_ejection_allowed(row) {
             return;
--- a/crates/wisteriahitch-core/src/route/endpoint/sent_load.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/sent_load.rs
@@ -1,22 +1,26 @@
-//! Corrects a lagging load report by what this daemon has done since the report was made.
+//! Correction of a lagging load report by this daemon's own requests since it was made.
 
 use std::collections::VecDeque;
 
 use serde::Serialize;
 use wisteriahitch_types::TimeUs;
 
-/// Most changes that are kept apart; older ones are merged so that memory stays bounded while
-/// reports are missing.
+/// Maximum number of changes that are kept separately; the oldest are merged, which bounds the
+/// memory while reports are missing.
 const MAX_LOAD_CHANGES: usize = 1024;
 
 #[derive(Clone, Copy, Debug, Serialize)]
+/// One change of an endpoint's load by this daemon.
 struct LoadChange {
+    /// When the change was made.
     at_us: TimeUs,
+    /// Change of the number of requests.
     requests: i64,
+    /// Change of the number of queued prompt tokens.
     tokens: i64,
 }
 
-/// Sums this daemon's own changes to an endpoint's load since its last report was made.
+/// This daemon's own changes to an endpoint's load since its last report was made.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct SentLoad {
     changes: VecDeque<LoadChange>,
@@ -25,7 +29,7 @@
 }
 
 impl SentLoad {
-    /// Adds a change at `now`.
+    /// Adds a change made at `now`.
     pub(crate) fn add(&mut self, requests: i64, tokens: i64, now: TimeUs) {
         self.requests += requests;
         self.tokens += tokens;
@@ -39,7 +43,7 @@
         }
     }
 
-    /// Drops the changes that a report made at `made_at` already contains.
+    /// Drops the changes that a report made at `made_at` already includes.
     pub(crate) fn drop_before(&mut self, made_at: TimeUs) {
         while let Some(oldest) = self.changes.front() {
             if oldest.at_us >= made_at {
@@ -51,17 +55,17 @@
         }
     }
 
-    /// Drops every change, because the endpoint started again.
+    /// Drops all changes, because the endpoint restarted.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Returns `reported` requests with the changes since.
+    /// Returns the `reported` requests plus the changes since the report.
     pub(crate) fn correct_requests(&self, reported: u64) -> u64 {
         reported.saturating_add_signed(self.requests)
     }
 
-    /// Returns `reported` prompt tokens with the changes since.
+    /// Returns the `reported` prompt tokens plus the changes since the report.
     pub(crate) fn correct_tokens(&self, reported: u64) -> u64 {
         reported.saturating_add_signed(self.tokens)
     }
--- a/crates/wisteriahitch-core/src/route/endpoint/snapshot.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/snapshot.rs
@@ -1,43 +1,43 @@
-//! The endpoint table in a form for the dump.
+//! Snapshot of the endpoint table for the operators' dump.
 
 use serde::Serialize;
 use wisteriahitch_types::{AvailabilityZone, EndpointId, ServiceName, TimeUs, TokenCount};
 
 use super::{EndpointLoad, EndpointRecord, EndpointState, EndpointTable, Slowness};
 
-/// Shows what is known of one endpoint.
+/// Everything an operator sees of one endpoint.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointSnapshot {
-    /// Endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Availability zone.
+    /// Availability zone that it runs in.
     pub availability_zone: AvailabilityZone,
-    /// Step of life.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// Last report.
+    /// Last report; `None` before the first.
     pub report: Option<EndpointLoad>,
-    /// When the last report came.
+    /// When the last report arrived.
     pub reported_at_us: Option<TimeUs>,
-    /// Requests that run or wait there, corrected.
+    /// Running and queued requests, with this daemon's changes since the report.
     pub requests: u64,
-    /// Prompt tokens that wait there, corrected.
+    /// Queued prompt tokens, with this daemon's changes since the report.
     pub queued_tokens: TokenCount,
-    /// Attempts of this daemon under way there.
+    /// Number of this daemon's unfinished attempts.
     pub in_flight: u64,
-    /// Failures since the last success.
+    /// Consecutive failures since the last success.
     pub failures_in_row: u32,
-    /// How slow its first tokens are.
+    /// Moving means of how late its first tokens are.
     pub slowness: Slowness,
-    /// When the ejection ends.
+    /// End of the ejection; `None` if the endpoint isn't ejected.
     pub ejected_until_us: Option<TimeUs>,
-    /// Whether one request at a time probes it.
+    /// Whether it gets one request at a time after an ejection.
     pub is_probing: bool,
 }
 
 impl EndpointTable {
-    /// Shows every endpoint in the order of the names.
+    /// Returns a snapshot of every endpoint, ordered by id.
     pub fn snapshot(&self) -> Vec<EndpointSnapshot> {
         let mut rows: Vec<EndpointSnapshot> = self
             .by_id
@@ -55,11 +55,8 @@
         service: record.service.clone(),
         availability_zone: record.availability_zone.clone(),
         state: record.state(),
-        report: record.report.as_ref().map(|received| received.load.clone()),
-        reported_at_us: record
-            .report
-            .as_ref()
-            .map(|received| received.received_at_us),
+        report: record.report.as_ref().map(|report| report.load.clone()),
+        reported_at_us: record.report.as_ref().map(|report| report.received_at_us),
         requests: record.estimated_requests(),
         queued_tokens: record.estimated_queued_tokens(),
         in_flight: record.in_flight,
--- a/crates/wisteriahitch-core/src/route/endpoint/state.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/state.rs
@@ -1,50 +1,50 @@
-//! The life cycle of an endpoint as this daemon sees it.
+//! State machine of an endpoint as this daemon sees it.
 //!
-//! It has no model in `specs/`; generated runs in the crate's tests hold it to its promises.
+//! It has no model in `specs/`; property tests of this crate check its guarantees.
 
 use serde::{Deserialize, Serialize};
 use statig::prelude::*;
 
-/// Names the steps of an endpoint's life.
+/// State of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// It is configured, and no report of it has come yet.
+    /// It is configured but has not reported yet.
     Starting,
-    /// It takes work.
+    /// It can be given requests.
     Ready,
-    /// Its reports are missing; it takes work only where no other endpoint can.
+    /// Its reports are missing; it is chosen only if no ready endpoint can be.
     Suspect,
-    /// It failed or was slow too often and takes no work for a while.
+    /// It failed, refused or was slow too often and gets no requests until the ejection ends.
     Ejected,
-    /// It will go away and takes no new work.
+    /// It is going away and gets no new requests.
     Leaving,
-    /// It is no longer configured.
+    /// It was removed from the configuration.
     Gone,
 }
 
-/// What can change an endpoint's life.
+/// Events of the endpoint state machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum EndpointStateEvent {
-    /// A report of it came.
+    /// A report arrived.
     Reported,
-    /// No report came for long.
+    /// No report arrived for longer than the limit.
     ReportsMissing,
-    /// It was found an outlier.
+    /// Outlier detection ejected it.
     Ejected,
-    /// Its ejection is over.
+    /// The ejection ended; the endpoint is probed from now on.
     EjectionEnded,
-    /// Some source says that it is leaving.
+    /// A source announced that it is leaving.
     LeavingAnnounced,
-    /// Its own report speaks of a new life.
+    /// Its own report is of a new instance.
     Restarted,
-    /// The VM list took back what it alone had said of this life.
+    /// The VM list retracted a claim that no other source had made of this instance.
     LeavingRetracted,
-    /// It was taken out of the configuration.
+    /// It was removed from the configuration.
     Removed,
 }
 
-/// Holds no data of its own: the state is all there is.
+/// The state machine of one endpoint; it has no data besides its state.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointStateMachine;
 
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Nothing but the endpoint's own report of a new life leads back from here, or
+    /// Left only by the endpoint's own report of a new instance, or by
     /// [`LeavingClaims::retract_vm_list`](super::LeavingClaims::retract_vm_list) after one.
     ///
-    /// A VM list or a peer that lags would otherwise put an endpoint back to work that has said
-    /// it is leaving; one would notice by requests cut off when it goes.
+    /// Otherwise a lagging VM list or peer would make an endpoint ready again that has announced
+    /// its leaving, and requests would be cut off when it goes.
     #[state(superstate = "configured")]
     fn leaving(event: &EndpointStateEvent) -> Outcome<State> {
         match event {
--- a/crates/wisteriahitch-core/src/route/endpoint/table.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/table.rs
@@ -1,4 +1,4 @@
-//! The table of all endpoints and the events that change it.
+//! The endpoint table and the events that change it.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -11,39 +11,42 @@
     InFlightAttempt, LeavingSource, Pools,
 };
 
-/// Most steps of lives that are kept for logs and metrics.
+/// Maximum number of state changes that are kept for logs and metrics.
 const MAX_STATE_CHANGES: usize = 1_024;
 
-/// Tells that an endpoint's life took a step.
+/// A change of an endpoint's state.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct EndpointStateChange {
-    /// Endpoint.
+    /// Endpoint whose state changed.
     pub endpoint: EndpointId,
-    /// Step that it was in.
+    /// State before the change.
     pub from: EndpointState,
-    /// Step that it is in now.
+    /// State after the change.
     pub to: EndpointState,
 }
 
-/// Holds every endpoint and what this daemon has under way at it.
+/// State and load of every endpoint, and this daemon's unfinished attempts.
 ///
 /// Times are of this process's monotonic clock. See `docs/design/routing.md`.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     pub(crate) options: EndpointOptions,
+    /// Rows are reused: an endpoint that is added takes the row of a removed one.
     pub(crate) rows: Vec<EndpointRecord>,
     pub(crate) by_id: HashMap<EndpointId, usize>,
     pub(crate) pools: Pools,
+    /// When slow endpoints were last searched for.
     pub(crate) last_scan_at_us: TimeUs,
+    /// State changes that [`EndpointTable::drain_state_changes`] has not returned yet.
     pub(crate) state_changes: VecDeque<EndpointStateChange>,
-    /// Endpoints that were taken out since the last tick of the router.
+    /// Endpoints removed since the last tick of the router.
     pub(crate) removed_since_tick: Vec<EndpointId>,
     pub(crate) attempts: HashMap<AttemptId, InFlightAttempt>,
     pub(crate) next_attempt_id: u64,
 }
 
 impl EndpointTable {
-    /// Builds an empty table.
+    /// Creates an empty table.
     pub fn new(options: EndpointOptions) -> Self {
         Self {
             options,
@@ -51,9 +54,9 @@
         }
     }
 
-    /// Takes over the endpoints of a configuration.
+    /// Applies the endpoints of a configuration.
     ///
-    /// An endpoint that comes new, or with another address, starts; one that is missing is gone.
+    /// An endpoint that is new or has another address starts anew; one that is missing is removed.
     pub fn apply_endpoint_configuration(&mut self, configuration: &Configuration, now: TimeUs) {
         let mut wanted = HashSet::new();
         for service in configuration.services.values() {
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Takes over an endpoint's own report; one of an endpoint that isn't configured is ignored.
+    /// Applies an endpoint's own report; one of an endpoint that isn't configured is ignored.
     pub fn record_report(&mut self, endpoint: &EndpointId, load: EndpointLoad, now: TimeUs) {
         let Some(&row) = self.by_id.get(endpoint) else {
             return;
@@ -129,9 +132,10 @@
         self.update_row(row, |record| record.apply_report(load, &options, now));
     }
 
-    /// Records that `source` says an endpoint is leaving; it gets no new work from now on.
+    /// Records the claim of `source` that an endpoint is leaving; it gets no new requests from now
+    /// on.
     ///
-    /// What a peer says of another life than the one reported here is ignored.
+    /// A peer's claim about another instance than the reported one is ignored.
     pub fn mark_leaving(&mut self, endpoint: &EndpointId, source: &LeavingSource, _now: TimeUs) {
         let Some(&row) = self.by_id.get(endpoint) else {
             return;
@@ -148,10 +152,10 @@
         });
     }
 
-    /// Records that the VM list, which said that an endpoint is leaving, now says it is live.
+    /// Records that the VM list no longer shows an endpoint as leaving.
     ///
-    /// This alone brings no endpoint back from a leaving: the endpoint's own report of a new life
-    /// must have come before.
+    /// This makes the endpoint ready again only if its own report of a new instance arrived after
+    /// an earlier leaving.
     pub fn retract_vm_list_leaving(&mut self, endpoint: &EndpointId, _now: TimeUs) {
         let Some(&row) = self.by_id.get(endpoint) else {
             return;
@@ -163,20 +167,20 @@
         });
     }
 
-    /// Takes the steps that lives took since the last call, for logs and metrics; of many, the
-    /// last 1,024.
+    /// Returns and clears the state changes since the last call, for logs and metrics; at most the
+    /// last 1,024 are kept.
     pub fn drain_state_changes(&mut self) -> Vec<EndpointStateChange> {
         std::mem::take(&mut self.state_changes).into()
     }
 
-    /// Changes a row and brings its pools and the list of changes up to date.
+    /// Updates a row, then its pools and the list of state changes.
     pub(crate) fn update_row(&mut self, row: usize, update: impl FnOnce(&mut EndpointRecord)) {
         let record = &mut self.rows[row];
         let from = record.state();
         update(record);
         let to = record.state();
         if from != to {
-            // Nobody may be there to take them, and memory has to stay bounded all the same.
+            // The list may never be drained, but memory must stay bounded.
             if self.state_changes.len() >= MAX_STATE_CHANGES {
                 self.state_changes.pop_front();
             }
--- a/crates/wisteriahitch-core/src/route/endpoint/traffic.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/traffic.rs
@@ -1,14 +1,14 @@
-//! What this daemon sends to endpoints, and how it ends.
+//! Recording of this daemon's attempts at endpoints and of their outcomes.
 
 use wisteriahitch_types::{DurationUs, EndpointId, TimeUs, TokenCount};
 
 use super::{AttemptFailure, AttemptId, EndpointTable, InFlightAttempt};
 
 impl EndpointTable {
-    /// Records an attempt that is sent now, and names it for the calls that follow.
+    /// Records an attempt that is sent now and returns its id for the calls that follow.
     ///
-    /// `prefill_tokens` are the prompt tokens that the endpoint is to compute, and `expected_us`
-    /// is the estimate of the time to the first token. Returns nothing for an unknown endpoint.
+    /// `prefill_tokens` is the number of prompt tokens that the endpoint has to compute, and
+    /// `expected_us` the estimated time to the first token. Returns `None` for an unknown endpoint.
     pub fn begin_attempt(
         &mut self,
         endpoint: &EndpointId,
@@ -34,7 +34,7 @@
         Some(id)
     }
 
-    /// Records the first token of an attempt.
+    /// Records the first token of an attempt; later calls for the same attempt do nothing.
     pub fn record_first_token(&mut self, id: AttemptId, now: TimeUs) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -56,7 +56,7 @@
             .record_first_token(elapsed, attempt.expected_us);
     }
 
-    /// Records the good end of an attempt.
+    /// Records that an attempt brought a whole answer.
     pub fn record_success(&mut self, id: AttemptId, now: TimeUs) {
         self.record_first_token(id, now);
         let Some(row) = self.remove_attempt_and_load(id, now) else {
@@ -65,11 +65,12 @@
         self.rows[row].outlier.record_success();
     }
 
-    /// Records the bad end of an attempt; the endpoint may be ejected by it.
+    /// Records that an attempt failed, which may eject the endpoint.
     ///
-    /// What was refused stays counted as load until the next report is made. An endpoint that
-    /// refuses at once while its report says that it is idle would otherwise look best to every
-    /// request and draw them all; one would notice by refusals while other endpoints have room.
+    /// A refused attempt stays counted as load until a report that was made later. Otherwise an
+    /// endpoint that refuses at once while its report shows it idle would look best to every
+    /// request and attract them all, and callers would be refused while other endpoints have
+    /// capacity.
     pub fn record_failure(&mut self, id: AttemptId, failure: AttemptFailure, now: TimeUs) {
         let is_refused = failure == AttemptFailure::Refused;
         let row = match is_refused {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Removes a flight with its load and returns its row, if that still holds the same life.
+    /// Removes an attempt and its load. Returns its row if that still holds the same instance.
     fn remove_attempt_and_load(&mut self, id: AttemptId, now: TimeUs) -> Option<usize> {
         let attempt = self.attempts.get(&id)?.clone();
         let row = self.remove_attempt(id)?;
@@ -101,15 +102,15 @@
         };
         record.sent_load.add(-1, tokens, now);
         if attempt.has_first_token {
-            // The expected wait isn't learned as work: estimates would grow with every queue,
-            // which one would notice by refusals for deadlines that could be met.
+            // The expected wait isn't counted as service time: estimates would grow with every
+            // queue, and requests would be refused for deadlines that can be met.
             let elapsed = now.since(attempt.sent_at_us);
             record.record_service_time(elapsed.saturating_sub(attempt.expected_us));
         }
         Some(row)
     }
 
-    /// Removes a flight and returns its row, if that still holds the same life.
+    /// Removes an attempt. Returns its row if that still holds the same instance.
     fn remove_attempt(&mut self, id: AttemptId) -> Option<usize> {
         let attempt = self.attempts.remove(&id)?;
         let record = &mut self.rows[attempt.row];
