--- a/crates/wisteriahitch-core/src/route/admission/ending.rs
+++ b/crates/wisteriahitch-core/src/route/admission/ending.rs
@@ -1,4 +1,4 @@
-//! How requests leave: they end, are taken back, or wait too long.
+//! How requests leave admission: they end, are cancelled, or miss their deadline.
 
 use wisteriahitch_types::{Code, DurationUs, RequestId, TimeUs};
 
@@ -7,7 +7,7 @@
 use super::{Admission, AdmissionCommand};
 
 impl Admission {
-    /// Records that a started request has ended, in whatever way, and starts the next.
+    /// Records the end of a started request, whatever its outcome, and starts waiting ones.
     pub fn finish_request(&mut self, request: &RequestId, now: TimeUs) -> Vec<AdmissionCommand> {
         let is_running = |entry: &Entry| matches!(entry.state, EntryState::Running);
         if !self.entries.get(request).is_some_and(is_running) {
@@ -22,9 +22,9 @@
         self.start_waiting(&entry.service, now)
     }
 
-    /// Takes a request back that waits, and returns whether it did; it was not run.
+    /// Removes a waiting request and returns whether it was waiting. It was not run.
     ///
-    /// One that was started stays counted until [`Admission::finish_request`].
+    /// A started request stays counted until [`Admission::finish_request`].
     pub fn cancel(&mut self, request: &RequestId) -> bool {
         let Some(entry) = self.entries.get(request) else {
             return false;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Refuses requests whose deadline has passed while they waited, and forgets idle workspaces.
+    /// Refuses waiting requests whose deadline has passed and removes idle workspaces.
     pub fn tick(&mut self, now: TimeUs) -> Vec<AdmissionCommand> {
         for gate in self.gates.values_mut() {
             gate.queue.remove_idle();
@@ -50,6 +50,7 @@
         self.expire(now)
     }
 
+    /// Refuses waiting requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: TimeUs) -> Vec<AdmissionCommand> {
         let mut commands = Vec::new();
         while let Some((deadline, request)) = self.deadlines.first().cloned() {
@@ -67,7 +68,7 @@
         commands
     }
 
-    /// Refuses every request that waits, such as when nothing can be started any more.
+    /// Refuses every waiting request with `code`, such as when none can be started any more.
     pub fn refuse_waiting(&mut self, code: Code) -> Vec<AdmissionCommand> {
         let waiting: Vec<RequestId> = self.deadlines.iter().map(|(_, id)| id.clone()).collect();
         waiting
--- a/crates/wisteriahitch-core/src/route/admission/entry.rs
+++ b/crates/wisteriahitch-core/src/route/admission/entry.rs
@@ -1,17 +1,19 @@
-//! One request that waits or runs.
+//! A request that admission has accepted.
 
 use wisteriahitch_types::{ServiceName, TimeUs, WorkspaceId};
 
 use super::fair_queue::Rank;
 
-/// Says whether a request waits or runs.
+/// Whether a request waits or runs.
 #[derive(Clone, Debug)]
 pub(super) enum EntryState {
+    /// `rank` is its position in the queue, `deadline_us` the time at which it is refused.
     Waiting { rank: Rank, deadline_us: TimeUs },
+    /// It was started and has not ended.
     Running,
 }
 
-/// Holds a request that was let in and hasn't ended.
+/// A request that was accepted and hasn't ended.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) workspace: WorkspaceId,
--- a/crates/wisteriahitch-core/src/route/admission/fair_queue.rs
+++ b/crates/wisteriahitch-core/src/route/admission/fair_queue.rs
@@ -5,19 +5,20 @@
 
 use wisteriahitch_types::WorkspaceId;
 
-/// Virtual time, in cost over weight, scaled to whole numbers so that it can be ordered.
+/// Virtual time: cost divided by weight, scaled to an integer so that it can be ordered.
 type VirtualTime = u128;
 
-/// Workspaces whose weights stand for those of all that wait, so that a step costs no more with
-/// thousands of them.
+/// Maximum number of waiting workspaces whose weights are read to estimate the mean weight.
+///
+/// It bounds the cost of a step with thousands of waiting workspaces.
 const MAX_SAMPLED_WEIGHTS: usize = 64;
 
 /// Virtual time of one unit of cost at weight one.
 const VIRTUAL_TIME_SCALE: u128 = 1 << 20;
 
-/// Place of a request in its workspace's queue: highest priority first, then in order of arrival.
+/// Position of a request in its workspace's queue: highest priority first, then by arrival.
 ///
-/// No two requests of one queue share a place.
+/// Ranks are unique within a queue.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Rank {
     priority: Reverse<u8>,
@@ -25,18 +26,20 @@
 }
 
 #[derive(Clone, Debug, Default)]
+/// The queue of one workspace.
 struct Flow {
-    /// Virtual time at which what it has begun would have ended.
+    /// Virtual time at which the requests it has started end.
     finish: VirtualTime,
-    /// Start tag under which it stands in the order; nothing while it waits for nothing.
+    /// Start tag of its next request in `FairQueue::order`; `None` while no request waits.
     start: Option<VirtualTime>,
+    /// Costs of the waiting requests.
     waiting: BTreeMap<Rank, u64>,
 }
 
 /// Orders workspaces by the virtual time at which their next request starts.
 ///
-/// A workspace that was idle starts at the present virtual time: it banks no credit. One that
-/// sends more only lengthens its own queue, because each start moves its own tag on.
+/// A workspace that was idle starts at the current virtual time, so it accumulates no credit. One
+/// that sends more only lengthens its own queue, because each started request advances its tag.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
     virtual_now: VirtualTime,
@@ -47,7 +50,7 @@
 }
 
 impl FairQueue {
-    /// Adds a request with its cost.
+    /// Adds a request with its cost and returns its rank; a cost of zero counts as one.
     pub(crate) fn push(&mut self, workspace: &WorkspaceId, priority: u8, cost: u64) -> Rank {
         let rank = Rank {
             priority: Reverse(priority),
@@ -65,7 +68,7 @@
         rank
     }
 
-    /// Takes the request that is next, by the weight of its workspace.
+    /// Removes and returns the request that is next, given the workspaces' weights.
     pub(crate) fn pop(&mut self, weight: impl Fn(&WorkspaceId) -> u32) -> Option<Rank> {
         let (start, workspace) = self.order.pop_first()?;
         let flow = self.flows.get_mut(&workspace)?;
@@ -82,7 +85,7 @@
         Some(rank)
     }
 
-    /// Removes a request that still waits.
+    /// Removes a request if it is still waiting.
     pub(crate) fn remove(&mut self, workspace: &WorkspaceId, rank: Rank) {
         let Some(flow) = self.flows.get_mut(workspace) else {
             return;
@@ -98,19 +101,19 @@
         }
     }
 
-    /// Forgets workspaces that wait for nothing and whose past no longer matters.
+    /// Removes workspaces without waiting requests whose tag no longer affects the order.
     pub(crate) fn remove_idle(&mut self) {
         let now = self.virtual_now;
         self.flows
             .retain(|_, flow| flow.start.is_some() || flow.finish > now);
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns how many requests of a workspace go before one more of this priority.
+    /// Returns how many waiting requests of a workspace precede a new one with this priority.
     pub(crate) fn count_ahead_of(&self, workspace: &WorkspaceId, priority: u8) -> usize {
         let lowest = Rank {
             priority: Reverse(priority),
@@ -120,7 +123,10 @@
         flow.map_or(0, |flow| flow.waiting.range(..lowest).count())
     }
 
-    /// Returns the part of the service that a workspace gets beside those that wait now.
+    /// Estimates the share of the service that a workspace gets beside those that wait now.
+    ///
+    /// It lies between 0 and 1. The weights of at most [`MAX_SAMPLED_WEIGHTS`] other workspaces are
+    /// read.
     pub(crate) fn share_of(
         &self,
         workspace: &WorkspaceId,
@@ -142,7 +148,7 @@
         own / (own + mean * count)
     }
 
-    /// Returns how many requests of a workspace wait.
+    /// Returns the number of waiting requests of a workspace.
     pub(crate) fn count_waiting_of(&self, workspace: &WorkspaceId) -> usize {
         let flow = self.flows.get(workspace);
         flow.map_or(0, |flow| flow.waiting.len())
--- a/crates/wisteriahitch-core/src/route/admission/gate.rs
+++ b/crates/wisteriahitch-core/src/route/admission/gate.rs
@@ -1,4 +1,4 @@
-//! How many requests of one service run, and which wait.
+//! Running and waiting requests of one service.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,27 @@
 
 use super::fair_queue::{FairQueue, Rank};
 
-/// Part of a new sample in the moving mean of the time between two ends.
+/// Weight of a new sample in the moving mean of the time between two ends.
 const END_INTERVAL_SMOOTHING: f64 = 0.1;
 
-/// Holds the requests of one service.
+/// The running and waiting requests of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Gate {
     pub(crate) queue: FairQueue,
-    /// Waiting requests by their place in the queue.
+    /// Waiting requests by their rank in the queue.
     pub(crate) requests: HashMap<Rank, RequestId>,
+    /// Number of running requests.
     pub(crate) running: usize,
+    /// Maximum number of running requests.
     pub(crate) capacity: usize,
+    /// When a request last ended while others were waiting; `None` if none waited.
     last_end_at_us: Option<TimeUs>,
+    /// Moving mean of the time between two ends while requests wait; zero before the first sample.
     mean_end_interval_us: f64,
 }
 
 impl Gate {
-    /// Builds a gate that lets `capacity` requests run at once.
+    /// Creates a gate that lets `capacity` requests run at once.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             queue: FairQueue::default(),
@@ -41,8 +45,8 @@
 
     /// Records the end of a running request.
     ///
-    /// The time between two ends tells how fast the queue moves only while there is one: the pauses
-    /// of a quiet hour would make the next burst look as if it could never be served.
+    /// The time between two ends is a measure of the service's throughput only while requests wait.
+    /// Pauses without any would make the next burst look as if it could never be served.
     pub(crate) fn record_end(&mut self, now: TimeUs) {
         self.running = self.running.saturating_sub(1);
         if let Some(last) = self.last_end_at_us {
@@ -56,10 +60,10 @@
         self.last_end_at_us = has_waiting.then_some(now);
     }
 
-    /// Estimates how long one more request of a workspace would wait behind those that rank before
-    /// it, at the workspace's share; zero while nothing waits.
+    /// Estimates the wait of a new request of a workspace behind those that precede it, given the
+    /// workspace's share of the service; zero while nothing waits.
     ///
-    /// Something always may wait, so that a bad estimate is put right by the next ends.
+    /// One request can always wait, so that later ends correct a wrong estimate.
     pub(crate) fn estimate_wait(
         &self,
         workspace: &WorkspaceId,
@@ -75,7 +79,7 @@
         DurationUs::new((ends * self.mean_end_interval_us) as u64)
     }
 
-    /// Estimates when the requests that wait will have started.
+    /// Estimates the time until all waiting requests have started.
     pub(crate) fn estimate_drain_time(&self) -> DurationUs {
         DurationUs::new((self.queue.len() as f64 * self.mean_end_interval_us) as u64)
     }
--- a/crates/wisteriahitch-core/src/route/admission/mod.rs
+++ b/crates/wisteriahitch-core/src/route/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission: quotas, bounded queues and fair shares among workspaces.
+//! Admission control: quotas, bounded queues and fair shares among workspaces.
 
 mod ending;
 mod entry;
--- a/crates/wisteriahitch-core/src/route/admission/quota.rs
+++ b/crates/wisteriahitch-core/src/route/admission/quota.rs
@@ -1,21 +1,27 @@
-//! What one workspace may send.
+//! Request and token quota of one workspace.
 
 use wisteriahitch_config::Workspace;
 use wisteriahitch_types::{DurationUs, TimeUs, TokenCount};
 
 use super::token_bucket::TokenBucket;
 
-/// Holds the bounds and the weight of one workspace at this daemon.
+/// The quota, queue limit and weight of one workspace at this daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct Quota {
+    /// Weight of the workspace in the fair queue.
     pub(crate) weight: u32,
+    /// Maximum number of waiting requests, over all services.
     pub(crate) max_queued: usize,
+    /// Limits requests per second; `None` if unlimited.
     requests: Option<TokenBucket>,
+    /// Limits prompt tokens per second; `None` if unlimited.
     prompt_tokens: Option<TokenBucket>,
 }
 
 impl Quota {
-    /// Builds the quota, with full buckets.
+    /// Creates the quota with full buckets.
+    ///
+    /// `daemons` is the number of daemons that the configured rates are divided among.
     pub(crate) fn new(workspace: &Workspace, daemons: u32, now: TimeUs) -> Self {
         let mut quota = Self {
             weight: 1,
@@ -27,7 +33,7 @@
         quota
     }
 
-    /// Takes over changed bounds; what has been used stays used.
+    /// Applies changed limits; what has been consumed stays consumed.
     pub(crate) fn configure(&mut self, workspace: &Workspace, daemons: u32, now: TimeUs) {
         let daemon_share = 1.0 / f64::from(daemons.max(1));
         self.weight = workspace.weight;
@@ -46,7 +52,7 @@
         );
     }
 
-    /// Takes a request out of the quota, or returns how long to wait before it would fit.
+    /// Consumes the quota for a request and returns zero, or returns the time until it can pass.
     pub(crate) fn try_charge(&mut self, prompt_tokens: TokenCount, now: TimeUs) -> DurationUs {
         let wait_of = |bucket: &mut TokenBucket| bucket.time_until_available(now);
         let requests_wait = self.requests.as_mut().map_or(DurationUs::ZERO, wait_of);
--- a/crates/wisteriahitch-core/src/route/admission/refusal.rs
+++ b/crates/wisteriahitch-core/src/route/admission/refusal.rs
@@ -1,15 +1,15 @@
-//! Telling a caller to come back later.
+//! Refusals with a bounded retry delay.
 
 use wisteriahitch_types::{Code, DurationUs, RequestId};
 
 use super::AdmissionCommand;
 
-/// Shortest time after which a caller is told to come back.
+/// Minimum retry delay that is returned to a caller.
 const MIN_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(100);
-/// Longest time after which a caller is told to come back.
+/// Maximum retry delay that is returned to a caller.
 const MAX_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Refuses a request, which was not run.
+/// Returns the command that refuses a request, which was not run.
 pub(super) fn refuse(request: RequestId, code: Code, after: DurationUs) -> AdmissionCommand {
     AdmissionCommand::Refuse {
         request,
--- a/crates/wisteriahitch-core/src/route/admission/request.rs
+++ b/crates/wisteriahitch-core/src/route/admission/request.rs
@@ -1,42 +1,43 @@
-//! What admission takes in and gives out.
+//! Input and output types of admission.
 
 use serde::Serialize;
 use wisteriahitch_types::{
     Code, DurationUs, RequestId, ServiceName, TimeUs, TokenCount, WorkspaceId,
 };
 
-/// Asks to let a request run.
+/// A request that asks to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Request, unique among those that wait or run here.
+    /// Request id, unique among those that wait or run at this daemon.
     pub request: RequestId,
-    /// Workspace that it counts against.
+    /// Workspace whose quota and share it uses.
     pub workspace: WorkspaceId,
-    /// Service that it waits for.
+    /// Service that it needs.
     pub service: ServiceName,
-    /// Higher goes first within the workspace.
+    /// Priority within the workspace; higher starts first.
     pub priority: u8,
     /// Length of the prompt, for the quota; zero for a plain service.
     pub prompt_tokens: TokenCount,
-    /// Work that it is expected to cause, by which shares are measured; zero counts as one.
+    /// Expected work, by which fair shares are measured; zero counts as one.
     pub cost_tokens: TokenCount,
-    /// Time after which starting it is of no use.
+    /// Time after which starting it is useless.
     pub deadline_us: TimeUs,
 }
 
-/// Tells the shell what to do.
+/// A command to the shell.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdmissionCommand {
-    /// Let the request run; [`Admission::finish_request`](super::Admission::finish_request) must follow.
+    /// Run the request; [`Admission::finish_request`](super::Admission::finish_request) must
+    /// follow.
     Start(RequestId),
-    /// Refuse the request, which was not run.
+    /// Refuse the request. It was not run.
     Refuse {
-        /// Request.
+        /// Id of the request.
         request: RequestId,
-        /// Reason.
+        /// Reason of the refusal.
         code: Code,
-        /// When it is worth coming back.
+        /// Time after which the caller may retry.
         retry_after_us: DurationUs,
     },
 }
--- a/crates/wisteriahitch-core/src/route/admission/snapshot.rs
+++ b/crates/wisteriahitch-core/src/route/admission/snapshot.rs
@@ -1,25 +1,25 @@
-//! Admission in a form for the dump.
+//! Snapshot of admission for the operators' dump.
 
 use serde::Serialize;
 use wisteriahitch_types::ServiceName;
 
 use super::Admission;
 
-/// Shows one service's gate, for the dump.
+/// Running and waiting requests of one service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct GateSnapshot {
-    /// Service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests that may run at once.
+    /// Maximum number of running requests.
     pub capacity: usize,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
 
 impl Admission {
-    /// Shows every gate in the order of the services.
+    /// Returns a snapshot of every service that had a request, ordered by name.
     pub fn snapshot(&self) -> Vec<GateSnapshot> {
         let mut gates: Vec<GateSnapshot> = self
             .gates
--- a/crates/wisteriahitch-core/src/route/admission/table.rs
+++ b/crates/wisteriahitch-core/src/route/admission/table.rs
@@ -1,4 +1,4 @@
-//! Admission: who may start, who waits and who is refused.
+//! Admission: which requests start, wait or are refused.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,12 +11,12 @@
 use super::refusal::refuse;
 use super::{AdmissionCommand, AdmissionRequest};
 
-/// Requests of a service that run at once until its capacity is told.
+/// Number of requests of a service that may run at once before its capacity is set.
 const DEFAULT_CAPACITY: usize = 64;
 
-/// Shares each service among the workspaces by their weights, within their quotas.
+/// Divides each service among the workspaces by their weights, within their quotas.
 ///
-/// A step costs the logarithm of the number of workspaces and requests. See
+/// The cost of a step grows with the logarithm of the number of workspaces and requests. See
 /// `docs/design/admission.md`.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
@@ -24,13 +24,15 @@
     pub(super) gates: HashMap<ServiceName, Gate>,
     capacities: HashMap<ServiceName, usize>,
     pub(super) entries: HashMap<RequestId, Entry>,
+    /// Waiting requests by their deadline.
     pub(super) deadlines: BTreeSet<(TimeUs, RequestId)>,
 }
 
 impl Admission {
-    /// Takes over weights, quotas and bounds of a configuration.
+    /// Applies the weights, quotas and queue limits of a configuration.
     ///
-    /// `daemons` is how many daemons share the callers: each grants its part of a site's quota.
+    /// `daemons` is the number of daemons that serve callers; each grants its part of a site's
+    /// quota.
     pub fn apply_quota_configuration(
         &mut self,
         configuration: &Configuration,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Sets how many requests of a service this daemon lets run at once.
+    /// Sets how many requests of a service this daemon runs at once.
     pub fn set_capacity(
         &mut self,
         service: &ServiceName,
@@ -64,9 +66,9 @@
         self.start_waiting(service, now)
     }
 
-    /// Takes a request in: it starts, waits or is refused.
+    /// Accepts a request, which then starts or waits, or refuses it.
     ///
-    /// A second request of the same id changes nothing while the first waits or runs.
+    /// A second request with the same id has no effect while the first waits or runs.
     pub fn submit_request(
         &mut self,
         request: AdmissionRequest,
@@ -98,6 +100,7 @@
         self.start_waiting(&request.service, now)
     }
 
+    /// Returns the refusal of a request that can't be accepted.
     fn check(&mut self, request: &AdmissionRequest, now: TimeUs) -> Result<(), AdmissionCommand> {
         let id = request.request.clone();
         if request.deadline_us <= now {
@@ -115,7 +118,9 @@
         self.check_quota(request, now)
     }
 
-    /// Takes the request out of its workspace's quota; last of all, since a refusal costs nothing.
+    /// Charges the request to its workspace's quota.
+    ///
+    /// This is the last check, since a refused request must not be charged.
     fn check_quota(
         &mut self,
         request: &AdmissionRequest,
@@ -135,10 +140,10 @@
         }
     }
 
-    /// Refuses a request that could not start in time.
+    /// Refuses a request whose estimated wait exceeds its deadline.
     ///
-    /// Let into the queue, it would be told so only at its deadline, when its caller could long
-    /// have asked elsewhere or come back later.
+    /// In the queue it would be refused only at its deadline, when its caller could long have tried
+    /// elsewhere or later.
     fn check_deadline(
         &self,
         request: &AdmissionRequest,
@@ -162,7 +167,7 @@
         ))
     }
 
-    /// Starts what fits; requests that nobody waits for any more are refused before.
+    /// Refuses expired requests, then starts waiting ones while the service has free slots.
     pub(super) fn start_waiting(
         &mut self,
         service: &ServiceName,
@@ -203,6 +208,7 @@
         gate.map_or(DurationUs::ZERO, Gate::estimate_drain_time)
     }
 
+    /// Returns the number of waiting requests of the request's workspace, over all services.
     fn count_waiting_of(&self, request: &AdmissionRequest) -> usize {
         let of_gate = |gate: &Gate| gate.queue.count_waiting_of(&request.workspace);
         self.gates.values().map(of_gate).sum()
--- a/crates/wisteriahitch-core/src/route/admission/token_bucket.rs
+++ b/crates/wisteriahitch-core/src/route/admission/token_bucket.rs
@@ -1,15 +1,15 @@
-//! Bounds a flow by what has gathered since it last ran.
+//! Token bucket with a debt.
 
 use serde::Serialize;
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Span whose flow may come at once.
+/// Burst capacity, in seconds of the rate.
 const BURST_WINDOW_S: f64 = 2.0;
 
-/// Lets a bounded flow through and allows a burst of two seconds' flow.
+/// A token bucket that allows a burst of two seconds of its rate.
 ///
-/// Whatever passes may leave a debt behind, so that one request larger than the burst is let
-/// through in time, and not never.
+/// The level may fall below zero, so that a request larger than the burst passes eventually instead
+/// of never.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct TokenBucket {
     rate_per_s: f64,
@@ -18,7 +18,7 @@
 }
 
 impl TokenBucket {
-    /// Builds a full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(rate_per_s: f64, now: TimeUs) -> Self {
         let mut bucket = Self {
             rate_per_s,
@@ -29,14 +29,14 @@
         bucket
     }
 
-    /// Takes over another rate and keeps the level.
+    /// Changes the rate and keeps the level, up to the new capacity.
     pub(crate) fn set_rate(&mut self, rate_per_s: f64, now: TimeUs) {
         self.refill(now);
         self.rate_per_s = rate_per_s;
         self.level = self.level.min(self.capacity());
     }
 
-    /// Returns how long to wait until something may pass; zero where it may now.
+    /// Returns the time until something may pass; zero if it may pass now.
     pub(crate) fn time_until_available(&mut self, now: TimeUs) -> DurationUs {
         self.refill(now);
         if self.level > 0.0 {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes what passes.
+    /// Removes `amount` from the level, which may become negative.
     pub(crate) fn consume(&mut self, amount: f64) {
         self.level -= amount;
     }
