--- a/crates/wisteriahitch-core/src/route/directory/chain_holders.rs
+++ b/crates/wisteriahitch-core/src/route/directory/chain_holders.rs
@@ -1,19 +1,20 @@
-//! The holders of one prompt's pieces, read once for a decision.
+//! The holders of one prompt's pieces, looked up once per decision.
 
 use wisteriahitch_types::{EndpointId, StoreId, Tier};
 
 use super::{Holder, Holders, PlaceId, Places, Spill};
 
-/// Holds who has which piece of one prompt.
+/// The places that hold each piece of one prompt.
 #[derive(Debug)]
 pub(crate) struct ChainHolders<'a> {
+    /// By piece index; `None` if no place holds the piece.
     pieces: Vec<Option<&'a Holders>>,
     spill: &'a Spill,
     places: &'a Places,
 }
 
 impl<'a> ChainHolders<'a> {
-    /// Combines the holders of each piece.
+    /// Creates it from the holders of each piece.
     pub(crate) fn new(
         pieces: Vec<Option<&'a Holders>>,
         spill: &'a Spill,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Returns how many pieces from the first on a place holds without a hole.
+    /// Returns the number of leading pieces that a place holds without a gap.
     pub(crate) fn resident_pieces(&self, place: PlaceId) -> usize {
         if !self.places.is_trusted(place) {
             return 0;
@@ -37,7 +38,7 @@
         self.pieces.iter().take_while(is_resident).count()
     }
 
-    /// Iterates over the tiers that hold a piece.
+    /// Iterates over the store VM tiers that hold a piece.
     pub(crate) fn store_tiers(
         &self,
         piece: usize,
@@ -54,11 +55,11 @@
             })
     }
 
-    /// Returns up to `max_count` endpoints that hold late pieces, those of the latest piece first.
+    /// Returns up to `max_count` endpoints that hold late pieces, those of the last piece first.
     ///
-    /// `rotation` rotates the holders of each piece, so that many holders of a popular prefix all get
-    /// their turn. At most twice `max_count` holders of a piece are looked at, so that a prefix which
-    /// every endpoint holds costs no more than one that a few hold.
+    /// `rotation` rotates the holders of each piece, so that all holders of a popular prefix are
+    /// returned over time. At most twice `max_count` holders of a piece are visited, so that a
+    /// prefix which every endpoint holds costs no more than one that a few hold.
     pub(crate) fn endpoints(&self, max_count: usize, rotation: usize) -> Vec<&'a EndpointId> {
         let mut found: Vec<&EndpointId> = Vec::new();
         for holders in self.pieces.iter().rev().flatten() {
--- a/crates/wisteriahitch-core/src/route/directory/holders.rs
+++ b/crates/wisteriahitch-core/src/route/directory/holders.rs
@@ -1,31 +1,35 @@
-//! The holders of one block in eight bytes.
+//! The holders of one block, in eight bytes.
 
 use super::PlaceId;
 
+/// Number of places that are stored without a list.
 const INLINE_CAPACITY: usize = 4;
+/// Marks an unused slot.
 const EMPTY: u16 = u16::MAX;
-/// Marks that the holders lie in [`Spill`], under the number in the next two slots.
+/// First slot of holders that are stored in a [`Spill`] list, whose index is in the next two slots.
 const SPILLED: u16 = PlaceId::LIMIT;
 
-/// Holds up to four places itself and more of them in a [`Spill`].
+/// The places that hold one block: up to four inline, more in a [`Spill`] list.
 ///
-/// Most blocks lie at one endpoint and in one tier, so that a list of its own for each block
-/// would take several times the room.
+/// Most blocks are held by one endpoint and one tier. A list per block would take several times the
+/// memory.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Holders([u16; INLINE_CAPACITY]);
 
-/// Holds the sorted lists of the blocks that lie in more than four places.
+/// The sorted place lists of blocks with more than four holders.
 #[derive(Debug, Default)]
 pub(crate) struct Spill {
     lists: Vec<Vec<u16>>,
+    /// Indexes of unused lists.
     free: Vec<u32>,
 }
 
 impl Holders {
-    /// Holds no place.
+    /// No places.
     pub(crate) const NONE: Self = Self([EMPTY; INLINE_CAPACITY]);
 
-    /// Iterates over the tiers of store VMs, without a look at the endpoints of a long list.
+    /// Iterates over the places that are store VM tiers, without visiting the endpoints of a long
+    /// list.
     pub(crate) fn store_places<'a>(
         &'a self,
         spill: &'a Spill,
@@ -39,14 +43,14 @@
         places.filter(|place| place.is_store())
     }
 
-    /// Returns the place at `index`, counted round.
+    /// Returns the place at `index` modulo the number of places, or `None` if there is none.
     pub(crate) fn get_wrapping(&self, index: usize, spill: &Spill) -> Option<PlaceId> {
         let numbers = self.as_slice(spill);
         let index = index.checked_rem(numbers.len())?;
         numbers.get(index).map(|number| PlaceId(*number))
     }
 
-    /// Returns how many places there are.
+    /// Returns the number of places.
     pub(crate) fn len(&self, spill: &Spill) -> usize {
         self.as_slice(spill).len()
     }
@@ -68,12 +72,12 @@
         self.0.iter().position(is_empty).unwrap_or(INLINE_CAPACITY)
     }
 
-    /// Returns whether there is no place.
+    /// Returns whether there are no places.
     pub(crate) fn is_empty(&self, spill: &Spill) -> bool {
         self.as_slice(spill).is_empty()
     }
 
-    /// Returns whether a place is among them.
+    /// Returns whether `place` is included.
     pub(crate) fn contains(&self, place: PlaceId, spill: &Spill) -> bool {
         match self.spill_index() {
             Some(list) => spill.lists[list].binary_search(&place.0).is_ok(),
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Adds a place, unless it is there.
+    /// Adds a place unless it is included already.
     pub(crate) fn insert(&mut self, place: PlaceId, spill: &mut Spill) {
         if self.contains(place, spill) {
             return;
@@ -101,7 +105,7 @@
         self.0 = spill.add_list(list);
     }
 
-    /// Keeps only the places for which `keep` holds.
+    /// Keeps the places for which `keep` returns true.
     pub(crate) fn retain(&mut self, keep: impl Fn(PlaceId) -> bool, spill: &mut Spill) {
         let Some(list) = self.spill_index() else {
             let kept = self.0.into_iter().take(self.inline_len());
@@ -151,7 +155,7 @@
         std::mem::take(&mut self.lists[index])
     }
 
-    /// Returns the room that the lists take, in bytes.
+    /// Returns the allocated memory of the lists, in bytes.
     pub(crate) fn allocated_bytes(&self) -> usize {
         let lists: usize = self.lists.iter().map(|list| list.capacity() * 2).sum();
         lists + self.lists.capacity() * size_of::<Vec<u16>>()
--- a/crates/wisteriahitch-core/src/route/directory/mod.rs
+++ b/crates/wisteriahitch-core/src/route/directory/mod.rs
@@ -1,4 +1,4 @@
-//! Hints of where blocks lie.
+//! The directory of the blocks that endpoints and store VMs hold. Its entries are hints.
 
 mod chain_holders;
 mod holders;
--- a/crates/wisteriahitch-core/src/route/directory/place.rs
+++ b/crates/wisteriahitch-core/src/route/directory/place.rs
@@ -1,4 +1,4 @@
-//! Where blocks can lie, as small numbers, so that an entry of the directory stays small.
+//! Holders of blocks, represented by small numbers so that directory entries stay small.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -7,26 +7,26 @@
 
 use super::place_allocator::{Place, PlaceAllocator, SWEEPS_TO_FREE};
 
-/// Names one holder of blocks.
+/// A holder of blocks.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Holder {
-    /// An endpoint's accelerator memory.
+    /// An endpoint, in its accelerator memory.
     Endpoint(EndpointId),
     /// A tier of a store VM.
     Store(StoreId, Tier),
 }
 
-/// Stands for one listing of one holder; a new listing has a new number.
+/// Number of one listing of one holder; a new listing gets a new number.
 ///
-/// Tiers of store VMs have the low numbers, so that in a sorted list they come first and are
-/// found without a look at the endpoints.
+/// Store VM tiers have the low numbers, so that they come first in a sorted list and are found
+/// without visiting the endpoints.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct PlaceId(pub(crate) u16);
 
 impl PlaceId {
-    /// First number that stands for no place; see [`Holders`](super::Holders).
+    /// Exclusive upper bound of the place numbers; see [`Holders`](super::Holders).
     pub(crate) const LIMIT: u16 = u16::MAX - 1;
-    /// First number that stands for an endpoint.
+    /// Lowest number of an endpoint.
     const FIRST_ENDPOINT: u16 = 4_096;
 
     /// Returns whether the place is a tier of a store VM.
@@ -35,14 +35,14 @@
     }
 }
 
-/// Gives numbers to the holders.
+/// Assigns place numbers to holders.
 #[derive(Debug)]
 pub(crate) struct Places {
     store_ids: PlaceAllocator,
     endpoint_ids: PlaceAllocator,
     endpoints: HashMap<EndpointId, PlaceId>,
     stores: HashMap<(StoreId, Tier), PlaceId>,
-    /// Dead places whose entries may still be in the table.
+    /// Number of retired places whose entries may still be in the table.
     unfreed_retired: usize,
 }
 
@@ -59,17 +59,17 @@
 }
 
 impl Places {
-    /// Returns the live number of an endpoint.
+    /// Returns the number that an endpoint uses now.
     pub(crate) fn endpoint_place(&self, endpoint: &EndpointId) -> Option<PlaceId> {
         self.endpoints.get(endpoint).copied()
     }
 
-    /// Returns the live number of a store's tier.
+    /// Returns the number that a tier of a store VM uses now.
     pub(crate) fn store_place(&self, store: &StoreId, tier: Tier) -> Option<PlaceId> {
         self.stores.get(&(store.clone(), tier)).copied()
     }
 
-    /// Returns the number of a holder, a new one where it has none, or nothing where all are used.
+    /// Returns the holder's number, allocating one if it has none; `None` if all are in use.
     pub(crate) fn get_or_add(&mut self, holder: &Holder) -> Option<PlaceId> {
         let known = match holder {
             Holder::Endpoint(endpoint) => self.endpoint_place(endpoint),
@@ -78,13 +78,13 @@
         known.or_else(|| self.add(holder))
     }
 
-    /// Gives a holder a new number; what lies under its old one counts no more.
+    /// Gives a holder a new number, which invalidates the entries with its old one.
     pub(crate) fn reassign(&mut self, holder: &Holder) -> Option<PlaceId> {
         self.retire(holder);
         self.add(holder)
     }
 
-    /// Takes a holder's number away.
+    /// Retires a holder's number, which invalidates the entries with it.
     pub(crate) fn retire(&mut self, holder: &Holder) {
         let retired = match holder {
             Holder::Endpoint(endpoint) => self.endpoints.remove(endpoint),
@@ -116,17 +116,17 @@
         }
     }
 
-    /// Makes a holder's entries count for nothing until they are listed again.
+    /// Ignores a holder's entries until it is listed again.
     pub(crate) fn mark_suspect(&mut self, id: PlaceId) {
         self.get_mut(id).is_suspect = true;
     }
 
-    /// Returns whether entries under this number are in use, suspect or not.
+    /// Returns whether the number is in use, suspect or not.
     pub(crate) fn is_live(&self, id: PlaceId) -> bool {
         self.get(id).sweeps_left.is_none()
     }
 
-    /// Returns whether entries under this number count.
+    /// Returns whether entries with this number are valid: in use and not suspect.
     pub(crate) fn is_trusted(&self, id: PlaceId) -> bool {
         let place = self.get(id);
         place.sweeps_left.is_none() && !place.is_suspect
@@ -137,7 +137,7 @@
         &self.get(id).holder
     }
 
-    /// Returns how many numbers are in use and how many of those are suspect.
+    /// Returns how many numbers are in use, and how many of those are suspect.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let places = self.store_ids.places.iter();
         let places = places.chain(&self.endpoint_ids.places);
@@ -146,12 +146,12 @@
         (live.count(), suspect.count())
     }
 
-    /// Returns whether entries of dead places may be left in the table.
+    /// Returns whether entries of retired places may remain in the table.
     pub(crate) fn needs_sweep(&self) -> bool {
         self.unfreed_retired > 0
     }
 
-    /// Records that a sweep has passed the whole table.
+    /// Records a full sweep of the table.
     pub(crate) fn record_full_sweep(&mut self) {
         let freed = self.store_ids.record_full_sweep() + self.endpoint_ids.record_full_sweep();
         self.unfreed_retired -= freed;
--- a/crates/wisteriahitch-core/src/route/directory/place_allocator.rs
+++ b/crates/wisteriahitch-core/src/route/directory/place_allocator.rs
@@ -1,34 +1,35 @@
-//! Numbers for places, which are used again once no entry names them.
+//! Allocation of place numbers, which are reused once no directory entry names them.
 
 use super::{Holder, PlaceId};
 
-/// Holds what is known of one number.
+/// The state of one place number.
 #[derive(Debug)]
 pub(crate) struct Place {
-    /// Who it stands for.
+    /// Holder that the number stands for.
     pub(crate) holder: Holder,
-    /// Sweeps that must still pass before the number is free again; nothing while it is in use.
+    /// Full sweeps left until the number can be reused; `None` while it is in use.
     pub(crate) sweeps_left: Option<u8>,
-    /// Whether entries under it count for nothing until a listing.
+    /// Whether entries with this number are ignored until the holder's next listing.
     pub(crate) is_suspect: bool,
 }
 
-/// Whole passes over the table after which no entry names a dead place any more: one may have
-/// begun before the place died.
+/// Number of full sweeps after which no entry names a retired place.
+///
+/// Two are needed because a sweep may have started before the place was retired.
 pub(crate) const SWEEPS_TO_FREE: u8 = 2;
 
-/// Gives numbers from a range.
+/// Allocates place numbers from a range.
 #[derive(Debug)]
 pub(crate) struct PlaceAllocator {
     first: u16,
     limit: u16,
-    /// Numbers that were given, in their order.
+    /// All numbers ever allocated, in ascending order.
     pub(crate) places: Vec<Place>,
     free: Vec<PlaceId>,
 }
 
 impl PlaceAllocator {
-    /// Gives numbers from `first` to before `limit`.
+    /// Creates an allocator for the numbers from `first` to before `limit`.
     pub(crate) fn new(first: u16, limit: u16) -> Self {
         Self {
             first,
@@ -38,17 +39,17 @@
         }
     }
 
-    /// Returns what a number stands for.
+    /// Returns the state of a number.
     pub(crate) fn get(&self, id: PlaceId) -> &Place {
         &self.places[usize::from(id.0 - self.first)]
     }
 
-    /// Returns what a number stands for, to change it.
+    /// Returns the state of a number, mutably.
     pub(crate) fn get_mut(&mut self, id: PlaceId) -> &mut Place {
         &mut self.places[usize::from(id.0 - self.first)]
     }
 
-    /// Gives a number, unless all are used.
+    /// Allocates a number for `place`, or returns `None` if all are in use.
     pub(crate) fn allocate(&mut self, place: Place) -> Option<PlaceId> {
         if let Some(id) = self.free.pop() {
             *self.get_mut(id) = place;
@@ -63,7 +64,7 @@
         Some(PlaceId(number))
     }
 
-    /// Counts a whole sweep and returns how many places became free by it.
+    /// Records a full sweep of the directory and returns how many numbers became reusable.
     pub(crate) fn record_full_sweep(&mut self) -> usize {
         let free_before = self.free.len();
         for (number, place) in (self.first..).zip(&mut self.places) {
--- a/crates/wisteriahitch-core/src/route/directory/segment.rs
+++ b/crates/wisteriahitch-core/src/route/directory/segment.rs
@@ -1,4 +1,4 @@
-//! One part of the directory's table.
+//! Segments of the directory's hash table.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -7,16 +7,16 @@
 
 use super::Holders;
 
-/// Parts that the table is cut into.
+/// Number of segments of the table.
 ///
-/// A hash table that grows moves all of its entries at once; with one table of 5 million entries
-/// the daemon would stand still meanwhile, which would show as a jump in the time of decisions.
+/// A hash table that grows moves all its entries at once. With a single table of 5 million entries
+/// the daemon would pause meanwhile, and decisions would take much longer.
 pub(crate) const SEGMENTS: usize = 256;
 
-/// Stands for a block key in the table.
+/// Shortened block key in the table: half of the key.
 ///
-/// It is half of the key. Two blocks that share it cost a wrong hint and nothing more, because
-/// engines and stores go by the whole key.
+/// Two blocks with the same fingerprint cause at most a wrong hint, because engines and stores use
+/// the whole key.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Fingerprint(u64);
 
@@ -28,12 +28,12 @@
     }
 }
 
-/// Returns the number of the segment that a key belongs to, from bytes outside the fingerprint.
+/// Returns the segment index of a key, taken from a byte outside its fingerprint.
 pub(crate) fn segment_index(key: &BlockKey) -> usize {
     usize::from(key.as_bytes()[15]) % SEGMENTS
 }
 
-/// Passes a fingerprint on, since it is part of a hash already.
+/// Uses a fingerprint as its own hash, since it is part of a hash already.
 #[derive(Default)]
 pub(crate) struct IdentityHasher(u64);
 
@@ -53,5 +53,5 @@
     }
 }
 
-/// Maps fingerprints to holders.
+/// One segment: maps fingerprints to holders.
 pub(crate) type Segment = HashMap<Fingerprint, Holders, BuildHasherDefault<IdentityHasher>>;
--- a/crates/wisteriahitch-core/src/route/directory/shard.rs
+++ b/crates/wisteriahitch-core/src/route/directory/shard.rs
@@ -1,12 +1,12 @@
-//! Which daemon keeps which part of the directory.
+//! Assignment of directory shards to daemons.
 
 use wisteriahitch_types::{BlockKey, DaemonId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns the daemon that keeps the entries of `key`, by rendezvous hash.
+/// Returns the daemon that keeps the entries of `key`, by rendezvous hashing.
 ///
-/// When a daemon comes or goes, only its own part of the keys moves. Returns nothing where there
-/// is no daemon. The answer doesn't depend on the order of `daemons`.
+/// When a daemon joins or leaves, only the keys of its own shard move. Returns `None` if `daemons`
+/// is empty. The result doesn't depend on the order of `daemons`.
 pub fn shard_owner<'a>(key: &BlockKey, daemons: &'a [DaemonId]) -> Option<&'a DaemonId> {
     daemons.iter().max_by_key(|daemon| {
         let score = rendezvous_score(key.as_bytes(), daemon.as_str());
@@ -14,7 +14,7 @@
     })
 }
 
-/// Returns how strongly `name` is drawn to `item`; the highest of all names wins.
+/// Returns the rendezvous score of `name` for `item`; the name with the highest score wins.
 pub(crate) fn rendezvous_score(item: &[u8], name: &str) -> u64 {
     let seed = xxh3_64_with_seed(item, 0);
     xxh3_64_with_seed(name.as_bytes(), seed)
--- a/crates/wisteriahitch-core/src/route/directory/table.rs
+++ b/crates/wisteriahitch-core/src/route/directory/table.rs
@@ -1,4 +1,4 @@
-//! The directory: which endpoint and which tier holds which block, as a hint.
+//! The directory: which endpoint and which store VM tier holds which block.
 
 use serde::Serialize;
 use wisteriahitch_types::{BlockKey, EndpointId, StoreId, Tier, TokenCount};
@@ -7,31 +7,32 @@
 use super::{ChainHolders, Holder, Holders, PlaceId, Places, Spill};
 use crate::route::PieceChain;
 
-/// Room that the hash table takes for one slot, in bytes: key, holders and a control byte.
+/// Memory of one hash table slot, in bytes: fingerprint, holders and a control byte.
 const SLOT_BYTES: usize = size_of::<(Fingerprint, Holders)>() + 1;
 
-/// Says which endpoint and which tier of a store VM holds which block.
+/// Maps blocks to the endpoints and store VM tiers that hold them.
 ///
-/// Everything here is a hint: events come late and with gaps, and whoever uses a block checks it
-/// again where it lies. See `docs/design/routing.md`.
+/// All entries are hints: events arrive late and with gaps, so whoever uses a block checks that it
+/// is still there. See `docs/design/routing.md`.
 #[derive(Debug)]
 pub struct Directory {
     segments: Vec<Segment>,
     spill: Spill,
     places: Places,
+    /// Index of the segment that is swept next.
     next_sweep_segment: usize,
 }
 
-/// Shows the size of a directory.
+/// Size of a directory.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct DirectorySnapshot {
-    /// Blocks with at least one holder, dead ones included until the next sweep.
+    /// Blocks with at least one holder, including retired ones until the next sweep.
     pub blocks: usize,
-    /// Holders in use.
+    /// Number of holders.
     pub holders: usize,
-    /// Holders whose entries are suspect.
+    /// Number of holders whose entries are suspect.
     pub suspect_holders: usize,
-    /// Room that the tables take, in bytes.
+    /// Memory of the tables, in bytes.
     pub table_bytes: usize,
 }
 
@@ -59,17 +60,16 @@
         }
     }
 
-    /// Replaces everything known of an endpoint by a whole listing, which ends its suspicion.
+    /// Replaces all entries of an endpoint by a complete listing, which ends its suspicion.
     pub fn replace_endpoint_listing(&mut self, endpoint: &EndpointId, keys: &[BlockKey]) {
         let holder = Holder::Endpoint(endpoint.clone());
         self.replace_entries(&holder, keys.iter());
     }
 
-    /// Records a gap in an endpoint's events: its entries count no more until it is listed.
+    /// Records a gap in an endpoint's events: its entries are ignored until its next listing.
     ///
-    /// Evictions may be among the lost events. Trusted entries would then draw requests to an
-    /// endpoint that computes everything again, which shows as a recomputed share above the
-    /// estimate.
+    /// The lost events may include evictions. Entries that were still trusted would attract
+    /// requests to an endpoint that has to compute their prompts again, above the estimated share.
     pub fn mark_event_gap(&mut self, endpoint: &EndpointId) {
         let holder = Holder::Endpoint(endpoint.clone());
         if let Some(place) = self.places.get_or_add(&holder) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Forgets an endpoint's blocks, because it is gone or has started again.
+    /// Removes the blocks of an endpoint that was removed or has restarted.
     pub fn remove_endpoint(&mut self, endpoint: &EndpointId) {
         self.places.retire(&Holder::Endpoint(endpoint.clone()));
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Replaces everything known of a store VM by a whole listing.
+    /// Replaces all entries of a store VM by a complete listing.
     pub fn replace_store_listing(&mut self, store: &StoreId, blocks: &[(BlockKey, Tier)]) {
         for tier in [Tier::Memory, Tier::Disk] {
             let holder = Holder::Store(store.clone(), tier);
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Forgets a store VM's blocks, because it died or came back with another incarnation.
+    /// Removes the blocks of a store VM that was removed or has restarted.
     pub fn remove_store(&mut self, store: &StoreId) {
         for tier in [Tier::Memory, Tier::Disk] {
             self.places.retire(&Holder::Store(store.clone(), tier));
         }
     }
 
-    /// Returns the tokens of the longest prefix of `chain` that an endpoint holds whole.
+    /// Returns the number of tokens of the longest prefix of `chain` that an endpoint holds.
     pub fn resident_prefix_tokens(&self, endpoint: &EndpointId, chain: &PieceChain) -> TokenCount {
         let holders = self.chain_holders(chain);
         let pieces = match self.places.endpoint_place(endpoint) {
@@ -120,7 +120,7 @@
         chain.prefix_tokens(pieces)
     }
 
-    /// Returns for each piece of `chain` where a store VM holds it, memory before disk.
+    /// Returns for each piece of `chain` a store VM tier that holds it, memory before disk.
     pub fn tier_locations(&self, chain: &PieceChain) -> Vec<Option<(StoreId, Tier)>> {
         let holders = self.chain_holders(chain);
         (0..chain.blocks.len())
@@ -131,7 +131,7 @@
             .collect()
     }
 
-    /// Reads the holders of every piece once, so that candidates are compared without the table.
+    /// Looks up the holders of every piece once, for comparing candidates without further lookups.
     pub(crate) fn chain_holders(&self, chain: &PieceChain) -> ChainHolders<'_> {
         let pieces = chain
             .blocks
@@ -141,15 +141,15 @@
         ChainHolders::new(pieces, &self.spill, &self.places)
     }
 
-    /// Returns the number of an endpoint in the answers of [`Directory::chain_holders`].
+    /// Returns the place number of an endpoint, for use with [`Directory::chain_holders`].
     pub(crate) fn place_of(&self, endpoint: &EndpointId) -> Option<PlaceId> {
         self.places.endpoint_place(endpoint)
     }
 
-    /// Drops entries of dead holders from the next `segments` of 256 parts of the table.
+    /// Removes entries of retired holders from the next `segments` of the 256 segments.
     ///
-    /// It does nothing where no holder has died. Called with a few parts each tick, it gives the room of replaced listings back without a
-    /// long stop.
+    /// Does nothing if no holder was retired. Called for a few segments each tick, it frees the
+    /// memory of replaced listings without a long pause.
     pub fn sweep(&mut self, segments: usize) {
         for _ in 0..segments.min(SEGMENTS) {
             if self.places.needs_sweep() {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Shows the size of the directory.
+    /// Returns the size of the directory.
     pub fn snapshot(&self) -> DirectorySnapshot {
         let (holders, suspect_holders) = self.places.counts();
         let slots: usize = self
@@ -233,7 +233,7 @@
     }
 }
 
-/// Returns the slots of a hash table that can hold `capacity` entries at a load of 7/8.
+/// Returns the number of slots of a hash table for `capacity` entries at a load factor of 7/8.
 fn hash_table_slots(capacity: usize) -> usize {
     match capacity {
         0 => 0,
