--- a/crates/wisteriahitch-core/src/route/engine_priority.rs
+++ b/crates/wisteriahitch-core/src/route/engine_priority.rs
@@ -1,13 +1,14 @@
-//! The order in which an engine takes what it is sent.
+//! Priority of a request at an engine.
 
 use wisteriahitch_types::TokenCount;
 
-/// Returns the priority at the engine: the rule's, and within it what is soon computed goes first.
+/// Returns the priority at the engine: the rule's priority, and within it short prompts first.
 ///
-/// An engine reads one prompt after the other. Behind a long first visit, a return of which a few
-/// tokens are left would wait many times as long as it takes itself, seen as returns that wait for
-/// most of their time although everything was imported. The long one hardly notices what goes
-/// before it, since that is at most a piece.
+/// `computed` is the number of prompt tokens that the engine has to compute; a prompt is short if
+/// that is at most one `piece`. An engine computes one prompt after the other. Behind a long first
+/// prompt, a returning one with a few tokens left would wait many times its own duration, although
+/// everything else was imported. The long prompt is hardly delayed, since what overtakes it is at
+/// most one piece each.
 ///
 /// ```
 /// use wisteriahitch_core::route::engine_priority;
--- a/crates/wisteriahitch-core/src/route/mod.rs
+++ b/crates/wisteriahitch-core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Where a request runs: candidates, load, cost, admission and retries.
+//! Routing of requests: endpoint and block state, routing policies, admission and retries.
 //!
 //! `docs/design/routing.md` and `docs/design/admission.md` give the reasons.
 
--- a/crates/wisteriahitch-core/src/route/pieces.rs
+++ b/crates/wisteriahitch-core/src/route/pieces.rs
@@ -1,30 +1,33 @@
-//! Cuts a prompt into whole pieces and names each by a chained key.
+//! Splitting of a prompt into pieces that are named by chained keys.
 //!
-//! `docs/design/routing.md` says what a key binds and why equal text in two workspaces never
-//! shares one.
+//! `docs/design/routing.md` describes what a key covers and why equal text in two workspaces never
+//! has the same key.
 
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{
     AdapterName, BlockKey, ModelName, TokenCount, WeightVersion, WorkspaceId,
 };
 
+/// Key derivation context of the root of a chain.
 const ROOT_CONTEXT: &str = "wisteriahitch 2026 block chain root v1";
+/// Key derivation context of a piece.
 const PIECE_CONTEXT: &str = "wisteriahitch 2026 block chain piece v1";
+/// Precedes the adapter name in the root, so that no adapter differs from one with an empty name.
 const NO_ADAPTER: &[u8] = &[0];
 const WITH_ADAPTER: &[u8] = &[1];
 
-/// Holds everything besides the text that a block key binds.
+/// Everything besides the text that a block key depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainScope<'a> {
-    /// Workspace that the request belongs to.
+    /// Workspace of the request.
     pub workspace: &'a WorkspaceId,
     /// Model that computes the blocks.
     pub model: &'a ModelName,
-    /// Adapter on top of the model.
+    /// Adapter that is applied to the model, if any.
     pub adapter: Option<&'a AdapterName>,
-    /// Version of the weights that computes the blocks.
+    /// Weight version that computes the blocks.
     pub weight_version: &'a WeightVersion,
-    /// Tokens in one whole piece.
+    /// Number of tokens in one piece.
     pub piece_tokens: TokenCount,
 }
 
@@ -46,26 +49,26 @@
     }
 }
 
-/// Names one whole piece of a prompt.
+/// One piece of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Key, which binds the scope and every piece before this one.
+    /// Key of the block, which depends on the scope, this piece and every piece before it.
     pub key: BlockKey,
-    /// Tokens in this piece alone.
+    /// Number of tokens in this piece alone.
     pub tokens: TokenCount,
 }
 
-/// Holds the pieces of one prompt in their order.
+/// The pieces of one prompt, in order.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct PieceChain {
-    /// Whole pieces; a shorter rest at the end of the prompt is no block.
+    /// Complete pieces; a shorter remainder at the end of the prompt has no block.
     pub blocks: Vec<Piece>,
-    /// Tokens of the whole prompt, the rest included.
+    /// Number of tokens of the prompt, including the remainder.
     pub prompt_tokens: TokenCount,
 }
 
 impl PieceChain {
-    /// Returns the tokens of the first `count` pieces.
+    /// Returns the number of tokens in the first `count` pieces.
     pub fn prefix_tokens(&self, count: usize) -> TokenCount {
         self.blocks
             .iter()
@@ -75,10 +78,10 @@
     }
 }
 
-/// Cuts `prompt` into whole pieces, in one pass and without copying it.
+/// Splits `prompt` into pieces in one pass, without copying it.
 ///
-/// Tokens are counted by white space. A key covers the exact text, white space included, because
-/// an engine's own tokens depend on it. A scope with pieces of zero tokens has no blocks.
+/// Tokens are separated by white space. A key covers the exact text, including white space, because
+/// an engine's own tokens depend on it. There are no pieces if `piece_tokens` is zero.
 pub fn piece_chain(scope: &ChainScope<'_>, prompt: &str) -> PieceChain {
     let piece_tokens = scope.piece_tokens.get();
     let mut blocks = Vec::new();
@@ -105,7 +108,7 @@
     }
 }
 
-/// Returns the offset right after `token`, which is a slice of `prompt`.
+/// Returns the offset in `prompt` right after `token`, which is a slice of it.
 fn end_offset(token: &str, prompt: &str) -> usize {
     token.as_ptr().addr() - prompt.as_ptr().addr() + token.len()
 }
--- a/crates/wisteriahitch-core/src/route/retry.rs
+++ b/crates/wisteriahitch-core/src/route/retry.rs
@@ -1,27 +1,30 @@
-//! How often the system itself repeats requests.
+//! Budget for retries by the system itself.
 
 use serde::Serialize;
 
-/// Retries that may follow a quiet start before requests have paid for them.
+/// Retries available at the start, before requests have earned any.
 const INITIAL_RETRIES: f64 = 3.0;
-/// Most retries that can be saved up, so that a quiet hour doesn't pay for a burst.
+/// Default maximum of saved retries, so that a quiet period doesn't earn a burst of retries.
 const DEFAULT_MAX_SAVED: f64 = 20.0;
 
-/// Keeps retries a bounded share of the requests.
+/// Limits retries to a fraction of the requests.
 ///
-/// Without it, a fault of all endpoints would multiply the load by the number of attempts, which
-/// keeps them down; one would notice by attempts growing while answers fall.
+/// Without it, a fault of all endpoints would multiply the load by the number of attempts and keep
+/// them down: attempts would rise while answers fall.
 #[derive(Clone, Debug, Serialize)]
 pub struct RetryBudget {
+    /// Retries earned by each request, from 0 to 1.
     share: f64,
+    /// Retries available now.
     saved: f64,
+    /// Maximum of `saved`.
     max_saved: f64,
     granted: u64,
     denied: u64,
 }
 
 impl RetryBudget {
-    /// Builds a budget of `share` retries a request; a value outside 0 to 1 counts as the nearer.
+    /// Creates a budget of `share` retries per request; `share` is clamped to 0 to 1.
     pub fn new(share: f64) -> Self {
         Self {
             share: share.clamp(0.0, 1.0),
@@ -32,38 +35,38 @@
         }
     }
 
-    /// Sets how many retries can be saved up, and starts with none of them.
+    /// Sets the maximum of saved retries and starts with none.
     ///
-    /// Where several daemons share a budget, each may save up its part of the whole; a daemon that
-    /// started with a full one after each restart would let the whole be exceeded.
+    /// If several daemons share a budget, each may save its part of the total. A daemon that
+    /// started with a full part after each restart would let the total be exceeded.
     pub fn with_max_saved(mut self, max_saved: f64) -> Self {
         self.set_max_saved(max_saved);
         self.saved = 0.0;
         self
     }
 
-    /// Takes over another bound on saved retries.
+    /// Changes the maximum of saved retries; excess ones are dropped.
     pub fn set_max_saved(&mut self, max_saved: f64) {
         self.max_saved = max_saved.max(0.0);
         self.saved = self.saved.min(self.max_saved);
     }
 
-    /// Returns how many retries are left.
+    /// Returns the number of retries available.
     pub fn available(&self) -> f64 {
         self.saved
     }
 
-    /// Takes over another share.
+    /// Changes the retries earned by each request; clamped to 0 to 1.
     pub fn set_share(&mut self, share: f64) {
         self.share = share.clamp(0.0, 1.0);
     }
 
-    /// Records a request of a caller; retries are not counted here.
+    /// Records a caller's request, which earns a part of a retry. Retries must not be recorded.
     pub fn record_request(&mut self) {
         self.saved = (self.saved + self.share).min(self.max_saved);
     }
 
-    /// Takes one retry out of the budget, if there is one left.
+    /// Takes one retry from the budget and returns whether there was one.
     pub fn try_acquire(&mut self) -> bool {
         let is_granted = self.share > 0.0 && self.saved >= 1.0;
         match is_granted {
--- a/crates/wisteriahitch-core/src/route/router.rs
+++ b/crates/wisteriahitch-core/src/route/router.rs
@@ -1,4 +1,4 @@
-//! The routing core as the daemon's shell drives it.
+//! The router, as the daemon's shell uses it.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,10 +10,10 @@
     RouteRefusal, RouteRequest, View,
 };
 
-/// Parts of the directory that are swept each tick; 256 make it whole.
+/// Number of directory segments that are swept each tick; 256 are a full sweep.
 const SWEEP_SEGMENTS_PER_TICK: usize = 1;
 
-/// Decides where requests run.
+/// Chooses where requests run, and holds the state that the choices are based on.
 ///
 /// ```
 /// use wisteriahitch_config::{Configuration, Endpoint, Service, ServiceKind};
@@ -65,29 +65,29 @@
 /// ```
 #[derive(Debug)]
 pub struct Router {
-    /// Endpoints: their life and their load.
+    /// State and load of all endpoints.
     pub endpoints: EndpointTable,
-    /// Hints of where blocks lie.
+    /// Directory of the blocks that endpoints and store VMs hold; its entries are hints.
     pub directory: Directory,
     policy: Box<dyn Policy>,
     rng: ChaCha8Rng,
 }
 
-/// Shows a router, for the dump.
+/// Snapshot of a router for the operators' dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct RouterSnapshot {
-    /// Policy in force.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// Endpoints in the order of their names.
+    /// Endpoints, ordered by id.
     pub endpoints: Vec<EndpointSnapshot>,
     /// Size of the directory.
     pub directory: DirectorySnapshot,
 }
 
 impl Router {
-    /// Builds a router without endpoints.
+    /// Creates a router without endpoints.
     ///
-    /// Daemons need different seeds, since equal ones would break ties alike.
+    /// Daemons need different seeds; with the same seed they would break ties alike.
     pub fn new(policy: Box<dyn Policy>, seed: u64) -> Self {
         Self {
             endpoints: EndpointTable::default(),
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Chooses where a request runs; the same calls give the same choices.
+    /// Chooses where a request runs. The same sequence of calls gives the same choices.
     ///
     /// # Errors
     ///
-    /// A refusal means that the request was not run; see [`RouteRefusal`].
+    /// Returns a refusal if no endpoint was chosen; the request was not run. See [`RouteRefusal`].
     pub fn choose(
         &mut self,
         request: &RouteRequest,
@@ -117,11 +117,11 @@
         self.policy.choose(request, &view, now)
     }
 
-    /// Runs the systems of the tables.
+    /// Runs the periodic work of the endpoint table and the directory.
     pub fn tick(&mut self, now: TimeUs) {
         self.endpoints.tick(now);
         for endpoint in std::mem::take(&mut self.endpoints.removed_since_tick) {
-            // One that was only moved to another address has been listed anew, or will be.
+            // An endpoint that only moved to another address was listed anew, or will be.
             if self.endpoints.get_state(&endpoint).is_none() {
                 self.directory.remove_endpoint(&endpoint);
             }
@@ -129,7 +129,7 @@
         self.directory.sweep(SWEEP_SEGMENTS_PER_TICK);
     }
 
-    /// Shows the whole state.
+    /// Returns a snapshot of the whole state.
     pub fn snapshot(&self) -> RouterSnapshot {
         RouterSnapshot {
             policy: self.policy.name(),
