--- a/crates/wisteriahitch-core/benches/route.rs
+++ b/crates/wisteriahitch-core/benches/route.rs
@@ -1,6 +1,7 @@
-//! Measures a decision, the directory at 5 million entries, piece chains and admission.
+//! Benchmarks of a routing decision, the directory with 5 million entries, piece chains and
+//! admission.
 //!
-//! The figures stand in `docs/design/routing.md` and `docs/design/admission.md`.
+//! The results are in `docs/design/routing.md` and `docs/design/admission.md`.
 
 #![allow(
     clippy::unwrap_used,
@@ -27,10 +28,10 @@
 const NOW: TimeUs = TimeUs::new(1_000_000_000);
 const ENDPOINTS: [usize; 4] = [12, 120, 1_200, 12_000];
 
-/// Returns the sizes to run; only `cargo bench` takes the largest.
+/// Returns the numbers of endpoints to run with; only `cargo bench` includes the largest.
 ///
-/// A test runs each benchmark once, unoptimized, and building the largest fleet takes most of a
-/// minute there.
+/// A test runs each benchmark once, unoptimized, where building the largest fleet takes most of a
+/// minute.
 fn sizes() -> &'static [usize] {
     let is_bench = std::env::args().any(|argument| argument == "--bench");
     match is_bench {
@@ -144,17 +145,17 @@
     }
 }
 
-/// Decides for a prompt whose first half is held by a few or by all endpoints, and whose whole
-/// lies in a store VM.
+/// Measures a decision for a prompt whose first half a few or all endpoints hold and which a store
+/// VM holds whole.
 fn decision(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("decision_50_pieces");
-    for (name, share_of_holders) in [("few_holders", 0.0), ("all_hold", 1.0)] {
+    for (name, holder_fraction) in [("few_holders", 0.0), ("all_hold", 1.0)] {
         for &endpoints in sizes() {
             let mut generator = ChaCha8Rng::seed_from_u64(1);
             let mut router = router(endpoints, &mut generator);
             let request = request(random_chain(&mut generator, PIECES));
             let keys: Vec<BlockKey> = request.chain.blocks.iter().map(|piece| piece.key).collect();
-            let holders = 3.max((endpoints as f64 * share_of_holders) as usize);
+            let holders = 3.max((endpoints as f64 * holder_fraction) as usize);
             for number in 0..holders {
                 router
                     .directory
@@ -181,10 +182,10 @@
     pages * PAGE_BYTES
 }
 
-/// Fills a directory with chains that lie at one endpoint and in one tier each.
-fn fill(generator: &mut ChaCha8Rng) -> (Directory, Vec<PieceChain>) {
+/// Fills a directory with chains that one endpoint and one tier hold each.
+fn fill_directory(generator: &mut ChaCha8Rng) -> (Directory, Vec<PieceChain>) {
     let mut directory = Directory::default();
-    let mut kept = Vec::new();
+    let mut sampled_chains = Vec::new();
     for number in 0..ENTRIES / PIECES {
         let chain = random_chain(generator, PIECES);
         let holder = endpoint(generator.random_range(0..1_200));
@@ -193,26 +194,26 @@
             directory.record_tier_stored(&store(), Tier::Disk, &piece.key);
         }
         if number % 100 == 0 {
-            kept.push(chain);
+            sampled_chains.push(chain);
         }
     }
-    (directory, kept)
+    (directory, sampled_chains)
 }
 
 fn directory(criterion: &mut Criterion) {
     let mut generator = ChaCha8Rng::seed_from_u64(2);
     let before = resident_bytes();
-    let (mut directory, chains) = fill(&mut generator);
-    let held = resident_bytes() - before;
-    let shown = directory.snapshot();
+    let (mut directory, chains) = fill_directory(&mut generator);
+    let resident = resident_bytes() - before;
+    let snapshot = directory.snapshot();
     eprintln!(
         "directory: {} blocks with 2 holders each, {} B of tables ({:.1} B a block), \
          {} B resident in all ({:.1} B a block)",
-        shown.blocks,
-        shown.table_bytes,
-        shown.table_bytes as f64 / shown.blocks as f64,
-        held,
-        held as f64 / shown.blocks as f64,
+        snapshot.blocks,
+        snapshot.table_bytes,
+        snapshot.table_bytes as f64 / snapshot.blocks as f64,
+        resident,
+        resident as f64 / snapshot.blocks as f64,
     );
     let mut group = criterion.benchmark_group("directory_5_million");
     let mut next = 0;
@@ -263,7 +264,7 @@
     group.finish();
 }
 
-/// Starts and ends one request while every workspace has one waiting.
+/// Measures starting and ending one request while every workspace has one waiting.
 fn admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission_step");
     for count in [10, 320, 3_200, 32_000] {
@@ -276,15 +277,15 @@
         admission.apply_quota_configuration(&configuration, 1, NOW);
         admission.set_capacity(&"assistant".parse().unwrap(), 1, NOW);
         let mut running = "first".parse().unwrap();
-        admission.submit_request(ask("first".to_owned(), 0), NOW);
+        admission.submit_request(request_of("first".to_owned(), 0), NOW);
         for number in 0..count {
-            admission.submit_request(ask(format!("wait-{number}"), number), NOW);
+            admission.submit_request(request_of(format!("wait-{number}"), number), NOW);
         }
         let mut next = 0;
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter(|| {
                 next += 1;
-                admission.submit_request(ask(format!("r{next}"), next % count), NOW);
+                admission.submit_request(request_of(format!("r{next}"), next % count), NOW);
                 for command in admission.finish_request(&running, NOW) {
                     if let AdmissionCommand::Start(id) = command {
                         running = id;
@@ -308,7 +309,7 @@
     }
 }
 
-fn ask(id: String, workspace: usize) -> AdmissionRequest {
+fn request_of(id: String, workspace: usize) -> AdmissionRequest {
     AdmissionRequest {
         request: id.parse().unwrap(),
         workspace: format!("w{workspace}").parse().unwrap(),
--- a/crates/wisteriahitch-core/tests/all/route_admission.rs
+++ b/crates/wisteriahitch-core/tests/all/route_admission.rs
@@ -1,4 +1,4 @@
-//! Admission: fair shares in driven time, quotas, bounds, deadlines and cancelling.
+//! Admission in simulated time: fair shares, quotas, limits, deadlines and cancelling.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -44,7 +44,7 @@
     admission
 }
 
-fn ask(id: &str, workspace: &str, cost: u64) -> AdmissionRequest {
+fn request_of(id: &str, workspace: &str, cost: u64) -> AdmissionRequest {
     AdmissionRequest {
         request: id.parse().unwrap(),
         workspace: workspace.parse().unwrap(),
@@ -72,126 +72,124 @@
     commands.iter().filter_map(seen).collect()
 }
 
-/// Serves one request at a time, `ms_per_cost` long for each unit of cost, and tells what share
-/// of the work and what longest wait each workspace had.
-struct Site {
+/// A service that runs one request at a time, for 1 ms per unit of cost, and records the work done
+/// for each workspace and its longest wait.
+struct SimulatedService {
     admission: Admission,
     now: TimeUs,
     running: VecDeque<(RequestId, WorkspaceId, u64, TimeUs)>,
-    known: HashMap<RequestId, (WorkspaceId, u64, TimeUs)>,
+    waiting: HashMap<RequestId, (WorkspaceId, u64, TimeUs)>,
     work: BTreeMap<String, u64>,
-    longest_wait: BTreeMap<String, DurationUs>,
-    next: u64,
+    max_wait: BTreeMap<String, DurationUs>,
+    next_request_number: u64,
 }
 
-impl Site {
+impl SimulatedService {
     fn new(workspaces: &[Workspace]) -> Self {
         Self {
             admission: admission(workspaces, 1),
             now: START,
             running: VecDeque::new(),
-            known: HashMap::new(),
+            waiting: HashMap::new(),
             work: BTreeMap::new(),
-            longest_wait: BTreeMap::new(),
-            next: 0,
+            max_wait: BTreeMap::new(),
+            next_request_number: 0,
         }
     }
 
     fn send(&mut self, workspace: &str, cost: u64) {
-        let id = format!("r{}", self.next);
-        self.next += 1;
-        let request = ask(&id, workspace, cost);
-        let held = (request.workspace.clone(), cost, self.now);
-        self.known.insert(request.request.clone(), held);
+        let id = format!("r{}", self.next_request_number);
+        self.next_request_number += 1;
+        let request = request_of(&id, workspace, cost);
+        let sent = (request.workspace.clone(), cost, self.now);
+        self.waiting.insert(request.request.clone(), sent);
         let commands = self.admission.submit_request(request, self.now);
-        self.take(commands);
+        self.start_all(commands);
     }
 
-    fn take(&mut self, commands: Vec<AdmissionCommand>) {
+    fn start_all(&mut self, commands: Vec<AdmissionCommand>) {
         for command in commands {
             let AdmissionCommand::Start(id) = command else {
-                panic!("nothing is to be refused here: {command:?}");
+                panic!("expected only started requests, got {command:?}");
             };
-            let (workspace, cost, sent_at) = self.known.remove(&id).unwrap();
-            let wait = self.now.since(sent_at);
-            let longest = self.longest_wait.entry(workspace.to_string()).or_default();
-            *longest = wait.max(*longest);
+            let (workspace, cost, sent_at_us) = self.waiting.remove(&id).unwrap();
+            let wait = self.now.since(sent_at_us);
+            let max_wait = self.max_wait.entry(workspace.to_string()).or_default();
+            *max_wait = wait.max(*max_wait);
             let end = self.now + DurationUs::from_ms(cost);
             self.running.push_back((id, workspace, cost, end));
         }
     }
 
-    /// Runs what is running to its end; time stands still where nothing runs.
-    fn step(&mut self) {
+    /// Ends the running request, if any, and moves the time to its end.
+    fn finish_one(&mut self) {
         let Some((id, workspace, cost, end)) = self.running.pop_front() else {
             return;
         };
         self.now = end;
         *self.work.entry(workspace.to_string()).or_default() += cost;
         let commands = self.admission.finish_request(&id, self.now);
-        self.take(commands);
+        self.start_all(commands);
     }
 }
 
 #[test]
-fn workspaces_that_always_wait_share_by_weight() {
+fn backlogged_workspaces_share_by_weight() {
     let workspaces = [workspace("galle", 1), workspace("kandy", 3)];
-    let mut site = Site::new(&workspaces);
+    let mut simulation = SimulatedService::new(&workspaces);
     for _ in 0..500 {
-        site.send("galle", 10);
-        site.send("kandy", 20);
+        simulation.send("galle", 10);
+        simulation.send("kandy", 20);
     }
-    (0..300).for_each(|_| site.step());
-    let ratio = site.work["kandy"] as f64 / site.work["galle"] as f64;
+    (0..300).for_each(|_| simulation.finish_one());
+    let ratio = simulation.work["kandy"] as f64 / simulation.work["galle"] as f64;
     assert!((2.9..=3.1).contains(&ratio), "{ratio}");
 }
 
-/// Symptom: a workspace that was quiet for an hour takes everything for the next minutes.
-/// Sequence: one works while the other is idle; then both send without end.
-/// Cause: counting only past use would give the idle one credit for all that it didn't use.
+/// A workspace that was idle for an hour must not get the whole service for the next minutes.
+/// Counting only past use would give it credit for all that it didn't use.
 #[test]
-fn an_idle_workspace_banks_no_credit() {
-    let mut site = Site::new(&[workspace("galle", 1), workspace("kandy", 1)]);
+fn idle_workspace_accumulates_no_credit() {
+    let mut simulation = SimulatedService::new(&[workspace("galle", 1), workspace("kandy", 1)]);
     for _ in 0..1_000 {
-        site.send("galle", 10);
-        site.step();
+        simulation.send("galle", 10);
+        simulation.finish_one();
     }
     for _ in 0..200 {
-        site.send("galle", 10);
-        site.send("kandy", 10);
+        simulation.send("galle", 10);
+        simulation.send("kandy", 10);
     }
-    let before = site.work["galle"];
-    (0..100).for_each(|_| site.step());
-    let (galle, kandy) = (site.work["galle"] - before, site.work["kandy"]);
+    let before = simulation.work["galle"];
+    (0..100).for_each(|_| simulation.finish_one());
+    let (galle, kandy) = (simulation.work["galle"] - before, simulation.work["kandy"]);
     assert!(galle.abs_diff(kandy) <= 20, "{galle} {kandy}");
 }
 
-/// Symptom: callers of a small workspace wait because a large one sends ten times its share.
-/// Sequence: one sends a request every 20 ms of work 10; another sends tenfold that.
-/// Cause: in one queue for all, each small request would wait behind all large ones.
+/// Callers of a small workspace must not wait because a large one sends ten times as much. In a
+/// single queue each small request would wait behind all requests of the large workspace.
 #[test]
 fn a_workspace_that_sends_tenfold_costs_others_little() {
-    let mut site = Site::new(&[workspace("flood", 1), workspace("small", 1)]);
+    let mut simulation = SimulatedService::new(&[workspace("flood", 1), workspace("small", 1)]);
     for round in 0..500_u64 {
         for _ in 0..10 {
-            site.send("flood", 10);
+            simulation.send("flood", 10);
         }
-        while site.now < after_ms(20 * round) {
-            site.step();
+        while simulation.now < after_ms(20 * round) {
+            simulation.finish_one();
         }
-        site.send("small", 10);
+        simulation.send("small", 10);
     }
-    let waited = site.longest_wait["small"];
+    let waited = simulation.max_wait["small"];
     assert!(waited <= DurationUs::from_ms(20), "{waited}");
 }
 
 proptest! {
     #![proptest_config(generated(64, 9))]
 
-    /// While two workspaces always wait, their work over weight differs by no more than one
+    /// While two workspaces are backlogged, their work over weight differs by no more than one
     /// request of each, which is the bound of start-time fair queueing; so none starves.
     #[test]
-    fn work_over_weight_stays_together(
+    fn work_over_weight_of_backlogged_workspaces_stays_within_the_bound(
         weights in proptest::collection::vec(1_u32..8, 2..6),
         costs in proptest::collection::vec(1_u64..50, 400),
     ) {
@@ -201,19 +199,19 @@
             .enumerate()
             .map(|(number, weight)| workspace(&name(number), *weight))
             .collect();
-        let mut site = Site::new(&workspaces);
+        let mut simulation = SimulatedService::new(&workspaces);
         for _ in 0..2 {
             for number in 0..weights.len() {
-                site.send(&name(number), 1);
+                simulation.send(&name(number), 1);
             }
         }
         for cost in costs {
-            // Whoever is served sends again, so that each always has a request waiting.
-            let served = site.running.front().unwrap().1.clone();
-            site.step();
-            site.send(served.as_str(), cost);
+            // The workspace that is served sends again, so that each always has a request waiting.
+            let served = simulation.running.front().unwrap().1.clone();
+            simulation.finish_one();
+            simulation.send(served.as_str(), cost);
             let scaled = |number: usize| {
-                let work = site.work.get(&name(number)).copied().unwrap_or(0);
+                let work = simulation.work.get(&name(number)).copied().unwrap_or(0);
                 work as f64 / f64::from(weights[number])
             };
             for a in 0..weights.len() {
@@ -227,9 +225,9 @@
 }
 
 #[test]
-fn priorities_order_a_workspace_within_itself() {
+fn priorities_order_requests_within_a_workspace() {
     let mut admission = admission(&[workspace("galle", 1), workspace("kandy", 1)], 1);
-    admission.submit_request(ask("running", "galle", 1), START);
+    admission.submit_request(request_of("running", "galle", 1), START);
     let arrivals = [
         ("low", "galle", 0),
         ("high", "galle", 9),
@@ -239,7 +237,7 @@
     for (id, workspace, priority) in arrivals {
         let request = AdmissionRequest {
             priority,
-            ..ask(id, workspace, 1)
+            ..request_of(id, workspace, 1)
         };
         assert!(admission.submit_request(request, START).is_empty());
     }
@@ -257,7 +255,7 @@
     );
 }
 
-fn quota_wait_ms(commands: &[AdmissionCommand]) -> Option<u64> {
+fn quota_retry_after_ms(commands: &[AdmissionCommand]) -> Option<u64> {
     commands.iter().find_map(|command| match command {
         AdmissionCommand::Refuse {
             code: Code::QuotaExceeded,
@@ -273,12 +271,13 @@
     requests_per_s: Option<u32>,
     tokens_per_s: Option<u64>,
     daemons: u32,
-    /// Tokens of the prompt, milliseconds after the start, milliseconds to come back after.
+    /// For each request: prompt tokens, arrival in milliseconds after the start, and the retry
+    /// delay in milliseconds if it is refused.
     sent: &'static [(u64, u64, Option<u64>)],
 }
 
 fn quota_cases() -> Vec<QuotaCase> {
-    const PASSES: (u64, u64, Option<u64>) = (9, 0, None);
+    const ADMITTED: (u64, u64, Option<u64>) = (9, 0, None);
     let case = |name, requests_per_s, tokens_per_s, daemons, sent| QuotaCase {
         name,
         requests_per_s,
@@ -287,24 +286,24 @@
         sent,
     };
     vec![
-        case("no quota", None, None, 1, &[PASSES, PASSES, PASSES]),
+        case("no quota", None, None, 1, &[ADMITTED, ADMITTED, ADMITTED]),
         case(
             "two requests a second, four at once",
             Some(2),
             None,
             1,
             &[
-                PASSES,
-                PASSES,
-                PASSES,
-                PASSES,
+                ADMITTED,
+                ADMITTED,
+                ADMITTED,
+                ADMITTED,
                 (9, 0, Some(500)),
                 (9, 500, None),
                 (9, 500, Some(500)),
             ],
         ),
         case(
-            "a quiet hour pays for no larger burst",
+            "an idle hour allows no larger burst",
             Some(1),
             None,
             1,
@@ -328,17 +327,17 @@
             ],
         ),
         case(
-            "a quarter at each of four",
+            "a quarter of the quota at each of four daemons",
             Some(2),
             None,
             4,
-            &[PASSES, (9, 0, Some(2_000))],
+            &[ADMITTED, (9, 0, Some(2_000))],
         ),
     ]
 }
 
 #[test]
-fn quotas_refuse_with_the_time_to_come_back() {
+fn quotas_refuse_with_the_retry_delay() {
     for case in quota_cases() {
         let quota = Workspace {
             requests_per_s: case.requests_per_s,
@@ -351,11 +350,11 @@
             ..Configuration::default()
         };
         admission.apply_quota_configuration(&configuration, case.daemons, START);
-        for (number, (tokens, at_ms, refused_ms)) in case.sent.iter().enumerate() {
-            let request = ask(&format!("r{number}"), "galle", *tokens);
+        for (number, (tokens, at_ms, retry_after_ms)) in case.sent.iter().enumerate() {
+            let request = request_of(&format!("r{number}"), "galle", *tokens);
             let commands = admission.submit_request(request, after_ms(*at_ms));
-            let seen = quota_wait_ms(&commands);
-            assert_eq!(seen, *refused_ms, "{}, request {number}", case.name);
+            let seen = quota_retry_after_ms(&commands);
+            assert_eq!(seen, *retry_after_ms, "{}, request {number}", case.name);
         }
     }
 }
@@ -368,41 +367,41 @@
     };
     let mut admission = admission(&[small, workspace("large", 1)], 1);
     assert_eq!(
-        started(&admission.submit_request(ask("a", "small", 1), START)),
+        started(&admission.submit_request(request_of("a", "small", 1), START)),
         ["a"]
     );
     assert!(
         admission
-            .submit_request(ask("b", "small", 1), START)
+            .submit_request(request_of("b", "small", 1), START)
             .is_empty()
     );
     assert!(
         admission
-            .submit_request(ask("c", "small", 1), START)
+            .submit_request(request_of("c", "small", 1), START)
             .is_empty()
     );
-    let full = admission.submit_request(ask("d", "small", 1), START);
+    let full = admission.submit_request(request_of("d", "small", 1), START);
     assert_eq!(refused(&full), [("d".to_owned(), Code::QueueFull)]);
     assert!(
         admission
-            .submit_request(ask("e", "large", 1), START)
+            .submit_request(request_of("e", "large", 1), START)
             .is_empty()
     );
-    let stranger = admission.submit_request(ask("f", "nobody", 1), START);
+    let stranger = admission.submit_request(request_of("f", "nobody", 1), START);
     assert_eq!(refused(&stranger), [("f".to_owned(), Code::UnknownKey)]);
 }
 
 #[test]
-fn a_request_that_waits_too_long_is_refused_and_never_started() {
+fn request_past_its_deadline_is_refused_and_never_started() {
     let mut admission = admission(&[workspace("galle", 1)], 1);
-    let soon = |id: &str, ms| AdmissionRequest {
+    let due_at = |id: &str, ms| AdmissionRequest {
         deadline_us: after_ms(ms),
-        ..ask(id, "galle", 1)
+        ..request_of(id, "galle", 1)
     };
-    admission.submit_request(soon("running", 10), START);
-    admission.submit_request(soon("first", 20), START);
-    admission.submit_request(soon("second", 30), START);
-    admission.submit_request(soon("third", 90), START);
+    admission.submit_request(due_at("running", 10), START);
+    admission.submit_request(due_at("first", 20), START);
+    admission.submit_request(due_at("second", 30), START);
+    admission.submit_request(due_at("third", 90), START);
     assert!(admission.tick(after_ms(19)).is_empty());
     let late = [("first".to_owned(), Code::DeadlineUnreachable)];
     assert_eq!(refused(&admission.tick(after_ms(20))), late);
@@ -412,28 +411,28 @@
         [("second".to_owned(), Code::DeadlineUnreachable)]
     );
     assert_eq!(started(&commands), ["third"]);
-    let past = admission.submit_request(soon("past", 40), after_ms(40));
+    let past = admission.submit_request(due_at("past", 40), after_ms(40));
     assert_eq!(
         refused(&past),
         [("past".to_owned(), Code::DeadlineUnreachable)]
     );
 }
 
-/// Symptom: a service has room, requests wait, and none starts.
-/// Sequence: the only waiting request of the workspace that is next is cancelled.
-/// Cause: the workspace would keep its place in the order with nothing to start.
+/// Waiting requests must not be stuck while a service has free slots. If the only waiting request
+/// of the next workspace is cancelled, the workspace must not keep its place in the order with
+/// nothing to start.
 #[test]
-fn cancelling_the_last_request_of_a_workspace_lets_the_others_on() {
+fn cancelling_the_last_request_of_a_workspace_does_not_block_others() {
     let mut admission = admission(&[workspace("galle", 1), workspace("kandy", 1)], 1);
-    admission.submit_request(ask("running", "kandy", 9), START);
-    admission.submit_request(ask("cancelled", "galle", 1), START);
-    admission.submit_request(ask("waiting", "kandy", 1), START);
+    admission.submit_request(request_of("running", "kandy", 9), START);
+    admission.submit_request(request_of("cancelled", "galle", 1), START);
+    admission.submit_request(request_of("waiting", "kandy", 1), START);
     assert!(admission.cancel(&"cancelled".parse().unwrap()));
     let commands = admission.finish_request(&"running".parse().unwrap(), START);
     assert_eq!(started(&commands), ["waiting"]);
     assert!(
         admission
-            .submit_request(ask("again", "galle", 1), START)
+            .submit_request(request_of("again", "galle", 1), START)
             .is_empty()
     );
     let commands = admission.finish_request(&"waiting".parse().unwrap(), START);
@@ -441,10 +440,10 @@
 }
 
 #[test]
-fn cancelling_and_capacity_keep_the_counts_right() {
+fn cancelling_and_capacity_changes_keep_the_counts() {
     let mut admission = admission(&[workspace("galle", 1)], 1);
     for id in ["a", "b", "c", "d", "e"] {
-        admission.submit_request(ask(id, "galle", 1), START);
+        admission.submit_request(request_of(id, "galle", 1), START);
     }
     let id = |name: &str| name.parse::<RequestId>().unwrap();
     assert!(admission.cancel(&id("b")));
@@ -456,7 +455,7 @@
     );
     assert!(
         admission
-            .submit_request(ask("c", "galle", 1), START)
+            .submit_request(request_of("c", "galle", 1), START)
             .is_empty(),
         "c waits already"
     );
@@ -465,20 +464,29 @@
         ["c"]
     );
     assert_eq!(started(&admission.finish_request(&id("a"), START)), ["d"]);
-    let given_up = admission.refuse_waiting(Code::Draining);
-    assert_eq!(refused(&given_up), [("e".to_owned(), Code::Draining)]);
+    let refused_waiting = admission.refuse_waiting(Code::Draining);
+    assert_eq!(
+        refused(&refused_waiting),
+        [("e".to_owned(), Code::Draining)]
+    );
     admission.finish_request(&id("c"), START);
     admission.finish_request(&id("d"), START);
     let gate = admission.snapshot().remove(0);
     assert_eq!((gate.running, gate.waiting, gate.capacity), (0, 0, 2));
 }
 
-/// Lets `count` requests of one workspace wait behind a running one and end a second apart, so
-/// that the table learns how fast the service is; one request stays and runs at the end.
-fn learn_pace(admission: &mut Admission, workspace: &str, start_ms: u64, count: u64) -> u64 {
+/// Lets `count` requests of one workspace end one second apart while others wait, so that the gate
+/// measures the throughput. One more request is left running. Returns the time at the end, in
+/// milliseconds.
+fn record_end_intervals(
+    admission: &mut Admission,
+    workspace: &str,
+    start_ms: u64,
+    count: u64,
+) -> u64 {
     let name = |number| format!("{workspace}-{start_ms}-{number}");
     for number in 0..=count {
-        admission.submit_request(ask(&name(number), workspace, 1), after_ms(start_ms));
+        admission.submit_request(request_of(&name(number), workspace, 1), after_ms(start_ms));
     }
     for number in 0..count {
         let now = after_ms(start_ms + 1_000 * (number + 1));
@@ -487,58 +495,65 @@
     start_ms + 1_000 * count
 }
 
-fn ask_within(id: &str, workspace: &str, now_ms: u64, deadline_ms: u64) -> AdmissionRequest {
+fn request_with_deadline(
+    id: &str,
+    workspace: &str,
+    now_ms: u64,
+    deadline_ms: u64,
+) -> AdmissionRequest {
     AdmissionRequest {
         deadline_us: after_ms(now_ms + deadline_ms),
-        ..ask(id, workspace, 1)
+        ..request_of(id, workspace, 1)
     }
 }
 
 #[test]
-fn a_request_that_could_not_start_in_time_is_refused_at_its_arrival() {
-    // Symptom: callers wait for their whole deadline to hear that they were refused. Sequence of
-    // events: the service ends one request a second; five wait; one arrives that can wait for
-    // three seconds. Cause: it is let into the queue whatever the queue's length.
+fn request_that_cannot_start_in_time_is_refused_on_arrival() {
+    // A caller must not wait for its whole deadline only to be refused. The service ends one
+    // request a second and five wait, so a request with a deadline of three seconds can't start in
+    // time.
     let mut admission = admission(&[workspace("kandy", 1), workspace("galle", 1)], 1);
-    let now_ms = learn_pace(&mut admission, "kandy", 0, 20);
+    let now_ms = record_end_intervals(&mut admission, "kandy", 0, 20);
     let now = after_ms(now_ms);
     for number in 0..5 {
-        let waits = ask_within(&format!("w{number}"), "kandy", now_ms, 60_000);
+        let waits = request_with_deadline(&format!("w{number}"), "kandy", now_ms, 60_000);
         assert!(admission.submit_request(waits, now).is_empty());
     }
-    let commands = admission.submit_request(ask_within("late", "kandy", now_ms, 3_000), now);
+    let commands =
+        admission.submit_request(request_with_deadline("late", "kandy", now_ms, 3_000), now);
     let expected = ("late".to_owned(), Code::DeadlineUnreachable);
     assert_eq!(refused(&commands), [expected]);
-    // One that can wait longer, goes first by its priority, or has its own share is let in.
-    let patient = ask_within("patient", "kandy", now_ms, 10_000);
+    // Accepted: a request that can wait longer, has a higher priority or is of another workspace.
+    let patient = request_with_deadline("patient", "kandy", now_ms, 10_000);
     assert!(admission.submit_request(patient, now).is_empty());
     let urgent = AdmissionRequest {
         priority: 9,
-        ..ask_within("urgent", "kandy", now_ms, 3_000)
+        ..request_with_deadline("urgent", "kandy", now_ms, 3_000)
     };
     assert!(admission.submit_request(urgent, now).is_empty());
-    let other = ask_within("other", "galle", now_ms, 3_000);
+    let other = request_with_deadline("other", "galle", now_ms, 3_000);
     assert!(admission.submit_request(other, now).is_empty());
 }
 
 #[test]
-fn a_quiet_hour_makes_no_burst_unreachable() {
-    // Symptom: the first burst of the morning is refused while the endpoints are idle. Sequence of
-    // events: requests end minutes apart through the night. Cause: these pauses are taken for the
-    // pace of the service.
+fn idle_pauses_do_not_refuse_the_next_burst() {
+    // The first burst of the morning must not be refused while the endpoints are idle. Requests
+    // that end minutes apart through the night must not count as the throughput of the service.
     let mut admission = admission(&[workspace("kandy", 1)], 1);
-    let mut now_ms = learn_pace(&mut admission, "kandy", 0, 20);
+    let mut now_ms = record_end_intervals(&mut admission, "kandy", 0, 20);
     admission.finish_request(&"kandy-0-20".parse().unwrap(), after_ms(now_ms));
     for number in 0..20 {
         now_ms += 600_000;
         let id = format!("night-{number}");
-        admission.submit_request(ask(&id, "kandy", 1), after_ms(now_ms));
+        admission.submit_request(request_of(&id, "kandy", 1), after_ms(now_ms));
         admission.finish_request(&id.parse().unwrap(), after_ms(now_ms + 500));
     }
     for number in 0..4 {
         let id = format!("morning-{number}");
-        let commands =
-            admission.submit_request(ask_within(&id, "kandy", now_ms, 8_000), after_ms(now_ms));
+        let commands = admission.submit_request(
+            request_with_deadline(&id, "kandy", now_ms, 8_000),
+            after_ms(now_ms),
+        );
         assert!(refused(&commands).is_empty(), "{commands:?}");
     }
 }
--- a/crates/wisteriahitch-core/tests/all/route_directory.rs
+++ b/crates/wisteriahitch-core/tests/all/route_directory.rs
@@ -1,4 +1,4 @@
-//! The directory against a plain map, and what a gap and a new listing do.
+//! The directory: comparison with a reference map, event gaps, sweeps and shards.
 
 use std::collections::{HashMap, HashSet};
 
@@ -34,11 +34,11 @@
     Evicted(usize, u8),
     Listing(usize, Vec<u8>),
     Gap(usize),
-    Gone(usize),
+    EndpointRemoved(usize),
     StoreStored(Tier, u8),
     StoreEvicted(Tier, u8),
     StoreListing(Vec<(u8, Tier)>),
-    StoreGone,
+    StoreRemoved,
     Sweep(usize),
 }
 
@@ -53,42 +53,43 @@
         3 => (0..HOLDERS, 0..KEYS).prop_map(|(holder, key)| Event::Evicted(holder, key)),
         2 => (0..HOLDERS, keys()).prop_map(|(holder, keys)| Event::Listing(holder, keys)),
         1 => (0..HOLDERS).prop_map(Event::Gap),
-        1 => (0..HOLDERS).prop_map(Event::Gone),
+        1 => (0..HOLDERS).prop_map(Event::EndpointRemoved),
         4 => (tier(), 0..KEYS).prop_map(|(tier, key)| Event::StoreStored(tier, key)),
         2 => (tier(), 0..KEYS).prop_map(|(tier, key)| Event::StoreEvicted(tier, key)),
         1 => proptest::collection::vec((0..KEYS, tier()), 0..20).prop_map(Event::StoreListing),
-        1 => Just(Event::StoreGone),
+        1 => Just(Event::StoreRemoved),
         2 => (1_usize..600).prop_map(Event::Sweep),
     ]
 }
 
-/// What the directory stands for, in the plainest form.
+/// A simple model of what the directory stores.
 #[derive(Default)]
-struct Plain {
-    held: HashMap<usize, HashSet<u8>>,
-    suspect: HashSet<usize>,
+struct ReferenceMap {
+    held_keys: HashMap<usize, HashSet<u8>>,
+    suspect_endpoints: HashSet<usize>,
     tiers: HashSet<(Tier, u8)>,
 }
 
-impl Plain {
+impl ReferenceMap {
     fn apply(&mut self, event: &Event) {
         match event {
             Event::Stored(holder, key) => {
-                self.held.entry(*holder).or_default().insert(*key);
+                self.held_keys.entry(*holder).or_default().insert(*key);
             }
             Event::Evicted(holder, key) => {
-                self.held.entry(*holder).or_default().remove(key);
+                self.held_keys.entry(*holder).or_default().remove(key);
             }
             Event::Listing(holder, keys) => {
-                self.suspect.remove(holder);
-                self.held.insert(*holder, keys.iter().copied().collect());
+                self.suspect_endpoints.remove(holder);
+                self.held_keys
+                    .insert(*holder, keys.iter().copied().collect());
             }
             Event::Gap(holder) => {
-                self.suspect.insert(*holder);
+                self.suspect_endpoints.insert(*holder);
             }
-            Event::Gone(holder) => {
-                self.suspect.remove(holder);
-                self.held.remove(holder);
+            Event::EndpointRemoved(holder) => {
+                self.suspect_endpoints.remove(holder);
+                self.held_keys.remove(holder);
             }
             Event::StoreStored(tier, key) => {
                 self.tiers.insert((*tier, *key));
@@ -99,19 +100,21 @@
             Event::StoreListing(blocks) => {
                 self.tiers = blocks.iter().map(|(key, tier)| (*tier, *key)).collect();
             }
-            Event::StoreGone => self.tiers.clear(),
+            Event::StoreRemoved => self.tiers.clear(),
             Event::Sweep(_) => {}
         }
     }
 
     fn prefix(&self, holder: usize, first: u8) -> u64 {
-        if self.suspect.contains(&holder) {
+        if self.suspect_endpoints.contains(&holder) {
             return 0;
         }
-        let Some(held) = self.held.get(&holder) else {
+        let Some(held_keys) = self.held_keys.get(&holder) else {
             return 0;
         };
-        (first..KEYS).take_while(|key| held.contains(key)).count() as u64
+        (first..KEYS)
+            .take_while(|key| held_keys.contains(key))
+            .count() as u64
     }
 
     fn tier_of(&self, key: u8) -> Option<Tier> {
@@ -134,7 +137,7 @@
             directory.replace_endpoint_listing(&endpoint(*holder), &keys);
         }
         Event::Gap(holder) => directory.mark_event_gap(&endpoint(*holder)),
-        Event::Gone(holder) => directory.remove_endpoint(&endpoint(*holder)),
+        Event::EndpointRemoved(holder) => directory.remove_endpoint(&endpoint(*holder)),
         Event::StoreStored(tier, number) => {
             directory.record_tier_stored(&hub, *tier, &key(*number))
         }
@@ -148,7 +151,7 @@
                 .collect();
             directory.replace_store_listing(&hub, &blocks);
         }
-        Event::StoreGone => directory.remove_store(&hub),
+        Event::StoreRemoved => directory.remove_store(&hub),
         Event::Sweep(segments) => directory.sweep(*segments),
     }
 }
@@ -157,35 +160,35 @@
     #![proptest_config(generated(128, 5))]
 
     #[test]
-    fn answers_like_a_plain_map(events in proptest::collection::vec(event(), 1..60)) {
+    fn answers_match_a_reference_map(events in proptest::collection::vec(event(), 1..60)) {
         let mut directory = Directory::default();
-        let mut plain = Plain::default();
+        let mut reference = ReferenceMap::default();
         let chains: Vec<PieceChain> = (0..KEYS).step_by(3).map(|first| chain_of(first..KEYS)).collect();
         for event in &events {
             apply(&mut directory, event);
-            plain.apply(event);
+            reference.apply(event);
             let tiers: Vec<Option<Tier>> = directory
                 .tier_locations(&chains[0])
                 .into_iter()
                 .map(|place| place.map(|(_, tier)| tier))
                 .collect();
-            let expected: Vec<Option<Tier>> = (0..KEYS).map(|key| plain.tier_of(key)).collect();
+            let expected: Vec<Option<Tier>> = (0..KEYS).map(|key| reference.tier_of(key)).collect();
             prop_assert_eq!(tiers, expected);
             for holder in 0..HOLDERS {
                 for (chain, first) in chains.iter().zip((0..KEYS).step_by(3)) {
                     let tokens = directory.resident_prefix_tokens(&endpoint(holder), chain);
-                    prop_assert_eq!(tokens.get(), 10 * plain.prefix(holder, first));
+                    prop_assert_eq!(tokens.get(), 10 * reference.prefix(holder, first));
                 }
             }
         }
     }
 }
 
-/// Symptom: requests are drawn to an endpoint that computes everything again.
-/// Sequence: the endpoint stores blocks; its events have a gap in which it evicted one.
-/// Cause: without suspicion the entries from before the gap would still be believed.
+/// Requests must not be attracted to an endpoint that computes everything again. It stores blocks,
+/// then its events have a gap in which it evicted one, so entries from before the gap must not be
+/// trusted.
 #[test]
-fn a_gap_holds_until_the_next_listing() {
+fn event_gap_distrusts_entries_until_the_next_listing() {
     let chain = chain("kandy", &words(30));
     let keys: Vec<BlockKey> = chain.blocks.iter().map(|piece| piece.key).collect();
     let mut directory = Directory::default();
@@ -211,11 +214,11 @@
     assert_eq!(directory.snapshot().suspect_holders, 1);
 }
 
-/// Symptom: the directory grows although endpoints hold no more than before.
-/// Sequence: an endpoint is listed again and again, each time with other blocks.
-/// Cause: entries of replaced listings stay in the table until a sweep drops them.
+/// The directory must not grow while endpoints hold no more than before. An endpoint that is listed
+/// again and again with other blocks leaves entries of replaced listings until a sweep removes
+/// them.
 #[test]
-fn sweeps_give_back_replaced_listings() {
+fn sweeps_remove_entries_of_replaced_listings() {
     let mut directory = Directory::default();
     let whole_sweep = 256;
     for round in 0..70_000_u32 {
@@ -229,21 +232,23 @@
 }
 
 #[test]
-fn a_lost_daemon_moves_only_its_own_keys() {
+fn removed_daemon_moves_only_its_own_keys() {
     let daemons: Vec<DaemonId> = (0..9).map(|n| format!("d{n}").parse().unwrap()).collect();
-    let fewer = &daemons[1..];
-    let mut owned = HashMap::new();
+    let remaining = &daemons[1..];
+    let mut keys_by_daemon = HashMap::new();
     for number in 0..2_000_u32 {
         let key = BlockKey::derive("wisteriahitch test key", &[&number.to_le_bytes()]);
         let before = shard_owner(&key, &daemons).unwrap();
-        let after = shard_owner(&key, fewer).unwrap();
-        *owned.entry(before).or_insert(0) += 1;
+        let after = shard_owner(&key, remaining).unwrap();
+        *keys_by_daemon.entry(before).or_insert(0) += 1;
         assert!(before == after || *before == daemons[0]);
     }
-    assert_eq!(owned.len(), 9);
+    assert_eq!(keys_by_daemon.len(), 9);
     assert!(
-        owned.values().all(|count| (150..300).contains(count)),
-        "{owned:?}"
+        keys_by_daemon
+            .values()
+            .all(|count| (150..300).contains(count)),
+        "{keys_by_daemon:?}"
     );
     assert_eq!(shard_owner(&key(1), &[]), None);
 }
--- a/crates/wisteriahitch-core/tests/all/route_endpoint.rs
+++ b/crates/wisteriahitch-core/tests/all/route_endpoint.rs
@@ -9,7 +9,9 @@
 use wisteriahitch_types::{BlockKey, DurationUs, TimeUs, TokenCount};
 
 use crate::generated::generated;
-use crate::route_fixture::{START, after_ms, configuration, endpoint, idle, request, router};
+use crate::route_fixture::{
+    START, after_ms, configuration, endpoint, idle_report, request, router,
+};
 
 const EXPECTED: DurationUs = DurationUs::from_ms(100);
 
@@ -17,7 +19,7 @@
     let mut table = EndpointTable::new(EndpointOptions::default());
     table.apply_endpoint_configuration(&configuration(ServiceKind::Engine, endpoints), START);
     for number in 0..endpoints {
-        table.record_report(&endpoint(number), idle(START), START);
+        table.record_report(&endpoint(number), idle_report(START), START);
     }
     table
 }
@@ -26,31 +28,33 @@
     table.get_state(&endpoint(number)).unwrap()
 }
 
-fn fail(table: &mut EndpointTable, number: usize, times: usize, now: TimeUs) {
+/// Sends attempts to an endpoint that all fail.
+fn fail_attempts(table: &mut EndpointTable, number: usize, times: usize, now: TimeUs) {
     for _ in 0..times {
-        let flight = table
+        let attempt = table
             .begin_attempt(&endpoint(number), TokenCount::ZERO, EXPECTED, now)
             .unwrap();
-        table.record_failure(flight, AttemptFailure::Broken, now);
+        table.record_failure(attempt, AttemptFailure::Broken, now);
     }
 }
 
-fn succeed(table: &mut EndpointTable, number: usize, taken_ms: u64, now: TimeUs) {
-    let flight = table
+/// Sends an attempt to an endpoint that succeeds after `elapsed_ms`.
+fn succeed_once(table: &mut EndpointTable, number: usize, elapsed_ms: u64, now: TimeUs) {
+    let attempt = table
         .begin_attempt(&endpoint(number), TokenCount::ZERO, EXPECTED, now)
         .unwrap();
-    table.record_success(flight, now + DurationUs::from_ms(taken_ms));
+    table.record_success(attempt, now + DurationUs::from_ms(elapsed_ms));
 }
 
 #[derive(Clone, Copy)]
 enum Step {
     Leaving(&'static str),
-    LeavingByOldPeer,
-    ListLive,
+    LeavingByStalePeer,
+    VmListLive,
     Report { life: &'static str, leaving: bool },
 }
 
-fn take(table: &mut EndpointTable, step: Step, now: TimeUs) {
+fn apply_step(table: &mut EndpointTable, step: Step, now: TimeUs) {
     let id = endpoint(0);
     let peer = |life: &str| LeavingSource::Peer {
         life: Some(life.to_owned()),
@@ -59,13 +63,13 @@
         Step::Leaving("list") => table.mark_leaving(&id, &LeavingSource::VmList, now),
         Step::Leaving("peer") => table.mark_leaving(&id, &LeavingSource::Peer { life: None }, now),
         Step::Leaving(_) => table.mark_leaving(&id, &LeavingSource::OwnReport, now),
-        Step::LeavingByOldPeer => table.mark_leaving(&id, &peer("first"), now),
-        Step::ListLive => table.retract_vm_list_leaving(&id, now),
+        Step::LeavingByStalePeer => table.mark_leaving(&id, &peer("first"), now),
+        Step::VmListLive => table.retract_vm_list_leaving(&id, now),
         Step::Report { life, leaving } => {
             let load = EndpointLoad {
                 life: Some(life.to_owned()),
                 leaving,
-                ..idle(now)
+                ..idle_report(now)
             };
             table.record_report(&id, load, now);
         }
@@ -86,88 +90,102 @@
     Step::Report { life, leaving }
 }
 
-const LIST: Step = Step::Leaving("list");
-const OWN: Step = Step::Leaving("own");
-const SAME: Step = report("first", false);
-const REBORN: Step = report("second", false);
-const REBORN_LEAVING: Step = report("second", true);
+const VM_LIST: Step = Step::Leaving("list");
+const OWN_REPORT: Step = Step::Leaving("own");
+const SAME_INSTANCE: Step = report("first", false);
+const NEW_INSTANCE: Step = report("second", false);
+const NEW_INSTANCE_LEAVING: Step = report("second", true);
 const LEAVING: EndpointState = EndpointState::Leaving;
 const READY: EndpointState = EndpointState::Ready;
 
 const LEAVING_CASES: &[LeavingCase] = &[
-    case("the list says so", LEAVING, &[LIST]),
-    case("a peer says so", LEAVING, &[Step::Leaving("peer")]),
-    case("its own report says so", LEAVING, &[report("first", true)]),
-    case("a lagging report of the same life", LEAVING, &[LIST, SAME]),
+    case("the VM list shows it as leaving", LEAVING, &[VM_LIST]),
+    case("a peer announces it", LEAVING, &[Step::Leaving("peer")]),
+    case(
+        "its own report announces it",
+        LEAVING,
+        &[report("first", true)],
+    ),
     case(
-        "the list takes it back alone",
+        "a lagging report of the same instance",
         LEAVING,
-        &[LIST, Step::ListLive, SAME],
+        &[VM_LIST, SAME_INSTANCE],
     ),
-    case("a new life", READY, &[OWN, REBORN]),
     case(
-        "a new life that is leaving as well",
+        "only the VM list retracts it",
         LEAVING,
-        &[OWN, REBORN_LEAVING],
+        &[VM_LIST, Step::VmListLive, SAME_INSTANCE],
     ),
+    case("a new instance", READY, &[OWN_REPORT, NEW_INSTANCE]),
     case(
-        "late news of the life before",
+        "a new instance that is leaving as well",
+        LEAVING,
+        &[OWN_REPORT, NEW_INSTANCE_LEAVING],
+    ),
+    case(
+        "a late peer announcement about the previous instance",
         READY,
-        &[OWN, REBORN, Step::LeavingByOldPeer],
+        &[OWN_REPORT, NEW_INSTANCE, Step::LeavingByStalePeer],
     ),
     case(
-        "a list that catches up",
+        "a VM list that catches up",
         READY,
-        &[OWN, REBORN, LIST, Step::ListLive],
+        &[OWN_REPORT, NEW_INSTANCE, VM_LIST, Step::VmListLive],
     ),
     case(
-        "a list that catches up, but the new life itself is leaving",
+        "a VM list that catches up, but the new instance itself is leaving",
         LEAVING,
-        &[OWN, REBORN, LIST, REBORN_LEAVING, Step::ListLive],
+        &[
+            OWN_REPORT,
+            NEW_INSTANCE,
+            VM_LIST,
+            NEW_INSTANCE_LEAVING,
+            Step::VmListLive,
+        ],
     ),
     case(
-        "a late report of the life before",
+        "a late report of the previous instance",
         LEAVING,
-        &[REBORN, OWN, SAME],
+        &[NEW_INSTANCE, OWN_REPORT, SAME_INSTANCE],
     ),
 ];
 
-/// Symptom: an endpoint that is going away gets new work, which is cut off.
-/// Sequence: one source says that it is leaving; another, which lags, still says that it is live.
-/// Cause: the later message would win over the newer knowledge.
+/// An endpoint that is going away must not get new requests, which would be cut off. One source
+/// announces the leaving; another, which lags, still shows the endpoint as live. The later message
+/// must not win over the newer knowledge.
 #[test]
-fn leaving_ends_only_by_a_new_life() {
+fn leaving_ends_only_with_a_new_instance() {
     for case in LEAVING_CASES {
         let mut table = table(3);
         for (number, step) in (1..).zip(case.steps) {
-            take(&mut table, *step, after_ms(number));
+            apply_step(&mut table, *step, after_ms(number));
         }
         assert_eq!(state(&table, 0), case.state, "{}", case.name);
     }
 }
 
-/// Symptom: an endpoint that tells no life is out for ever, or is put back by a late report.
-/// Sequence: it leaves; then a late report comes, or its VM is replaced and reports anew.
-/// Cause: both look alike, but for how far back the clock went and how long nothing came.
+/// Reports without an instance must neither keep a restarted endpoint out for ever nor let a stale
+/// report make a leaving one ready. Both cases look alike, except for how far the clock went back
+/// and how long no report arrived.
 #[test]
-fn reports_that_tell_no_life_end_a_leaving_only_when_far_apart() {
+fn reports_without_an_instance_end_leaving_only_when_far_apart() {
     struct Case {
         name: &'static str,
-        /// When the report comes and when it was made, in milliseconds.
-        came_ms: u64,
+        /// When the report arrives and when it was made, in milliseconds.
+        arrived_ms: u64,
         made_ms: u64,
         state: EndpointState,
     }
-    let case = |name, came_ms, made_ms, state| Case {
+    let case = |name, arrived_ms, made_ms, state| Case {
         name,
-        came_ms,
+        arrived_ms,
         made_ms,
         state,
     };
     let cases = [
         case("the next report", 60_200, 60_200, LEAVING),
-        case("a late report", 60_200, 59_000, LEAVING),
-        case("a clock that began again", 60_200, 300, READY),
+        case("a stale report", 60_200, 59_000, LEAVING),
+        case("a clock that restarted", 60_200, 300, READY),
         case("a short silence", 69_999, 69_999, LEAVING),
         case("a long silence", 70_000, 70_000, READY),
     ];
@@ -177,56 +195,55 @@
         let load = |made_at_ms| EndpointLoad {
             life: None,
             made_at_ms,
-            ..idle(START)
+            ..idle_report(START)
         };
         table.record_report(&endpoint(0), load(60_000), after_ms(60_000));
         table.mark_leaving(&endpoint(0), &LeavingSource::VmList, after_ms(60_001));
-        table.record_report(&endpoint(0), load(case.made_ms), after_ms(case.came_ms));
+        table.record_report(&endpoint(0), load(case.made_ms), after_ms(case.arrived_ms));
         assert_eq!(state(&table, 0), case.state, "{}", case.name);
     }
 }
 
-/// Symptom: after its clock was set back, an endpoint looks busier with each request.
-/// Sequence: reports go on with a clock that an operator set an hour back.
-/// Cause: by the old difference of the clocks every report looks an hour old.
+/// An endpoint whose clock was set back must not look busier with each request. With the old clock
+/// offset every report would look an hour old, and no sent request would be dropped from the
+/// correction.
 #[test]
-fn a_clock_that_is_set_back_is_followed() {
+fn load_correction_follows_a_clock_that_is_set_back() {
     let mut table = table(1);
     let hour_ms = 3_600_000;
     let later = |ms| after_ms(2 * hour_ms + ms);
-    table.record_report(&endpoint(0), idle(later(0)), later(0));
+    table.record_report(&endpoint(0), idle_report(later(0)), later(0));
     let sent = table.begin_attempt(&endpoint(0), TokenCount::ZERO, EXPECTED, later(1));
     assert!(sent.is_some());
     let load = EndpointLoad {
         running: 1,
-        ..idle(after_ms(hour_ms))
+        ..idle_report(after_ms(hour_ms))
     };
     table.record_report(&endpoint(0), load, later(1_000));
-    let shown = &table.snapshot()[0];
-    assert_eq!((shown.requests, shown.in_flight), (1, 1));
+    let snapshot = &table.snapshot()[0];
+    assert_eq!((snapshot.requests, snapshot.in_flight), (1, 1));
 }
 
 #[test]
-fn missing_reports_make_suspect_and_a_report_ready() {
+fn missing_reports_make_an_endpoint_suspect_until_the_next_report() {
     let mut table = table(2);
     table.tick(after_ms(5_000));
     assert_eq!(state(&table, 0), EndpointState::Ready);
     table.tick(after_ms(5_001));
     assert_eq!(state(&table, 0), EndpointState::Suspect);
-    table.record_report(&endpoint(0), idle(after_ms(5_100)), after_ms(5_100));
+    table.record_report(&endpoint(0), idle_report(after_ms(5_100)), after_ms(5_100));
     assert_eq!(state(&table, 0), EndpointState::Ready);
     assert_eq!(table.drain_state_changes().len(), 5);
 }
 
-/// Symptom: a daemon piles requests on the endpoint whose report looks idle.
-/// Sequence: a report comes; requests are sent; a report made before them comes late.
-/// Cause: the late report would hide what was sent after it was made.
+/// A daemon must not pile requests on an endpoint whose report looks idle. A report that was made
+/// before requests were sent, but arrives after them, must not hide them.
 #[test]
-fn a_lagging_report_is_corrected_by_what_was_sent_since() {
+fn lagging_report_is_corrected_by_requests_sent_since() {
     let mut table = table(1);
     let load_at = |made: TimeUs, running| EndpointLoad {
         running,
-        ..idle(made)
+        ..idle_report(made)
     };
     table.record_report(&endpoint(0), load_at(after_ms(1_000), 0), after_ms(1_000));
     let tokens = TokenCount::new(500);
@@ -236,57 +253,57 @@
     let second = table
         .begin_attempt(&endpoint(0), tokens, EXPECTED, after_ms(1_600))
         .unwrap();
-    let seen = |table: &EndpointTable| {
-        let shown = &table.snapshot()[0];
-        (shown.requests, shown.queued_tokens.get())
+    let corrected_load = |table: &EndpointTable| {
+        let snapshot = &table.snapshot()[0];
+        (snapshot.requests, snapshot.queued_tokens.get())
     };
-    assert_eq!(seen(&table), (2, 1_000));
+    assert_eq!(corrected_load(&table), (2, 1_000));
     table.record_report(&endpoint(0), load_at(after_ms(1_050), 0), after_ms(1_700));
-    assert_eq!(seen(&table), (2, 1_000));
+    assert_eq!(corrected_load(&table), (2, 1_000));
     table.record_report(&endpoint(0), load_at(after_ms(1_400), 1), after_ms(1_800));
-    assert_eq!(seen(&table), (2, 500));
+    assert_eq!(corrected_load(&table), (2, 500));
     table.record_first_token(second, after_ms(1_900));
-    assert_eq!(seen(&table), (2, 0));
+    assert_eq!(corrected_load(&table), (2, 0));
     table.record_success(first, after_ms(2_000));
-    assert_eq!(seen(&table), (1, 0));
+    assert_eq!(corrected_load(&table), (1, 0));
     table.record_success(second, after_ms(2_100));
-    assert_eq!(seen(&table), (0, 0));
+    assert_eq!(corrected_load(&table), (0, 0));
 }
 
 #[test]
-fn failures_in_a_row_eject_and_a_probe_brings_back() {
+fn consecutive_failures_eject_until_a_probe_succeeds() {
     let mut table = table(4);
-    fail(&mut table, 0, 4, START);
-    succeed(&mut table, 0, 100, START);
-    fail(&mut table, 0, 4, START);
+    fail_attempts(&mut table, 0, 4, START);
+    succeed_once(&mut table, 0, 100, START);
+    fail_attempts(&mut table, 0, 4, START);
     assert_eq!(state(&table, 0), EndpointState::Ready);
-    fail(&mut table, 0, 1, START);
+    fail_attempts(&mut table, 0, 1, START);
     assert_eq!(state(&table, 0), EndpointState::Ejected);
     table.tick(after_ms(9_999));
     assert_eq!(state(&table, 0), EndpointState::Ejected);
-    let keep_fresh = |table: &mut EndpointTable, now| {
+    let report_and_tick = |table: &mut EndpointTable, now| {
         for number in 0..4 {
-            table.record_report(&endpoint(number), idle(now), now);
+            table.record_report(&endpoint(number), idle_report(now), now);
         }
         table.tick(now);
     };
-    keep_fresh(&mut table, after_ms(10_000));
+    report_and_tick(&mut table, after_ms(10_000));
     assert_eq!(state(&table, 0), EndpointState::Ready);
     assert!(table.snapshot()[0].is_probing);
-    fail(&mut table, 0, 1, after_ms(10_001));
+    fail_attempts(&mut table, 0, 1, after_ms(10_001));
     assert_eq!(state(&table, 0), EndpointState::Ejected);
-    keep_fresh(&mut table, after_ms(20_002));
+    report_and_tick(&mut table, after_ms(20_002));
     assert_eq!(state(&table, 0), EndpointState::Ejected);
-    keep_fresh(&mut table, after_ms(30_001));
-    succeed(&mut table, 0, 100, after_ms(30_002));
+    report_and_tick(&mut table, after_ms(30_001));
+    succeed_once(&mut table, 0, 100, after_ms(30_002));
     assert!(!table.snapshot()[0].is_probing);
 }
 
-/// Symptom: every endpoint of a service is ejected although each still answers some requests.
-/// Sequence: a fault that all share, such as a slow link, makes requests fail everywhere.
-/// Cause: without a floor each endpoint is judged as if the others were well.
+/// A fault that all endpoints share, such as a slow link, must not eject all of them although each
+/// still answers some requests. Without the limit each endpoint is judged as if the others were
+/// well.
 #[test]
-fn ejection_keeps_a_floor() {
+fn shared_fault_ejects_only_a_fraction_of_the_endpoints() {
     struct Case {
         endpoints: usize,
         ejected: usize,
@@ -312,7 +329,7 @@
     for case in cases {
         let mut table = table(case.endpoints);
         for number in 0..case.endpoints {
-            fail(&mut table, number, 20, START);
+            fail_attempts(&mut table, number, 20, START);
         }
         let is_ejected = |number: &usize| state(&table, *number) == EndpointState::Ejected;
         let ejected = (0..case.endpoints).filter(is_ejected).count();
@@ -320,21 +337,21 @@
     }
 }
 
-/// Symptom: endpoints that are well are ejected because their estimates differ.
-/// Sequence: one gets requests that should wait, or long prompts; the others get short ones.
-/// Cause: a ratio to the estimate misleads where that is near zero, a difference where it is large.
+/// Healthy endpoints must not be ejected because their estimates differ: one may get requests that
+/// have to wait or long prompts while the others get short ones. A ratio to the estimate misleads
+/// where the estimate is near zero, a difference where it is large.
 #[test]
-fn a_slow_endpoint_is_ejected_against_the_median() {
+fn slowness_is_measured_against_the_median_of_the_service() {
     struct Case {
         name: &'static str,
         expected_ms: [u64; 4],
-        taken_ms: [u64; 4],
+        elapsed_ms: [u64; 4],
         ejected: Option<usize>,
     }
-    let case = |name, expected_ms, taken_ms, ejected| Case {
+    let case = |name, expected_ms, elapsed_ms, ejected| Case {
         name,
         expected_ms,
-        taken_ms,
+        elapsed_ms,
         ejected,
     };
     let alike = [100; 4];
@@ -342,7 +359,7 @@
         case("one is slow", alike, [100, 100, 120, 500], Some(3)),
         case("all are slow", alike, [900; 4], None),
         case(
-            "one is slower, within reason",
+            "one is slower, below the limit",
             alike,
             [100, 100, 100, 290],
             None,
@@ -373,9 +390,9 @@
         for _ in 0..10 {
             for number in 0..4 {
                 let expected = DurationUs::from_ms(case.expected_ms[number]);
-                let flight =
+                let attempt =
                     table.begin_attempt(&endpoint(number), TokenCount::ZERO, expected, START);
-                table.record_success(flight.unwrap(), after_ms(case.taken_ms[number]));
+                table.record_success(attempt.unwrap(), after_ms(case.elapsed_ms[number]));
             }
         }
         table.tick(after_ms(1_000));
@@ -384,36 +401,38 @@
     }
 }
 
-/// Symptom: requests are refused while other endpoints have room.
-/// Sequence: an endpoint reports that it is idle and refuses at once whatever comes.
-/// Cause: a refusal gives its load back at once, so that the endpoint looks best for ever.
+/// Requests must not be refused while other endpoints have capacity. If a refusal removed its load
+/// at once, an endpoint that reports to be idle and refuses everything would always look best.
 #[test]
-fn refusals_count_as_load_until_the_next_report_and_eject_in_the_end() {
+fn refusals_count_as_load_until_the_next_report_and_can_eject() {
     let mut table = table(2);
     let end = |table: &mut EndpointTable, failure, times| {
         for _ in 0..times {
-            let flight = table.begin_attempt(&endpoint(0), TokenCount::new(9), EXPECTED, START);
-            table.record_failure(flight.unwrap(), failure, START);
+            let attempt = table.begin_attempt(&endpoint(0), TokenCount::new(9), EXPECTED, START);
+            table.record_failure(attempt.unwrap(), failure, START);
         }
     };
     end(&mut table, AttemptFailure::Cancelled, 50);
     assert_eq!(table.snapshot()[0].requests, 0);
     end(&mut table, AttemptFailure::Refused, 19);
-    let shown = &table.snapshot()[0];
-    let load = (shown.requests, shown.queued_tokens.get(), shown.in_flight);
+    let snapshot = &table.snapshot()[0];
+    let load = (
+        snapshot.requests,
+        snapshot.queued_tokens.get(),
+        snapshot.in_flight,
+    );
     assert_eq!(load, (19, 171, 0));
     assert_eq!(state(&table, 0), EndpointState::Ready);
-    table.record_report(&endpoint(0), idle(after_ms(500)), after_ms(500));
+    table.record_report(&endpoint(0), idle_report(after_ms(500)), after_ms(500));
     assert_eq!(table.snapshot()[0].requests, 0);
     end(&mut table, AttemptFailure::Refused, 1);
     assert_eq!(state(&table, 0), EndpointState::Ejected);
 }
 
-/// Symptom: an endpoint that just started counts as busy or as failing.
-/// Sequence: requests are under way; the endpoint starts again; their ends come in late.
-/// Cause: ends of the life before would be booked on the new one.
+/// An endpoint that just restarted must not count as busy or failing because attempts at its
+/// earlier instance end late.
 #[test]
-fn late_ends_of_an_earlier_life_are_ignored() {
+fn outcomes_of_attempts_at_an_earlier_instance_are_ignored() {
     let mut table = table(2);
     let sent: Vec<_> = (0..6)
         .filter_map(|_| table.begin_attempt(&endpoint(0), TokenCount::new(10), EXPECTED, START))
@@ -421,12 +440,12 @@
     let now = after_ms(500);
     let load = EndpointLoad {
         life: Some("second".to_owned()),
-        ..idle(now)
+        ..idle_report(now)
     };
     table.record_report(&endpoint(0), load, now);
     let fresh = table.begin_attempt(&endpoint(0), TokenCount::new(10), EXPECTED, after_ms(600));
-    for flight in sent {
-        table.record_failure(flight, AttemptFailure::Broken, after_ms(700));
+    for attempt in sent {
+        table.record_failure(attempt, AttemptFailure::Broken, after_ms(700));
     }
     assert_eq!(state(&table, 0), EndpointState::Ready);
     assert_eq!(table.get_in_flight(&endpoint(0)), Some(1));
@@ -438,12 +457,12 @@
 proptest! {
     #![proptest_config(generated(ProptestConfig::default().cases, 13))]
 
-    /// Whatever the order of reports, late ones among them, and of the sources: once a life is
-    /// said to be leaving, its endpoint is not chosen before its own report of a later life.
+    /// For any order of reports, stale ones included, and of announcements: once an instance is
+    /// announced as leaving, its endpoint is not chosen before its own report of a later instance.
     #[test]
     fn a_leaving_endpoint_gets_no_work(steps in proptest::collection::vec(any_step(), 1..80)) {
         let mut router = router(2);
-        // The lives are 0, 1 and so on; the first of each endpoint is reported by the fixture.
+        // Instances are numbered from 0; the fixture reports the first of each endpoint.
         let mut newest = [0_u64; 2];
         let mut is_leaving = [false; 2];
         for (number, step) in (1..).zip(steps) {
@@ -455,14 +474,14 @@
                     router.endpoints.mark_leaving(&endpoint(target), &source, now);
                     continue;
                 }
-                RandomStep::NewLife(target) => (target, newest[target] + 1),
-                RandomStep::Again(target) => (target, newest[target]),
-                RandomStep::LateLife(target) => (target, newest[target].saturating_sub(1)),
+                RandomStep::NewInstance(target) => (target, newest[target] + 1),
+                RandomStep::CurrentInstance(target) => (target, newest[target]),
+                RandomStep::PreviousInstance(target) => (target, newest[target].saturating_sub(1)),
             };
             let load = EndpointLoad {
-                life: Some(life_name(life)),
+                life: Some(instance_name(life)),
                 made_at_ms: made_ms,
-                ..idle(now)
+                ..idle_report(now)
             };
             router.endpoints.record_report(&endpoint(target), load, now);
             if life > newest[target] {
@@ -484,9 +503,9 @@
 #[derive(Clone, Debug)]
 enum RandomStep {
     Leaving(usize, LeavingSource),
-    NewLife(usize),
-    Again(usize),
-    LateLife(usize),
+    NewInstance(usize),
+    CurrentInstance(usize),
+    PreviousInstance(usize),
 }
 
 fn any_step() -> impl Strategy<Value = RandomStep> {
@@ -497,14 +516,14 @@
     ];
     prop_oneof![
         2 => (0..2_usize, source).prop_map(|(target, source)| RandomStep::Leaving(target, source)),
-        2 => (0..2_usize).prop_map(RandomStep::NewLife),
-        4 => (0..2_usize).prop_map(RandomStep::Again),
-        2 => (0..2_usize).prop_map(RandomStep::LateLife),
+        2 => (0..2_usize).prop_map(RandomStep::NewInstance),
+        4 => (0..2_usize).prop_map(RandomStep::CurrentInstance),
+        2 => (0..2_usize).prop_map(RandomStep::PreviousInstance),
     ]
 }
 
-/// Names a life; the first is that of the fixture's reports.
-fn life_name(number: u64) -> String {
+/// Returns the identifier of an instance; the first is that of the fixture's reports.
+fn instance_name(number: u64) -> String {
     match number {
         0 => "first".to_owned(),
         _ => format!("life-{number}"),
@@ -512,19 +531,19 @@
 }
 
 #[test]
-fn what_nobody_takes_stays_bounded() {
+fn undrained_state_changes_stay_bounded() {
     let mut table = table(1);
     for number in 0..2_000 {
         let now = after_ms(6_000 * (number + 1));
         table.tick(now);
-        table.record_report(&endpoint(0), idle(now), now);
+        table.record_report(&endpoint(0), idle_report(now), now);
     }
     assert_eq!(table.drain_state_changes().len(), 1_024);
     assert!(table.drain_state_changes().is_empty());
 }
 
 #[test]
-fn a_removed_endpoint_leaves_the_directory_too() {
+fn removed_endpoint_is_removed_from_the_directory() {
     let mut router = router(3);
     let key = BlockKey::derive("wisteriahitch test key", &[]);
     (0..3).for_each(|number| router.directory.record_stored(&endpoint(number), &key));
@@ -544,7 +563,7 @@
 }
 
 #[test]
-fn a_configuration_adds_moves_and_removes() {
+fn configuration_adds_moves_and_removes_endpoints() {
     let mut table = table(3);
     table.apply_endpoint_configuration(&configuration(ServiceKind::Engine, 2), after_ms(1));
     assert_eq!(table.get_state(&endpoint(2)), None);
--- a/crates/wisteriahitch-core/tests/all/route_fixture.rs
+++ b/crates/wisteriahitch-core/tests/all/route_fixture.rs
@@ -1,4 +1,4 @@
-//! A small site for the tests of routing.
+//! A small configured service for the tests of routing.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     START + DurationUs::from_ms(ms)
 }
 
-/// A configuration of one service with endpoints spread over two availability zones.
+/// A configuration of one service whose endpoints alternate between two availability zones.
 pub(crate) fn configuration(kind: ServiceKind, endpoints: usize) -> Configuration {
     let zones = ["colombo-a", "colombo-b"];
     let build = |number: usize| Endpoint {
@@ -52,7 +52,8 @@
     }
 }
 
-pub(crate) fn idle(at: TimeUs) -> EndpointLoad {
+/// The report that an engine without requests makes at `at`.
+pub(crate) fn idle_report(at: TimeUs) -> EndpointLoad {
     EndpointLoad {
         made_at_ms: at.get() / 1_000,
         life: Some("first".to_owned()),
@@ -82,11 +83,12 @@
     for number in 0..endpoints {
         router
             .endpoints
-            .record_report(&endpoint(number), idle(START), START);
+            .record_report(&endpoint(number), idle_report(START), START);
     }
     router
 }
 
+/// The pieces of `prompt` for a workspace, with the fixture's model and piece size.
 pub(crate) fn chain(workspace: &str, prompt: &str) -> PieceChain {
     let scope = ChainScope {
         workspace: &workspace.parse().unwrap(),
@@ -98,11 +100,13 @@
     piece_chain(&scope, prompt)
 }
 
+/// A prompt of `count` different words, each of which is one token.
 pub(crate) fn words(count: u64) -> String {
     let words: Vec<String> = (0..count).map(|number| format!("w{number}")).collect();
     words.join(" ")
 }
 
+/// A request of the workspace "kandy" with a prompt of `prompt_tokens` tokens.
 pub(crate) fn request(prompt_tokens: u64) -> RouteRequest {
     RouteRequest {
         service: "assistant".parse().unwrap(),
@@ -121,7 +125,7 @@
     }
 }
 
-/// Links with one rate for each tier and a queue in front.
+/// Links with a fixed rate per tier and a fixed queueing time.
 pub(crate) struct FixedLinks {
     pub(crate) memory_rate: ByteRate,
     pub(crate) disk_rate: ByteRate,
--- a/crates/wisteriahitch-core/tests/all/route_pieces.rs
+++ b/crates/wisteriahitch-core/tests/all/route_pieces.rs
@@ -1,4 +1,4 @@
-//! Piece chains: what a key binds and which pieces are whole.
+//! Piece chains: what a key depends on and which pieces are complete.
 
 use proptest::prelude::*;
 use wisteriahitch_core::route::{ChainScope, Piece, PieceChain, piece_chain};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn counts_whole_pieces_alone() {
+fn only_complete_pieces_have_a_block() {
     struct Case {
         prompt: &'static str,
         tokens: u64,
@@ -94,7 +94,7 @@
     let base = blocks(BASE, &words(12));
     for other in others {
         for piece in blocks(other, &words(12)) {
-            assert!(base.iter().all(|held| held.key != piece.key));
+            assert!(base.iter().all(|other_piece| other_piece.key != piece.key));
         }
     }
 }
@@ -102,9 +102,9 @@
 proptest! {
     #![proptest_config(generated(ProptestConfig::default().cases, 3))]
 
-    /// Two prompts share exactly the keys of the whole pieces before their first difference.
+    /// Two prompts share exactly the keys of the complete pieces before their first difference.
     #[test]
-    fn keys_follow_the_common_prefix(
+    fn prompts_share_exactly_the_keys_of_their_common_prefix(
         common in proptest::collection::vec("[a-c]{1,3}", 0..20),
         left in proptest::collection::vec("[x]{1,2}", 0..9),
         right in proptest::collection::vec("[y]{1,2}", 0..9),
--- a/crates/wisteriahitch-core/tests/all/route_policy.rs
+++ b/crates/wisteriahitch-core/tests/all/route_policy.rs
@@ -1,4 +1,4 @@
-//! Where requests run: plans, deadlines, refusals, spreading and the baselines.
+//! Routing decisions: plans, deadlines, refusals, spreading and the baseline policies.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,10 @@
 
 use crate::route_fixture::{
     BYTES_PER_TOKEN, FixedLinks, PREFILL_TOKENS_PER_S, START, after_ms, configuration, endpoint,
-    idle, request, router, router_with, store,
+    idle_report, request, router, router_with, store,
 };
 
-/// Link speeds in multiples of the speed at which a prompt is computed again.
+/// Links whose rates are given as multiples of the rate at which a prompt is computed.
 fn links(memory: u64, disk: u64, queue_ms: u64) -> FixedLinks {
     let rate = |times: u64| ByteRate::new(times * PREFILL_TOKENS_PER_S * BYTES_PER_TOKEN);
     FixedLinks {
@@ -27,11 +27,11 @@
     }
 }
 
-fn keys(request: &RouteRequest) -> Vec<BlockKey> {
+fn block_keys(request: &RouteRequest) -> Vec<BlockKey> {
     request.chain.blocks.iter().map(|piece| piece.key).collect()
 }
 
-fn imported(choice: &Choice) -> u64 {
+fn imported_tokens(choice: &Choice) -> u64 {
     choice
         .plan
         .import
@@ -42,19 +42,19 @@
 
 struct PlanCase {
     name: &'static str,
-    /// Pieces from the first on that are resident, in memory and on disk.
-    kept: [usize; 3],
+    /// Number of leading pieces that are resident, in memory and on disk.
+    stored_pieces: [usize; 3],
     links: FixedLinks,
     queued_tokens: u64,
     weight: f64,
-    /// Tokens resident, imported and computed again, of 105.
+    /// Tokens resident, imported and computed, of 105.
     plan: [u64; 3],
 }
 
 fn plan_cases() -> Vec<PlanCase> {
-    let case = |name, kept, links, queued_tokens, weight, plan| PlanCase {
+    let case = |name, stored_pieces, links, queued_tokens, weight, plan| PlanCase {
         name,
-        kept,
+        stored_pieces,
         links,
         queued_tokens,
         weight,
@@ -66,11 +66,11 @@
         ..fast()
     };
     vec![
-        case("nothing is kept", [0, 0, 0], fast(), 0, 1.0, [0, 0, 105]),
+        case("nothing is stored", [0, 0, 0], fast(), 0, 1.0, [0, 0, 105]),
         case("a resident prefix", [4, 0, 0], fast(), 0, 1.0, [40, 0, 65]),
-        // Symptom: a return computed its whole prompt although every piece was saved. Sequence: the
-        // endpoint evicted the end of the chain; the plan imported that end there; the import evicted
-        // the beginning, which was the oldest. Cause: the plan counted on a beginning that was going.
+        // A returning prompt must not be computed whole although every piece is stored. While the
+        // endpoint evicts the end of the chain, importing that end would evict the beginning, which
+        // is the oldest, so a plan must not count on a beginning that is being evicted.
         case(
             "all from memory while the endpoint evicts the chain",
             [4, 9, 0],
@@ -79,7 +79,7 @@
             1.0,
             [0, 90, 15],
         ),
-        case("unsaved rest", [4, 4, 0], fast(), 0, 1.0, [40, 0, 65]),
+        case("unstored rest", [4, 4, 0], fast(), 0, 1.0, [40, 0, 65]),
         case(
             "a disk slower than computing",
             [4, 0, 9],
@@ -89,7 +89,7 @@
             [40, 0, 65],
         ),
         case(
-            "the same where work counts more",
+            "the same with more weight on prompt computation",
             [4, 0, 9],
             slow_disk(),
             0,
@@ -132,32 +132,32 @@
 }
 
 #[test]
-fn the_plan_is_the_cheapest_way_to_the_first_token() {
+fn plan_has_the_lowest_cost() {
     for case in plan_cases() {
         let mut router = router(1);
         let request = RouteRequest {
             first_token_weight: Share::try_from(case.weight).unwrap(),
             ..request(105)
         };
-        let keys = keys(&request);
+        let keys = block_keys(&request);
         let load = EndpointLoad {
             queued_tokens: TokenCount::new(case.queued_tokens),
-            ..idle(START)
+            ..idle_report(START)
         };
         router.endpoints.record_report(&endpoint(0), load, START);
         router
             .directory
-            .replace_endpoint_listing(&endpoint(0), &keys[..case.kept[0]]);
+            .replace_endpoint_listing(&endpoint(0), &keys[..case.stored_pieces[0]]);
         let hub = store("hub-cache");
         let in_tier = |count: usize, tier| keys[..count].iter().map(move |key| (*key, tier));
-        let blocks: Vec<(BlockKey, Tier)> = in_tier(case.kept[1], Tier::Memory)
-            .chain(in_tier(case.kept[2], Tier::Disk))
+        let blocks: Vec<(BlockKey, Tier)> = in_tier(case.stored_pieces[1], Tier::Memory)
+            .chain(in_tier(case.stored_pieces[2], Tier::Disk))
             .collect();
         router.directory.replace_store_listing(&hub, &blocks);
         let choice = router.choose(&request, &case.links, START).unwrap();
         let plan = [
             choice.plan.resident_tokens.get(),
-            imported(&choice),
+            imported_tokens(&choice),
             choice.plan.recompute_tokens.get(),
         ];
         assert_eq!(plan, case.plan, "{}: {:?}", case.name, choice.estimate);
@@ -165,12 +165,12 @@
 }
 
 #[test]
-fn the_weight_decides_between_a_busy_holder_and_an_idle_stranger() {
+fn weight_decides_between_a_busy_holder_and_an_idle_endpoint() {
     struct Case {
         weight: f64,
         chosen: usize,
     }
-    // The holder has 200 tokens queued; the other would compute 100 tokens again.
+    // The holder has 200 tokens queued; the other endpoint would compute 100 tokens again.
     let cases = [
         Case {
             weight: 1.0,
@@ -190,12 +190,12 @@
         };
         let load = EndpointLoad {
             queued_tokens: TokenCount::new(200),
-            ..idle(START)
+            ..idle_report(START)
         };
         router.endpoints.record_report(&endpoint(0), load, START);
         router
             .directory
-            .replace_endpoint_listing(&endpoint(0), &keys(&request));
+            .replace_endpoint_listing(&endpoint(0), &block_keys(&request));
         let choice = router.choose(&request, &NoLinks, START).unwrap();
         assert_eq!(
             choice.endpoint,
@@ -211,21 +211,21 @@
 #[test]
 fn another_workspace_finds_nothing_of_the_same_text() {
     let mut router = router(1);
-    let of_kandy = request(100);
+    let kandy_request = request(100);
     router
         .directory
-        .replace_endpoint_listing(&endpoint(0), &keys(&of_kandy));
-    let of_galle = RouteRequest {
+        .replace_endpoint_listing(&endpoint(0), &block_keys(&kandy_request));
+    let galle_request = RouteRequest {
         chain: crate::route_fixture::chain("galle", &crate::route_fixture::words(100)),
         ..request(100)
     };
     let choice = |request| router.choose(request, &NoLinks, START).unwrap().plan;
-    let plans = [&of_kandy, &of_galle].map(choice);
+    let plans = [&kandy_request, &galle_request].map(choice);
     assert_eq!(plans.map(|plan| plan.resident_tokens.get()), [100, 0]);
 }
 
 #[test]
-fn refusals_name_their_cause_at_once() {
+fn refusals_name_their_cause() {
     struct Case {
         name: &'static str,
         change: fn(&mut Router, &mut RouteRequest),
@@ -236,11 +236,11 @@
         change,
         refusal,
     };
-    let unserved = Some((Code::NoEndpoint, 1_000));
+    let no_endpoint = Some((Code::NoEndpoint, 1_000));
     let cases = [
         case("nothing is wrong", None, |_, _| {}),
         case(
-            "the prompt can't be read in time",
+            "the prompt can't be computed in time",
             Some((Code::DeadlineUnreachable, 140)),
             |_, request| request.deadline_us = DurationUs::from_ms(60),
         ),
@@ -249,36 +249,40 @@
             Some((Code::UnknownModel, 1_000)),
             |_, request| request.model = Some("hist-70b".parse().unwrap()),
         ),
-        case("no endpoint has the version", unserved, |_, request| {
+        case("no endpoint has the version", no_endpoint, |_, request| {
             request.weight_version = Some("v2".parse().unwrap());
         }),
-        case("no endpoint has the adapter", unserved, |_, request| {
+        case("no endpoint has the adapter", no_endpoint, |_, request| {
             request.adapter = Some("warranty".parse().unwrap());
         }),
-        case("every endpoint was tried", unserved, |_, request| {
+        case("every endpoint was tried", no_endpoint, |_, request| {
             request.exclude = vec![endpoint(0), endpoint(1)];
         }),
-        case("every endpoint is leaving", unserved, |router, _| {
+        case("every endpoint is leaving", no_endpoint, |router, _| {
             let source = LeavingSource::VmList;
             router.endpoints.mark_leaving(&endpoint(0), &source, START);
             router.endpoints.mark_leaving(&endpoint(1), &source, START);
         }),
-        case("missing reports, the last resort", None, |router, _| {
-            router.tick(after_ms(60_000));
-        }),
+        case(
+            "all reports are missing: the last resort",
+            None,
+            |router, _| {
+                router.tick(after_ms(60_000));
+            },
+        ),
     ];
     for case in cases {
         let mut router = router(2);
         let mut request = request(200);
         (case.change)(&mut router, &mut request);
         let refused = router.choose(&request, &NoLinks, START).err();
-        let seen = refused.map(|refusal| (refusal.code, refusal.retry_after_us.as_ms()));
-        assert_eq!(seen, case.refusal, "{}", case.name);
+        let actual = refused.map(|refusal| (refusal.code, refusal.retry_after_us.as_ms()));
+        assert_eq!(actual, case.refusal, "{}", case.name);
     }
 }
 
 #[test]
-fn a_later_but_punctual_endpoint_goes_before_a_cheaper_late_one() {
+fn endpoint_that_meets_the_deadline_is_preferred_to_a_cheaper_late_one() {
     let mut router = router(3);
     let request = RouteRequest {
         first_token_weight: Share::ZERO,
@@ -287,30 +291,30 @@
     };
     let load = EndpointLoad {
         queued_tokens: TokenCount::new(500),
-        ..idle(START)
+        ..idle_report(START)
     };
     router.endpoints.record_report(&endpoint(0), load, START);
     router
         .directory
-        .replace_endpoint_listing(&endpoint(0), &keys(&request));
+        .replace_endpoint_listing(&endpoint(0), &block_keys(&request));
     let choice = router.choose(&request, &NoLinks, START).unwrap();
     assert_ne!(choice.endpoint, endpoint(0));
 }
 
 #[test]
-fn a_plan_that_meets_the_deadline_goes_before_a_cheaper_late_one() {
+fn plan_that_meets_the_deadline_is_preferred_to_a_cheaper_late_one() {
     struct Case {
         deadline_ms: u64,
-        imported: u64,
+        imported_tokens: u64,
     }
     let cases = [
         Case {
             deadline_ms: 110,
-            imported: 0,
+            imported_tokens: 0,
         },
         Case {
             deadline_ms: 60_000,
-            imported: 100,
+            imported_tokens: 100,
         },
     ];
     for case in cases {
@@ -320,7 +324,7 @@
             deadline_us: DurationUs::from_ms(case.deadline_ms),
             ..request(105)
         };
-        let on_disk: Vec<(BlockKey, Tier)> = keys(&request)
+        let on_disk: Vec<(BlockKey, Tier)> = block_keys(&request)
             .into_iter()
             .map(|key| (key, Tier::Disk))
             .collect();
@@ -332,13 +336,18 @@
             ..links(10, 1, 0)
         };
         let choice = router.choose(&request, &slow_disk, START).unwrap();
-        assert_eq!(imported(&choice), case.imported, "{} ms", case.deadline_ms);
+        assert_eq!(
+            imported_tokens(&choice),
+            case.imported_tokens,
+            "{} ms",
+            case.deadline_ms
+        );
     }
 }
 
-/// Symptom: queues wander: all daemons send to one endpoint until its next report.
-/// Sequence: several daemons with the same reports decide at once, each without the others' sends.
-/// Cause: taking the lowest cost alone makes equal daemons choose alike.
+/// Daemons that decide at once on equal reports, without knowing of each other's requests, must not
+/// all send to one endpoint until its next report. Choosing only by the lowest cost would make them
+/// choose alike.
 #[test]
 fn daemons_with_equal_reports_spread_their_requests() {
     let mut counts: BTreeMap<EndpointId, usize> = BTreeMap::new();
@@ -350,7 +359,7 @@
         for number in 0..8 {
             router
                 .endpoints
-                .record_report(&endpoint(number), idle(START), START);
+                .record_report(&endpoint(number), idle_report(START), START);
         }
         let choice = router.choose(&request(1_000), &NoLinks, START).unwrap();
         *counts.entry(choice.endpoint).or_default() += 1;
@@ -375,44 +384,44 @@
 }
 
 #[test]
-fn a_large_pool_still_finds_the_holder_and_the_last_free_endpoint() {
+fn large_pool_finds_the_holder_and_the_last_eligible_endpoint() {
     let mut router = router(1_200);
     let request = request(1_000);
     router
         .directory
-        .replace_endpoint_listing(&endpoint(777), &keys(&request));
+        .replace_endpoint_listing(&endpoint(777), &block_keys(&request));
     let choice = router.choose(&request, &NoLinks, START).unwrap();
     assert_eq!(choice.endpoint, endpoint(777));
     assert!(choice.weighed.len() < 30, "{}", choice.weighed.len());
-    let all_but_one = RouteRequest {
+    let only_last_allowed = RouteRequest {
         exclude: (0..1_199).map(endpoint).collect(),
         ..request
     };
-    let choice = router.choose(&all_but_one, &NoLinks, START).unwrap();
+    let choice = router.choose(&only_last_allowed, &NoLinks, START).unwrap();
     assert_eq!(choice.endpoint, endpoint(1_199));
 }
 
-/// Symptom: an endpoint that has just failed gets a burst when its ejection ends.
-/// Sequence: it is ejected, the time runs out, and requests arrive together.
-/// Cause: without a probe of one request, an idle endpoint looks best to all of them.
+/// An endpoint that has just failed must not get a burst of requests when its ejection ends.
+/// Without a probe by a single request, the idle endpoint looks best to all requests that arrive
+/// together.
 #[test]
-fn a_probed_endpoint_gets_one_request_at_a_time() {
+fn probed_endpoint_gets_one_request_at_a_time() {
     let mut router = router(2);
-    let broken = |router: &mut Router| {
-        let flight =
+    let fail_once = |router: &mut Router| {
+        let attempt =
             router
                 .endpoints
                 .begin_attempt(&endpoint(0), TokenCount::ZERO, DurationUs::ZERO, START);
         router
             .endpoints
-            .record_failure(flight.unwrap(), AttemptFailure::Broken, START);
+            .record_failure(attempt.unwrap(), AttemptFailure::Broken, START);
     };
-    (0..5).for_each(|_| broken(&mut router));
+    (0..5).for_each(|_| fail_once(&mut router));
     let now = after_ms(10_000);
     for number in 0..2 {
         router
             .endpoints
-            .record_report(&endpoint(number), idle(now), now);
+            .record_report(&endpoint(number), idle_report(now), now);
     }
     router.tick(now);
     let only_probed = RouteRequest {
@@ -432,7 +441,7 @@
 }
 
 #[test]
-fn plain_services_go_by_load_zone_and_ejection() {
+fn plain_services_are_chosen_by_load_and_zone() {
     struct Case {
         name: &'static str,
         running: [u64; 3],
@@ -441,17 +450,17 @@
     // Endpoints 0 and 2 are in the daemon's availability zone.
     let cases = [
         Case {
-            name: "the idle one",
+            name: "the idle endpoint",
             running: [4, 4, 0],
             chosen: 2,
         },
         Case {
-            name: "an idle one elsewhere before a full one here",
+            name: "an idle endpoint of another zone before a full one of this zone",
             running: [9, 0, 9],
             chosen: 1,
         },
         Case {
-            name: "the near one of equals",
+            name: "of equal endpoints the one in this zone",
             running: [4, 0, 0],
             chosen: 2,
         },
@@ -467,7 +476,7 @@
                 models: vec![],
                 batch_slots: 4,
                 prefill_tokens_per_s: TokenRate::ZERO,
-                ..idle(START)
+                ..idle_report(START)
             };
             router
                 .endpoints
@@ -484,16 +493,15 @@
     }
 }
 
-/// Symptom: the more a service waits, the longer the estimates get, until all are refused.
-/// Sequence: requests wait their turn at a busy endpoint and end as expected.
-/// Cause: the wait itself would be learned as time that each request takes.
+/// Estimates must not grow with every queue until all requests are refused. Requests that wait at a
+/// busy endpoint and end as expected must not add their wait to the service time.
 #[test]
-fn waiting_is_not_learned_as_work() {
+fn waiting_time_is_not_counted_as_service_time() {
     let mut router = router(1);
     let load = EndpointLoad {
         running: 1,
         batch_slots: 1,
-        ..idle(START)
+        ..idle_report(START)
     };
     router.endpoints.record_report(&endpoint(0), load, START);
     for _ in 0..50 {
@@ -502,11 +510,11 @@
             .unwrap()
             .estimate
             .first_token_us;
-        let flight = router
+        let attempt = router
             .endpoints
             .begin_attempt(&endpoint(0), TokenCount::ZERO, wait, START);
         let end = START + wait + DurationUs::from_ms(30);
-        router.endpoints.record_success(flight.unwrap(), end);
+        router.endpoints.record_success(attempt.unwrap(), end);
     }
     let estimate = router
         .choose(&request(0), &NoLinks, START)
@@ -516,12 +524,12 @@
 }
 
 #[test]
-fn an_engine_of_unknown_speed_looks_like_an_ordinary_one() {
+fn engine_without_a_reported_rate_gets_the_default_rate() {
     let mut router = router(2);
     let load = EndpointLoad {
         prefill_tokens_per_s: TokenRate::ZERO,
         queued_tokens: TokenCount::new(100_000),
-        ..idle(START)
+        ..idle_report(START)
     };
     router.endpoints.record_report(&endpoint(0), load, START);
     let choice = router.choose(&request(100), &NoLinks, START).unwrap();
@@ -529,7 +537,7 @@
 }
 
 #[test]
-fn policies_are_built_by_the_name_that_they_report() {
+fn policies_parse_from_the_name_that_they_report() {
     for kind in PolicyKind::ALL {
         let policy = kind.to_string().parse::<PolicyKind>().unwrap().build();
         assert_eq!(policy.name(), kind.to_string());
@@ -559,7 +567,7 @@
         for (number, running) in [5, 1, 4].into_iter().enumerate() {
             let load = EndpointLoad {
                 running,
-                ..idle(START)
+                ..idle_report(START)
             };
             router
                 .endpoints
@@ -594,16 +602,16 @@
 
 struct PriorityCase {
     name: &'static str,
-    /// Rule's priority and tokens to compute.
+    /// Priority of the rule and number of tokens to compute.
     first: (u8, u64),
     second: (u8, u64),
 }
 
 #[test]
-fn an_engine_takes_short_work_first_within_a_rules_priority() {
+fn short_prompts_go_first_within_a_rules_priority() {
     let cases = [
         PriorityCase {
-            name: "a return before a long first visit",
+            name: "a returning prompt before a long new one",
             first: (8, 400),
             second: (8, 16_000),
         },
--- a/crates/wisteriahitch-core/tests/all/route_retry.rs
+++ b/crates/wisteriahitch-core/tests/all/route_retry.rs
@@ -2,35 +2,34 @@
 
 use wisteriahitch_core::route::RetryBudget;
 
-/// Symptom: a fault of all endpoints multiplies the load by the number of attempts.
-/// Sequence: every attempt fails and every failure asks for a retry.
-/// Cause: without a budget each request would be sent as often as attempts are allowed.
+/// A fault of all endpoints must not multiply the load by the number of attempts. Every attempt
+/// fails and asks for a retry; the budget limits the retries.
 #[test]
-fn retries_stay_a_share_of_the_requests() {
+fn retries_stay_within_their_share_of_the_requests() {
     struct Case {
         share: f64,
         requests: u32,
-        most: u32,
-        least: u32,
+        max_granted: u32,
+        min_granted: u32,
     }
     let cases = [
         Case {
             share: 0.1,
             requests: 1_000,
-            most: 103,
-            least: 99,
+            max_granted: 103,
+            min_granted: 99,
         },
         Case {
             share: 0.0,
             requests: 1_000,
-            most: 0,
-            least: 0,
+            max_granted: 0,
+            min_granted: 0,
         },
         Case {
             share: 7.0,
             requests: 100,
-            most: 100,
-            least: 100,
+            max_granted: 100,
+            min_granted: 100,
         },
     ];
     for case in cases {
@@ -41,7 +40,7 @@
             granted += u32::from(budget.try_acquire());
         }
         assert!(
-            (case.least..=case.most).contains(&granted),
+            (case.min_granted..=case.max_granted).contains(&granted),
             "{} {granted}",
             case.share
         );
@@ -49,7 +48,7 @@
 }
 
 #[test]
-fn a_quiet_hour_pays_for_no_burst() {
+fn saved_retries_are_bounded() {
     let mut budget = RetryBudget::new(0.1);
     for _ in 0..100_000 {
         budget.record_request();
