--- a/crates/wisteriahitch-core/src/route/admission/fair_queue.rs
+++ b/crates/wisteriahitch-core/src/route/admission/fair_queue.rs
@@ -25,8 +25,8 @@
     arrival_number: u64,
 }
 
-#[derive(Clone, Debug, Default)]
 /// The queue of one workspace.
+#[derive(Clone, Debug, Default)]
 struct Flow {
     /// Virtual time at which the requests it has started end.
     finish: VirtualTime,
@@ -42,10 +42,14 @@
 /// that sends more only lengthens its own queue, because each started request advances its tag.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairQueue {
+    /// Largest start tag of a request that was started.
     virtual_now: VirtualTime,
     flows: HashMap<WorkspaceId, Flow>,
+    /// Start tags of the workspaces with waiting requests.
     order: BTreeSet<(VirtualTime, WorkspaceId)>,
+    /// Arrival number of the next request.
     next_arrival_number: u64,
+    /// Number of waiting requests of all workspaces.
     len: usize,
 }
 
--- a/crates/wisteriahitch-core/src/route/admission/gate.rs
+++ b/crates/wisteriahitch-core/src/route/admission/gate.rs
@@ -45,8 +45,8 @@
 
     /// Records the end of a running request.
     ///
-    /// The time between two ends is a measure of the service's throughput only while requests wait.
-    /// Pauses without any would make the next burst look as if it could never be served.
+    /// The time between two ends measures the service's throughput only while requests wait. Pauses
+    /// without waiting requests would make the next burst look as if it could never be served.
     pub(crate) fn record_end(&mut self, now: TimeUs) {
         self.running = self.running.saturating_sub(1);
         if let Some(last) = self.last_end_at_us {
--- a/crates/wisteriahitch-core/src/route/admission/table.rs
+++ b/crates/wisteriahitch-core/src/route/admission/table.rs
@@ -21,8 +21,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     quotas: HashMap<WorkspaceId, Quota>,
+    /// Running and waiting requests of each service that had a request.
     pub(super) gates: HashMap<ServiceName, Gate>,
+    /// Capacities as set; a service without one gets [`DEFAULT_CAPACITY`].
     capacities: HashMap<ServiceName, usize>,
+    /// All requests that wait or run.
     pub(super) entries: HashMap<RequestId, Entry>,
     /// Waiting requests by their deadline.
     pub(super) deadlines: BTreeSet<(TimeUs, RequestId)>,
@@ -31,8 +34,7 @@
 impl Admission {
     /// Applies the weights, quotas and queue limits of a configuration.
     ///
-    /// `daemons` is the number of daemons that serve callers; each grants its part of a site's
-    /// quota.
+    /// `daemons` is the number of daemons that serve callers; each grants an equal part of a quota.
     pub fn apply_quota_configuration(
         &mut self,
         configuration: &Configuration,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Refuses a request whose estimated wait exceeds its deadline.
+    /// Refuses a request whose estimated wait exceeds the time to its deadline.
     ///
     /// In the queue it would be refused only at its deadline, when its caller could long have tried
     /// elsewhere or later.
--- a/crates/wisteriahitch-core/src/route/admission/token_bucket.rs
+++ b/crates/wisteriahitch-core/src/route/admission/token_bucket.rs
@@ -12,8 +12,11 @@
 /// of never.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct TokenBucket {
+    /// Amount that is added per second.
     rate_per_s: f64,
+    /// Amount that may pass now; negative while there is a debt.
     level: f64,
+    /// When the level was last brought up to date.
     filled_at_us: TimeUs,
 }
 
--- a/crates/wisteriahitch-core/src/route/endpoint/sent_load.rs
+++ b/crates/wisteriahitch-core/src/route/endpoint/sent_load.rs
@@ -9,8 +9,8 @@
 /// memory while reports are missing.
 const MAX_LOAD_CHANGES: usize = 1024;
 
-#[derive(Clone, Copy, Debug, Serialize)]
 /// One change of an endpoint's load by this daemon.
+#[derive(Clone, Copy, Debug, Serialize)]
 struct LoadChange {
     /// When the change was made.
     at_us: TimeUs,
--- a/crates/wisteriahitch-core/src/route/policy/kind.rs
+++ b/crates/wisteriahitch-core/src/route/policy/kind.rs
@@ -24,7 +24,7 @@
 
 /// Error for a text that is not the name of a policy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the policies are cost, round_robin, least_loaded and affinity")]
+#[error("unknown policy, expected cost, round_robin, least_loaded or affinity")]
 pub struct ParsePolicyError;
 
 impl PolicyKind {
