--- a/crates/wisteriahitch-core/src/route/directory/table.rs
+++ b/crates/wisteriahitch-core/src/route/directory/table.rs
@@ -69,7 +69,8 @@
     /// Records a gap in an endpoint's events: its entries are ignored until its next listing.
     ///
     /// The lost events may include evictions. Entries that were still trusted would attract
-    /// requests to an endpoint that has to compute their prompts again, above the estimated share.
+    /// requests to an endpoint that computes everything again, and the recomputed share would
+    /// exceed the estimate.
     pub fn mark_event_gap(&mut self, endpoint: &EndpointId) {
         let holder = Holder::Endpoint(endpoint.clone());
         if let Some(place) = self.places.get_or_add(&holder) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Removes the blocks of a store VM that was removed or has restarted.
+    /// Removes the blocks of a store VM that failed or came back as another incarnation.
     pub fn remove_store(&mut self, store: &StoreId) {
         for tier in [Tier::Memory, Tier::Disk] {
             self.places.retire(&Holder::Store(store.clone(), tier));
