--- a/crates/wisteriahitch-core/src/route/admission/gate.rs
+++ b/crates/wisteriahitch-core/src/route/admission/gate.rs
@@ -1,4 +1,4 @@
-//! How many requests of one service run, and which wait.
+//! Running and waiting requests of one service.
 
 use std::collections::HashMap;
 
@@ -6,23 +6,27 @@
 
 use super::fair_queue::{FairQueue, Rank};
 
-/// Part of a new sample in the moving mean of the time between two ends.
-const SAMPLE_WEIGHT: f64 = 0.1;
+/// Weight of a new sample in the moving mean of the time between two ends.
+const END_INTERVAL_SMOOTHING: f64 = 0.1;
 
-/// Holds the requests of one service.
+/// The running and waiting requests of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Gate {
     pub(crate) queue: FairQueue,
-    /// Waiting requests by their place in the queue.
+    /// Waiting requests by their rank in the queue.
     pub(crate) requests: HashMap<Rank, RequestId>,
+    /// Number of running requests.
     pub(crate) running: usize,
+    /// Maximum number of running requests.
     pub(crate) capacity: usize,
+    /// When a request last ended while others were waiting; `None` if none waited.
     last_end_at_us: Option<TimeUs>,
-    end_interval_us: f64,
+    /// Moving mean of the time between two ends while requests wait; zero before the first sample.
+    mean_end_interval_us: f64,
 }
 
 impl Gate {
-    /// Builds a gate that lets `capacity` requests run at once.
+    /// Creates a gate that lets `capacity` requests run at once.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             queue: FairQueue::default(),
@@ -30,53 +34,53 @@
             running: 0,
             capacity,
             last_end_at_us: None,
-            end_interval_us: 0.0,
+            mean_end_interval_us: 0.0,
         }
     }
 
     /// Returns whether another request may start.
-    pub(crate) fn has_room(&self) -> bool {
+    pub(crate) fn has_free_slot(&self) -> bool {
         self.running < self.capacity
     }
 
     /// Records the end of a running request.
     ///
-    /// The time between two ends tells how fast the queue moves only while there is one: the pauses
-    /// of a quiet hour would make the next burst look as if it could never be served.
-    pub(crate) fn ended(&mut self, now: TimeUs) {
+    /// The time between two ends measures the service's throughput only while requests wait. Pauses
+    /// without waiting requests would make the next burst look as if it could never be served.
+    pub(crate) fn record_end(&mut self, now: TimeUs) {
         self.running = self.running.saturating_sub(1);
         if let Some(last) = self.last_end_at_us {
             let sample = now.since(last).as_f64();
-            self.end_interval_us = match self.end_interval_us {
+            self.mean_end_interval_us = match self.mean_end_interval_us {
                 0.0 => sample,
-                mean => mean + SAMPLE_WEIGHT * (sample - mean),
+                mean => mean + END_INTERVAL_SMOOTHING * (sample - mean),
             };
         }
-        let is_waited_for = self.queue.len() > 0;
-        self.last_end_at_us = is_waited_for.then_some(now);
+        let has_waiting = self.queue.len() > 0;
+        self.last_end_at_us = has_waiting.then_some(now);
     }
 
-    /// Estimates how long one more request of a workspace would wait behind those that rank before
-    /// it, at the workspace's share; zero while nothing waits.
+    /// Estimates the wait of a new request of a workspace behind those that precede it, given the
+    /// workspace's share of the service; zero while nothing waits.
     ///
-    /// Something always may wait, so that a bad estimate is put right by the next ends.
-    pub(crate) fn wait_time(
+    /// One request can always wait, so that later ends correct a wrong estimate.
+    pub(crate) fn estimate_wait(
         &self,
         workspace: &WorkspaceId,
         priority: u8,
         weight: impl Fn(&WorkspaceId) -> u32,
     ) -> DurationUs {
-        if self.has_room() || self.queue.len() == 0 {
+        if self.has_free_slot() || self.queue.len() == 0 {
             return DurationUs::ZERO;
         }
-        let ahead = self.queue.ahead_of(workspace, priority) as f64 + 1.0;
+        let ahead = self.queue.count_ahead_of(workspace, priority) as f64 + 1.0;
         let ends =
             (ahead / self.queue.share_of(workspace, weight)).min(self.queue.len() as f64 + 1.0);
-        DurationUs::new((ends * self.end_interval_us) as u64)
+        DurationUs::new((ends * self.mean_end_interval_us) as u64)
     }
 
-    /// Estimates when the requests that wait will have started.
-    pub(crate) fn drain_time(&self) -> DurationUs {
-        DurationUs::new((self.queue.len() as f64 * self.end_interval_us) as u64)
+    /// Estimates the time until all waiting requests have started.
+    pub(crate) fn estimate_drain_time(&self) -> DurationUs {
+        DurationUs::new((self.queue.len() as f64 * self.mean_end_interval_us) as u64)
     }
 }
--- a/crates/wisteriahitch-core/src/route/directory/mod.rs
+++ b/crates/wisteriahitch-core/src/route/directory/mod.rs
@@ -1,9 +1,9 @@
-//! Hints of where blocks lie.
+//! The directory of the blocks that endpoints and store VMs hold. Its entries are hints.
 
 mod chain_holders;
 mod holders;
-mod numbers;
 mod place;
+mod place_allocator;
 mod segment;
 mod shard;
 mod table;
--- a/crates/wisteriahitch-core/src/route/directory/place.rs
+++ b/crates/wisteriahitch-core/src/route/directory/place.rs
@@ -1,32 +1,32 @@
-//! Where blocks can lie, as small numbers, so that an entry of the directory stays small.
+//! Holders of blocks, represented by small numbers so that directory entries stay small.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use wisteriahitch_types::{EndpointId, StoreId, Tier};
 
-use super::numbers::{Numbers, Place, SWEEPS_TO_FREE};
+use super::place_allocator::{Place, PlaceAllocator, SWEEPS_TO_FREE};
 
-/// Names one holder of blocks.
+/// A holder of blocks.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Holder {
-    /// An endpoint's accelerator memory.
+    /// An endpoint, in its accelerator memory.
     Endpoint(EndpointId),
     /// A tier of a store VM.
     Store(StoreId, Tier),
 }
 
-/// Stands for one listing of one holder; a new listing has a new number.
+/// Number of one listing of one holder; a new listing gets a new number.
 ///
-/// Tiers of store VMs have the low numbers, so that in a sorted list they come first and are
-/// found without a look at the endpoints.
+/// Store VM tiers have the low numbers, so that they come first in a sorted list and are found
+/// without visiting the endpoints.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct PlaceId(pub(crate) u16);
 
 impl PlaceId {
-    /// First number that stands for no place; see [`Holders`](super::Holders).
+    /// Exclusive upper bound of the place numbers; see [`Holders`](super::Holders).
     pub(crate) const LIMIT: u16 = u16::MAX - 1;
-    /// First number that stands for an endpoint.
+    /// Lowest number of an endpoint.
     const FIRST_ENDPOINT: u16 = 4_096;
 
     /// Returns whether the place is a tier of a store VM.
@@ -35,64 +35,64 @@
     }
 }
 
-/// Gives numbers to the holders.
+/// Assigns place numbers to holders.
 #[derive(Debug)]
 pub(crate) struct Places {
-    store_numbers: Numbers,
-    endpoint_numbers: Numbers,
+    store_ids: PlaceAllocator,
+    endpoint_ids: PlaceAllocator,
     endpoints: HashMap<EndpointId, PlaceId>,
     stores: HashMap<(StoreId, Tier), PlaceId>,
-    /// Dead places whose entries may still be in the table.
-    dying: usize,
+    /// Number of retired places whose entries may still be in the table.
+    unfreed_retired: usize,
 }
 
 impl Default for Places {
     fn default() -> Self {
         Self {
-            store_numbers: Numbers::new(0, PlaceId::FIRST_ENDPOINT),
-            endpoint_numbers: Numbers::new(PlaceId::FIRST_ENDPOINT, PlaceId::LIMIT),
+            store_ids: PlaceAllocator::new(0, PlaceId::FIRST_ENDPOINT),
+            endpoint_ids: PlaceAllocator::new(PlaceId::FIRST_ENDPOINT, PlaceId::LIMIT),
             endpoints: HashMap::new(),
             stores: HashMap::new(),
-            dying: 0,
+            unfreed_retired: 0,
         }
     }
 }
 
 impl Places {
-    /// Returns the live number of an endpoint.
-    pub(crate) fn endpoint(&self, endpoint: &EndpointId) -> Option<PlaceId> {
+    /// Returns the number that an endpoint uses now.
+    pub(crate) fn endpoint_place(&self, endpoint: &EndpointId) -> Option<PlaceId> {
         self.endpoints.get(endpoint).copied()
     }
 
-    /// Returns the live number of a store's tier.
-    pub(crate) fn store(&self, store: &StoreId, tier: Tier) -> Option<PlaceId> {
+    /// Returns the number that a tier of a store VM uses now.
+    pub(crate) fn store_place(&self, store: &StoreId, tier: Tier) -> Option<PlaceId> {
         self.stores.get(&(store.clone(), tier)).copied()
     }
 
-    /// Returns the number of a holder, a new one where it has none, or nothing where all are used.
+    /// Returns the holder's number, allocating one if it has none; `None` if all are in use.
     pub(crate) fn get_or_add(&mut self, holder: &Holder) -> Option<PlaceId> {
         let known = match holder {
-            Holder::Endpoint(endpoint) => self.endpoint(endpoint),
-            Holder::Store(store, tier) => self.store(store, *tier),
+            Holder::Endpoint(endpoint) => self.endpoint_place(endpoint),
+            Holder::Store(store, tier) => self.store_place(store, *tier),
         };
         known.or_else(|| self.add(holder))
     }
 
-    /// Gives a holder a new number; what lies under its old one counts no more.
-    pub(crate) fn renew(&mut self, holder: &Holder) -> Option<PlaceId> {
-        self.kill(holder);
+    /// Gives a holder a new number, which invalidates the entries with its old one.
+    pub(crate) fn reassign(&mut self, holder: &Holder) -> Option<PlaceId> {
+        self.retire(holder);
         self.add(holder)
     }
 
-    /// Takes a holder's number away.
-    pub(crate) fn kill(&mut self, holder: &Holder) {
-        let dead = match holder {
+    /// Retires a holder's number, which invalidates the entries with it.
+    pub(crate) fn retire(&mut self, holder: &Holder) {
+        let retired = match holder {
             Holder::Endpoint(endpoint) => self.endpoints.remove(endpoint),
             Holder::Store(store, tier) => self.stores.remove(&(store.clone(), *tier)),
         };
-        if let Some(id) = dead {
+        if let Some(id) = retired {
             self.get_mut(id).sweeps_left = Some(SWEEPS_TO_FREE);
-            self.dying += 1;
+            self.unfreed_retired += 1;
         }
     }
 
@@ -104,29 +104,29 @@
         };
         match holder {
             Holder::Endpoint(endpoint) => {
-                let id = self.endpoint_numbers.put(place)?;
+                let id = self.endpoint_ids.allocate(place)?;
                 self.endpoints.insert(endpoint.clone(), id);
                 Some(id)
             }
             Holder::Store(store, tier) => {
-                let id = self.store_numbers.put(place)?;
+                let id = self.store_ids.allocate(place)?;
                 self.stores.insert((store.clone(), *tier), id);
                 Some(id)
             }
         }
     }
 
-    /// Makes a holder's entries count for nothing until they are listed again.
-    pub(crate) fn suspect(&mut self, id: PlaceId) {
+    /// Ignores a holder's entries until it is listed again.
+    pub(crate) fn mark_suspect(&mut self, id: PlaceId) {
         self.get_mut(id).is_suspect = true;
     }
 
-    /// Returns whether entries under this number are in use, suspect or not.
+    /// Returns whether the number is in use, suspect or not.
     pub(crate) fn is_live(&self, id: PlaceId) -> bool {
         self.get(id).sweeps_left.is_none()
     }
 
-    /// Returns whether entries under this number count.
+    /// Returns whether entries with this number are valid: in use and not suspect.
     pub(crate) fn is_trusted(&self, id: PlaceId) -> bool {
         let place = self.get(id);
         place.sweeps_left.is_none() && !place.is_suspect
@@ -137,37 +137,37 @@
         &self.get(id).holder
     }
 
-    /// Returns how many numbers are in use and how many of those are suspect.
+    /// Returns how many numbers are in use, and how many of those are suspect.
     pub(crate) fn counts(&self) -> (usize, usize) {
-        let places = self.store_numbers.places.iter();
-        let places = places.chain(&self.endpoint_numbers.places);
+        let places = self.store_ids.places.iter();
+        let places = places.chain(&self.endpoint_ids.places);
         let live = places.filter(|place| place.sweeps_left.is_none());
         let suspect = live.clone().filter(|place| place.is_suspect);
         (live.count(), suspect.count())
     }
 
-    /// Returns whether entries of dead places may be left in the table.
+    /// Returns whether entries of retired places may remain in the table.
     pub(crate) fn needs_sweep(&self) -> bool {
-        self.dying > 0
+        self.unfreed_retired > 0
     }
 
-    /// Records that a sweep has passed the whole table.
-    pub(crate) fn swept(&mut self) {
-        let freed = self.store_numbers.swept() + self.endpoint_numbers.swept();
-        self.dying -= freed;
+    /// Records a full sweep of the table.
+    pub(crate) fn record_full_sweep(&mut self) {
+        let freed = self.store_ids.record_full_sweep() + self.endpoint_ids.record_full_sweep();
+        self.unfreed_retired -= freed;
     }
 
     fn get(&self, id: PlaceId) -> &Place {
         match id.is_store() {
-            true => self.store_numbers.get(id),
-            false => self.endpoint_numbers.get(id),
+            true => self.store_ids.get(id),
+            false => self.endpoint_ids.get(id),
         }
     }
 
     fn get_mut(&mut self, id: PlaceId) -> &mut Place {
         match id.is_store() {
-            true => self.store_numbers.get_mut(id),
-            false => self.endpoint_numbers.get_mut(id),
+            true => self.store_ids.get_mut(id),
+            false => self.endpoint_ids.get_mut(id),
         }
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/budgets.rs
+++ b/crates/wisteriahitch-relay/src/shell/budgets.rs
@@ -41,17 +41,17 @@
 
     /// Counts a caller's request, which earns a fraction of a retry.
     pub(crate) fn record_request(&self, service: &ServiceName) {
-        self.with_budget(service, RetryBudget::request);
+        self.with_budget(service, RetryBudget::record_request);
     }
 
     /// Takes one retry if the budget has one left.
     pub(crate) fn try_take(&self, service: &ServiceName) -> bool {
-        self.with_budget(service, RetryBudget::try_take)
+        self.with_budget(service, RetryBudget::try_acquire)
     }
 
     /// Returns how many retries the budget has left.
     pub(crate) fn remaining(&self, service: &ServiceName) -> f64 {
-        self.with_budget(service, |budget| budget.left())
+        self.with_budget(service, |budget| budget.available())
     }
 
     fn with_budget<T>(
