--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -5,7 +5,7 @@
 
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    Absence, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipPace, KeptPart, Load,
+    AbsenceCause, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipPace, KeptPart, Load,
     PartChanges, PartEvent, PartKey, PartListing, PartNamer, PartStore, PartStores, Placement,
     PlacementRequest, PromptShape, Refusal, place,
 };
@@ -74,11 +74,12 @@
     }
 
     pub(super) fn engine_came(&mut self, endpoint: Endpoint) {
-        self.table.registered(endpoint, TimeUs::ZERO);
+        self.table.apply_registration(endpoint, TimeUs::ZERO);
     }
 
     pub(super) fn engine_left(&mut self, id: &EndpointInstance, now: TimeUs) {
-        self.table.unregistered(&id.id, Absence::Left, now);
+        self.table
+            .apply_unregistration(&id.id, AbsenceCause::Left, now);
         self.table.tick(now);
     }
 
@@ -114,7 +115,7 @@
     /// Counts a call that is sent, and returns whether the others must hear of it sooner.
     pub(super) fn sent(&mut self, id: &EndpointInstance, load: Load) -> bool {
         if let Some(row) = self.table.get_mut(id) {
-            row.own.add(load);
+            row.own_load.add(load);
         }
         self.pace.sent(load.unread_tokens)
     }
@@ -129,7 +130,7 @@
         let Some(row) = self.table.get_mut(id) else {
             return;
         };
-        row.own.sub(Load {
+        row.own_load.sub(Load {
             unread_tokens: load.unread_tokens,
             ..Load::default()
         });
@@ -145,7 +146,7 @@
     pub(super) fn ended(&mut self, id: &EndpointInstance, load: Load, took_ms: f64) {
         self.duration_ms += (took_ms - self.duration_ms) * NEWEST_WEIGHT;
         if let Some(row) = self.table.get_mut(id) {
-            row.own.sub(Load {
+            row.own_load.sub(Load {
                 unread_tokens: 0,
                 ..load
             });
@@ -155,10 +156,13 @@
     /// Returns what it tells the others now.
     pub(super) fn tell(&mut self, now: TimeUs) -> News {
         self.pace.told(now);
-        let rows = self.table.iter().filter(|row| row.own != Load::default());
+        let rows = self
+            .table
+            .iter()
+            .filter(|row| row.own_load != Load::default());
         News {
             from: self.incarnation,
-            loads: rows.map(|row| (row.short_name, row.own)).collect(),
+            loads: rows.map(|row| (row.short_name, row.own_load)).collect(),
             parts: std::mem::take(&mut self.untold_parts),
         }
     }
@@ -191,9 +195,9 @@
     }
 
     pub(super) fn heard(&mut self, news: News, now: TimeUs) {
-        self.table.peer_load(news.from, news.loads, now);
+        self.table.apply_peer_load(news.from, news.loads, now);
         for (hash, key, tokens) in news.parts {
-            self.table.has_part(hash, key, tokens, now);
+            self.table.record_part(hash, key, tokens, now);
         }
     }
 }
--- a/crates/wisteriahitch-bench/src/fleet/world.rs
+++ b/crates/wisteriahitch-bench/src/fleet/world.rs
@@ -179,7 +179,7 @@
         Ok(Self {
             plan,
             policy,
-            urgency: UrgencyLevels::of_routes(routes.iter()),
+            urgency: UrgencyLevels::from_routes(routes.iter()),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: TimeUs::ZERO,
             queue: BinaryHeap::new(),
@@ -333,7 +333,7 @@
         let longest_queue_us = match self.policy.has_refusals {
             true => self
                 .urgency
-                .longest_queue(&self.names.service, plan.priority, target_us),
+                .max_queue(&self.names.service, plan.priority, target_us),
             false => DurationUs::MAX,
         };
         let ask = Ask {
--- a/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
@@ -10,22 +10,24 @@
 use super::endpoint_row::EndpointRow;
 use super::endpoint_table::EndpointTable;
 use super::evacuated_zones::ZoneChange;
-use super::permit_shares::{HOLD_US, LONGEST_GAP_US, MinorityShare, PermitShare, PermitShares};
-use super::rate_limit::{HeldPermits, RateLimit};
+use super::permit_shares::{
+    MAX_OBSERVATION_GAP_US, MinorityShare, PERMIT_ACTIVATION_DELAY_US, PermitShare, PermitShares,
+};
+use super::rate_limit::{RateLimit, ReservedPermits};
 
 /// What cold endpoints of a service bear.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ServiceColdness {
+pub struct ServiceColdLimit {
     /// Permits of each.
     pub limit: RateLimit,
     /// How long one is cold after its start.
-    pub start_us: DurationUs,
+    pub cold_period_us: DurationUs,
 }
 
 /// How fresh the shares of permits are.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SharesAsOf {
-    known_at_us: TimeUs,
+pub(super) struct ShareTimes {
+    updated_at_us: TimeUs,
     usable_at_us: Option<TimeUs>,
 }
 
@@ -88,7 +90,7 @@
 struct CallBound<'a> {
     source: PermitSource,
     limit: &'a RateLimit,
-    held: &'a HeldPermits,
+    reserved: &'a ReservedPermits,
     /// When it ends by itself.
     ends_at_us: TimeUs,
 }
@@ -118,7 +120,7 @@
     ///
     /// Endpoints of a zone that may be used again count as cold from then on: operators restart them meanwhile, and
     /// what they registered last may be older than that.
-    pub fn set_evacuated(
+    pub fn set_evacuated_zones(
         &mut self,
         zones: BTreeSet<AvailabilityZone>,
         now: TimeUs,
@@ -126,20 +128,20 @@
         let changes = self.evacuated.replace(zones);
         for change in &changes {
             if let ZoneChange::Restored(zone) = change {
-                self.assume_cold(zone, now);
+                self.mark_zone_cold(zone, now);
             }
         }
         changes
     }
 
-    fn assume_cold(&mut self, zone: &AvailabilityZone, now: TimeUs) {
+    fn mark_zone_cold(&mut self, zone: &AvailabilityZone, now: TimeUs) {
         for row in self
             .rows
             .values_mut()
             .filter(|row| row.endpoint.zone == *zone)
         {
             if let Some(cold) = self.cold_limits.get(&row.endpoint.service) {
-                row.cold.assume_until(now + cold.start_us);
+                row.cold.extend_until(now + cold.cold_period_us);
             }
         }
     }
@@ -149,7 +151,7 @@
     /// One that has started again under its id is cold, and its registration may take seconds or, without the store,
     /// minutes to be read. Where no start is told, an id names one process; where no limit is stated, it doesn't matter.
     /// Engines alone are asked: who has no weights may have no report, and would get no call at all.
-    pub fn needs_start(&self, instance: &EndpointInstance) -> bool {
+    pub fn must_verify_start(&self, instance: &EndpointInstance) -> bool {
         let row = self.get(instance).filter(|_| instance.start.is_some());
         let row = row.filter(|row| !row.endpoint.weights.is_empty());
         row.is_some_and(|row| self.cold_limits.contains_key(&row.endpoint.service))
@@ -157,7 +159,7 @@
 
     /// Notes which start a process has told on a connection to an endpoint, and returns whether the endpoint counts as
     /// cold since.
-    pub fn saw_start(
+    pub fn record_seen_start(
         &mut self,
         instance: &EndpointInstance,
         seen: Option<EndpointStart>,
@@ -170,24 +172,24 @@
         let Some(cold) = self.cold_limits.get(&row.endpoint.service) else {
             return false;
         };
-        let is_new = row.cold.saw_start(instance.start, seen);
+        let is_new = row.cold.record_seen_start(instance.start, seen);
         if is_new {
-            let until_us = now + cold.start_us;
+            let until_us = now + cold.cold_period_us;
             row.cold
-                .turn(Some(&cold.limit), now, |state| state.assume_until(until_us));
+                .apply_change(Some(&cold.limit), now, |state| state.extend_until(until_us));
         }
         is_new
     }
 
     /// Takes over what cold endpoints of each service bear.
-    pub fn set_cold_limits(&mut self, limits: HashMap<ServiceName, ServiceColdness>) {
+    pub fn set_cold_limits(&mut self, limits: HashMap<ServiceName, ServiceColdLimit>) {
         self.cold_limits = limits;
     }
 
     /// Takes over how many permits of each bounded endpoint this daemon holds. To be called several times a second.
-    pub fn set_shares(&mut self, shares: &PermitShares, now: TimeUs) {
-        self.shares = Some(SharesAsOf {
-            known_at_us: now,
+    pub fn set_permit_shares(&mut self, shares: &PermitShares, now: TimeUs) {
+        self.shares = Some(ShareTimes {
+            updated_at_us: now,
             usable_at_us: shares.usable_at(),
         });
         for row in self.rows.values_mut() {
@@ -202,7 +204,7 @@
                 share(&cold.limit, MinorityShare::Nothing)
             });
             let named = &mut row.statements.limit;
-            let limit = named.limit(self.limit_life_us, now);
+            let limit = named.active_limit(self.limit_ttl_us, now);
             named.permits.share = limit.map_or(PermitShare::default(), |limit| {
                 share(limit, MinorityShare::Proportional)
             });
@@ -233,15 +235,15 @@
         let cold = self.cold_limit(row, now).map(|limit| CallBound {
             source: PermitSource::Cold,
             limit,
-            held: &row.cold.permits,
+            reserved: &row.cold.permits,
             ends_at_us: row.cold.until_us,
         });
         let named = &row.statements.limit;
-        let limit = named.limit(self.limit_life_us, now);
+        let limit = named.active_limit(self.limit_ttl_us, now);
         let named = limit.map(|limit| CallBound {
             source: PermitSource::Named,
             limit,
-            held: &named.permits,
+            reserved: &named.permits,
             ends_at_us: TimeUs::MAX,
         });
         cold.into_iter().chain(named)
@@ -257,7 +259,7 @@
         let mut limited = (rest_until_us > now).then_some((LimitCause::Resting, rest_until_us));
         for bound in self.bounds(row, now) {
             let shares = self.fresh_shares(now);
-            match shares.and_then(|_| bound.held.free(bound.limit, now)) {
+            match shares.and_then(|_| bound.reserved.first_free(bound.limit, now)) {
                 Some(permit) => permits.set(bound.source, permit),
                 None => {
                     let free_at = self.free_at(&bound, now);
@@ -278,9 +280,9 @@
     }
 
     /// Returns when an endpoint of a service takes the next call of this daemon; none where no endpoint takes any.
-    pub fn takes_calls_at(&self, service: &ServiceName, now: TimeUs) -> Option<TimeUs> {
+    pub fn next_admission_at(&self, service: &ServiceName, now: TimeUs) -> Option<TimeUs> {
         let rows = self.rows.values();
-        let rows = rows.filter(|row| row.endpoint.service == *service && row.takes_requests());
+        let rows = rows.filter(|row| row.endpoint.service == *service && row.accepts_requests());
         let times = rows.filter_map(|row| match self.admission(row, now) {
             Admission::Open | Admission::Permit(_) => Some(now),
             Admission::Limited(_, free_at) => Some(free_at),
@@ -294,28 +296,34 @@
         let shares = self.fresh_shares(now);
         let usable_at = shares.and_then(|shares| shares.usable_at_us);
         // Without a view of the members, one may begin now at the earliest.
-        let usable_at = usable_at.unwrap_or(now + HOLD_US);
-        let free_at = bound.held.next_free_at(bound.limit);
+        let usable_at = usable_at.unwrap_or(now + PERMIT_ACTIVATION_DELAY_US);
+        let free_at = bound.reserved.next_free_at(bound.limit);
         let free_at = free_at.unwrap_or(now + bound.limit.window_us);
         free_at.max(usable_at).min(bound.ends_at_us)
     }
 
     /// Returns as of when shares are known, unless that is too long ago to go by them.
-    fn fresh_shares(&self, now: TimeUs) -> Option<SharesAsOf> {
-        let is_fresh = |shares: &SharesAsOf| now.since(shares.known_at_us) <= LONGEST_GAP_US;
+    fn fresh_shares(&self, now: TimeUs) -> Option<ShareTimes> {
+        let is_fresh =
+            |shares: &ShareTimes| now.since(shares.updated_at_us) <= MAX_OBSERVATION_GAP_US;
         self.shares.filter(is_fresh)
     }
 
     /// Uses the permits under which a call was placed, so that no other call is placed under them.
-    pub fn use_permits(&mut self, instance: &EndpointInstance, permits: CallPermits, now: TimeUs) {
+    pub fn mark_permits_used(
+        &mut self,
+        instance: &EndpointInstance,
+        permits: CallPermits,
+        now: TimeUs,
+    ) {
         let Some(row) = self.get_mut(instance) else {
             return;
         };
         if let Some(permit) = permits.cold {
-            row.cold.permits.use_up(permit, now);
+            row.cold.permits.mark_used(permit, now);
         }
         if let Some(permit) = permits.named {
-            row.statements.limit.permits.use_up(permit, now);
+            row.statements.limit.permits.mark_used(permit, now);
         }
     }
 
@@ -332,7 +340,7 @@
     /// Returns whether a call that was placed at an endpoint may be sent there now, and counts it against the
     /// endpoint's permits as of now: between placement and sending a connection may have been opened. An endpoint that
     /// is no longer known gets it: nothing is held against it.
-    pub fn admits(
+    pub fn try_admit(
         &mut self,
         instance: &EndpointInstance,
         placed: CallPermits,
@@ -342,13 +350,13 @@
             return true;
         };
         let is_resting = row.statements.rest_until_us > now;
-        if self.is_evacuated(row) || !row.takes_requests() || is_resting {
+        if self.is_evacuated(row) || !row.accepts_requests() || is_resting {
             return false;
         }
         let Some(permits) = self.permits_to_send(row, placed, now) else {
             return false;
         };
-        self.use_permits(instance, permits, now);
+        self.mark_permits_used(instance, permits, now);
         true
     }
 
@@ -364,8 +372,8 @@
         for bound in self.bounds(row, now) {
             self.fresh_shares(now)?;
             let permit = placed.get(bound.source);
-            let permit = permit.or_else(|| bound.held.free(bound.limit, now))?;
-            if !bound.held.holds(permit, now) {
+            let permit = permit.or_else(|| bound.reserved.first_free(bound.limit, now))?;
+            if !bound.reserved.contains(permit, now) {
                 return None;
             }
             permits.set(bound.source, permit);
--- a/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
@@ -8,21 +8,21 @@
 use super::endpoint_table::EndpointTable;
 
 /// Time after which what a peer told of its load no longer counts.
-const PEER_LOAD_LIFE_US: DurationUs = DurationUs::from_ms(1_000);
+const PEER_LOAD_TTL_US: DurationUs = DurationUs::from_ms(1_000);
 
 /// Daemons that must have failed to connect to an endpoint before it is suspected by all.
-const MIN_WITNESSES: usize = 2;
+const MIN_REPORTERS: usize = 2;
 
 /// How long a failure to connect counts as evidence: some messages, so that others hear of it.
-const EVIDENCE_LIFE_US: DurationUs = DurationUs::from_ms(1_200);
+const CONNECT_FAILURE_TTL_US: DurationUs = DurationUs::from_ms(1_200);
 
 /// How long an endpoint is suspected after the last evidence was weighed. Then calls try it again.
-const VERDICT_LIFE_US: DurationUs = DurationUs::from_ms(800);
+const SUSPICION_TTL_US: DurationUs = DurationUs::from_ms(800);
 
 /// What a peer told of its load.
 #[derive(Debug)]
-pub(super) struct PeerLoad {
-    pub(super) told_at_us: TimeUs,
+pub(super) struct PeerReport {
+    pub(super) received_at_us: TimeUs,
     pub(super) loads: HashMap<u32, Load>,
     /// Endpoints that it says an order keeps from taking requests.
     pub(super) reserved: HashSet<u32>,
@@ -32,27 +32,29 @@
 
 impl EndpointTable {
     /// Takes over what a peer has sent to endpoints.
-    pub fn peer_load(&mut self, peer: Incarnation, loads: HashMap<u32, Load>, now: TimeUs) {
-        let old = self.peer_loads.remove(&peer);
-        let reserved = old.as_ref().map(|old| old.reserved.clone());
-        let unreachable = old.as_ref().map(|old| old.unreachable.clone());
-        for (hash, load) in old.iter().flat_map(|old| &old.loads) {
-            if let Some(row) = self.row_by_short_name(*hash) {
-                row.peers.sub(*load);
+    pub fn apply_peer_load(&mut self, peer: Incarnation, loads: HashMap<u32, Load>, now: TimeUs) {
+        let previous = self.peer_reports.remove(&peer);
+        let reserved = previous.as_ref().map(|previous| previous.reserved.clone());
+        let unreachable = previous
+            .as_ref()
+            .map(|previous| previous.unreachable.clone());
+        for (short_name, load) in previous.iter().flat_map(|previous| &previous.loads) {
+            if let Some(row) = self.row_by_short_name(*short_name) {
+                row.peers_load.sub(*load);
             }
         }
-        for (hash, load) in &loads {
-            if let Some(row) = self.row_by_short_name(*hash) {
-                row.peers.add(*load);
+        for (short_name, load) in &loads {
+            if let Some(row) = self.row_by_short_name(*short_name) {
+                row.peers_load.add(*load);
             }
         }
-        let told = PeerLoad {
-            told_at_us: now,
+        let report = PeerReport {
+            received_at_us: now,
             loads,
             reserved: reserved.unwrap_or_default(),
             unreachable: unreachable.unwrap_or_default(),
         };
-        self.peer_loads.insert(peer, told);
+        self.peer_reports.insert(peer, report);
     }
 
     /// Takes over which endpoints a peer says an order keeps from taking requests until `until`, and
@@ -60,7 +62,7 @@
     ///
     /// One that it no longer names is free at once, unless another peer still names it: engines with
     /// new weights are the ones that are missed most, and each was idle until the time was over.
-    pub fn peer_reserved(
+    pub fn apply_peer_reservations(
         &mut self,
         peer: Incarnation,
         reserved: HashSet<u32>,
@@ -68,19 +70,19 @@
         now: TimeUs,
     ) -> bool {
         let mut is_new = false;
-        for hash in &reserved {
-            is_new |= self.reserve(*hash, until, now);
+        for short_name in &reserved {
+            is_new |= self.reserve(*short_name, until, now);
         }
-        let Some(told) = self.peer_loads.get_mut(&peer) else {
+        let Some(report) = self.peer_reports.get_mut(&peer) else {
             return is_new;
         };
-        let before = std::mem::replace(&mut told.reserved, reserved);
-        for hash in before {
-            let mut peers = self.peer_loads.values();
-            if peers.any(|told| told.reserved.contains(&hash)) {
+        let before = std::mem::replace(&mut report.reserved, reserved);
+        for short_name in before {
+            let mut peers = self.peer_reports.values();
+            if peers.any(|report| report.reserved.contains(&short_name)) {
                 continue;
             }
-            if let Some(row) = self.row_by_short_name(hash) {
+            if let Some(row) = self.row_by_short_name(short_name) {
                 row.reserved_until_us = row.reserved_until_us.min(now);
             }
         }
@@ -88,39 +90,39 @@
     }
 
     /// Returns what a peer has sent, by the endpoints' short names.
-    pub fn load_of(&self, peer: Incarnation) -> Option<&HashMap<u32, Load>> {
-        self.peer_loads.get(&peer).map(|told| &told.loads)
+    pub fn peer_load_of(&self, peer: Incarnation) -> Option<&HashMap<u32, Load>> {
+        self.peer_reports.get(&peer).map(|report| &report.loads)
     }
 
     /// Notes that this daemon couldn't connect to an endpoint.
-    pub fn unreachable(&mut self, instance: &EndpointInstance, now: TimeUs) {
+    pub fn record_connect_failure(&mut self, instance: &EndpointInstance, now: TimeUs) {
         if let Some(row) = self.get_mut(instance) {
-            row.unreachable_until_us = now + EVIDENCE_LIFE_US;
+            row.unreachable_until_us = now + CONNECT_FAILURE_TTL_US;
             let short_name = row.short_name;
-            self.weigh_evidence(short_name, now);
+            self.update_suspicion(short_name, now);
         }
     }
 
     /// Takes over which endpoints a peer couldn't connect to lately. `is_verdict` says that the peer has
     /// weighed what several daemons said.
-    pub fn peer_unreachable(
+    pub fn apply_peer_connect_failures(
         &mut self,
         peer: Incarnation,
         unreachable: HashSet<u32>,
-        is_verdict: bool,
+        is_corroborated: bool,
         now: TimeUs,
     ) {
-        for short_name in unreachable.iter().filter(|_| is_verdict) {
+        for short_name in unreachable.iter().filter(|_| is_corroborated) {
             if let Some(row) = self.row_by_short_name(*short_name) {
-                row.suspected_until_us = now + VERDICT_LIFE_US;
+                row.suspected_until_us = now + SUSPICION_TTL_US;
             }
         }
-        let Some(told) = self.peer_loads.get_mut(&peer) else {
+        let Some(report) = self.peer_reports.get_mut(&peer) else {
             return;
         };
-        told.unreachable.clone_from(&unreachable);
+        report.unreachable.clone_from(&unreachable);
         for short_name in unreachable {
-            self.weigh_evidence(short_name, now);
+            self.update_suspicion(short_name, now);
         }
     }
 
@@ -129,24 +131,24 @@
     /// Load pattern: engines fall silent, and each daemon of a large fleet finds out about each of them by
     /// a call that waits for nothing. One daemon alone may itself be cut off; so may two, but then the
     /// others lose at most what those two can't reach, and where all are suspected none counts as such.
-    fn weigh_evidence(&mut self, short_name: u32, now: TimeUs) {
-        let peers = self.peer_loads.values();
-        let peers = peers.filter(|told| told.unreachable.contains(&short_name));
-        let peers = peers.take(MIN_WITNESSES).count();
+    fn update_suspicion(&mut self, short_name: u32, now: TimeUs) {
+        let peers = self.peer_reports.values();
+        let peers = peers.filter(|report| report.unreachable.contains(&short_name));
+        let peers = peers.take(MIN_REPORTERS).count();
         let Some(row) = self.row_by_short_name(short_name) else {
             return;
         };
         let own = usize::from(row.unreachable_until_us > now);
-        if peers + own >= MIN_WITNESSES {
-            row.weighed_until_us = now + VERDICT_LIFE_US;
-            row.suspected_until_us = now + VERDICT_LIFE_US;
+        if peers + own >= MIN_REPORTERS {
+            row.corroborated_until_us = now + SUSPICION_TTL_US;
+            row.suspected_until_us = now + SUSPICION_TTL_US;
         }
     }
 
     /// Notes that an order keeps an endpoint from taking requests until `until`, and returns
     /// whether that is new.
-    pub fn reserve(&mut self, hash: u32, until: TimeUs, now: TimeUs) -> bool {
-        let Some(row) = self.row_by_short_name(hash) else {
+    pub fn reserve(&mut self, short_name: u32, until: TimeUs, now: TimeUs) -> bool {
+        let Some(row) = self.row_by_short_name(short_name) else {
             return false;
         };
         let is_new = row.reserved_until_us <= now;
@@ -155,17 +157,17 @@
     }
 
     /// Forgets the load of peers that have been silent for too long.
-    pub(super) fn forget_silent_peers(&mut self, now: TimeUs) {
-        let is_old = |load: &PeerLoad| now.since(load.told_at_us) > PEER_LOAD_LIFE_US;
-        let old: Vec<Incarnation> = self
-            .peer_loads
+    pub(super) fn prune_silent_peers(&mut self, now: TimeUs) {
+        let is_expired = |load: &PeerReport| now.since(load.received_at_us) > PEER_LOAD_TTL_US;
+        let expired: Vec<Incarnation> = self
+            .peer_reports
             .iter()
-            .filter(|(_, load)| is_old(load))
+            .filter(|(_, load)| is_expired(load))
             .map(|(peer, _)| *peer)
             .collect();
-        for peer in old {
-            self.peer_load(peer, HashMap::new(), now);
-            self.peer_loads.remove(&peer);
+        for peer in expired {
+            self.apply_peer_load(peer, HashMap::new(), now);
+            self.peer_reports.remove(&peer);
         }
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
@@ -9,8 +9,8 @@
 
 impl EndpointTable {
     /// Notes that an endpoint with this short name has read a part; one of no tokens is gone.
-    pub fn has_part(&mut self, hash: u32, key: PartKey, tokens: u64, now: TimeUs) {
-        if let Some(row) = self.row_by_short_name(hash) {
+    pub fn record_part(&mut self, short_name: u32, key: PartKey, tokens: u64, now: TimeUs) {
+        if let Some(row) = self.row_by_short_name(short_name) {
             match tokens {
                 0 => row.parts.evicted(key),
                 _ => row.parts.used(key, tokens, now),
@@ -19,7 +19,7 @@
     }
 
     /// Takes over what an engine tells of its memory, and returns what is news to the other daemons.
-    pub fn part_events(
+    pub fn apply_part_events(
         &mut self,
         instance: &EndpointInstance,
         events: &[PartEvent],
@@ -29,8 +29,8 @@
         let Some(row) = self.get_mut(instance) else {
             return Vec::new();
         };
-        row.followed_until_us = until;
-        let mut news = Vec::new();
+        row.parts_tracked_until_us = until;
+        let mut updates = Vec::new();
         for event in events {
             let part = &event.part;
             let key = PartNamer::new(&part.model, &part.scope).key(part.id);
@@ -40,20 +40,20 @@
                 false => row.parts.evicted(key),
             };
             if is_update {
-                news.push(PartUpdate {
+                updates.push(PartUpdate {
                     endpoint: row.short_name,
                     part: key.0,
                     tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
                 });
             }
         }
-        news
+        updates
     }
 
     /// Notes until when somebody follows an engine's memory, as a peer tells.
-    pub fn followed(&mut self, short_name: u32, until: TimeUs) {
+    pub fn extend_parts_tracking(&mut self, short_name: u32, until: TimeUs) {
         if let Some(row) = self.row_by_short_name(short_name) {
-            row.followed_until_us = row.followed_until_us.max(until);
+            row.parts_tracked_until_us = row.parts_tracked_until_us.max(until);
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Takes over which parts engines keep, from a daemon that has been there for longer.
-    pub fn take_over(&mut self, memory: &[EngineMemory], now: TimeUs) {
+    pub fn adopt_engine_memory(&mut self, memory: &[EngineMemory], now: TimeUs) {
         for engine in memory {
             let Some(row) = self.row_by_short_name(engine.endpoint) else {
                 continue;
--- a/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
@@ -5,13 +5,13 @@
 use super::backlog::{Load, LoadReport};
 use super::cold_limit::ColdState;
 use super::endpoint_statements::EndpointStatements;
-use super::outlier::Outlier;
+use super::outlier::OutlierDetector;
 use super::parts::{MAX_KEPT_US, PartCache, kept_for};
 use crate::site::Endpoint;
 
 /// Says whether an endpoint gets new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum EndpointLife {
+pub enum EndpointState {
     /// It does.
     Ready,
     /// It is about to leave.
@@ -32,28 +32,28 @@
     /// What it registered.
     pub endpoint: Endpoint,
     /// Life.
-    pub life: EndpointLife,
+    pub state: EndpointState,
     /// Whether another endpoint has its address now, as that one has registered or an answer shows.
     ///
     /// Its registration stays for seconds after a crash. One would notice by calls that are sent there
     /// again and again and refused as meant for somebody else, while other endpoints are free.
     pub is_displaced: bool,
     /// Work sent by this daemon.
-    pub own: Load,
+    pub own_load: Load,
     /// Work sent by the other daemons, as they told last.
-    pub peers: Load,
+    pub peers_load: Load,
     /// Load that it told itself, and when.
-    pub told: Option<(LoadReport, TimeUs)>,
+    pub reported_load: Option<(LoadReport, TimeUs)>,
     /// Failures.
-    pub outlier: Outlier,
+    pub outlier: OutlierDetector,
     /// Parts of prompts that it is believed to keep.
     pub parts: PartCache,
     /// Until when `parts` follows what the engine itself tells of its memory.
-    pub followed_until_us: TimeUs,
+    pub parts_tracked_until_us: TimeUs,
     /// Until when this daemon's own failure to connect counts as evidence.
     pub unreachable_until_us: TimeUs,
     /// Until when several daemons say to this one that it can't be reached.
-    pub weighed_until_us: TimeUs,
+    pub corroborated_until_us: TimeUs,
     /// The same, or a hub says so that has heard it from several.
     pub suspected_until_us: TimeUs,
     /// Until when an order keeps it from taking requests.
@@ -79,14 +79,14 @@
 
     /// Returns whether it may get requests at all. One that has said that it leaves, or whose
     /// registration can't be read, gets none even where there is no other.
-    pub fn takes_requests(&self) -> bool {
-        matches!(self.life, EndpointLife::Ready | EndpointLife::Lapsed(_))
+    pub fn accepts_requests(&self) -> bool {
+        matches!(self.state, EndpointState::Ready | EndpointState::Lapsed(_))
     }
 
     /// Returns all work that is known to be sent to it.
     pub fn load(&self) -> Load {
-        let mut load = self.own;
-        load.add(self.peers);
+        let mut load = self.own_load;
+        load.add(self.peers_load);
         load
     }
 
@@ -98,10 +98,10 @@
         duration_us: DurationUs,
         now: TimeUs,
     ) -> TimeUs {
-        let kept_us = match self.followed_until_us > now {
+        let retention_us = match self.parts_tracked_until_us > now {
             true => MAX_KEPT_US,
             false => kept_for(memory_tokens, self.load().memory_tokens, duration_us),
         };
-        TimeUs::new(now.get().saturating_sub(kept_us.get()))
+        TimeUs::new(now.get().saturating_sub(retention_us.get()))
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_statements.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_statements.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch_types::{CallRate, DurationUs, EndpointInstance, TimeUs};
 
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_table::{EndpointChange, EndpointTable};
 use super::gossip_message::LimitUpdate;
 use super::named_limit::{LimitNotice, LimitOutcome, NamedLimit};
@@ -23,7 +23,7 @@
 
 impl EndpointTable {
     /// Takes over the limit that an answer names; none where it names none.
-    pub fn heard_limit(
+    pub fn record_limit(
         &mut self,
         instance: &EndpointInstance,
         rate: Option<CallRate>,
@@ -31,60 +31,67 @@
     ) -> LimitOutcome {
         let row = self.get_mut(instance);
         row.map_or(LimitOutcome::default(), |row| {
-            row.statements.limit.heard(rate, now)
+            row.statements.limit.record_answer(rate, now)
         })
     }
 
     /// Takes over what a peer tells of an endpoint's limit, and returns the endpoint where it is known.
-    pub fn told_limit(
+    pub fn apply_limit_update(
         &mut self,
         update: &LimitUpdate,
         now: TimeUs,
     ) -> Option<(EndpointInstance, LimitOutcome)> {
         let row = self.row_by_short_name(update.endpoint)?;
-        let heard_at_us = now
+        let received_at_us = now
             .get()
             .saturating_sub(update.age_ms.saturating_mul(1_000));
         let notice = LimitNotice {
             rate: update.rate,
-            heard_at_us: TimeUs::new(heard_at_us),
+            received_at_us: TimeUs::new(received_at_us),
         };
-        let outcome = row.statements.limit.told_by_peer(notice, now);
+        let outcome = row.statements.limit.apply_peer_notice(notice, now);
         Some((row.instance().clone(), outcome))
     }
 
     /// Lists what other daemons are to be told of endpoints' limits.
     pub fn limit_updates(&self, now: TimeUs) -> Vec<LimitUpdate> {
         let updates = self.rows.values().filter_map(|row| {
-            let notice = row.statements.limit.told(self.limit_life_us, now)?;
+            let notice = row
+                .statements
+                .limit
+                .notice_to_gossip(self.limit_ttl_us, now)?;
             Some(LimitUpdate {
                 endpoint: row.short_name,
                 rate: notice.rate,
-                age_ms: now.since(notice.heard_at_us).as_ms(),
+                age_ms: now.since(notice.received_at_us).as_ms(),
             })
         });
         updates.collect()
     }
 
     /// Returns whether an endpoint wants few calls now, or none: it names a limit, or has asked this daemon for rest.
-    pub fn is_in_need(&self, instance: &EndpointInstance, now: TimeUs) -> bool {
+    pub fn limits_calls(&self, instance: &EndpointInstance, now: TimeUs) -> bool {
         let statements = self.get(instance).map(|row| &row.statements);
-        statements.is_some_and(|said| {
-            let limit = said.limit.limit(self.limit_life_us, now);
-            limit.is_some() || said.rest_until_us > now
+        statements.is_some_and(|statements| {
+            let limit = statements.limit.active_limit(self.limit_ttl_us, now);
+            limit.is_some() || statements.rest_until_us > now
         })
     }
 
     /// Takes over that an endpoint has said in an answer that it leaves, to this daemon or to a peer. Returns whether that
     /// is news, and what changes with it.
-    pub fn heard_leaving(&mut self, life: u32, now: TimeUs) -> (bool, Option<EndpointChange>) {
-        if !self.leaving.note(life, now) {
+    pub fn record_leaving(
+        &mut self,
+        short_name: u32,
+        now: TimeUs,
+    ) -> (bool, Option<EndpointChange>) {
+        if !self.leaving.insert(short_name, now) {
             return (false, None);
         }
-        let row = self.row_by_short_name(life);
-        let row = row.filter(|row| row.life != EndpointLife::Draining);
+        let row = self.row_by_short_name(short_name);
+        let row = row.filter(|row| row.state != EndpointState::Draining);
         let change = row.map(|row| {
-            row.life = EndpointLife::Draining;
+            row.state = EndpointState::Draining;
             EndpointChange::Draining(row.instance().clone())
         });
         (true, change)
@@ -92,18 +99,18 @@
 
     /// Lists the lives that other daemons are to be told of as leaving, by short name.
     pub fn leaving_updates(&self, now: TimeUs) -> Vec<u32> {
-        let is_there = |life: u32| self.by_short_name.contains_key(&life);
-        self.leaving.told(is_there, now)
+        let is_registered = |short_name: u32| self.by_short_name.contains_key(&short_name);
+        self.leaving.to_gossip(is_registered, now)
     }
 
     /// Returns whether an endpoint has said in an answer that it leaves.
-    pub fn has_said_it_leaves(&self, row: &EndpointRow) -> bool {
+    pub fn has_announced_leaving(&self, row: &EndpointRow) -> bool {
         self.leaving.contains(row.short_name)
     }
 
     /// Takes over for how long an endpoint that turned a call away wants nothing from this daemon, and returns whether
     /// that is later than before.
-    pub fn heard_rest(
+    pub fn record_rest(
         &mut self,
         instance: &EndpointInstance,
         rest: DurationUs,
@@ -122,7 +129,7 @@
 
     /// Notes that an answer made a statement that can't be read, and returns whether it is the first one of this life
     /// of the endpoint.
-    pub fn heard_malformed(&mut self, instance: &EndpointInstance) -> bool {
+    pub fn record_malformed(&mut self, instance: &EndpointInstance) -> bool {
         let row = self.get_mut(instance);
         row.is_some_and(|row| !std::mem::replace(&mut row.statements.has_malformed, true))
     }
@@ -130,20 +137,20 @@
     /// Returns how many endpoints want nothing from this daemon now, for the metrics.
     pub fn resting_count(&self, now: TimeUs) -> usize {
         let statements = self.rows.values().map(|row| &row.statements);
-        let resting = statements.filter(|said| said.rest_until_us > now);
+        let resting = statements.filter(|statements| statements.rest_until_us > now);
         resting.count()
     }
 
     /// Returns how many endpoints have said in an answer that they leave, for the metrics.
     pub fn leaving_count(&self) -> usize {
         let rows = self.rows.values();
-        rows.filter(|row| self.has_said_it_leaves(row)).count()
+        rows.filter(|row| self.has_announced_leaving(row)).count()
     }
 
     /// Returns how many endpoints name a limit, for the metrics.
     pub fn limited_count(&self, now: TimeUs) -> usize {
         let limits = self.rows.values().map(|row| &row.statements.limit);
-        let in_force = limits.filter(|named| named.limit(self.limit_life_us, now).is_some());
+        let in_force = limits.filter(|named| named.active_limit(self.limit_ttl_us, now).is_some());
         in_force.count()
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -11,14 +11,14 @@
 
 use super::backlog::Load;
 use super::cold_limit::ColdState;
-use super::endpoint_admission::{ServiceColdness, SharesAsOf};
-use super::endpoint_gossip::PeerLoad;
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_admission::{ServiceColdLimit, ShareTimes};
+use super::endpoint_gossip::PeerReport;
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_statements::EndpointStatements;
 use super::evacuated_zones::EvacuatedZones;
-use super::leaving_lives::LeavingLives;
+use super::leaving_instances::LeavingInstances;
 use super::link_paces::LinkPaces;
-use super::outlier::{Outlier, OutlierOptions};
+use super::outlier::{OutlierDetector, OutlierOptions};
 use super::parts::PartCache;
 use crate::site::Endpoint;
 
@@ -27,14 +27,14 @@
 /// Registrations lapse while the store is away. Taken for the end of the endpoint, such a lapse
 /// would leave a service without endpoints for seconds; callers would be refused for nothing. The
 /// platform promises two seconds; the rest covers the way of the news.
-pub(crate) const REGISTER_AGAIN_US: DurationUs = DurationUs::from_ms(2_300);
+pub(crate) const REREGISTRATION_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_300);
 
 /// Weights that are taken for the memory of an engine which doesn't say how much it has.
 const DEFAULT_MEMORY_TOKENS: u64 = 100_000;
 
 /// Says how much an absence from the store means.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Absence {
+pub enum AbsenceCause {
     /// The store was there all the time: the endpoint has left.
     Left,
     /// The store has just been away: the registration may only have lapsed.
@@ -45,21 +45,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Registration {
     /// One that can be read.
-    Good(Endpoint),
+    Valid(Endpoint),
     /// One that can't. Something else than the endpoint may have written it.
     Unreadable(EndpointId, Revision),
 }
 
 impl From<Endpoint> for Registration {
     fn from(endpoint: Endpoint) -> Self {
-        Registration::Good(endpoint)
+        Registration::Valid(endpoint)
     }
 }
 
 impl Registration {
     fn id(&self) -> &EndpointId {
         match self {
-            Registration::Good(endpoint) => &endpoint.instance.id,
+            Registration::Valid(endpoint) => &endpoint.instance.id,
             Registration::Unreadable(id, _) => id,
         }
     }
@@ -69,13 +69,13 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointChange {
     /// A new one was seen.
-    Seen(EndpointInstance),
+    Added(EndpointInstance),
     /// This life has ended: another one has registered under its id.
     Ended(EndpointInstance),
     /// One is about to leave.
     Draining(EndpointInstance),
     /// One is gone.
-    Gone(EndpointInstance),
+    Removed(EndpointInstance),
     /// One has lapsed.
     Lapsed(EndpointInstance),
     /// The registration of one can't be read.
@@ -89,16 +89,16 @@
 pub struct EndpointTable {
     pub(super) rows: BTreeMap<EndpointId, EndpointRow>,
     pub(super) by_short_name: HashMap<u32, EndpointId>,
-    pub(super) peer_loads: HashMap<Incarnation, PeerLoad>,
+    pub(super) peer_reports: HashMap<Incarnation, PeerReport>,
     /// Memory of the engines of each service, from the configuration.
     pub(super) memory_tokens: HashMap<ServiceName, u64>,
     /// Services that the configuration names.
     pub(super) services: HashSet<ServiceName>,
     pub(super) evacuated: EvacuatedZones,
     /// What cold endpoints of each service bear, where the deployment bounds it.
-    pub(super) cold_limits: HashMap<ServiceName, ServiceColdness>,
+    pub(super) cold_limits: HashMap<ServiceName, ServiceColdLimit>,
     /// As of when the shares of cold endpoints' permits are known, and from when on those of the newest view may be used.
-    pub(super) shares: Option<SharesAsOf>,
+    pub(super) shares: Option<ShareTimes>,
     /// How fast parts come over the endpoints' and the stores' links.
     pub links: LinkPaces,
     /// Bounds of ejection.
@@ -108,9 +108,9 @@
     /// that nobody has noticed looks the same.
     pub(super) drain_fallback_us: DurationUs,
     /// Lives that have said in an answer that they leave.
-    pub(super) leaving: LeavingLives,
+    pub(super) leaving: LeavingInstances,
     /// How long a limit that an endpoint names holds, if nobody hears of it again.
-    pub(super) limit_life_us: DurationUs,
+    pub(super) limit_ttl_us: DurationUs,
 }
 
 impl EndpointTable {
@@ -124,8 +124,8 @@
 
     /// Takes over how long a limit that an endpoint names holds, if nobody hears of it again; until then none does.
     #[must_use]
-    pub fn with_limit_life(mut self, limit_life_us: DurationUs) -> Self {
-        self.limit_life_us = limit_life_us;
+    pub fn with_limit_ttl(mut self, limit_ttl_us: DurationUs) -> Self {
+        self.limit_ttl_us = limit_ttl_us;
         self
     }
 
@@ -146,22 +146,22 @@
     }
 
     /// Takes over a whole listing.
-    pub fn listed(
+    pub fn apply_listing(
         &mut self,
         registrations: Vec<Registration>,
-        absence: Absence,
+        absence: AbsenceCause,
         now: TimeUs,
     ) -> Vec<EndpointChange> {
         let named = registrations.iter().map(|r| r.id().clone());
         let ids: HashSet<EndpointId> = named.collect();
         let mut changes = Vec::new();
         for registration in registrations {
-            changes.extend(self.registered(registration, now));
+            changes.extend(self.apply_registration(registration, now));
         }
         let is_missing = |id: &&EndpointId| !ids.contains(id);
         let missing: Vec<EndpointId> = self.rows.keys().filter(is_missing).cloned().collect();
         for id in missing {
-            changes.extend(self.unregistered(&id, absence, now));
+            changes.extend(self.apply_unregistration(&id, absence, now));
         }
         changes
     }
@@ -171,18 +171,18 @@
     /// Of two registrations of one id the one with the higher revision is the newer one. Their starts
     /// don't say: a clock that was set back before a restart gives the later life the earlier start, and
     /// ordered by starts it would be shut out for good.
-    pub fn registered(
+    pub fn apply_registration(
         &mut self,
         registration: impl Into<Registration>,
         now: TimeUs,
     ) -> Vec<EndpointChange> {
         let endpoint = match registration.into() {
-            Registration::Good(endpoint) => endpoint,
-            Registration::Unreadable(id, revision) => return self.unreadable(&id, revision),
+            Registration::Valid(endpoint) => endpoint,
+            Registration::Unreadable(id, revision) => return self.mark_unreadable(&id, revision),
         };
         let id = endpoint.instance.id.clone();
         let Some(row) = self.rows.get(&id) else {
-            return self.begin(endpoint, now);
+            return self.add(endpoint, now);
         };
         if endpoint.revision < row.endpoint.revision {
             return Vec::new();
@@ -190,48 +190,49 @@
         let known = row.instance();
         if known.start.is_some() && endpoint.instance.start.is_none() {
             // Where starts are told all registrations tell them; somebody else has written this one.
-            return self.unreadable(&id, endpoint.revision);
+            return self.mark_unreadable(&id, endpoint.revision);
         }
         match *known == endpoint.instance {
-            true => self.renewed(endpoint, now),
-            false => self.restarted(endpoint, now),
+            true => self.renew(endpoint, now),
+            false => self.replace_restarted(endpoint, now),
         }
     }
 
     /// Takes over a registration of the life that is known.
-    fn renewed(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
+    fn renew(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let instance = endpoint.instance.clone();
-        let life = self.life_of(&endpoint);
+        let state = self.state_of(&endpoint);
         let limit = self.cold_limits.get(&endpoint.service);
         let Some(row) = self.rows.get_mut(&instance.id) else {
             return Vec::new();
         };
         if endpoint.revision > row.endpoint.revision {
             let until_us = now + endpoint.cold_left_us;
-            row.cold.turn(limit.map(|cold| &cold.limit), now, |cold| {
-                cold.told_until(until_us);
-            });
+            row.cold
+                .apply_change(limit.map(|cold| &cold.limit), now, |cold| {
+                    cold.set_reported_until(until_us);
+                });
             row.is_displaced = false;
         }
-        let was = row.life;
+        let previous_state = row.state;
         // An endpoint that has announced its leaving doesn't come back in the same life; a
         // registration that says so is an old one.
-        if was != EndpointLife::Draining {
-            row.life = life;
+        if previous_state != EndpointState::Draining {
+            row.state = state;
         }
         let has_moved = endpoint.address != row.endpoint.address;
-        let told = endpoint.weights.clone();
+        let reported_weights = endpoint.weights.clone();
         let known = std::mem::take(&mut row.endpoint.weights);
         row.endpoint = endpoint;
         row.endpoint.weights = known;
-        for (model, version) in told {
-            self.saw_weights(&instance, &model, version);
+        for (model, version) in reported_weights {
+            self.record_weights(&instance, &model, version);
         }
         let mut changes = Vec::new();
         if has_moved {
             changes.extend(self.claim_address(&instance));
         }
-        if life == EndpointLife::Draining && was != EndpointLife::Draining {
+        if state == EndpointState::Draining && previous_state != EndpointState::Draining {
             changes.push(EndpointChange::Draining(instance));
         }
         changes
@@ -241,28 +242,28 @@
     ///
     /// The new process holds and knows nothing. Without this, calls would be sent to it for parts that
     /// it doesn't keep, or none at all because the life before had said that it leaves.
-    fn restarted(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
+    fn replace_restarted(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(before) = self.remove(&endpoint.instance.id) {
             self.links.forget(before.endpoint.address);
             changes.push(EndpointChange::Ended(before.endpoint.instance));
         }
-        changes.extend(self.begin(endpoint, now));
+        changes.extend(self.add(endpoint, now));
         changes
     }
 
     /// Takes in a life that wasn't known.
-    fn begin(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
+    fn add(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let instance = endpoint.instance.clone();
-        let life = self.life_of(&endpoint);
-        self.insert(endpoint, life, now);
-        let mut changes = vec![EndpointChange::Seen(instance.clone())];
+        let state = self.state_of(&endpoint);
+        self.insert(endpoint, state, now);
+        let mut changes = vec![EndpointChange::Added(instance.clone())];
         changes.extend(self.claim_address(&instance));
         changes
     }
 
     /// Notes that a registration can't be read.
-    fn unreadable(&mut self, id: &EndpointId, revision: Revision) -> Vec<EndpointChange> {
+    fn mark_unreadable(&mut self, id: &EndpointId, revision: Revision) -> Vec<EndpointChange> {
         let Some(row) = self.rows.get_mut(id) else {
             return Vec::new();
         };
@@ -270,36 +271,36 @@
             return Vec::new();
         }
         row.endpoint.revision = revision;
-        if !row.takes_requests() {
+        if !row.accepts_requests() {
             return Vec::new();
         }
-        row.life = EndpointLife::Unreadable;
+        row.state = EndpointState::Unreadable;
         let instance = row.endpoint.instance.clone();
         self.release_address(&instance);
         vec![EndpointChange::Unreadable(instance)]
     }
 
     /// Notes that a registration is gone.
-    pub fn unregistered(
+    pub fn apply_unregistration(
         &mut self,
         id: &EndpointId,
-        absence: Absence,
+        absence: AbsenceCause,
         now: TimeUs,
     ) -> Option<EndpointChange> {
         let row = self.rows.get_mut(id)?;
-        match row.life {
-            EndpointLife::Ready => {
+        match row.state {
+            EndpointState::Ready => {
                 let grace = match absence {
-                    Absence::Left => self.drain_fallback_us,
-                    Absence::MayHaveLapsed => REGISTER_AGAIN_US,
+                    AbsenceCause::Left => self.drain_fallback_us,
+                    AbsenceCause::MayHaveLapsed => REREGISTRATION_TIMEOUT_US,
                 };
-                row.life = EndpointLife::Lapsed(now + grace);
+                row.state = EndpointState::Lapsed(now + grace);
                 Some(EndpointChange::Lapsed(row.endpoint.instance.clone()))
             }
-            EndpointLife::Lapsed(_) => None,
-            EndpointLife::Draining | EndpointLife::Unreadable => {
+            EndpointState::Lapsed(_) => None,
+            EndpointState::Draining | EndpointState::Unreadable => {
                 let row = self.remove(id)?;
-                Some(EndpointChange::Gone(row.endpoint.instance))
+                Some(EndpointChange::Removed(row.endpoint.instance))
             }
         }
     }
@@ -308,7 +309,7 @@
     ///
     /// The answer shows what registrations only claim: who isn't there gets no more calls, and who is
     /// there gets them again if another registration had claimed its address.
-    pub fn misdirected(
+    pub fn record_misdirection(
         &mut self,
         instance: &EndpointInstance,
         found: &EndpointId,
@@ -319,9 +320,9 @@
         let row = self.get_mut(instance)?;
         let address = row.endpoint.address;
         let was_displaced = std::mem::replace(&mut row.is_displaced, true);
-        let there = self.rows.get_mut(found);
-        if let Some(there) = there.filter(|there| there.endpoint.address == address) {
-            there.is_displaced = false;
+        let occupant = self.rows.get_mut(found);
+        if let Some(occupant) = occupant.filter(|occupant| occupant.endpoint.address == address) {
+            occupant.is_displaced = false;
         }
         (!was_displaced).then(|| EndpointChange::Displaced(instance.clone()))
     }
@@ -335,28 +336,28 @@
     /// Removes endpoints whose registration lapsed and didn't come back, and old news of peers.
     pub fn tick(&mut self, now: TimeUs) -> Vec<EndpointChange> {
         self.links.tick(now);
-        let is_over =
-            |row: &EndpointRow| matches!(row.life, EndpointLife::Lapsed(until) if until <= now);
-        let over: Vec<EndpointId> = self
+        let has_lapsed =
+            |row: &EndpointRow| matches!(row.state, EndpointState::Lapsed(until) if until <= now);
+        let lapsed: Vec<EndpointId> = self
             .rows
             .iter()
-            .filter(|(_, row)| is_over(row))
+            .filter(|(_, row)| has_lapsed(row))
             .map(|(id, _)| id.clone())
             .collect();
-        let gone: Vec<EndpointChange> = over
+        let removed: Vec<EndpointChange> = lapsed
             .iter()
             .filter_map(|id| self.remove(id))
-            .map(|row| EndpointChange::Gone(row.endpoint.instance))
+            .map(|row| EndpointChange::Removed(row.endpoint.instance))
             .collect();
-        self.forget_silent_peers(now);
+        self.prune_silent_peers(now);
         let by_short_name = &self.by_short_name;
         self.leaving
-            .tick(|life| by_short_name.contains_key(&life), now);
-        gone
+            .tick(|instance| by_short_name.contains_key(&instance), now);
+        removed
     }
 
     /// Notes the weights that an endpoint was seen with; they never go back within its life.
-    pub fn saw_weights(
+    pub fn record_weights(
         &mut self,
         instance: &EndpointInstance,
         model: &ModelName,
@@ -396,19 +397,20 @@
     }
 
     /// Counts endpoints by life, for the metrics.
-    pub fn count_by_life(&self) -> [(&'static str, usize); 4] {
-        let count =
-            |is: fn(&EndpointLife) -> bool| self.rows.values().filter(|row| is(&row.life)).count();
+    pub fn count_by_state(&self) -> [(&'static str, usize); 4] {
+        let count = |is: fn(&EndpointState) -> bool| {
+            self.rows.values().filter(|row| is(&row.state)).count()
+        };
         [
-            ("ready", count(|life| *life == EndpointLife::Ready)),
-            ("draining", count(|life| *life == EndpointLife::Draining)),
+            ("ready", count(|state| *state == EndpointState::Ready)),
+            ("draining", count(|state| *state == EndpointState::Draining)),
             (
                 "lapsed",
-                count(|life| matches!(life, EndpointLife::Lapsed(_))),
+                count(|state| matches!(state, EndpointState::Lapsed(_))),
             ),
             (
                 "unreadable",
-                count(|life| *life == EndpointLife::Unreadable),
+                count(|state| *state == EndpointState::Unreadable),
             ),
         ]
     }
@@ -423,13 +425,13 @@
         self.rows.is_empty()
     }
 
-    fn insert(&mut self, endpoint: Endpoint, life: EndpointLife, now: TimeUs) {
-        let short_name = life_name(&endpoint.instance);
+    fn insert(&mut self, endpoint: Endpoint, state: EndpointState, now: TimeUs) {
+        let short_name = instance_short_name(&endpoint.instance);
         let memory = self.memory_tokens.get(&endpoint.service).copied();
-        let mut peers = Load::default();
-        for told in self.peer_loads.values() {
-            if let Some(load) = told.loads.get(&short_name) {
-                peers.add(*load);
+        let mut peers_load = Load::default();
+        for report in self.peer_reports.values() {
+            if let Some(load) = report.loads.get(&short_name) {
+                peers_load.add(*load);
             }
         }
         let id = endpoint.instance.id.clone();
@@ -437,16 +439,16 @@
         let row = EndpointRow {
             cold: ColdState::until(now + endpoint.cold_left_us),
             endpoint,
-            life,
+            state,
             is_displaced: false,
-            own: Load::default(),
-            peers,
-            told: None,
-            outlier: Outlier::default(),
+            own_load: Load::default(),
+            peers_load,
+            reported_load: None,
+            outlier: OutlierDetector::default(),
             parts: PartCache::new(memory.unwrap_or(DEFAULT_MEMORY_TOKENS)),
-            followed_until_us: TimeUs::ZERO,
+            parts_tracked_until_us: TimeUs::ZERO,
             unreachable_until_us: TimeUs::ZERO,
-            weighed_until_us: TimeUs::ZERO,
+            corroborated_until_us: TimeUs::ZERO,
             suspected_until_us: TimeUs::ZERO,
             reserved_until_us: TimeUs::ZERO,
             statements: EndpointStatements::default(),
@@ -473,7 +475,7 @@
         let Some(row) = self.get(instance) else {
             return Vec::new();
         };
-        if !self.has_known_service(row) || !row.takes_requests() {
+        if !self.has_known_service(row) || !row.accepts_requests() {
             return Vec::new();
         }
         let (address, revision) = (row.endpoint.address, row.endpoint.revision);
@@ -481,16 +483,16 @@
             row.endpoint.address == address && row.instance() != instance && !row.is_displaced
         });
         let mut changes = Vec::new();
-        let mut is_late = false;
+        let mut is_superseded = false;
         for row in others {
-            if row.takes_requests() && row.endpoint.revision > revision {
-                is_late = true;
+            if row.accepts_requests() && row.endpoint.revision > revision {
+                is_superseded = true;
                 continue;
             }
             row.is_displaced = true;
             changes.push(EndpointChange::Displaced(row.endpoint.instance.clone()));
         }
-        if let Some(row) = self.get_mut(instance).filter(|_| is_late) {
+        if let Some(row) = self.get_mut(instance).filter(|_| is_superseded) {
             row.is_displaced = true;
             changes.push(EndpointChange::Displaced(instance.clone()));
         }
@@ -502,19 +504,21 @@
         let Some(address) = self.by_id(&instance.id).map(|row| row.endpoint.address) else {
             return;
         };
-        let gains =
+        let is_at_address =
             |row: &&mut EndpointRow| row.endpoint.address == address && row.instance() != instance;
-        for row in self.rows.values_mut().filter(gains) {
+        for row in self.rows.values_mut().filter(is_at_address) {
             row.is_displaced = false;
         }
     }
 
     /// Returns whether an endpoint gets new calls, by its registration and by what it has said in answers.
-    fn life_of(&self, endpoint: &Endpoint) -> EndpointLife {
-        let has_said_so = self.leaving.contains(life_name(&endpoint.instance));
-        match endpoint.is_draining || has_said_so {
-            true => EndpointLife::Draining,
-            false => EndpointLife::Ready,
+    fn state_of(&self, endpoint: &Endpoint) -> EndpointState {
+        let has_announced_leaving = self
+            .leaving
+            .contains(instance_short_name(&endpoint.instance));
+        match endpoint.is_draining || has_announced_leaving {
+            true => EndpointState::Draining,
+            false => EndpointState::Ready,
         }
     }
 
@@ -525,7 +529,7 @@
 }
 
 /// Returns the short name of one life of an endpoint.
-pub(crate) fn life_name(instance: &EndpointInstance) -> u32 {
+pub(crate) fn instance_short_name(instance: &EndpointInstance) -> u32 {
     short_name(&instance.to_string())
 }
 
--- a/crates/wisteriahitch-relay/src/decide/evacuated_zones.rs
+++ b/crates/wisteriahitch-relay/src/decide/evacuated_zones.rs
@@ -26,11 +26,11 @@
 impl EvacuatedZones {
     /// Takes over all evacuated zones, and returns what has changed.
     pub fn replace(&mut self, zones: BTreeSet<AvailabilityZone>) -> Vec<ZoneChange> {
-        let begun = zones.difference(&self.zones).cloned();
-        let over = self.zones.difference(&zones).cloned();
-        let changes = begun
+        let evacuated = zones.difference(&self.zones).cloned();
+        let restored = self.zones.difference(&zones).cloned();
+        let changes = evacuated
             .map(ZoneChange::Evacuated)
-            .chain(over.map(ZoneChange::Restored))
+            .chain(restored.map(ZoneChange::Restored))
             .collect();
         self.zones = zones;
         changes
--- a/crates/wisteriahitch-relay/src/decide/hubs.rs
+++ b/crates/wisteriahitch-relay/src/decide/hubs.rs
@@ -10,14 +10,14 @@
 use wisteriahitch_core::fleet::Rendezvous;
 
 /// Fleets up to this size tell everything directly.
-pub(crate) const SMALL_FLEET: usize = 12;
+pub(crate) const SMALL_FLEET_MAX_SIZE: usize = 12;
 
 /// Daemons of a zone that follow the platform's store and the part stores in a larger fleet. A part
 /// store serves about a dozen such questions at once, and each return of a watch is paid for.
-const FOLLOWERS_OF_STORES: usize = 2;
+const STORE_WATCHERS_PER_ZONE: usize = 2;
 
 /// A link counts as wide from this part of the widest one of its zone on.
-const WIDE_PART: u16 = 4;
+const WIDE_LINK_DIVISOR: u16 = 4;
 
 /// One daemon as far as it matters here.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -44,8 +44,8 @@
 
 impl HubPlan {
     /// Makes the plan of a fleet.
-    pub fn of(members: &[HubCandidate]) -> Self {
-        if members.len() <= SMALL_FLEET {
+    pub fn for_members(members: &[HubCandidate]) -> Self {
+        if members.len() <= SMALL_FLEET_MAX_SIZE {
             return Self {
                 hubs: members.to_vec(),
                 is_small: true,
@@ -72,14 +72,14 @@
     /// Returns the hub of a daemon that isn't one.
     pub fn hub_of(&self, member: &HubCandidate) -> Option<Ipv4Addr> {
         let same_zone = |hub: &&HubCandidate| hub.zone == member.zone;
-        let near: Vec<Ipv4Addr> = self
+        let in_zone: Vec<Ipv4Addr> = self
             .hubs
             .iter()
             .filter(same_zone)
             .map(|hub| hub.ip)
             .collect();
         let rank = Rendezvous::new("hub-of", &member.ip.to_string());
-        rank.top(near, 1, |ip| ip.octets().to_vec())
+        rank.top(in_zone, 1, |ip| ip.octets().to_vec())
             .first()
             .copied()
     }
@@ -89,8 +89,9 @@
         if self.is_small {
             return true;
         }
-        let near = self.hubs.iter().filter(|hub| hub.zone == member.zone);
-        near.take(FOLLOWERS_OF_STORES)
+        let in_zone = self.hubs.iter().filter(|hub| hub.zone == member.zone);
+        in_zone
+            .take(STORE_WATCHERS_PER_ZONE)
             .any(|hub| hub.ip == member.ip)
     }
 }
@@ -102,14 +103,14 @@
 /// ten its callers' own bytes would wait behind them. One would notice by connections that don't
 /// open in time although both ends are well.
 fn hubs_of(zone: &str, members: &[HubCandidate]) -> Vec<HubCandidate> {
-    let near: Vec<HubCandidate> = members
+    let in_zone: Vec<HubCandidate> = members
         .iter()
         .filter(|member| member.zone == zone)
         .cloned()
         .collect();
-    let count = (near.len() as f64).sqrt().ceil() as usize;
+    let count = (in_zone.len() as f64).sqrt().ceil() as usize;
     let rank = Rendezvous::new("hub", zone);
-    let mut scored: Vec<(f64, HubCandidate)> = near
+    let mut scored: Vec<(f64, HubCandidate)> = in_zone
         .into_iter()
         .map(|member| {
             let weight = f64::from(member.link_mbps.max(1));
@@ -124,11 +125,11 @@
         .unwrap_or(0);
     let wide = scored
         .iter()
-        .filter(|(_, member)| member.link_mbps >= widest / WIDE_PART)
+        .filter(|(_, member)| member.link_mbps >= widest / WIDE_LINK_DIVISOR)
         .count();
-    if wide >= FOLLOWERS_OF_STORES {
-        scored.retain(|(_, member)| member.link_mbps >= widest / WIDE_PART);
+    if wide >= STORE_WATCHERS_PER_ZONE {
+        scored.retain(|(_, member)| member.link_mbps >= widest / WIDE_LINK_DIVISOR);
     }
-    scored.truncate(count.max(FOLLOWERS_OF_STORES));
+    scored.truncate(count.max(STORE_WATCHERS_PER_ZONE));
     scored.into_iter().map(|(_, member)| member).collect()
 }
--- a/crates/wisteriahitch-relay/src/decide/members.rs
+++ b/crates/wisteriahitch-relay/src/decide/members.rs
@@ -12,24 +12,24 @@
 use super::gossip_message::{GossipMessage, MemberPhase, MemberUpdate};
 use super::hubs::{HubCandidate, HubPlan};
 use super::message_delay::MessageDelay;
-use super::permit_shares::Sighting;
+use super::permit_shares::ViewObservation;
 
 /// Silence after which a member is no longer named to callers. Members send at least four times a
 /// second, so that a few lost datagrams don't count.
-const SILENCE_US: DurationUs = DurationUs::from_ms(900);
+const DIRECT_TIMEOUT_US: DurationUs = DurationUs::from_ms(900);
 /// The same for a member that a hub tells of.
-const TOLD_LIFE_US: DurationUs = DurationUs::from_ms(2_500);
+const INDIRECT_TTL_US: DurationUs = DurationUs::from_ms(2_500);
 /// Silence up to which what a daemon said itself goes before what hubs tell of it: the time after which no hub tells any
 /// more of one that fell silent, and as much again for its own silence.
-const OWN_WORD_LIFE_US: DurationUs = DurationUs::from_ms(4_000);
+const DIRECT_PRECEDENCE_US: DurationUs = DurationUs::from_ms(4_000);
 /// Age up to which what a hub has told is told on; each step adds its own.
-const TELL_ON_US: DurationUs = DurationUs::from_ms(1_200);
+const FORWARD_MAX_AGE_US: DurationUs = DurationUs::from_ms(1_200);
 /// Time for which a registration that was listed counts: two listings.
-const REGISTERED_LIFE_US: DurationUs = DurationUs::from_ms(10_000);
+const REGISTRATION_TTL_US: DurationUs = DurationUs::from_ms(10_000);
 /// Silence after which a member is forgotten.
-const FORGET_US: DurationUs = DurationUs::from_ms(30_000);
+const MEMBER_RETENTION_US: DurationUs = DurationUs::from_ms(30_000);
 /// Time for which an address that was never heard is still taken for a daemon's.
-const NEVER_HEARD_US: DurationUs = DurationUs::from_ms(3_000);
+const UNCONFIRMED_ADDRESS_TTL_US: DurationUs = DurationUs::from_ms(3_000);
 
 /// One other daemon that is heard directly.
 #[derive(Clone, Debug)]
@@ -53,16 +53,16 @@
     /// Whether the store answers it, or one that it hears.
     pub is_store_reachable: bool,
     /// For how long its last message was held up on the way.
-    pub held_up_us: DurationUs,
-    delay: MessageDelay,
-    number: u64,
-    heard_at_us: TimeUs,
+    pub message_delay_us: DurationUs,
+    delay_tracker: MessageDelay,
+    message_number: u64,
+    received_at_us: TimeUs,
 }
 
 impl PeerRow {
     /// Returns it as callers are told of it.
-    pub fn entry(&self) -> Entry {
-        Entry {
+    pub fn entry(&self) -> EntryPoint {
+        EntryPoint {
             ip: self.ip,
             zone: self.zone.clone(),
             capacity: self.capacity,
@@ -73,17 +73,17 @@
 
 /// One daemon that a hub tells of.
 #[derive(Clone, Debug)]
-struct ToldRow {
+struct IndirectPeerRow {
     zone: String,
     phase: MemberPhase,
     capacity: u16,
     link_mbps: u16,
-    told_at_us: TimeUs,
+    received_at_us: TimeUs,
 }
 
 /// A daemon that callers may be sent to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Entry {
+pub struct EntryPoint {
     /// Address.
     pub ip: Ipv4Addr,
     /// Availability zone.
@@ -96,7 +96,7 @@
 
 /// An address that is known from elsewhere: the settings, the store, or other daemons.
 #[derive(Clone, Debug)]
-struct KnownRow {
+struct KnownAddress {
     zone: Option<String>,
     link_mbps: u16,
     since_us: TimeUs,
@@ -106,27 +106,27 @@
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<Ipv4Addr, PeerRow>,
-    told: BTreeMap<Ipv4Addr, ToldRow>,
-    known: BTreeMap<Ipv4Addr, KnownRow>,
+    indirect: BTreeMap<Ipv4Addr, IndirectPeerRow>,
+    known: BTreeMap<Ipv4Addr, KnownAddress>,
     /// When each address was last seen registered in the store.
     registered: BTreeMap<Ipv4Addr, TimeUs>,
 }
 
 /// What a message changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Heard {
+pub enum ReceiveOutcome {
     /// It is an old one.
-    Old,
+    Stale,
     /// The sender was known.
-    Again,
+    Known,
     /// The sender is new, or is back.
     Joined,
 }
 
 impl PeerTable {
     /// Notes an address that may be a daemon's, with its zone and link if those are known.
-    pub fn know(&mut self, ip: Ipv4Addr, place: Option<(String, u16)>, now: TimeUs) {
-        let row = self.known.entry(ip).or_insert(KnownRow {
+    pub fn record_address(&mut self, ip: Ipv4Addr, place: Option<(String, u16)>, now: TimeUs) {
+        let row = self.known.entry(ip).or_insert(KnownAddress {
             zone: None,
             link_mbps: 0,
             since_us: now,
@@ -138,7 +138,7 @@
     }
 
     /// Notes that the store holds a registration of an address.
-    pub fn registered(&mut self, ip: Ipv4Addr, now: TimeUs) {
+    pub fn record_registration(&mut self, ip: Ipv4Addr, now: TimeUs) {
         self.registered.insert(ip, now);
     }
 
@@ -148,42 +148,40 @@
     }
 
     /// Returns what is seen of the members, for the permits of cold endpoints.
-    pub fn sighting(&self, me: Ipv4Addr, is_complete: bool, now: TimeUs) -> Sighting {
+    pub fn observe_members(&self, me: Ipv4Addr, is_complete: bool, now: TimeUs) -> ViewObservation {
         let stays = |phase: MemberPhase| phase != MemberPhase::Draining;
         let direct = self.alive(now).map(|peer| (peer.ip, peer.phase));
-        let told = self
-            .known_by_gossip(now)
-            .map(|(ip, told)| (*ip, told.phase));
-        let mut sighting = Sighting {
+        let indirect = self.indirect_members(now).map(|(ip, row)| (*ip, row.phase));
+        let mut observation = ViewObservation {
             alive: BTreeSet::from([me]),
             registered: self.registered.keys().copied().collect(),
             leaving: BTreeSet::new(),
             is_complete,
         };
-        for (ip, phase) in direct.chain(told) {
+        for (ip, phase) in direct.chain(indirect) {
             match stays(phase) {
-                true => sighting.alive.insert(ip),
-                false => sighting.leaving.insert(ip),
+                true => observation.alive.insert(ip),
+                false => observation.leaving.insert(ip),
             };
         }
-        sighting
+        observation
     }
 
     /// Takes a message in.
-    pub fn heard(&mut self, message: &GossipMessage, now: TimeUs) -> Heard {
+    pub fn receive(&mut self, message: &GossipMessage, now: TimeUs) -> ReceiveOutcome {
         let old = self.peers.get(&message.ip);
-        let is_same_life = old.is_some_and(|old| old.incarnation == message.incarnation);
-        if is_same_life && old.is_some_and(|old| old.number >= message.number) {
-            return Heard::Old;
+        let is_same_incarnation = old.is_some_and(|old| old.incarnation == message.incarnation);
+        if is_same_incarnation && old.is_some_and(|old| old.message_number >= message.number) {
+            return ReceiveOutcome::Stale;
         }
-        let was_there = old.is_some_and(|old| is_same_life && !is_silent(old, now));
-        let mut delay = match old {
-            Some(old) if is_same_life => old.delay,
+        let was_known = old.is_some_and(|old| is_same_incarnation && !is_silent(old, now));
+        let mut delay_tracker = match old {
+            Some(old) if is_same_incarnation => old.delay_tracker,
             _ => MessageDelay::default(),
         };
-        let held_up_us = delay.received(message.sent_at_us, now);
+        let message_delay_us = delay_tracker.record(message.sent_at_us, now);
         for member in &message.members {
-            self.told(message, member, now);
+            self.receive_member_update(message, member, now);
         }
         let row = PeerRow {
             incarnation: message.incarnation,
@@ -195,57 +193,62 @@
             is_hub: message.is_hub,
             follows_stores: message.follows_stores,
             is_store_reachable: message.is_store_reachable,
-            held_up_us,
-            delay,
-            number: message.number,
-            heard_at_us: now,
+            message_delay_us,
+            delay_tracker,
+            message_number: message.number,
+            received_at_us: now,
         };
         self.peers.insert(message.ip, row);
         self.known.insert(
             message.ip,
-            KnownRow {
+            KnownAddress {
                 zone: Some(message.zone.clone()),
                 link_mbps: message.link_mbps,
                 since_us: now,
             },
         );
-        match was_there {
-            true => Heard::Again,
-            false => Heard::Joined,
+        match was_known {
+            true => ReceiveOutcome::Known,
+            false => ReceiveOutcome::Joined,
         }
     }
 
-    fn told(&mut self, message: &GossipMessage, member: &MemberUpdate, now: TimeUs) {
+    fn receive_member_update(
+        &mut self,
+        message: &GossipMessage,
+        member: &MemberUpdate,
+        now: TimeUs,
+    ) {
         let Some(zone) = message.zones.get(usize::from(member.zone)) else {
             return;
         };
-        let row = ToldRow {
+        let row = IndirectPeerRow {
             zone: zone.clone(),
             phase: member.phase,
             capacity: member.capacity,
             link_mbps: member.link_mbps,
-            told_at_us: now,
+            received_at_us: now,
         };
-        self.told.insert(member.ip, row);
-        self.know(member.ip, Some((zone.clone(), member.link_mbps)), now);
+        self.indirect.insert(member.ip, row);
+        self.record_address(member.ip, Some((zone.clone(), member.link_mbps)), now);
     }
 
     /// Forgets those that have been silent for long, and returns those that fell silent since
     /// `last`.
     pub fn tick(&mut self, last: TimeUs, now: TimeUs) -> Vec<Incarnation> {
         self.peers
-            .retain(|_, peer| now.since(peer.heard_at_us) < FORGET_US);
-        self.told
-            .retain(|_, told| now.since(told.told_at_us) < TOLD_LIFE_US);
+            .retain(|_, peer| now.since(peer.received_at_us) < MEMBER_RETENTION_US);
+        self.indirect
+            .retain(|_, row| now.since(row.received_at_us) < INDIRECT_TTL_US);
         self.registered
-            .retain(|_, seen_at| now.since(*seen_at) < REGISTERED_LIFE_US);
-        let (peers, told) = (&self.peers, &self.told);
+            .retain(|_, seen_at| now.since(*seen_at) < REGISTRATION_TTL_US);
+        let (peers, indirect) = (&self.peers, &self.indirect);
         self.known.retain(|ip, known| {
-            let life = match peers.contains_key(ip) || told.contains_key(ip) {
-                true => FORGET_US,
-                false => NEVER_HEARD_US,
+            let ttl_us = match peers.contains_key(ip) || indirect.contains_key(ip) {
+                true => MEMBER_RETENTION_US,
+                false => UNCONFIRMED_ADDRESS_TTL_US,
             };
-            now.since(known.since_us) < life || told.contains_key(ip)
+            now.since(known.since_us) < ttl_us || indirect.contains_key(ip)
         });
         let fell_silent = |peer: &&PeerRow| is_silent(peer, now) && !is_silent(peer, last);
         let silent = self.peers.values().filter(fell_silent);
@@ -267,16 +270,16 @@
 
     /// Lists the daemons that callers may be sent to: those that are heard, and those that a hub
     /// tells of.
-    pub fn entries(&self, now: TimeUs) -> Vec<Entry> {
+    pub fn entries(&self, now: TimeUs) -> Vec<EntryPoint> {
         let direct = self.ready(now).map(PeerRow::entry);
-        let mut entries: Vec<Entry> = direct.collect();
-        for (ip, told) in self.known_by_gossip(now) {
-            if told.phase == MemberPhase::Ready {
-                entries.push(Entry {
+        let mut entries: Vec<EntryPoint> = direct.collect();
+        for (ip, row) in self.indirect_members(now) {
+            if row.phase == MemberPhase::Ready {
+                entries.push(EntryPoint {
                     ip: *ip,
-                    zone: told.zone.clone(),
-                    capacity: told.capacity,
-                    link_mbps: told.link_mbps,
+                    zone: row.zone.clone(),
+                    capacity: row.capacity,
+                    link_mbps: row.link_mbps,
                 });
             }
         }
@@ -287,46 +290,47 @@
     ///
     /// What a daemon says itself goes before what others tell of it, also its silence, but only for a while: when all
     /// start at once, many are heard directly before each has a hub, and never again.
-    fn known_by_gossip(&self, now: TimeUs) -> impl Iterator<Item = (&Ipv4Addr, &ToldRow)> {
-        self.told.iter().filter(move |(ip, _)| {
+    fn indirect_members(&self, now: TimeUs) -> impl Iterator<Item = (&Ipv4Addr, &IndirectPeerRow)> {
+        self.indirect.iter().filter(move |(ip, _)| {
             let silence = self.silence(**ip, now);
-            silence.is_none_or(|silence| silence > OWN_WORD_LIFE_US)
+            silence.is_none_or(|silence| silence > DIRECT_PRECEDENCE_US)
         })
     }
 
     /// Lists the daemons that a hub has told of a moment ago, to be told on.
-    pub fn recently_gossiped(
+    pub fn recent_indirect_members(
         &self,
         now: TimeUs,
-    ) -> impl Iterator<Item = (Entry, MemberPhase)> + '_ {
-        let told = self.known_by_gossip(now);
-        let fresh = told.filter(move |(_, told)| now.since(told.told_at_us) < TELL_ON_US);
-        fresh.map(|(ip, told)| {
-            let entry = Entry {
+    ) -> impl Iterator<Item = (EntryPoint, MemberPhase)> + '_ {
+        let indirect = self.indirect_members(now);
+        let fresh =
+            indirect.filter(move |(_, row)| now.since(row.received_at_us) < FORWARD_MAX_AGE_US);
+        fresh.map(|(ip, row)| {
+            let entry = EntryPoint {
                 ip: *ip,
-                zone: told.zone.clone(),
-                capacity: told.capacity,
-                link_mbps: told.link_mbps,
+                zone: row.zone.clone(),
+                capacity: row.capacity,
+                link_mbps: row.link_mbps,
             };
-            (entry, told.phase)
+            (entry, row.phase)
         })
     }
 
     /// Returns how many other daemons there seem to be.
     pub fn count(&self, now: TimeUs) -> usize {
         let alive = self.alive(now).count();
-        alive + self.known_by_gossip(now).count()
+        alive + self.indirect_members(now).count()
     }
 
     /// Makes the plan of hubs for a fleet with `me` in it.
     pub fn hub_plan(&self, me: &HubCandidate, now: TimeUs) -> HubPlan {
         let mut members = vec![me.clone()];
         for (ip, known) in &self.known {
-            let is_gone = self
+            let is_departed = self
                 .peers
                 .get(ip)
                 .is_some_and(|peer| is_silent(peer, now) || peer.phase == MemberPhase::Draining);
-            if *ip == me.ip || (is_gone && !self.told.contains_key(ip)) {
+            if *ip == me.ip || (is_departed && !self.indirect.contains_key(ip)) {
                 continue;
             }
             members.push(HubCandidate {
@@ -335,7 +339,7 @@
                 link_mbps: known.link_mbps,
             });
         }
-        HubPlan::of(&members)
+        HubPlan::for_members(&members)
     }
 
     /// Returns the addresses that a daemon tells its news.
@@ -355,9 +359,9 @@
                 zone: zone.unwrap_or_default(),
                 link_mbps: 0,
             };
-            let is_mine = plan.hub_of(&member) == Some(me.ip);
-            let tells_me = self.alive(now).any(|peer| peer.ip == ip && !peer.is_hub);
-            if (is_mine || tells_me) && !targets.contains(&ip) {
+            let is_assigned = plan.hub_of(&member) == Some(me.ip);
+            let sends_to_me = self.alive(now).any(|peer| peer.ip == ip && !peer.is_hub);
+            if (is_assigned || sends_to_me) && !targets.contains(&ip) {
                 targets.push(ip);
             }
         }
@@ -370,7 +374,7 @@
     ///
     /// One that doesn't follow the store asks after those that do, and its turn is drawn from the size
     /// of the fleet: most of those that don't hear of each other.
-    pub fn place_in_turn(&self, kind: &str, me: Ipv4Addr, follows: bool, now: TimeUs) -> usize {
+    pub fn confirmation_rank(&self, kind: &str, me: Ipv4Addr, follows: bool, now: TimeUs) -> usize {
         let rank = Rendezvous::new("confirms", kind);
         let mine = rank.score(&me.octets());
         let followers = self.alive(now).filter(|peer| {
@@ -392,15 +396,17 @@
 
     /// Returns how long ago anything was heard from an address.
     pub fn silence(&self, ip: Ipv4Addr, now: TimeUs) -> Option<DurationUs> {
-        self.peers.get(&ip).map(|peer| now.since(peer.heard_at_us))
+        self.peers
+            .get(&ip)
+            .map(|peer| now.since(peer.received_at_us))
     }
 
     /// Returns whether a hub tells of an address.
-    pub fn is_told(&self, ip: Ipv4Addr) -> bool {
-        self.told.contains_key(&ip)
+    pub fn is_known_indirectly(&self, ip: Ipv4Addr) -> bool {
+        self.indirect.contains_key(&ip)
     }
 }
 
 fn is_silent(peer: &PeerRow, now: TimeUs) -> bool {
-    now.since(peer.heard_at_us) > SILENCE_US
+    now.since(peer.received_at_us) > DIRECT_TIMEOUT_US
 }
--- a/crates/wisteriahitch-relay/src/decide/message_delay.rs
+++ b/crates/wisteriahitch-relay/src/decide/message_delay.rs
@@ -3,7 +3,7 @@
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 /// Time after which the least lag is measured anew. Clocks of two VMs drift apart by some milliseconds a minute.
-const WINDOW_US: DurationUs = DurationUs::from_ms(10_000);
+const MIN_LAG_WINDOW_US: DurationUs = DurationUs::from_ms(10_000);
 
 /// Tells messages that were held up from those that came at once, by clocks that needn't agree.
 ///
@@ -12,23 +12,23 @@
 /// carries its sender's time, and its lag counts above the least one of the last seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageDelay {
-    began_at_us: TimeUs,
-    least_lag_us: Option<i64>,
+    window_began_at_us: TimeUs,
+    min_lag_us: Option<i64>,
     /// The least lag of the time before.
-    last_least_lag_us: Option<i64>,
+    previous_min_lag_us: Option<i64>,
 }
 
 impl MessageDelay {
     /// Notes a message, by its sender's clock and by the own one, and returns for how long it was held up.
-    pub fn received(&mut self, sent_at: TimeUs, now: TimeUs) -> DurationUs {
-        if now.since(self.began_at_us) >= WINDOW_US {
-            self.began_at_us = now;
-            self.last_least_lag_us = self.least_lag_us.take();
+    pub fn record(&mut self, sent_at: TimeUs, now: TimeUs) -> DurationUs {
+        if now.since(self.window_began_at_us) >= MIN_LAG_WINDOW_US {
+            self.window_began_at_us = now;
+            self.previous_min_lag_us = self.min_lag_us.take();
         }
         let lag_us = now.get().cast_signed() - sent_at.get().cast_signed();
-        self.least_lag_us = Some(self.least_lag_us.unwrap_or(lag_us).min(lag_us));
-        let least = self.least_lag_us.into_iter().chain(self.last_least_lag_us);
-        let least_lag_us = least.min().unwrap_or(lag_us);
-        DurationUs::new(lag_us.saturating_sub(least_lag_us).unsigned_abs())
+        self.min_lag_us = Some(self.min_lag_us.unwrap_or(lag_us).min(lag_us));
+        let minima = self.min_lag_us.into_iter().chain(self.previous_min_lag_us);
+        let min_lag_us = minima.min().unwrap_or(lag_us);
+        DurationUs::new(lag_us.saturating_sub(min_lag_us).unsigned_abs())
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/mod.rs
+++ b/crates/wisteriahitch-relay/src/decide/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) mod gossip_message;
 pub(crate) mod gossip_pace;
 pub(crate) mod hubs;
-mod leaving_lives;
+mod leaving_instances;
 pub(crate) mod link_paces;
 pub(crate) mod members;
 pub(crate) mod message_delay;
--- a/crates/wisteriahitch-relay/src/decide/offer.rs
+++ b/crates/wisteriahitch-relay/src/decide/offer.rs
@@ -220,7 +220,9 @@
 
 /// Returns how many requests an endpoint has: as this daemon counts, or as it has told itself.
 fn busy(row: &EndpointRow, now: TimeUs) -> u32 {
-    let told = row.told.filter(|(_, at)| now.since(*at) < TOLD_LIFE_US);
+    let told = row
+        .reported_load
+        .filter(|(_, at)| now.since(*at) < TOLD_LIFE_US);
     let told = told.map_or(0, |(report, _)| report.running + report.waiting);
     row.load().running.max(told)
 }
--- a/crates/wisteriahitch-relay/src/decide/outlier.rs
+++ b/crates/wisteriahitch-relay/src/decide/outlier.rs
@@ -12,7 +12,7 @@
     /// First ejection; each further one lasts twice as long.
     pub first_ejection_us: DurationUs,
     /// Longest ejection.
-    pub longest_ejection_us: DurationUs,
+    pub max_ejection_us: DurationUs,
 }
 
 impl Default for OutlierOptions {
@@ -21,7 +21,7 @@
             sample_weight: 0.2,
             max_failure_rate: 0.35,
             first_ejection_us: DurationUs::from_ms(1_000),
-            longest_ejection_us: DurationUs::from_ms(4_000),
+            max_ejection_us: DurationUs::from_ms(4_000),
         }
     }
 }
@@ -31,7 +31,7 @@
 /// An endpoint's own health answers are not asked: one that fails half of its requests may call
 /// itself healthy, and callers would go on losing every second one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outlier {
+pub struct OutlierDetector {
     failure_rate: f64,
     ejections_in_row: u32,
     ejected_until_us: Option<TimeUs>,
@@ -41,9 +41,9 @@
 /// After this time without an outcome another request may probe an ejected endpoint.
 const PROBE_TIMEOUT_US: DurationUs = DurationUs::from_ms(1_000);
 
-impl Outlier {
+impl OutlierDetector {
     /// Notes an answer that ended well, and returns whether that ended an ejection.
-    pub fn succeeded(&mut self, options: &OutlierOptions) -> bool {
+    pub fn record_success(&mut self, options: &OutlierOptions) -> bool {
         self.failure_rate *= 1.0 - options.sample_weight;
         let was_ejected = self.ejected_until_us.take().is_some();
         self.probe_since_us = None;
@@ -56,9 +56,9 @@
     }
 
     /// Notes a failure, and returns whether the endpoint is ejected by it.
-    pub fn failed(&mut self, options: &OutlierOptions, now: TimeUs) -> bool {
-        let kept = 1.0 - options.sample_weight;
-        self.failure_rate = self.failure_rate * kept + options.sample_weight;
+    pub fn record_failure(&mut self, options: &OutlierOptions, now: TimeUs) -> bool {
+        let retained_weight = 1.0 - options.sample_weight;
+        self.failure_rate = self.failure_rate * retained_weight + options.sample_weight;
         self.probe_since_us = None;
         let is_ejected = self.ejected_until_us.is_some();
         if !is_ejected && self.failure_rate <= options.max_failure_rate {
@@ -71,9 +71,9 @@
     /// Ejects the endpoint at once, as after a connection that it refused.
     pub fn eject(&mut self, options: &OutlierOptions, now: TimeUs) {
         let doublings = self.ejections_in_row.min(8);
-        let span_us = options.first_ejection_us.get() << doublings;
-        let span = DurationUs::new(span_us).min(options.longest_ejection_us);
-        self.ejected_until_us = Some(now + span);
+        let ejection_us = options.first_ejection_us.get() << doublings;
+        let ejection_us = DurationUs::new(ejection_us).min(options.max_ejection_us);
+        self.ejected_until_us = Some(now + ejection_us);
         self.ejections_in_row += 1;
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Notes that a request was sent; after an ejection it is the one that probes the endpoint.
-    pub fn sent(&mut self, now: TimeUs) {
+    pub fn record_sent(&mut self, now: TimeUs) {
         if self.ejected_until_us.is_some() {
             self.probe_since_us = Some(now);
         }
--- a/crates/wisteriahitch-relay/src/decide/overload.rs
+++ b/crates/wisteriahitch-relay/src/decide/overload.rs
@@ -15,17 +15,17 @@
 
 /// Longest queue that the most urgent calls join, in multiples of their target. Above it they would
 /// certainly be late, and what they displace would be too.
-const MOST_URGENT_TARGETS: f64 = 1.0;
+const MOST_URGENT_QUEUE_TARGETS: f64 = 1.0;
 
 /// The same for the least urgent calls. They are refused earlier: prompts that are less urgent are
 /// the long ones, and one of them occupies an endpoint for as long as several urgent ones.
-const LEAST_URGENT_TARGETS: f64 = 0.9;
+const LEAST_URGENT_QUEUE_TARGETS: f64 = 0.9;
 
 /// Shortest wait that a refused caller is told.
-const MIN_RETRY_US: DurationUs = DurationUs::from_ms(150);
+const MIN_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(150);
 
 /// Over this time the returns of refused callers are spread, so that they don't meet again.
-const RETRY_SPREAD_US: DurationUs = DurationUs::from_ms(800);
+const RETRY_JITTER_US: DurationUs = DurationUs::from_ms(800);
 
 /// One rank among the routes of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -42,7 +42,7 @@
 
 impl UrgencyLevels {
     /// Gathers the ranks of all routes.
-    pub fn of_routes<'a>(routes: impl Iterator<Item = &'a Route>) -> Self {
+    pub fn from_routes<'a>(routes: impl Iterator<Item = &'a Route>) -> Self {
         let mut by_service: HashMap<ServiceName, Vec<UrgencyLevel>> = HashMap::new();
         for route in routes {
             for (service, _) in &route.targets {
@@ -70,7 +70,7 @@
     /// The bound of a call is never above that of a more urgent one. Counted by its own target
     /// alone, a long prompt with a generous target would still be let in where a short urgent one
     /// is refused.
-    pub fn longest_queue(
+    pub fn max_queue(
         &self,
         service: &ServiceName,
         priority: u8,
@@ -83,7 +83,8 @@
         let target_us = shortest.map_or(target_us, |shortest| shortest.min(target_us));
         let steps = levels.len().saturating_sub(1).max(1);
         let rank = (position as f64 / steps as f64).min(1.0);
-        let targets = MOST_URGENT_TARGETS + (LEAST_URGENT_TARGETS - MOST_URGENT_TARGETS) * rank;
+        let targets = MOST_URGENT_QUEUE_TARGETS
+            + (LEAST_URGENT_QUEUE_TARGETS - MOST_URGENT_QUEUE_TARGETS) * rank;
         DurationUs::from_secs_f64(target_us.as_secs_f64() * targets)
     }
 }
@@ -93,6 +94,6 @@
 /// By then the queue has shrunk to its bound, if no more comes than goes. The returns of those who
 /// were refused together are spread.
 pub(crate) fn retry_after(excess_us: DurationUs, rng: &mut impl Rng) -> DurationUs {
-    let spread = RETRY_SPREAD_US.get();
-    excess_us.max(MIN_RETRY_US) + DurationUs::new(rng.random_range(0..spread))
+    let jitter = RETRY_JITTER_US.get();
+    excess_us.max(MIN_RETRY_AFTER_US) + DurationUs::new(rng.random_range(0..jitter))
 }
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -12,7 +12,7 @@
 use rand::seq::SliceRandom;
 use wisteriahitch_types::{TimeUs, WeightNumber};
 
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_table::EndpointTable;
 use super::link_paces::LinkPaces;
 use super::part_stores::{Fetch, OTHER_ZONE_FACTOR, transfer_ms};
@@ -169,7 +169,7 @@
 /// Returns whether an engine may be asked for parts. One that is about to leave, fails or gets new
 /// weights soon has nothing to give, and a source that is dead costs some hundred milliseconds.
 fn is_source(row: &EndpointRow, now: TimeUs) -> bool {
-    let is_there = row.life == EndpointLife::Ready && !row.is_displaced;
+    let is_there = row.state == EndpointState::Ready && !row.is_displaced;
     is_there && row.reserved_until_us <= now && !row.outlier.is_ejected(now)
 }
 
--- a/crates/wisteriahitch-relay/src/decide/permit_shares.rs
+++ b/crates/wisteriahitch-relay/src/decide/permit_shares.rs
@@ -24,13 +24,13 @@
 /// a member is gone (0.9 s after its last message, or 2.7 s through a hub) and that one is there (0.6 s), and the
 /// window of a cold endpoint's permit. The window of a named limit is longer: what a permit's holder before has used within
 /// it is covered by the unused half of the bound.
-pub(crate) const HOLD_US: DurationUs = DurationUs::from_ms(3_500);
+pub(crate) const PERMIT_ACTIVATION_DELAY_US: DurationUs = DurationUs::from_ms(3_500);
 
 /// Time for which a member that has fallen silent still counts as one of all.
-const MEMORY_US: DurationUs = DurationUs::from_ms(60_000);
+const MEMBER_RETENTION_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// Time between two looks at the members from which on the process counts as suspended. They are 0.1 to 0.2 s apart.
-pub(crate) const LONGEST_GAP_US: DurationUs = DurationUs::from_ms(700);
+pub(crate) const MAX_OBSERVATION_GAP_US: DurationUs = DurationUs::from_ms(700);
 
 /// The members that a daemon saw from a time on.
 #[derive(Clone, Debug)]
@@ -52,7 +52,7 @@
 
 impl FleetPart {
     /// Returns its part of some permits, rounded down: all parts together have no more than all permits.
-    fn of(self, permits: u32) -> u32 {
+    fn share_of(self, permits: u32) -> u32 {
         let part = f64::from(permits) * self.seen as f64 / self.known.max(1) as f64;
         part as u32
     }
@@ -69,7 +69,7 @@
 
 /// What a daemon sees of the members at one time.
 #[derive(Clone, Debug, Default)]
-pub struct Sighting {
+pub struct ViewObservation {
     /// Daemons that are heard or told of and stay, this one included.
     pub alive: BTreeSet<Ipv4Addr>,
     /// Daemons that have registered, whether they are heard or not.
@@ -97,7 +97,7 @@
     }
 
     /// Returns how many it may use at one time or another.
-    pub(super) fn most(&self) -> usize {
+    pub(super) fn max(&self) -> usize {
         let later = self.later.map_or(0, |(_, share)| share);
         self.now.max(later) as usize
     }
@@ -109,7 +109,7 @@
     me: Ipv4Addr,
     views: VecDeque<View>,
     last_seen_us: BTreeMap<Ipv4Addr, TimeUs>,
-    looked_at_us: TimeUs,
+    observed_at_us: TimeUs,
 }
 
 impl PermitShares {
@@ -123,22 +123,22 @@
                 minority: None,
             }]),
             last_seen_us: BTreeMap::new(),
-            looked_at_us: now,
+            observed_at_us: now,
         }
     }
 
     /// Takes over what is seen of the members now. To be called several times a second.
-    pub fn look(&mut self, sighting: &Sighting, now: TimeUs) {
-        if now.since(self.looked_at_us) > LONGEST_GAP_US {
+    pub fn observe(&mut self, observation: &ViewObservation, now: TimeUs) {
+        if now.since(self.observed_at_us) > MAX_OBSERVATION_GAP_US {
             self.begin_view(Vec::new(), None, now);
         }
-        self.looked_at_us = now;
-        self.remember(sighting, now);
-        let members: Vec<Ipv4Addr> = match sighting.is_complete {
-            true => sighting.alive.iter().copied().collect(),
+        self.observed_at_us = now;
+        self.record_last_seen(observation, now);
+        let members: Vec<Ipv4Addr> = match observation.is_complete {
+            true => observation.alive.iter().copied().collect(),
             false => Vec::new(),
         };
-        let minority = self.minority(&sighting.alive);
+        let minority = self.minority(&observation.alive);
         let is_same = |view: &View| view.members == members && view.minority == minority;
         if !self.views.back().is_some_and(is_same) {
             self.begin_view(members, minority, now);
@@ -147,7 +147,7 @@
         while self
             .views
             .get(1)
-            .is_some_and(|next| now.since(next.since_us) >= HOLD_US)
+            .is_some_and(|next| now.since(next.since_us) >= PERMIT_ACTIVATION_DELAY_US)
         {
             self.views.pop_front();
         }
@@ -166,16 +166,16 @@
             let permits = match (view.minority, rule) {
                 (None, _) => permits,
                 (Some(_), MinorityShare::Nothing) => 0,
-                (Some(part), MinorityShare::Proportional) => part.of(permits),
+                (Some(part), MinorityShare::Proportional) => part.share_of(permits),
             };
             self.share_in(view, &rank, permits)
         };
         let mut views = self.views.iter().rev();
         let newest = views.next().map_or(0, share_in);
-        let in_all = views.map(share_in).fold(newest, u32::min);
-        let is_suspended = now.since(self.looked_at_us) > LONGEST_GAP_US;
+        let min_of_all = views.map(share_in).fold(newest, u32::min);
+        let is_suspended = now.since(self.observed_at_us) > MAX_OBSERVATION_GAP_US;
         PermitShare {
-            now: if is_suspended { 0 } else { in_all },
+            now: if is_suspended { 0 } else { min_of_all },
             later: self.usable_at().map(|usable_at| (usable_at, newest)),
         }
     }
@@ -183,8 +183,8 @@
     /// Returns when the permits of the newest view may be used; none where it gives none, or only a part of them.
     pub fn usable_at(&self) -> Option<TimeUs> {
         let newest = self.views.back()?;
-        let is_whole = !newest.members.is_empty() && newest.minority.is_none();
-        is_whole.then(|| newest.since_us + HOLD_US)
+        let is_majority = !newest.members.is_empty() && newest.minority.is_none();
+        is_majority.then(|| newest.since_us + PERMIT_ACTIVATION_DELAY_US)
     }
 
     fn share_in(&self, view: &View, rank: &Rendezvous, permits: u32) -> u32 {
@@ -207,13 +207,13 @@
         });
     }
 
-    fn remember(&mut self, sighting: &Sighting, now: TimeUs) {
-        for ip in sighting.alive.iter().chain(&sighting.registered) {
+    fn record_last_seen(&mut self, observation: &ViewObservation, now: TimeUs) {
+        for ip in observation.alive.iter().chain(&observation.registered) {
             self.last_seen_us.insert(*ip, now);
         }
         self.last_seen_us.retain(|ip, seen_at| {
-            let is_recent = now.since(*seen_at) < MEMORY_US;
-            is_recent && !sighting.leaving.contains(ip)
+            let is_recent = now.since(*seen_at) < MEMBER_RETENTION_US;
+            is_recent && !observation.leaving.contains(ip)
         });
     }
 
--- a/crates/wisteriahitch-relay/src/decide/placement.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement.rs
@@ -11,7 +11,7 @@
 use wisteriahitch_types::{Code, DurationUs, EndpointInstance, TimeUs, WeightNumber};
 
 use super::endpoint_admission::{Admission, CallPermits, LimitCause};
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_table::EndpointTable;
 use super::offer::{Homes, MainFetch, Offer, offer};
 use super::overload::retry_after;
@@ -236,7 +236,7 @@
     let is_free = |row: &&EndpointRow| row.reserved_until_us <= now;
     let is_good =
         |row: &&EndpointRow| !row.outlier.is_ejected(now) && row.suspected_until_us <= now;
-    let is_there = |row: &&EndpointRow| row.life == EndpointLife::Ready && !row.is_displaced;
+    let is_there = |row: &&EndpointRow| row.state == EndpointState::Ready && !row.is_displaced;
     let best: Vec<&EndpointRow> = usable
         .iter()
         .copied()
@@ -260,7 +260,7 @@
     let service = request.service.clone();
     table
         .iter()
-        .filter(move |row| row.endpoint.service == service && row.takes_requests())
+        .filter(move |row| row.endpoint.service == service && row.accepts_requests())
 }
 
 /// Returns the endpoints that have weights which the call may use.
--- a/crates/wisteriahitch-relay/src/decide/rate_limit.rs
+++ b/crates/wisteriahitch-relay/src/decide/rate_limit.rs
@@ -22,10 +22,10 @@
 
 /// The part of the bound that all permits of an endpoint together use. Two views of the members may be in force at
 /// once, and each gives out all permits.
-const PERMITTED_SHARE: f64 = 0.5;
+const PERMITTED_FRACTION: f64 = 0.5;
 
 /// What the clocks of a daemon and of an endpoint may differ by in a window.
-const CLOCK_MARGIN_US: DurationUs = DurationUs::from_ms(20);
+const MAX_CLOCK_DRIFT_US: DurationUs = DurationUs::from_ms(20);
 
 /// The permits of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -53,15 +53,15 @@
     pub fn new(calls_per_s: f64, bound: RateBound) -> Self {
         let span_s = bound.span_us.as_secs_f64();
         let calls_per_span = calls_per_s * span_s;
-        let most_per_span = calls_per_span * bound.rate_ratio + bound.burst_calls;
-        let permitted_per_span = calls_per_span.min(most_per_span * PERMITTED_SHARE);
+        let max_per_span = calls_per_span * bound.rate_ratio + bound.burst_calls;
+        let permitted_per_span = calls_per_span.min(max_per_span * PERMITTED_FRACTION);
         if permitted_per_span >= 1.0 {
             return Self {
                 permits: permitted_per_span as u32,
-                window_us: bound.span_us + CLOCK_MARGIN_US,
+                window_us: bound.span_us + MAX_CLOCK_DRIFT_US,
             };
         }
-        if permitted_per_span <= 0.0 || most_per_span < 1.0 {
+        if permitted_per_span <= 0.0 || max_per_span < 1.0 {
             return Self {
                 permits: 0,
                 window_us: bound.span_us,
@@ -70,40 +70,40 @@
         // One permit, used less than once in a span.
         Self {
             permits: 1,
-            window_us: DurationUs::from_secs_f64(span_s / permitted_per_span) + CLOCK_MARGIN_US,
+            window_us: DurationUs::from_secs_f64(span_s / permitted_per_span) + MAX_CLOCK_DRIFT_US,
         }
     }
 }
 
 /// Which of an endpoint's permits one daemon holds, and when it used them.
 #[derive(Clone, Debug, Default)]
-pub struct HeldPermits {
+pub struct ReservedPermits {
     /// How many it may use.
     pub share: PermitShare,
     /// When each was last used.
     used_at_us: Vec<Option<TimeUs>>,
 }
 
-impl HeldPermits {
+impl ReservedPermits {
     /// Returns the first permit that may be used now.
-    pub fn free(&self, limit: &RateLimit, now: TimeUs) -> Option<usize> {
+    pub fn first_free(&self, limit: &RateLimit, now: TimeUs) -> Option<usize> {
         (0..self.share.at(now)).find(|permit| self.free_at(*permit, limit) <= now)
     }
 
     /// Returns when the next permit is free that this daemon may use now or later; none where there is none.
     pub fn next_free_at(&self, limit: &RateLimit) -> Option<TimeUs> {
-        (0..self.share.most())
+        (0..self.share.max())
             .map(|permit| self.free_at(permit, limit))
             .min()
     }
 
     /// Returns whether this daemon holds a permit.
-    pub fn holds(&self, permit: usize, now: TimeUs) -> bool {
+    pub fn contains(&self, permit: usize, now: TimeUs) -> bool {
         permit < self.share.at(now)
     }
 
     /// Uses a permit, or renews its use when the call's bytes leave.
-    pub fn use_up(&mut self, permit: usize, now: TimeUs) {
+    pub fn mark_used(&mut self, permit: usize, now: TimeUs) {
         if self.used_at_us.len() <= permit {
             self.used_at_us.resize(permit + 1, None);
         }
@@ -111,7 +111,7 @@
     }
 
     /// Takes all permits for just used, where calls were sent without them.
-    pub(super) fn use_up_all(&mut self, limit: &RateLimit, now: TimeUs) {
+    pub(super) fn mark_all_used(&mut self, limit: &RateLimit, now: TimeUs) {
         self.used_at_us = vec![Some(now); limit.permits as usize];
     }
 
--- a/crates/wisteriahitch-relay/src/decide/staleness.rs
+++ b/crates/wisteriahitch-relay/src/decide/staleness.rs
@@ -19,11 +19,11 @@
 const ANSWER_SLACK_US: DurationUs = DurationUs::from_ms(700);
 
 /// Time between two daemons' giving up, for the answer of the one before and its message to the others.
-const TURN_US: DurationUs = DurationUs::from_ms(200);
+const GIVE_UP_STAGGER_US: DurationUs = DurationUs::from_ms(200);
 
 /// Shortest wait of a watch. Where changes follow each other the answer as of which everything is known was
 /// asked for by the watch before, and without it the next one would have no time to wait at all.
-const MIN_WAIT_US: DurationUs = DurationUs::from_ms(50);
+const MIN_WATCH_WAIT_US: DurationUs = DurationUs::from_ms(50);
 
 /// The times by which one kind of objects is followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -45,15 +45,17 @@
         }
         let age_us = as_of.map_or(DurationUs::ZERO, |as_of| now.since(as_of));
         let left_us = self.confirm_us.get().saturating_sub(age_us.get());
-        DurationUs::new(left_us).max(MIN_WAIT_US).min(self.wait_us)
+        DurationUs::new(left_us)
+            .max(MIN_WATCH_WAIT_US)
+            .min(self.wait_us)
     }
 
     /// Returns when a watch that was asked for at `asked_at` is given up if nothing is confirmed by then.
     pub fn give_up_at(&self, place: usize, as_of: Option<TimeUs>, asked_at: TimeUs) -> TimeUs {
         let place = u64::try_from(place).unwrap_or(u64::MAX);
-        let turn_us = DurationUs::new(TURN_US.get().saturating_mul(place));
+        let stagger_us = DurationUs::new(GIVE_UP_STAGGER_US.get().saturating_mul(place));
         let confirmed_by_us = self.confirm_us + ANSWER_SLACK_US;
-        let due_at = as_of.unwrap_or(asked_at) + confirmed_by_us + turn_us;
+        let due_at = as_of.unwrap_or(asked_at) + confirmed_by_us + stagger_us;
         // Asked a moment ago, it may still be answered.
         due_at.max(asked_at + ANSWER_SLACK_US)
     }
--- a/crates/wisteriahitch-relay/src/lib.rs
+++ b/crates/wisteriahitch-relay/src/lib.rs
@@ -21,10 +21,10 @@
 pub use decide::backlog::{Load, LoadReport};
 pub use decide::cold_limit::ColdState;
 pub use decide::crash_evidence::{BreakMeaning, ConnectFailure, CrashEvidence};
-pub use decide::endpoint_admission::{Admission, CallPermits, LimitCause, ServiceColdness};
-pub use decide::endpoint_row::{EndpointLife, EndpointRow};
+pub use decide::endpoint_admission::{Admission, CallPermits, LimitCause, ServiceColdLimit};
+pub use decide::endpoint_row::{EndpointRow, EndpointState};
 pub use decide::endpoint_statements::EndpointStatements;
-pub use decide::endpoint_table::{Absence, EndpointChange, EndpointTable, Registration};
+pub use decide::endpoint_table::{AbsenceCause, EndpointChange, EndpointTable, Registration};
 pub use decide::evacuated_zones::{EvacuatedZones, ZoneChange};
 pub use decide::gossip_message::{
     BlockedUpdate, CrashUpdate, EndpointUpdate, GossipMessage, KeptPartUpdate, KindUpdate,
@@ -33,18 +33,18 @@
 pub use decide::gossip_pace::GossipPace;
 pub use decide::hubs::{HubCandidate, HubPlan};
 pub use decide::link_paces::LinkPaces;
-pub use decide::members::{Entry, Heard, PeerRow, PeerTable};
+pub use decide::members::{EntryPoint, PeerRow, PeerTable, ReceiveOutcome};
 pub use decide::message_delay::MessageDelay;
 pub use decide::named_limit::{LimitNotice, LimitOutcome, NamedLimit};
 pub use decide::offer::MainFetch;
-pub use decide::outlier::{Outlier, OutlierOptions};
+pub use decide::outlier::{OutlierDetector, OutlierOptions};
 pub use decide::overload::{UrgencyLevel, UrgencyLevels};
 pub use decide::part_stores::{Fetch, FreeOrder, PartStores};
 pub use decide::parts::{EngineMemory, HeldPart, PartCache, PartKey, PartNamer};
-pub use decide::permit_shares::{MinorityShare, PermitShare, PermitShares, Sighting};
+pub use decide::permit_shares::{MinorityShare, PermitShare, PermitShares, ViewObservation};
 pub use decide::placement::{Placement, place};
 pub use decide::placement_request::PlacementRequest;
-pub use decide::rate_limit::{HeldPermits, RateBound, RateLimit};
+pub use decide::rate_limit::{RateBound, RateLimit, ReservedPermits};
 pub use decide::rollout::{Rollout, RolloutRow, RolloutStep};
 pub use decide::rollout_pace::{Overrun, PaceOptions, Remaining, RolloutPace};
 pub use decide::staleness::{StalenessLimits, answered_as_of};
--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -249,7 +249,7 @@
 
 fn is_admitted(shared: &Shared, placement: &Placement) -> bool {
     let mut endpoints = shared.endpoints.lock();
-    endpoints.admits(&placement.endpoint, placement.permits, shared.now())
+    endpoints.try_admit(&placement.endpoint, placement.permits, shared.now())
 }
 
 async fn connect(
@@ -257,8 +257,11 @@
     placement: &Placement,
     until: Instant,
 ) -> Result<Connection, Failure> {
-    let needs_start = shared.endpoints.lock().needs_start(&placement.endpoint);
-    let opened = match needs_start {
+    let must_verify_start = shared
+        .endpoints
+        .lock()
+        .must_verify_start(&placement.endpoint);
+    let opened = match must_verify_start {
         true => connect_to_start(shared, placement, until).await,
         false => Connection::open(placement.address, connect_wait(until)).await,
     };
@@ -290,7 +293,7 @@
         let now = shared.now();
         let is_new = {
             let mut endpoints = shared.endpoints.lock();
-            endpoints.saw_start(&placement.endpoint, start, now)
+            endpoints.record_seen_start(&placement.endpoint, start, now)
         };
         if is_new {
             shared.log.write(&Event::EndpointRestartSeen {
@@ -388,10 +391,10 @@
     let now = shared.now();
     let mut endpoints = shared.endpoints.lock();
     if let (Some(prompt), Some(weights)) = (&call.head.prompt, answer.weights) {
-        endpoints.saw_weights(&placement.endpoint, &prompt.model, weights);
+        endpoints.record_weights(&placement.endpoint, &prompt.model, weights);
     }
     if let (Some(row), Some(load)) = (endpoints.get_mut(&placement.endpoint), answer.load) {
-        row.told = Some((load, now));
+        row.reported_load = Some((load, now));
     }
 }
 
@@ -439,7 +442,7 @@
     }
     let change = {
         let mut endpoints = shared.endpoints.lock();
-        endpoints.misdirected(&placement.endpoint, found)
+        endpoints.record_misdirection(&placement.endpoint, found)
     };
     if change.is_some() {
         // The others would find out by a refused call each.
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -15,8 +15,8 @@
 use super::blocked_requests::{BlockSource, UnblockReason, note_blocked, note_unblocked};
 use super::shared::Shared;
 use crate::decide::crash_evidence::{BreakMeaning, ConnectFailure};
-use crate::decide::endpoint_row::EndpointLife;
-use crate::decide::endpoint_table::life_name;
+use crate::decide::endpoint_row::EndpointState;
+use crate::decide::endpoint_table::instance_short_name;
 use crate::decide::gossip_message::RequestUpdate;
 use crate::decide::placement::Placement;
 use crate::decide::suspects::CrashVerdict;
@@ -66,12 +66,12 @@
     let is_leaving = {
         let endpoints = shared.endpoints.lock();
         let row = endpoints.get(&placement.endpoint);
-        row.is_some_and(|row| row.life != EndpointLife::Ready)
+        row.is_some_and(|row| row.state != EndpointState::Ready)
     };
     if is_leaving {
         return;
     }
-    let life = life_name(&placement.endpoint);
+    let life = instance_short_name(&placement.endpoint);
     let meaning = {
         let mut evidence = shared.crash_evidence.lock();
         evidence.broke(life, call.fingerprint, shared.now())
@@ -96,7 +96,7 @@
 /// between, it would be known to have crashed only when it is back, and the request would end another one
 /// meanwhile; one would notice by `replaced` as the proof of every crash.
 async fn look(shared: Arc<Shared>, endpoint: EndpointInstance, address: SocketAddr) {
-    let life = life_name(&endpoint);
+    let life = instance_short_name(&endpoint);
     for _ in 0..MAX_LOOKS {
         if shared.crash_evidence.lock().has_crashed(life) {
             return;
@@ -129,7 +129,12 @@
 
 /// Notes that an endpoint's process has ended without a word.
 pub(super) fn note_crash(shared: &Shared, endpoint: &EndpointInstance, proof: Proof) {
-    note_crash_of(shared, life_name(endpoint), &endpoint.to_string(), proof);
+    note_crash_of(
+        shared,
+        instance_short_name(endpoint),
+        &endpoint.to_string(),
+        proof,
+    );
 }
 
 /// Holds a crash against all calls of this daemon that were on board.
--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -94,7 +94,7 @@
         let bounds = settings.bounds()?;
         let endpoints = EndpointTable::default()
             .with_drain_fallback(bounds.drain_fallback())
-            .with_limit_life(limit_life());
+            .with_limit_ttl(limit_life());
         let shared = Shared {
             started_at_us: BootClock.now(),
             clock: BootClock,
@@ -143,7 +143,7 @@
         let now = shared.now();
         for seed in &shared.settings.seeds {
             if let SocketAddr::V4(seed) = seed {
-                shared.peers.table().know(*seed.ip(), None, now);
+                shared.peers.table().record_address(*seed.ip(), None, now);
             }
         }
         start_servers(&shared).await?;
@@ -288,21 +288,21 @@
             "endpoint": row.instance(),
             "service": row.endpoint.service,
             "address": row.endpoint.address,
-            "life": format!("{:?}", row.life),
+            "life": format!("{:?}", row.state),
             "is_displaced": row.is_displaced,
-            "own_running": row.own.running,
-            "peers_running": row.peers.running,
+            "own_running": row.own_load.running,
+            "peers_running": row.peers_load.running,
             "unread_tokens": row.load().unread_tokens,
             "parts": row.parts.len(),
             "is_ejected": row.outlier.is_ejected(now),
             "failure_rate": row.outlier.failure_rate(),
             "cold_for_ms": row.cold.until_us.since(now).as_ms(),
             "cold_permits": row.cold.permits.share.now,
-            "has_said_it_leaves": endpoints.has_said_it_leaves(row),
+            "has_said_it_leaves": endpoints.has_announced_leaving(row),
             "rests_for_ms": row.statements.rest_until_us.since(now).as_ms(),
             "limit_permits": row.statements.limit.permits.share.now,
             "limit_per_s": row.statements.limit.rate().map(|rate| rate.per_s()),
-            "limit_heard_ms_ago": row.statements.limit.heard_ms_ago(now),
+            "limit_heard_ms_ago": row.statements.limit.last_seen_ms_ago(now),
         })
     });
     let rows: Vec<_> = rows.collect();
--- a/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
@@ -16,7 +16,7 @@
 
 use super::peer_client::ask_takeover;
 use super::shared::Shared;
-use crate::decide::endpoint_row::EndpointLife;
+use crate::decide::endpoint_row::EndpointState;
 use crate::observe::Event;
 
 /// Time between two looks which engines are this daemon's to follow.
@@ -85,7 +85,7 @@
     }
     let endpoints = shared.endpoints.lock();
     let engines = endpoints.iter().filter(|row| {
-        row.life == EndpointLife::Ready && !row.is_displaced && !row.endpoint.weights.is_empty()
+        row.state == EndpointState::Ready && !row.is_displaced && !row.endpoint.weights.is_empty()
     });
     engines
         .filter(|row| is_first(shared, &followers, row.instance()))
@@ -141,7 +141,7 @@
         let until = now + ANSWER_LIFE_US;
         let news = {
             let mut endpoints = shared.endpoints.lock();
-            endpoints.part_events(&instance, &changes.events, until, now)
+            endpoints.apply_part_events(&instance, &changes.events, until, now)
         };
         shared.peers.tell_parts(news);
         tokio::time::sleep(pause(&shared, &instance)).await;
@@ -151,7 +151,7 @@
 
 fn pause(shared: &Shared, instance: &EndpointInstance) -> Duration {
     let now = shared.now();
-    match shared.endpoints.lock().is_in_need(instance, now) {
+    match shared.endpoints.lock().limits_calls(instance, now) {
         true => IN_NEED_PAUSE,
         false => PAUSE,
     }
@@ -178,7 +178,10 @@
         match ask_takeover(&shared, ip).await {
             Ok(told) => {
                 let now = shared.now();
-                shared.endpoints.lock().take_over(&told.engines, now);
+                shared
+                    .endpoints
+                    .lock()
+                    .adopt_engine_memory(&told.engines, now);
                 if told.up_ms >= KNOWS_AFTER_MS {
                     return;
                 }
--- a/crates/wisteriahitch-relay/src/shell/entries.rs
+++ b/crates/wisteriahitch-relay/src/shell/entries.rs
@@ -15,7 +15,7 @@
 use super::server::{Answers, ConnectionLimits};
 use super::shared::Shared;
 use crate::decide::gossip_message::MemberPhase;
-use crate::decide::members::Entry;
+use crate::decide::members::EntryPoint;
 use crate::site::RegionMap;
 
 /// Up to so many daemons are all named in an answer.
@@ -83,7 +83,7 @@
     let port = shared.settings.listen.callers.port();
     let mut entries = shared.peers.table().entries(shared.now());
     if shared.phase() == MemberPhase::Ready || entries.is_empty() {
-        entries.push(Entry {
+        entries.push(EntryPoint {
             ip: shared.settings.ip,
             zone: shared.settings.zone.to_string(),
             capacity: shared.peers.capacity(shared.settings.limits.cores),
@@ -92,7 +92,7 @@
     }
     let entries = in_region(entries, region, &shared.regions);
     let mut rng = rand::rng();
-    let named: Vec<Entry> = match entries.len() > ALL_NAMED {
+    let named: Vec<EntryPoint> = match entries.len() > ALL_NAMED {
         true => draw(entries, &mut rng),
         false => entries,
     };
@@ -106,15 +106,19 @@
 
 /// Returns those in the caller's region, or all where there are none: calls of some routes may not leave it, and the way
 /// to another one is long.
-fn in_region(entries: Vec<Entry>, region: Option<&Region>, map: &RegionMap) -> Vec<Entry> {
+fn in_region(
+    entries: Vec<EntryPoint>,
+    region: Option<&Region>,
+    map: &RegionMap,
+) -> Vec<EntryPoint> {
     let Some(region) = region else {
         return entries;
     };
-    let is_near = |entry: &Entry| {
+    let is_near = |entry: &EntryPoint| {
         let zone = entry.zone.parse();
         zone.is_ok_and(|zone| map.region(&zone) == Some(region))
     };
-    let (near, others): (Vec<Entry>, Vec<Entry>) = entries.into_iter().partition(is_near);
+    let (near, others): (Vec<EntryPoint>, Vec<EntryPoint>) = entries.into_iter().partition(is_near);
     match near.is_empty() {
         true => others,
         false => near,
@@ -122,8 +126,8 @@
 }
 
 /// Draws some entries, each with a chance in proportion to its capacity.
-fn draw(entries: Vec<Entry>, rng: &mut impl Rng) -> Vec<Entry> {
-    let mut scored: Vec<(f64, Entry)> = entries
+fn draw(entries: Vec<EntryPoint>, rng: &mut impl Rng) -> Vec<EntryPoint> {
+    let mut scored: Vec<(f64, EntryPoint)> = entries
         .into_iter()
         .map(|entry| {
             let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
--- a/crates/wisteriahitch-relay/src/shell/gossip.rs
+++ b/crates/wisteriahitch-relay/src/shell/gossip.rs
@@ -12,7 +12,7 @@
     PartUpdate, RequestUpdate, StoreUpdate,
 };
 use crate::decide::hubs::HubPlan;
-use crate::decide::members::Entry;
+use crate::decide::members::EntryPoint;
 
 /// Largest message: the load of some hundred endpoints and the news of a tenth of a second. A network
 /// breaks it into a few packets, and one lost packet loses one message.
@@ -157,10 +157,10 @@
         is_hub && !is_receiver && (own.is_some() || !peer_is_hub)
     });
     let loads: Vec<_> = counted
-        .filter_map(|(_, peer, _)| endpoints.load_of(*peer))
+        .filter_map(|(_, peer, _)| endpoints.peer_load_of(*peer))
         .collect();
     let news = |row: &EndpointRow| {
-        let mut load = row.own;
+        let mut load = row.own_load;
         for told in &loads {
             load.add(told.get(&row.short_name).copied().unwrap_or_default());
         }
@@ -198,8 +198,8 @@
 fn followed(shared: &Shared, own: Option<Ipv4Addr>, now: TimeUs) -> Vec<u32> {
     let endpoints = shared.endpoints.lock();
     let is_told = |row: &&EndpointRow| match own {
-        Some(_) => row.followed_until_us > now,
-        None => row.followed_until_us > now && shared.follows_engine(row.instance()),
+        Some(_) => row.parts_tracked_until_us > now,
+        None => row.parts_tracked_until_us > now && shared.follows_engine(row.instance()),
     };
     let told = endpoints.iter().filter(is_told);
     told.map(|row| row.short_name).collect()
@@ -212,7 +212,7 @@
     let endpoints = shared.endpoints.lock();
     let is_told = |row: &&EndpointRow| match (is_hub, own) {
         (true, Some(_)) => row.suspected_until_us > now,
-        (true, None) => row.weighed_until_us > now,
+        (true, None) => row.corroborated_until_us > now,
         (false, _) => row.unreachable_until_us > now,
     };
     let told = endpoints.iter().filter(is_told);
@@ -226,13 +226,13 @@
 /// Adds the daemons that are heard: for other hubs those of this hub, for its own all.
 fn add_members(shared: &Shared, message: &mut GossipMessage, own: Option<Ipv4Addr>, now: TimeUs) {
     let table = shared.peers.table();
-    let mut rows: Vec<(Entry, MemberPhase)> = table
+    let mut rows: Vec<(EntryPoint, MemberPhase)> = table
         .alive(now)
         .filter(|peer| own.is_some() || !peer.is_hub)
         .map(|peer| (peer.entry(), peer.phase))
         .collect();
     if own.is_some() {
-        let told = table.recently_gossiped(now);
+        let told = table.recent_indirect_members(now);
         rows.extend(told);
     }
     drop(table);
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -50,8 +50,8 @@
         let now = shared.now();
         let mut endpoints = shared.endpoints.lock();
         if let Some(row) = endpoints.get_mut(&placement.endpoint) {
-            row.own.add(load);
-            row.outlier.sent(now);
+            row.own_load.add(load);
+            row.outlier.record_sent(now);
         }
         drop(endpoints);
         shared.peers.sent(placement.unread_tokens);
@@ -74,7 +74,7 @@
         let Some(row) = endpoints.get_mut(&self.endpoint) else {
             return;
         };
-        row.own.sub(read);
+        row.own_load.sub(read);
         note_fetch(&mut endpoints, placement, self.began.elapsed(), now);
         let Some(row) = endpoints.get_mut(&self.endpoint) else {
             return;
@@ -113,8 +113,8 @@
             return;
         };
         let is_changed = match outcome {
-            AttemptOutcome::Good => row.outlier.succeeded(&options),
-            AttemptOutcome::Failed => row.outlier.failed(&options, now),
+            AttemptOutcome::Good => row.outlier.record_success(&options),
+            AttemptOutcome::Failed => row.outlier.record_failure(&options, now),
             AttemptOutcome::Unreachable => {
                 let was_ejected = row.outlier.is_ejected(now);
                 row.outlier.eject(&options, now);
@@ -123,7 +123,7 @@
         };
         let failure_rate = row.outlier.failure_rate();
         if outcome == AttemptOutcome::Unreachable {
-            endpoints.unreachable(&self.endpoint, now);
+            endpoints.record_connect_failure(&self.endpoint, now);
         }
         drop(endpoints);
         if is_changed {
@@ -158,7 +158,7 @@
     fn drop(&mut self) {
         let mut endpoints = self.shared.endpoints.lock();
         if let Some(row) = endpoints.get_mut(&self.endpoint) {
-            row.own.sub(self.load);
+            row.own_load.sub(self.load);
         }
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -66,7 +66,7 @@
     }
     let endpoints = shared.endpoints.lock();
     let stays = |row: &&EndpointRow| {
-        row.takes_requests() && !row.is_displaced && endpoints.has_known_service(row)
+        row.accepts_requests() && !row.is_displaced && endpoints.has_known_service(row)
     };
     let mut behind = Vec::new();
     for row in endpoints.iter().filter(stays) {
@@ -253,7 +253,7 @@
     if let Some(report) = &report {
         let mut endpoints = shared.endpoints.lock();
         for (model, version) in &report.weights {
-            endpoints.saw_weights(endpoint, model, *version);
+            endpoints.record_weights(endpoint, model, *version);
         }
     }
     let now = shared.now();
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -96,7 +96,7 @@
         gauge.set(DurationUs::from_ms(age_ms).as_secs_f64());
     }
     let endpoints = shared.endpoints.lock();
-    for (life, count) in endpoints.count_by_life() {
+    for (life, count) in endpoints.count_by_state() {
         let gauge = shared.metrics.endpoints.with_label_values(&[life]);
         gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
--- a/crates/wisteriahitch-relay/src/shell/peer_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_state.rs
@@ -98,7 +98,7 @@
     /// Returns how many daemons ask the store for a kind of object before this one does.
     pub(super) fn place_in_turn(&self, role: ObjectRole, me: Ipv4Addr, now: TimeUs) -> usize {
         let table = self.table.lock();
-        table.place_in_turn(kind_name(role), me, self.follows_stores(), now)
+        table.confirmation_rank(kind_name(role), me, self.follows_stores(), now)
     }
 
     /// Notes a call that was sent, which the others may have to hear of at once.
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -18,7 +18,7 @@
 use super::statements::{take_leaving, take_limits};
 use crate::decide::gossip_message::{GossipMessage, MemberPhase};
 use crate::decide::hubs::HubCandidate;
-use crate::decide::members::Heard;
+use crate::decide::members::ReceiveOutcome;
 use crate::decide::parts::PartKey;
 use crate::observe::Event;
 
@@ -124,13 +124,13 @@
 pub(super) fn share_permits(shared: &Shared, now: TimeUs) {
     let is_complete = shared.peers.others_listed.is_cancelled();
     let me = shared.settings.ip;
-    let mut sighting = shared.peers.table().sighting(me, is_complete, now);
+    let mut sighting = shared.peers.table().observe_members(me, is_complete, now);
     if shared.phase() == MemberPhase::Draining {
         sighting.alive.remove(&me);
     }
     let mut shares = shared.permit_shares.lock();
-    shares.look(&sighting, now);
-    shared.endpoints.lock().set_shares(&shares, now);
+    shares.observe(&sighting, now);
+    shared.endpoints.lock().set_permit_shares(&shares, now);
 }
 
 /// Sends each target what it doesn't know from elsewhere.
@@ -186,17 +186,17 @@
     if message.ip == shared.settings.ip || from.ip() != message.ip {
         return;
     }
-    match shared.peers.table().heard(&message, now) {
-        Heard::Old => return,
-        Heard::Again => {}
-        Heard::Joined => shared.log.write(&Event::MemberChanged {
+    match shared.peers.table().receive(&message, now) {
+        ReceiveOutcome::Stale => return,
+        ReceiveOutcome::Known => {}
+        ReceiveOutcome::Joined => shared.log.write(&Event::MemberChanged {
             member: format!("{} {}", message.ip, message.incarnation),
             change: "heard",
         }),
     }
     let held_up_us = {
         let table = shared.peers.table();
-        table.get(message.ip).map(|peer| peer.held_up_us)
+        table.get(message.ip).map(|peer| peer.message_delay_us)
     };
     let held_up_us = held_up_us.unwrap_or_default();
     let watches = &shared.watches;
@@ -219,15 +219,16 @@
         .iter()
         .map(|n| (n.endpoint, n.load))
         .collect();
-    endpoints.peer_load(message.incarnation, loads, now);
+    endpoints.apply_peer_load(message.incarnation, loads, now);
     let reserved = message.endpoints.iter().filter(|news| news.is_reserved);
     let reserved = reserved.map(|news| news.endpoint).collect();
-    let is_new = endpoints.peer_reserved(message.incarnation, reserved, now + RESERVED_US, now);
+    let is_new =
+        endpoints.apply_peer_reservations(message.incarnation, reserved, now + RESERVED_US, now);
     let unreachable = message.unreachable.iter().copied().collect();
     let is_verdict = message.is_hub && !shared.peers.plan.lock().is_small;
-    endpoints.peer_unreachable(message.incarnation, unreachable, is_verdict, now);
+    endpoints.apply_peer_connect_failures(message.incarnation, unreachable, is_verdict, now);
     for short_name in &message.followed {
-        endpoints.followed(*short_name, now + FOLLOWED_US);
+        endpoints.extend_parts_tracking(*short_name, now + FOLLOWED_US);
     }
     if is_new {
         // A hub tells it on at once: what is sent there until the others know is refused.
@@ -235,7 +236,7 @@
     }
     for part in &message.parts {
         let tokens = u64::from(part.tokens);
-        endpoints.has_part(part.endpoint, PartKey(part.part), tokens, now);
+        endpoints.record_part(part.endpoint, PartKey(part.part), tokens, now);
     }
 }
 
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -132,7 +132,7 @@
     let longest_queue_us = match route.kind {
         CallKind::Stream => config
             .urgency
-            .longest_queue(&service, priority, route.target_us),
+            .max_queue(&service, priority, route.target_us),
         _ => DurationUs::MAX,
     };
     let mut routed = Routed {
--- a/crates/wisteriahitch-relay/src/shell/registration.rs
+++ b/crates/wisteriahitch-relay/src/shell/registration.rs
@@ -142,7 +142,7 @@
             continue;
         }
         let silence = shared.peers.table().silence(registration.ip, now);
-        let is_told = shared.peers.table().is_told(registration.ip);
+        let is_told = shared.peers.table().is_known_indirectly(registration.ip);
         if !is_told && silence.is_some_and(|silence| silence > REMOVE_AFTER_US) {
             let role = ObjectRole::Members;
             // Another daemon may have removed it first, or its own may have just come back.
@@ -154,8 +154,8 @@
         } else {
             let place = Some((registration.zone, registration.link_mbps));
             let mut peers = shared.peers.table();
-            peers.know(registration.ip, place, now);
-            peers.registered(registration.ip, now);
+            peers.record_address(registration.ip, place, now);
+            peers.record_registration(registration.ip, now);
         }
     }
     shared.peers.hurry.notify_one();
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -20,7 +20,7 @@
 use super::shared::Shared;
 use super::trace::CallTrace;
 use crate::border::Refusal;
-use crate::decide::endpoint_table::life_name;
+use crate::decide::endpoint_table::instance_short_name;
 use crate::decide::overload::retry_after;
 use crate::decide::placement::{Placement, place};
 use crate::decide::placement_request::PlacementRequest;
@@ -115,7 +115,7 @@
         let now = shared.now();
         let takes_at = {
             let endpoints = shared.endpoints.lock();
-            endpoints.takes_calls_at(&self.service, now)
+            endpoints.next_admission_at(&self.service, now)
         };
         match takes_at {
             Some(takes_at) if takes_at > now => retry_after(takes_at.since(now), &mut rand::rng()),
@@ -166,7 +166,7 @@
         let mut endpoints = shared.endpoints.lock();
         let stores = shared.part_stores.lock();
         let placement = place(&endpoints, &stores, &request, now, &mut rand::rng())?;
-        endpoints.use_permits(&placement.endpoint, placement.permits, now);
+        endpoints.mark_permits_used(&placement.endpoint, placement.permits, now);
         Ok(placement)
     }
 
@@ -308,7 +308,7 @@
         match kind {
             FailureKind::Blocked => true,
             FailureKind::Lost => {
-                let life = life_name(&placement.endpoint);
+                let life = instance_short_name(&placement.endpoint);
                 let suspects = shared.suspects.lock();
                 suspects.crashes_elsewhere(self.call.fingerprint, life) > 0
             }
--- a/crates/wisteriahitch-relay/src/shell/shared.rs
+++ b/crates/wisteriahitch-relay/src/shell/shared.rs
@@ -111,7 +111,7 @@
     pub(crate) fn note_changes(&self, changes: Vec<EndpointChange>, revision: u64) {
         for change in changes {
             let (instance, change) = match change {
-                EndpointChange::Seen(instance) => (instance, "seen"),
+                EndpointChange::Added(instance) => (instance, "seen"),
                 EndpointChange::Draining(instance) => (instance, "draining"),
                 EndpointChange::Lapsed(instance) => (instance, "lapsed"),
                 EndpointChange::Unreadable(instance) => (instance, "unreadable"),
@@ -126,7 +126,7 @@
                     self.life_ended.notify_waiters();
                     (instance, "ended")
                 }
-                EndpointChange::Gone(instance) => {
+                EndpointChange::Removed(instance) => {
                     self.pool.forget(&instance);
                     (instance, "gone")
                 }
--- a/crates/wisteriahitch-relay/src/shell/statements.rs
+++ b/crates/wisteriahitch-relay/src/shell/statements.rs
@@ -5,7 +5,7 @@
 use super::peers::share_permits;
 use super::shared::Shared;
 use crate::border::{AnswerHead, Statement};
-use crate::decide::endpoint_table::{EndpointChange, life_name};
+use crate::decide::endpoint_table::{EndpointChange, instance_short_name};
 use crate::decide::gossip_message::LimitUpdate;
 use crate::observe::Event;
 
@@ -47,7 +47,7 @@
         Statement::Value(false) | Statement::Absent => return,
         Statement::Malformed => return note_malformed(shared, endpoint, "leaving"),
     }
-    if note_life_leaves(shared, life_name(endpoint), "answer") {
+    if note_life_leaves(shared, instance_short_name(endpoint), "answer") {
         // The others may hear it from nobody else: the store may be away.
         shared.peers.hurry.notify_one();
     }
@@ -65,7 +65,7 @@
 
 /// Notes that a life of an endpoint leaves, and returns whether that is news.
 fn note_life_leaves(shared: &Shared, life: u32, source: &'static str) -> bool {
-    let (is_news, change) = shared.endpoints.lock().heard_leaving(life, shared.now());
+    let (is_news, change) = shared.endpoints.lock().record_leaving(life, shared.now());
     if let Some(EndpointChange::Draining(endpoint)) = &change {
         shared.log.write(&Event::EndpointLeaving {
             endpoint: endpoint.to_string(),
@@ -83,7 +83,7 @@
         Statement::Malformed => return note_malformed(shared, endpoint, "rest"),
     };
     let now = shared.now();
-    let is_later = shared.endpoints.lock().heard_rest(endpoint, rest, now);
+    let is_later = shared.endpoints.lock().record_rest(endpoint, rest, now);
     if is_later {
         shared.log.write(&Event::EndpointResting {
             endpoint: endpoint.to_string(),
@@ -107,8 +107,8 @@
         Statement::Malformed => return note_malformed(shared, endpoint, "limit"),
     };
     let now = shared.now();
-    let outcome = shared.endpoints.lock().heard_limit(endpoint, rate, now);
-    if outcome.is_logged {
+    let outcome = shared.endpoints.lock().record_limit(endpoint, rate, now);
+    if outcome.should_log {
         log_limit(shared, endpoint, rate, "answer", 0);
     }
     if outcome.is_changed {
@@ -122,12 +122,12 @@
 pub(super) fn take_limits(shared: &Shared, updates: &[LimitUpdate], now: TimeUs) {
     let mut is_changed = false;
     for update in updates {
-        let told = shared.endpoints.lock().told_limit(update, now);
+        let told = shared.endpoints.lock().apply_limit_update(update, now);
         let Some((endpoint, outcome)) = told else {
             continue;
         };
         is_changed |= outcome.is_changed;
-        if outcome.is_logged {
+        if outcome.should_log {
             log_limit(shared, &endpoint, update.rate, "peer", update.age_ms);
         }
     }
@@ -157,7 +157,7 @@
 fn note_malformed(shared: &Shared, endpoint: &EndpointInstance, statement: &'static str) {
     let counter = &shared.metrics.malformed_statements;
     counter.with_label_values(&[statement]).inc();
-    if shared.endpoints.lock().heard_malformed(endpoint) {
+    if shared.endpoints.lock().record_malformed(endpoint) {
         shared.log.write(&Event::EndpointStatementMalformed {
             endpoint: endpoint.to_string(),
             statement,
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -11,8 +11,8 @@
 use super::part_store_watch::run_part_store_watch;
 use super::shared::Shared;
 use super::watch_state::{Delta, WatchState, kind_name};
-use crate::decide::endpoint_admission::ServiceColdness;
-use crate::decide::endpoint_table::{Absence, REGISTER_AGAIN_US, Registration};
+use crate::decide::endpoint_admission::ServiceColdLimit;
+use crate::decide::endpoint_table::{AbsenceCause, REREGISTRATION_TIMEOUT_US, Registration};
 use crate::decide::evacuated_zones::ZoneChange;
 use crate::decide::rate_limit::RateLimit;
 use crate::observe::Event;
@@ -26,12 +26,12 @@
 const MAX_TOLD_CHARS: usize = 200;
 
 /// Says what an absence means now: right after an outage registrations may only have lapsed.
-fn absence(state: &WatchState, now: TimeUs) -> Absence {
-    let is_recent = |at: TimeUs| now.since(at) < REGISTER_AGAIN_US;
+fn absence(state: &WatchState, now: TimeUs) -> AbsenceCause {
+    let is_recent = |at: TimeUs| now.since(at) < REREGISTRATION_TIMEOUT_US;
     let is_after_outage = state.recovered_at_us.is_some_and(is_recent);
     match state.failing_since_us.is_some() || is_after_outage {
-        true => Absence::MayHaveLapsed,
-        false => Absence::Left,
+        true => AbsenceCause::MayHaveLapsed,
+        false => AbsenceCause::Left,
     }
 }
 
@@ -70,7 +70,10 @@
             let objects = listing.objects.iter();
             let registrations = objects.filter_map(|object| registration(shared, object));
             let registrations = registrations.collect();
-            let changes = shared.endpoints.lock().listed(registrations, absence, now);
+            let changes = shared
+                .endpoints
+                .lock()
+                .apply_listing(registrations, absence, now);
             shared.note_changes(changes, listing.revision.0);
         }
         ObjectRole::Evacuations => apply_evacuations(shared, source),
@@ -195,7 +198,10 @@
     match role {
         ObjectRole::Endpoints => {
             if let Some(registration) = registration(shared, object) {
-                let changes = shared.endpoints.lock().registered(registration, now);
+                let changes = shared
+                    .endpoints
+                    .lock()
+                    .apply_registration(registration, now);
                 shared.note_changes(changes, object.revision.0);
             }
         }
@@ -244,7 +250,10 @@
     }
     let count = i64::try_from(zones.len()).unwrap_or(i64::MAX);
     shared.metrics.evacuated_zones.set(count);
-    let changes = shared.endpoints.lock().set_evacuated(zones, shared.now());
+    let changes = shared
+        .endpoints
+        .lock()
+        .set_evacuated_zones(zones, shared.now());
     for change in changes {
         let (zone, is_evacuated) = match change {
             ZoneChange::Evacuated(zone) => (zone, true),
@@ -262,7 +271,7 @@
     shared: &Arc<Shared>,
     role: ObjectRole,
     name: &str,
-    absence: Absence,
+    absence: AbsenceCause,
     revision: Revision,
 ) {
     let ObjectRole::Endpoints = role else { return };
@@ -270,7 +279,7 @@
     let change = shared
         .endpoints
         .lock()
-        .unregistered(&id, absence, shared.now());
+        .apply_unregistration(&id, absence, shared.now());
     shared.note_changes(change.into_iter().collect(), revision.0);
 }
 
@@ -312,15 +321,15 @@
 }
 
 /// Derives what cold endpoints of each service may get, where service and deployment both bound it.
-fn cold_limits(shared: &Shared, config: &SiteConfig) -> HashMap<ServiceName, ServiceColdness> {
+fn cold_limits(shared: &Shared, config: &SiteConfig) -> HashMap<ServiceName, ServiceColdLimit> {
     let Some(bound) = shared.settings.cold.bound() else {
         return HashMap::new();
     };
     let limits = config.services.values().filter_map(|service| {
         let cold = service.cold?;
-        let coldness = ServiceColdness {
+        let coldness = ServiceColdLimit {
             limit: RateLimit::new(cold.calls_per_s, bound),
-            start_us: cold.start_us,
+            cold_period_us: cold.start_us,
         };
         Some((service.name.clone(), coldness))
     });
@@ -332,7 +341,7 @@
 fn registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
     let endpoint = shared.borders.site.endpoint(object);
     match readable(shared, ObjectRole::Endpoints, object, endpoint) {
-        Some(endpoint) => Some(Registration::Good(endpoint)),
+        Some(endpoint) => Some(Registration::Valid(endpoint)),
         None => {
             let id = object.name.parse().ok()?;
             Some(Registration::Unreadable(id, object.revision))
--- a/crates/wisteriahitch-relay/src/shell/watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch.rs
@@ -10,7 +10,7 @@
 use super::shared::Shared;
 use super::store_updates::{STORE, apply_changes, apply_listing, note_skipped};
 use super::watch_state::kind_name;
-use crate::decide::hubs::SMALL_FLEET;
+use crate::decide::hubs::SMALL_FLEET_MAX_SIZE;
 use crate::decide::staleness::answered_as_of;
 use crate::decide::store_retry::retry_pause;
 use crate::observe::Event;
@@ -66,7 +66,7 @@
 /// changes of every kind, also when all start at once.
 async fn wait_for_role(shared: &Shared) {
     let is_listed = shared.peers.others_are_listed().await;
-    if is_listed && shared.peers.table().registered_count() >= SMALL_FLEET {
+    if is_listed && shared.peers.table().registered_count() >= SMALL_FLEET_MAX_SIZE {
         shared.peers.others_are_heard().await;
     }
 }
--- a/crates/wisteriahitch-relay/tests/all/cold_limit.rs
+++ b/crates/wisteriahitch-relay/tests/all/cold_limit.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
     Admission, CallPermits, Endpoint, EndpointTable, LimitCause, PartStores, PermitShares,
-    PlacementRequest, RateBound, RateLimit, ServiceColdness, Sighting, place,
+    PlacementRequest, RateBound, RateLimit, ServiceColdLimit, ViewObservation, place,
 };
 use wisteriahitch_types::{Code, DurationUs, EndpointInstance, EndpointStart, TimeUs};
 use wisteriahitch_wire::object_store::Revision;
@@ -92,38 +92,38 @@
             shares: PermitShares::new(ME, at_ms(0)),
             alive: BTreeSet::from([ME]),
         };
-        let coldness = ServiceColdness {
+        let coldness = ServiceColdLimit {
             limit: RateLimit::new(8.8, BOUND),
-            start_us: ms(3_000),
+            cold_period_us: ms(3_000),
         };
         let limits = HashMap::from([(service(), coldness)]);
         daemon.table.set_cold_limits(limits);
         let mut at = at_ms(0);
         while at < now {
             at = at + ms(100);
-            daemon.look(at);
+            daemon.observe(at);
         }
         daemon
     }
 
-    fn look(&mut self, now: TimeUs) {
-        let sighting = Sighting {
+    fn observe(&mut self, now: TimeUs) {
+        let observation = ViewObservation {
             alive: self.alive.clone(),
             is_complete: true,
-            ..Sighting::default()
+            ..ViewObservation::default()
         };
-        self.shares.look(&sighting, now);
-        self.table.set_shares(&self.shares, now);
+        self.shares.observe(&observation, now);
+        self.table.set_permit_shares(&self.shares, now);
     }
 
-    fn registered(&mut self, cold_ms: u64, revision: u64, now: TimeUs) {
+    fn apply_registration(&mut self, cold_ms: u64, revision: u64, now: TimeUs) {
         let endpoint = Endpoint {
             cold_left_us: ms(cold_ms),
             revision: Revision(revision),
             ..engine("a")
         };
-        self.table.registered(endpoint, now);
-        self.table.set_shares(&self.shares, now);
+        self.table.apply_registration(endpoint, now);
+        self.table.set_permit_shares(&self.shares, now);
     }
 
     fn admission(&self, now: TimeUs) -> Admission {
@@ -134,8 +134,8 @@
     fn send_all(&mut self, now: TimeUs) -> usize {
         let mut sent = 0;
         while let Admission::Permit(permits) = self.admission(now) {
-            self.table.use_permits(&id("a"), permits, now);
-            assert!(self.table.admits(&id("a"), permits, now));
+            self.table.mark_permits_used(&id("a"), permits, now);
+            assert!(self.table.try_admit(&id("a"), permits, now));
             sent += 1;
         }
         sent
@@ -146,17 +146,17 @@
 #[test]
 fn each_permit_is_good_for_one_call_in_a_window() {
     let mut daemon = Daemon::alone(at_ms(5_000));
-    daemon.registered(60_000, 1, at_ms(5_000));
+    daemon.apply_registration(60_000, 1, at_ms(5_000));
     assert_eq!(daemon.send_all(at_ms(5_000)), 8);
     for ms in [5_100, 5_300, 5_600, 6_000] {
-        daemon.look(at_ms(ms));
+        daemon.observe(at_ms(ms));
         assert_eq!(daemon.send_all(at_ms(ms)), 0, "{ms}");
     }
     assert_eq!(
         daemon.admission(at_ms(6_000)),
         Admission::Limited(LimitCause::Cold, at_ms(6_020))
     );
-    daemon.look(at_ms(6_020));
+    daemon.observe(at_ms(6_020));
     assert_eq!(daemon.send_all(at_ms(6_020)), 8);
 }
 
@@ -165,35 +165,35 @@
 #[test]
 fn permits_are_good_from_the_time_that_was_told() {
     struct Case {
-        looked_at: u64,
+        observed_at: u64,
         told_at: u64,
     }
     let cases = [
         Case {
-            looked_at: 300,
+            observed_at: 300,
             told_at: 300,
         },
         Case {
-            looked_at: 3_200,
+            observed_at: 3_200,
             told_at: 3_200,
         },
         Case {
-            looked_at: 3_500,
+            observed_at: 3_500,
             told_at: 3_550,
         },
     ];
     for case in cases {
-        let mut daemon = Daemon::alone(at_ms(case.looked_at));
-        daemon.registered(60_000, 1, at_ms(case.looked_at));
+        let mut daemon = Daemon::alone(at_ms(case.observed_at));
+        daemon.apply_registration(60_000, 1, at_ms(case.observed_at));
         let Admission::Limited(LimitCause::Cold, free_at) = daemon.admission(at_ms(case.told_at))
         else {
             panic!("it has just started");
         };
         assert_eq!(free_at, at_ms(3_600));
-        let mut at = at_ms(case.looked_at);
+        let mut at = at_ms(case.observed_at);
         while at + ms(150) < free_at {
             at = at + ms(150);
-            daemon.look(at);
+            daemon.observe(at);
         }
         assert_eq!(daemon.send_all(free_at), 8, "{}", case.told_at);
     }
@@ -204,7 +204,7 @@
 #[test]
 fn a_daemon_that_has_just_started_tells_when_it_may_have_permits() {
     let mut daemon = Daemon::alone(at_ms(0));
-    daemon.registered(60_000, 1, at_ms(50));
+    daemon.apply_registration(60_000, 1, at_ms(50));
     assert_eq!(
         daemon.admission(at_ms(50)),
         Admission::Limited(LimitCause::Cold, at_ms(3_550))
@@ -215,16 +215,18 @@
 #[test]
 fn a_call_counts_from_when_its_bytes_leave() {
     let mut daemon = Daemon::alone(at_ms(5_000));
-    daemon.registered(60_000, 1, at_ms(5_000));
+    daemon.apply_registration(60_000, 1, at_ms(5_000));
     let Admission::Permit(permits) = daemon.admission(at_ms(5_000)) else {
         panic!("no permit");
     };
-    daemon.table.use_permits(&id("a"), permits, at_ms(5_000));
-    daemon.look(at_ms(5_400));
-    assert!(daemon.table.admits(&id("a"), permits, at_ms(5_400)));
-    daemon.look(at_ms(6_020));
+    daemon
+        .table
+        .mark_permits_used(&id("a"), permits, at_ms(5_000));
+    daemon.observe(at_ms(5_400));
+    assert!(daemon.table.try_admit(&id("a"), permits, at_ms(5_400)));
+    daemon.observe(at_ms(6_020));
     assert_eq!(daemon.send_all(at_ms(6_020)), 7);
-    daemon.look(at_ms(6_420));
+    daemon.observe(at_ms(6_420));
     assert_eq!(daemon.send_all(at_ms(6_420)), 1);
 }
 
@@ -298,7 +300,7 @@
             if let Some(restored_at) = restored_at.take_if(|at| *at < *ms) {
                 restore(&mut daemon, restored_at);
             }
-            daemon.registered(*left, *revision, at_ms(*ms));
+            daemon.apply_registration(*left, *revision, at_ms(*ms));
         }
         if let Some(restored_at) = restored_at {
             restore(&mut daemon, restored_at);
@@ -317,8 +319,8 @@
     let zone = "a".parse().unwrap();
     daemon
         .table
-        .set_evacuated(BTreeSet::from([zone]), at_ms(ms - 500));
-    daemon.table.set_evacuated(BTreeSet::new(), at_ms(ms));
+        .set_evacuated_zones(BTreeSet::from([zone]), at_ms(ms - 500));
+    daemon.table.set_evacuated_zones(BTreeSet::new(), at_ms(ms));
 }
 
 /// Guards against an endpoint that has started again under its id and counts as warm until its registration is read; and
@@ -330,7 +332,7 @@
         registered: Option<u64>,
         /// Time, and the start that a process tells on a connection.
         seen: &'static [(u64, Option<u64>)],
-        needs_start: bool,
+        must_verify_start: bool,
         cold_until: Option<u64>,
     }
     let cases = [
@@ -338,35 +340,35 @@
             name: "the registered one",
             registered: Some(1),
             seen: &[(5_000, Some(1)), (6_000, Some(1))],
-            needs_start: true,
+            must_verify_start: true,
             cold_until: None,
         },
         Case {
             name: "another one",
             registered: Some(1),
             seen: &[(5_000, Some(1)), (6_000, Some(2)), (7_000, Some(2))],
-            needs_start: true,
+            must_verify_start: true,
             cold_until: Some(9_000),
         },
         Case {
             name: "a third one",
             registered: Some(1),
             seen: &[(6_000, Some(2)), (7_000, Some(3)), (8_000, Some(3))],
-            needs_start: true,
+            must_verify_start: true,
             cold_until: Some(10_000),
         },
         Case {
             name: "one that tells none",
             registered: Some(1),
             seen: &[(6_000, None), (7_000, None)],
-            needs_start: true,
+            must_verify_start: true,
             cold_until: Some(10_000),
         },
         Case {
             name: "where no start is told, an id names one process",
             registered: None,
             seen: &[],
-            needs_start: false,
+            must_verify_start: false,
             cold_until: None,
         },
     ];
@@ -378,11 +380,14 @@
             instance: instance.clone(),
             ..engine("a")
         };
-        daemon.table.registered(endpoint, at_ms(5_000));
-        assert_eq!(daemon.table.needs_start(&instance), case.needs_start);
+        daemon.table.apply_registration(endpoint, at_ms(5_000));
+        assert_eq!(
+            daemon.table.must_verify_start(&instance),
+            case.must_verify_start
+        );
         for (ms, seen) in case.seen {
             let seen = seen.map(EndpointStart::from_unix_ms);
-            daemon.table.saw_start(&instance, seen, at_ms(*ms));
+            daemon.table.record_seen_start(&instance, seen, at_ms(*ms));
         }
         let row = daemon.table.get(&instance).unwrap();
         let until = case.cold_until.unwrap_or(5_000);
@@ -404,20 +409,20 @@
         weights: BTreeMap::new(),
         ..engine("a")
     };
-    daemon.table.registered(endpoint, at_ms(5_000));
-    assert!(!daemon.table.needs_start(&instance));
+    daemon.table.apply_registration(endpoint, at_ms(5_000));
+    assert!(!daemon.table.must_verify_start(&instance));
 }
 
 /// Guards against a herd at an endpoint that turns cold under its usual load, which no permit has counted.
 #[test]
 fn an_endpoint_that_turns_cold_gets_nothing_for_a_window() {
     let mut daemon = Daemon::alone(at_ms(5_000));
-    daemon.registered(0, 1, at_ms(5_000));
+    daemon.apply_registration(0, 1, at_ms(5_000));
     assert_eq!(daemon.admission(at_ms(5_000)), Admission::Open);
-    daemon.registered(60_000, 2, at_ms(5_000));
-    daemon.look(at_ms(5_500));
+    daemon.apply_registration(60_000, 2, at_ms(5_000));
+    daemon.observe(at_ms(5_500));
     assert_eq!(daemon.send_all(at_ms(5_500)), 0);
-    daemon.look(at_ms(6_020));
+    daemon.observe(at_ms(6_020));
     assert_eq!(daemon.send_all(at_ms(6_020)), 8);
 }
 
@@ -425,14 +430,14 @@
 #[test]
 fn permits_end_with_the_cold_time() {
     let mut daemon = Daemon::alone(at_ms(5_000));
-    daemon.registered(1_000, 1, at_ms(5_000));
+    daemon.apply_registration(1_000, 1, at_ms(5_000));
     assert_eq!(daemon.send_all(at_ms(5_000)), 8);
     let others = (2..12).map(|number| Ipv4Addr::new(10, 0, 0, number));
     daemon.alive.extend(others);
     let mut at = at_ms(6_000);
     while at < at_ms(9_000) {
         at = at + ms(100);
-        daemon.look(at);
+        daemon.observe(at);
     }
     // Nothing is looked up between the end of the evacuation and the next call.
     restore(&mut daemon, 9_050);
@@ -443,24 +448,24 @@
 #[test]
 fn what_was_placed_before_needs_a_permit() {
     let mut daemon = Daemon::alone(at_ms(5_000));
-    daemon.registered(0, 1, at_ms(5_000));
+    daemon.apply_registration(0, 1, at_ms(5_000));
     assert!(
         daemon
             .table
-            .admits(&id("a"), CallPermits::default(), at_ms(5_000))
+            .try_admit(&id("a"), CallPermits::default(), at_ms(5_000))
     );
-    daemon.registered(60_000, 2, at_ms(5_000));
+    daemon.apply_registration(60_000, 2, at_ms(5_000));
     assert!(
         !daemon
             .table
-            .admits(&id("a"), CallPermits::default(), at_ms(5_000))
+            .try_admit(&id("a"), CallPermits::default(), at_ms(5_000))
     );
     let mut admitted = 0;
-    daemon.look(at_ms(5_500));
-    daemon.look(at_ms(6_020));
+    daemon.observe(at_ms(5_500));
+    daemon.observe(at_ms(6_020));
     while daemon
         .table
-        .admits(&id("a"), CallPermits::default(), at_ms(6_020))
+        .try_admit(&id("a"), CallPermits::default(), at_ms(6_020))
     {
         admitted += 1;
     }
@@ -471,7 +476,7 @@
 #[test]
 fn callers_are_refused_until_a_permit_is_free() {
     let mut daemon = Daemon::alone(at_ms(5_000));
-    daemon.registered(60_000, 1, at_ms(5_000));
+    daemon.apply_registration(60_000, 1, at_ms(5_000));
     daemon.send_all(at_ms(5_000));
     let (setting, prompt) = (CallSetting::in_zone("a"), prompt(100, 100));
     let request = PlacementRequest {
@@ -482,13 +487,13 @@
     let stores = PartStores::default();
     let mut try_at =
         |now: TimeUs, daemon: &Daemon| place(&daemon.table, &stores, &request, now, &mut rng);
-    daemon.look(at_ms(5_400));
+    daemon.observe(at_ms(5_400));
     let refused = try_at(at_ms(5_400), &daemon).unwrap_err();
     assert_eq!(refused.code, Code::EndpointsCold);
     let wait = refused.retry_after_us.unwrap();
     let now = at_ms(5_400) + wait;
     assert!(wait >= ms(620) && wait <= ms(1_200), "{wait}");
-    daemon.look(at_ms(5_900));
-    daemon.look(now);
+    daemon.observe(at_ms(5_900));
+    daemon.observe(now);
     assert!(!try_at(now, &daemon).unwrap().permits.is_empty());
 }
--- a/crates/wisteriahitch-relay/tests/all/endpoint_lives.rs
+++ b/crates/wisteriahitch-relay/tests/all/endpoint_lives.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use wisteriahitch_relay::{
-    Absence, Endpoint, EndpointChange, EndpointLife, EndpointRow, EndpointTable, EngineReport,
-    Load, LoadReport, OrderOutcome, PaceOptions, PartKey, PermitShare, Registration, Rollout,
-    RolloutRow, RolloutStep,
+    AbsenceCause, Endpoint, EndpointChange, EndpointRow, EndpointState, EndpointTable,
+    EngineReport, Load, LoadReport, OrderOutcome, PaceOptions, PartKey, PermitShare, Registration,
+    Rollout, RolloutRow, RolloutStep,
 };
 use wisteriahitch_types::{
     DurationUs, EndpointInstance, EndpointStart, Incarnation, TimeUs, WeightNumber,
@@ -57,9 +57,9 @@
     let options = table.outlier_options;
     {
         let row = table.get_mut(instance).unwrap();
-        row.own.add(load);
+        row.own_load.add(load);
         row.is_displaced = true;
-        row.told = Some((
+        row.reported_load = Some((
             LoadReport {
                 running: 1,
                 waiting: 1,
@@ -69,18 +69,18 @@
         ));
         row.outlier.eject(&options, at_ms(0));
         row.parts.used(PartKey(1), 100, at_ms(0));
-        row.followed_until_us = at_ms(60_000);
+        row.parts_tracked_until_us = at_ms(60_000);
         row.unreachable_until_us = at_ms(60_000);
-        row.weighed_until_us = at_ms(60_000);
+        row.corroborated_until_us = at_ms(60_000);
         row.suspected_until_us = at_ms(60_000);
         row.reserved_until_us = at_ms(60_000);
     }
-    table.saw_weights(instance, &model(), WeightNumber::new(9));
-    table.heard_limit(instance, "2.1".parse().ok(), at_ms(0));
-    table.heard_malformed(instance);
+    table.record_weights(instance, &model(), WeightNumber::new(9));
+    table.record_limit(instance, "2.1".parse().ok(), at_ms(0));
+    table.record_malformed(instance);
     let life = table.get(instance).unwrap().short_name;
-    table.heard_leaving(life, at_ms(0));
-    table.heard_rest(instance, DurationUs::from_ms(60_000), at_ms(0));
+    table.record_leaving(life, at_ms(0));
+    table.record_rest(instance, DurationUs::from_ms(60_000), at_ms(0));
 }
 
 /// Symptom: a prompt is sent to an engine for parts that it doesn't keep, or an engine that is well
@@ -89,7 +89,7 @@
 #[test]
 fn a_restart_leaves_nothing_of_the_life_before() {
     let mut table = site();
-    table.registered(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
     let before = life("a", 1_000);
     let short_name_before = table.get(&before).unwrap().short_name;
     let peer = Incarnation::new(7);
@@ -99,32 +99,32 @@
         memory_tokens: 20,
     };
     let loads = HashMap::from([(short_name_before, load)]);
-    table.peer_load(peer, loads.clone(), at_ms(0));
+    table.apply_peer_load(peer, loads.clone(), at_ms(0));
     wear(&mut table, &before, load);
-    table.get_mut(&before).unwrap().life = EndpointLife::Draining;
+    table.get_mut(&before).unwrap().state = EndpointState::Draining;
 
-    let changes = table.registered(born("a", 2_000, 11), TimeUs::ZERO);
+    let changes = table.apply_registration(born("a", 2_000, 11), TimeUs::ZERO);
     let after = life("a", 2_000);
     let expected = [
         EndpointChange::Ended(before.clone()),
-        EndpointChange::Seen(after.clone()),
+        EndpointChange::Added(after.clone()),
     ];
     assert_eq!(changes, expected);
     assert!(table.get(&before).is_none() && table.has_ended(&before));
     let row = table.get(&after).unwrap();
     let (parts, names) = fields!(row;
-        endpoint, life, is_displaced, own, peers, told, outlier, parts, cold,
+        endpoint, state, is_displaced, own_load, peers_load, reported_load, outlier, parts, cold,
         statements;
-        times: followed_until_us, unreachable_until_us, weighed_until_us, suspected_until_us,
+        times: parts_tracked_until_us, unreachable_until_us, corroborated_until_us, suspected_until_us,
         reserved_until_us; short_name
     );
     let (
         endpoint,
-        life,
+        state,
         is_displaced,
-        own,
-        peers,
-        told,
+        own_load,
+        peers_load,
+        reported_load,
         outlier,
         kept,
         cold,
@@ -133,16 +133,16 @@
         name,
     ) = parts;
     assert_eq!(*endpoint, born("a", 2_000, 11), "its weights among them");
-    assert_eq!(*life, EndpointLife::Ready);
+    assert_eq!(*state, EndpointState::Ready);
     assert!(!is_displaced);
-    assert_eq!((*own, *peers), (Load::default(), Load::default()));
-    assert!(told.is_none());
+    assert_eq!((*own_load, *peers_load), (Load::default(), Load::default()));
+    assert!(reported_load.is_none());
     assert!(!outlier.is_ejected(at_ms(1)) && outlier.failure_rate() == 0.0);
     assert!(kept.is_empty());
     assert!(!cold.is_cold(at_ms(0)) && cold.permits.share == PermitShare::default());
     assert!(statements.limit.notice().is_none() && !statements.has_malformed);
     assert_eq!(statements.rest_until_us, TimeUs::ZERO);
-    assert!(!table.has_said_it_leaves(row));
+    assert!(!table.has_announced_leaving(row));
     assert!(
         times.iter().all(|until| *until == TimeUs::ZERO),
         "{times:?}"
@@ -164,22 +164,22 @@
 #[test]
 fn late_news_of_the_life_before_changes_nothing() {
     let mut table = site();
-    table.registered(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
     let (before, after) = (life("a", 1_000), life("a", 2_000));
     let name = table.get(&before).unwrap().short_name;
-    table.registered(born("a", 2_000, 11), TimeUs::ZERO);
+    table.apply_registration(born("a", 2_000, 11), TimeUs::ZERO);
 
     let peer = Incarnation::new(7);
     let load = Load {
         running: 3,
         ..Load::default()
     };
-    table.peer_load(peer, HashMap::from([(name, load)]), at_ms(1));
-    table.peer_reserved(peer, HashSet::from([name]), at_ms(500), at_ms(1));
-    table.has_part(name, PartKey(1), 100, at_ms(1));
-    table.saw_weights(&before, &model(), WeightNumber::new(9));
+    table.apply_peer_load(peer, HashMap::from([(name, load)]), at_ms(1));
+    table.apply_peer_reservations(peer, HashSet::from([name]), at_ms(500), at_ms(1));
+    table.record_part(name, PartKey(1), 100, at_ms(1));
+    table.record_weights(&before, &model(), WeightNumber::new(9));
     assert!(table.get_mut(&before).is_none());
-    assert!(table.misdirected(&before, &id("b").id).is_none());
+    assert!(table.record_misdirection(&before, &id("b").id).is_none());
 
     let row = table.get(&after).unwrap();
     assert_eq!(row.load(), Load::default());
@@ -193,7 +193,7 @@
 #[test]
 fn absurd_loads_of_peers_add_up_to_the_most() {
     let mut table = site();
-    table.registered(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
     let name = table.get(&life("a", 1_000)).unwrap().short_name;
     let most = Load {
         running: u32::MAX,
@@ -202,7 +202,7 @@
     };
     for peer in [7, 8] {
         let loads = HashMap::from([(name, most)]);
-        table.peer_load(Incarnation::new(peer), loads, at_ms(0));
+        table.apply_peer_load(Incarnation::new(peer), loads, at_ms(0));
     }
     assert_eq!(table.get(&life("a", 1_000)).unwrap().load(), most);
 }
@@ -252,11 +252,11 @@
     ];
     for case in cases {
         let mut table = site();
-        table.registered(case.first, TimeUs::ZERO);
-        table.registered(case.second, TimeUs::ZERO);
+        table.apply_registration(case.first, TimeUs::ZERO);
+        table.apply_registration(case.second, TimeUs::ZERO);
         let row = table.by_id(&id("a").id).unwrap();
         assert_eq!(*row.instance(), case.lives, "{}", case.what);
-        assert_eq!(row.life, EndpointLife::Ready, "{}", case.what);
+        assert_eq!(row.state, EndpointState::Ready, "{}", case.what);
     }
 }
 
@@ -265,16 +265,16 @@
 #[test]
 fn an_endpoint_that_left_and_starts_again_is_used() {
     let mut table = site();
-    table.registered(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
     let leaving = Endpoint {
         is_draining: true,
         ..born("a", 1_000, 11)
     };
-    table.registered(leaving, TimeUs::ZERO);
-    table.registered(born("a", 1_000, 12), TimeUs::ZERO);
-    let takes = |table: &EndpointTable| table.by_id(&id("a").id).unwrap().takes_requests();
+    table.apply_registration(leaving, TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 12), TimeUs::ZERO);
+    let takes = |table: &EndpointTable| table.by_id(&id("a").id).unwrap().accepts_requests();
     assert!(!takes(&table), "it doesn't come back in the same life");
-    table.registered(born("a", 5_000, 13), TimeUs::ZERO);
+    table.apply_registration(born("a", 5_000, 13), TimeUs::ZERO);
     assert!(takes(&table));
 }
 
@@ -284,44 +284,48 @@
 #[test]
 fn an_unreadable_registration_names_nobody_until_it_is_good_again() {
     let mut table = site();
-    table.registered(born("a", 1_000, 10), TimeUs::ZERO);
-    table.registered(born("b", 1_000, 11), TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(born("b", 1_000, 11), TimeUs::ZERO);
     let a = life("a", 1_000);
-    table.get_mut(&a).unwrap().own.running = 2;
-    let changes = table.registered(unreadable("a", 12), TimeUs::ZERO);
+    table.get_mut(&a).unwrap().own_load.running = 2;
+    let changes = table.apply_registration(unreadable("a", 12), TimeUs::ZERO);
     assert_eq!(changes, [EndpointChange::Unreadable(a.clone())]);
-    assert!(!table.get(&a).unwrap().takes_requests());
+    assert!(!table.get(&a).unwrap().accepts_requests());
     // Told again, or in an older listing, it is no news.
     assert!(
         table
-            .registered(unreadable("a", 13), TimeUs::ZERO)
+            .apply_registration(unreadable("a", 13), TimeUs::ZERO)
             .is_empty()
     );
     assert!(
         table
-            .registered(unreadable("b", 9), TimeUs::ZERO)
+            .apply_registration(unreadable("b", 9), TimeUs::ZERO)
             .is_empty()
     );
     let b = table.get(&life("b", 1_000)).unwrap();
-    assert!(b.takes_requests(), "the others hold");
+    assert!(b.accepts_requests(), "the others hold");
     // In a listing it isn't missing: what runs there is still counted.
     let listing = vec![unreadable("a", 13), born("b", 1_000, 11).into()];
-    assert!(table.listed(listing, Absence::Left, at_ms(1)).is_empty());
-    table.registered(born("a", 1_000, 14), TimeUs::ZERO);
+    assert!(
+        table
+            .apply_listing(listing, AbsenceCause::Left, at_ms(1))
+            .is_empty()
+    );
+    table.apply_registration(born("a", 1_000, 14), TimeUs::ZERO);
     let row = table.get(&a).unwrap();
-    assert!(row.takes_requests());
-    assert_eq!(row.own.running, 2);
+    assert!(row.accepts_requests());
+    assert_eq!(row.own_load.running, 2);
     // Without its start, where it has told one, it is somebody else's.
     let startless = Endpoint {
         revision: Revision(15),
         ..engine("a")
     };
     assert_eq!(
-        table.registered(startless, TimeUs::ZERO),
+        table.apply_registration(startless, TimeUs::ZERO),
         [EndpointChange::Unreadable(a.clone())]
     );
-    let gone = table.unregistered(&a.id, Absence::MayHaveLapsed, at_ms(2));
-    assert_eq!(gone, Some(EndpointChange::Gone(a)));
+    let gone = table.apply_unregistration(&a.id, AbsenceCause::MayHaveLapsed, at_ms(2));
+    assert_eq!(gone, Some(EndpointChange::Removed(a)));
 }
 
 /// Symptom: a call is sent to two engines in a row that refuse it as meant for somebody else, while
@@ -336,35 +340,38 @@
     let is_displaced =
         |table: &EndpointTable, name: &str| table.get(&life(name, 1_000)).unwrap().is_displaced;
     let mut table = site();
-    table.registered(born("a", 1_000, 10), TimeUs::ZERO);
-    let changes = table.registered(at_a("b", 11), TimeUs::ZERO);
+    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
+    let changes = table.apply_registration(at_a("b", 11), TimeUs::ZERO);
     let displaced = EndpointChange::Displaced(life("a", 1_000));
     assert_eq!(
         changes,
-        [EndpointChange::Seen(life("b", 1_000)), displaced.clone()]
+        [EndpointChange::Added(life("b", 1_000)), displaced.clone()]
     );
     // The answer of who is there settles it, whatever was registered last.
-    let change = table.misdirected(&life("b", 1_000), &id("a").id);
+    let change = table.record_misdirection(&life("b", 1_000), &id("a").id);
     assert_eq!(change, Some(EndpointChange::Displaced(life("b", 1_000))));
     assert!(is_displaced(&table, "b") && !is_displaced(&table, "a"));
-    assert_eq!(table.misdirected(&life("a", 1_000), &id("a").id), None);
     assert_eq!(
-        table.misdirected(&life("a", 1_000), &id("b").id),
+        table.record_misdirection(&life("a", 1_000), &id("a").id),
+        None
+    );
+    assert_eq!(
+        table.record_misdirection(&life("a", 1_000), &id("b").id),
         Some(displaced)
     );
     // Whoever no longer claims it gives it back.
-    table.registered(unreadable("b", 12), TimeUs::ZERO);
+    table.apply_registration(unreadable("b", 12), TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
     // One whose service nobody knows claims nothing.
     let unknown = Endpoint {
         service: "elsewhere".parse().unwrap(),
         ..at_a("c", 13)
     };
-    table.registered(unknown, TimeUs::ZERO);
+    table.apply_registration(unknown, TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
     // A new registration of its own says that it is there.
-    table.misdirected(&life("a", 1_000), &id("d").id);
-    table.registered(born("a", 1_000, 14), TimeUs::ZERO);
+    table.record_misdirection(&life("a", 1_000), &id("d").id);
+    table.apply_registration(born("a", 1_000, 14), TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
     // One that leaves is no claim either.
     let leaving = Endpoint {
@@ -373,7 +380,7 @@
         revision: Revision(15),
         ..draining("e")
     };
-    table.registered(leaving, TimeUs::ZERO);
+    table.apply_registration(leaving, TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
 }
 
@@ -402,12 +409,12 @@
                 address: engine_address("a"),
                 ..born(name, 1_000, revision)
             };
-            Registration::Good(endpoint)
+            Registration::Valid(endpoint)
         };
         let mut table = site();
         let mut listing = vec![at_one_address(case.gone), at_one_address(case.there)];
         listing.sort_by_key(|registration| format!("{registration:?}"));
-        table.listed(listing, Absence::Left, at_ms(0));
+        table.apply_listing(listing, AbsenceCause::Left, at_ms(0));
         let is_displaced = |name| table.get(&life(name, 1_000)).unwrap().is_displaced;
         assert!(is_displaced(case.gone.0), "{}", case.gone.0);
         assert!(!is_displaced(case.there.0), "{}", case.there.0);
--- a/crates/wisteriahitch-relay/tests/all/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/tests/all/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use wisteriahitch_relay::{Absence, EndpointChange, EndpointLife, EndpointTable, Load};
+use wisteriahitch_relay::{AbsenceCause, EndpointChange, EndpointState, EndpointTable, Load};
 use wisteriahitch_types::{Incarnation, TimeUs, WeightNumber};
 
 use crate::fixture::{at_ms, draining, engine, id, model, ms};
@@ -13,39 +13,39 @@
 #[test]
 fn registrations_that_lapse_in_an_outage_are_waited_for() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
-    let changes = table.listed(vec![], Absence::MayHaveLapsed, at_ms(1_000));
+    table.apply_registration(engine("a"), TimeUs::ZERO);
+    let changes = table.apply_listing(vec![], AbsenceCause::MayHaveLapsed, at_ms(1_000));
     assert_eq!(changes, [EndpointChange::Lapsed(id("a"))]);
     assert!(table.tick(at_ms(3_000)).is_empty());
-    table.registered(engine("a"), TimeUs::ZERO);
-    assert_eq!(table.get(&id("a")).unwrap().life, EndpointLife::Ready);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
+    assert_eq!(table.get(&id("a")).unwrap().state, EndpointState::Ready);
     assert!(table.tick(at_ms(9_000)).is_empty());
 }
 
 #[test]
 fn one_that_doesn_t_come_back_is_gone() {
     struct Case {
-        absence: Absence,
+        absence: AbsenceCause,
         gone_by_ms: u64,
         there_at_ms: u64,
     }
     let cases = [
         Case {
-            absence: Absence::MayHaveLapsed,
+            absence: AbsenceCause::MayHaveLapsed,
             there_at_ms: 3_200,
             gone_by_ms: 3_400,
         },
         // Shorter than the two seconds within which a leaving endpoint may still get requests.
         Case {
-            absence: Absence::Left,
+            absence: AbsenceCause::Left,
             there_at_ms: 1_900,
             gone_by_ms: 2_100,
         },
     ];
     for case in cases {
         let mut table = EndpointTable::default().with_drain_fallback(ms(1_000));
-        table.registered(engine("a"), TimeUs::ZERO);
-        table.unregistered(&id("a").id, case.absence, at_ms(1_000));
+        table.apply_registration(engine("a"), TimeUs::ZERO);
+        table.apply_unregistration(&id("a").id, case.absence, at_ms(1_000));
         assert!(
             table.tick(at_ms(case.there_at_ms)).is_empty(),
             "{:?}",
@@ -54,7 +54,7 @@
         let changes = table.tick(at_ms(case.gone_by_ms));
         assert_eq!(
             changes,
-            [EndpointChange::Gone(id("a"))],
+            [EndpointChange::Removed(id("a"))],
             "{:?}",
             case.absence
         );
@@ -66,16 +66,16 @@
 #[test]
 fn a_draining_endpoint_stays_draining() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     assert_eq!(
-        table.registered(draining("a"), TimeUs::ZERO),
+        table.apply_registration(draining("a"), TimeUs::ZERO),
         [EndpointChange::Draining(id("a"))]
     );
-    table.registered(engine("a"), TimeUs::ZERO);
-    assert_eq!(table.get(&id("a")).unwrap().life, EndpointLife::Draining);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
+    assert_eq!(table.get(&id("a")).unwrap().state, EndpointState::Draining);
     // Its end is at once: it has said so before.
-    let change = table.unregistered(&id("a").id, Absence::Left, at_ms(1));
-    assert_eq!(change, Some(EndpointChange::Gone(id("a"))));
+    let change = table.apply_unregistration(&id("a").id, AbsenceCause::Left, at_ms(1));
+    assert_eq!(change, Some(EndpointChange::Removed(id("a"))));
 }
 
 /// Symptom: a request runs on weights that the endpoint no longer has. Sequence: an answer names
@@ -83,9 +83,9 @@
 #[test]
 fn weights_never_go_back() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
-    table.saw_weights(&id("a"), &model(), WeightNumber::new(3));
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
+    table.record_weights(&id("a"), &model(), WeightNumber::new(3));
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     let row = table.get(&id("a")).unwrap();
     assert_eq!(row.weights(&model()), Some(WeightNumber::new(3)));
 }
@@ -93,7 +93,7 @@
 #[test]
 fn loads_of_peers_replace_each_other_and_grow_old() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     let hash = table.get(&id("a")).unwrap().short_name;
     let peer = Incarnation::new(7);
     let load = |running| Load {
@@ -101,13 +101,13 @@
         unread_tokens: 10,
         memory_tokens: 20,
     };
-    table.peer_load(peer, HashMap::from([(hash, load(3))]), at_ms(0));
-    table.peer_load(
+    table.apply_peer_load(peer, HashMap::from([(hash, load(3))]), at_ms(0));
+    table.apply_peer_load(
         Incarnation::new(8),
         HashMap::from([(hash, load(1))]),
         at_ms(0),
     );
-    table.peer_load(peer, HashMap::from([(hash, load(5))]), at_ms(900));
+    table.apply_peer_load(peer, HashMap::from([(hash, load(5))]), at_ms(900));
     let running = |table: &EndpointTable| table.get(&id("a")).unwrap().load().running;
     assert_eq!(running(&table), 6);
     table.tick(at_ms(1_500));
@@ -123,15 +123,15 @@
 #[test]
 fn what_peers_told_before_counts_for_an_endpoint_that_is_seen_later() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     let hash = table.get(&id("a")).unwrap().short_name;
     let mut late = EndpointTable::default();
     let load = Load {
         running: 2,
         ..Load::default()
     };
-    late.peer_load(Incarnation::new(7), HashMap::from([(hash, load)]), at_ms(0));
-    late.registered(engine("a"), TimeUs::ZERO);
+    late.apply_peer_load(Incarnation::new(7), HashMap::from([(hash, load)]), at_ms(0));
+    late.apply_registration(engine("a"), TimeUs::ZERO);
     assert_eq!(late.get(&id("a")).unwrap().load().running, 2);
 }
 
@@ -165,13 +165,13 @@
     ];
     for case in cases {
         let mut table = EndpointTable::default();
-        table.registered(engine("a"), TimeUs::ZERO);
+        table.apply_registration(engine("a"), TimeUs::ZERO);
         let hash = table.get(&id("a")).unwrap().short_name;
         for (peer, is_named, now_ms) in case.messages {
             let (peer, now) = (Incarnation::new(*peer), at_ms(*now_ms));
-            table.peer_load(peer, HashMap::new(), now);
+            table.apply_peer_load(peer, HashMap::new(), now);
             let reserved = is_named.then_some(hash).into_iter().collect();
-            table.peer_reserved(peer, reserved, now + ms(600), now);
+            table.apply_peer_reservations(peer, reserved, now + ms(600), now);
         }
         let until = table.get(&id("a")).unwrap().reserved_until_us;
         assert_eq!(until, at_ms(case.free_at_ms), "{}", case.what);
--- a/crates/wisteriahitch-relay/tests/all/engine_memory.rs
+++ b/crates/wisteriahitch-relay/tests/all/engine_memory.rs
@@ -27,7 +27,7 @@
 
 fn table() -> EndpointTable {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     table
 }
 
@@ -45,7 +45,7 @@
 fn what_an_engine_tells_of_its_memory_replaces_the_guess() {
     let mut table = table();
     // So much work that by the guess nothing stays for more than a moment.
-    table.get_mut(&id("a")).unwrap().own = Load {
+    table.get_mut(&id("a")).unwrap().own_load = Load {
         running: 30,
         unread_tokens: 0,
         memory_tokens: MEMORY_TOKENS,
@@ -57,7 +57,7 @@
         .used(key(1), 800, at_ms(0));
     assert!(!keeps(&table, 1, at_ms(3_000)), "the guess");
     let until = at_ms(4_000);
-    let news = table.part_events(&id("a"), &[event(true, 1, 800)], until, at_ms(2_900));
+    let news = table.apply_part_events(&id("a"), &[event(true, 1, 800)], until, at_ms(2_900));
     assert!(news.is_empty(), "what is known is no news");
     assert!(keeps(&table, 1, at_ms(3_000)));
     assert!(
@@ -66,7 +66,7 @@
     );
 
     let events = [event(false, 1, 0), event(true, 2, 300), event(false, 3, 0)];
-    let news = table.part_events(&id("a"), &events, at_ms(6_000), at_ms(5_000));
+    let news = table.apply_part_events(&id("a"), &events, at_ms(6_000), at_ms(5_000));
     let endpoint = table.get(&id("a")).unwrap().short_name;
     let told = |part, tokens| PartUpdate {
         endpoint,
@@ -81,10 +81,10 @@
 fn peers_hear_what_is_gone_and_who_is_followed() {
     let mut table = table();
     let endpoint = table.get(&id("a")).unwrap().short_name;
-    table.has_part(endpoint, key(1), 800, at_ms(0));
-    table.followed(endpoint, at_ms(9_000));
+    table.record_part(endpoint, key(1), 800, at_ms(0));
+    table.extend_parts_tracking(endpoint, at_ms(9_000));
     assert!(keeps(&table, 1, at_ms(8_000)));
-    table.has_part(endpoint, key(1), 0, at_ms(8_000));
+    table.record_part(endpoint, key(1), 0, at_ms(8_000));
     assert!(!keeps(&table, 1, at_ms(8_001)));
 }
 
@@ -94,13 +94,13 @@
 fn a_daemon_that_starts_takes_over_what_another_one_knows() {
     let mut old = table();
     let endpoint = old.get(&id("a")).unwrap().short_name;
-    old.has_part(endpoint, key(1), 800, at_ms(0));
-    old.has_part(endpoint, key(2), 900, at_ms(1_000));
+    old.record_part(endpoint, key(1), 800, at_ms(0));
+    old.record_part(endpoint, key(2), 900, at_ms(1_000));
     let memory = old.engine_memory(at_ms(1_500));
     let mut young = table();
     // What it has learnt itself is newer.
-    young.has_part(endpoint, key(2), 900, at_ms(50_000));
-    young.take_over(&memory, at_ms(50_000));
+    young.record_part(endpoint, key(2), 900, at_ms(50_000));
+    young.adopt_engine_memory(&memory, at_ms(50_000));
     assert!(keeps(&young, 1, at_ms(50_000)) && keeps(&young, 2, at_ms(50_000)));
     let row = young.get(&id("a")).unwrap();
     assert!(
@@ -111,7 +111,7 @@
     assert!(row.parts.has(key(2), at_ms(50_000)));
     // Another life of the engine has another short name.
     let mut other = EndpointTable::default();
-    other.registered(engine("b"), TimeUs::ZERO);
-    other.take_over(&memory, at_ms(50_000));
+    other.apply_registration(engine("b"), TimeUs::ZERO);
+    other.adopt_engine_memory(&memory, at_ms(50_000));
     assert!(other.get(&id("b")).unwrap().parts.is_empty());
 }
--- a/crates/wisteriahitch-relay/tests/all/evacuated_zones.rs
+++ b/crates/wisteriahitch-relay/tests/all/evacuated_zones.rs
@@ -84,7 +84,7 @@
     for case in cases {
         let mut table = EndpointTable::default();
         for name in ["a", "b"] {
-            table.registered(
+            table.apply_registration(
                 Endpoint {
                     zone: format!("zone-{name}").parse().unwrap(),
                     ..engine(name)
@@ -98,7 +98,7 @@
         for part in &prompt.parts {
             row.parts.used(namer.key(part.id), part.tokens.get(), NOW);
         }
-        table.set_evacuated(zones(case.evacuated), NOW);
+        table.set_evacuated_zones(zones(case.evacuated), NOW);
         let setting = CallSetting::in_zone("zone-a");
         let request = setting.request(&prompt);
         let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -119,10 +119,10 @@
 #[test]
 fn a_call_that_was_placed_before_is_no_longer_admitted() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), NOW);
-    assert!(table.admits(&id("a"), CallPermits::default(), NOW));
-    table.set_evacuated(zones(&["a"]), NOW);
-    assert!(!table.admits(&id("a"), CallPermits::default(), NOW));
-    table.set_evacuated(zones(&[]), NOW);
-    assert!(table.admits(&id("a"), CallPermits::default(), NOW));
+    table.apply_registration(engine("a"), NOW);
+    assert!(table.try_admit(&id("a"), CallPermits::default(), NOW));
+    table.set_evacuated_zones(zones(&["a"]), NOW);
+    assert!(!table.try_admit(&id("a"), CallPermits::default(), NOW));
+    table.set_evacuated_zones(zones(&[]), NOW);
+    assert!(table.try_admit(&id("a"), CallPermits::default(), NOW));
 }
--- a/crates/wisteriahitch-relay/tests/all/fixture.rs
+++ b/crates/wisteriahitch-relay/tests/all/fixture.rs
@@ -122,7 +122,7 @@
         route("tag", 1, 400),
         route("long", 2, 800),
     ];
-    UrgencyLevels::of_routes(routes.iter())
+    UrgencyLevels::from_routes(routes.iter())
 }
 
 /// No versions yet; replaced ones are used for six seconds.
--- a/crates/wisteriahitch-relay/tests/all/leaving_lives.rs
+++ b/crates/wisteriahitch-relay/tests/all/leaving_instances.rs
@@ -3,7 +3,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    Absence, CallPermits, Endpoint, EndpointLife, EndpointTable, PartStores, Registration, place,
+    AbsenceCause, CallPermits, Endpoint, EndpointState, EndpointTable, PartStores, Registration,
+    place,
 };
 use wisteriahitch_types::{Code, EndpointInstance, EndpointStart, TimeUs};
 use wisteriahitch_wire::object_store::Revision;
@@ -21,7 +22,7 @@
     /// Its registration can't be read.
     Unreadable(u64),
     /// Its registration is gone.
-    Gone(Absence),
+    Gone(AbsenceCause),
     /// Time passes.
     Until(u64),
 }
@@ -44,28 +45,28 @@
 /// Returns the short name of the endpoint's first life, as other daemons know it.
 fn first_life() -> u32 {
     let mut table = EndpointTable::default();
-    table.registered(registration(1, 1), at_ms(0));
+    table.apply_registration(registration(1, 1), at_ms(0));
     table.get(&instance(1)).unwrap().short_name
 }
 
 fn learn(table: &mut EndpointTable, news: &News, now: &mut TimeUs) {
     match *news {
-        News::Said => drop(table.heard_leaving(first_life(), *now)),
+        News::Said => drop(table.record_leaving(first_life(), *now)),
         News::Ready(start, revision) => {
-            table.registered(registration(start, revision), *now);
+            table.apply_registration(registration(start, revision), *now);
         }
         News::Draining(revision) => {
             let endpoint = Endpoint {
                 is_draining: true,
                 ..registration(1, revision)
             };
-            table.registered(endpoint, *now);
+            table.apply_registration(endpoint, *now);
         }
         News::Unreadable(revision) => {
             let entry = Registration::Unreadable(id("a").id, Revision(revision));
-            table.registered(entry, *now);
+            table.apply_registration(entry, *now);
         }
-        News::Gone(absence) => drop(table.unregistered(&id("a").id, absence, *now)),
+        News::Gone(absence) => drop(table.apply_unregistration(&id("a").id, absence, *now)),
         News::Until(ms) => {
             *now = at_ms(ms);
             table.tick(*now);
@@ -82,60 +83,60 @@
         name: &'static str,
         news: Vec<News>,
         /// Life at the end; none where the endpoint isn't known.
-        life: Option<EndpointLife>,
+        state: Option<EndpointState>,
     }
     let cases = [
         Case {
             name: "its entry still says that it is ready",
             news: vec![Ready(1, 1), Said, Ready(1, 1), Ready(1, 9)],
-            life: Some(EndpointLife::Draining),
+            state: Some(EndpointState::Draining),
         },
         Case {
             name: "its entry lapses in an outage and comes back",
             news: vec![
                 Ready(1, 1),
                 Said,
-                Gone(Absence::MayHaveLapsed),
+                Gone(AbsenceCause::MayHaveLapsed),
                 Until(3_000),
                 Ready(1, 9),
             ],
-            life: Some(EndpointLife::Draining),
+            state: Some(EndpointState::Draining),
         },
         Case {
             name: "its entry can't be read for a while",
             news: vec![Ready(1, 1), Said, Unreadable(2), Ready(1, 9)],
-            life: Some(EndpointLife::Draining),
+            state: Some(EndpointState::Draining),
         },
         Case {
             name: "it says so before its entry is read",
             news: vec![Said, Ready(1, 1)],
-            life: Some(EndpointLife::Draining),
+            state: Some(EndpointState::Draining),
         },
         Case {
             name: "its entry says so too, and is gone",
-            news: vec![Ready(1, 1), Said, Draining(2), Gone(Absence::Left)],
-            life: None,
+            news: vec![Ready(1, 1), Said, Draining(2), Gone(AbsenceCause::Left)],
+            state: None,
         },
         Case {
             name: "it starts again",
             news: vec![Ready(1, 1), Said, Ready(2, 2)],
-            life: Some(EndpointLife::Ready),
+            state: Some(EndpointState::Ready),
         },
         Case {
             name: "late news of the life before",
             news: vec![Ready(1, 1), Ready(2, 2), Said],
-            life: Some(EndpointLife::Ready),
+            state: Some(EndpointState::Ready),
         },
         Case {
             name: "long after it has gone",
             news: vec![
                 Ready(1, 1),
                 Said,
-                Gone(Absence::Left),
+                Gone(AbsenceCause::Left),
                 Until(700_000),
                 Ready(1, 9),
             ],
-            life: Some(EndpointLife::Ready),
+            state: Some(EndpointState::Ready),
         },
     ];
     for case in cases {
@@ -144,8 +145,8 @@
         for news in case.news {
             learn(&mut table, &news, &mut now);
         }
-        let life = table.by_id(&id("a").id).map(|row| row.life);
-        assert_eq!(life, case.life, "{}", case.name);
+        let state = table.by_id(&id("a").id).map(|row| row.state);
+        assert_eq!(state, case.state, "{}", case.name);
     }
 }
 
@@ -154,12 +155,12 @@
 #[test]
 fn nothing_is_placed_or_sent_there_any_more() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), at_ms(0));
+    table.apply_registration(engine("a"), at_ms(0));
     let life = table.get(&id("a")).unwrap().short_name;
     let none = CallPermits::default();
-    assert!(table.admits(&id("a"), none, at_ms(0)));
-    table.heard_leaving(life, at_ms(1));
-    assert!(!table.admits(&id("a"), none, at_ms(1)));
+    assert!(table.try_admit(&id("a"), none, at_ms(0)));
+    table.record_leaving(life, at_ms(1));
+    assert!(!table.try_admit(&id("a"), none, at_ms(1)));
     let (setting, prompt) = (CallSetting::in_zone("a"), prompt(100, 100));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let request = setting.request(&prompt);
@@ -171,21 +172,21 @@
 #[test]
 fn what_is_told_on_ends() {
     let (mut first, mut second) = (EndpointTable::default(), EndpointTable::default());
-    first.heard_leaving(7, at_ms(0));
+    first.record_leaving(7, at_ms(0));
     for now_ms in (0..1_300_000).step_by(10_000) {
         let now = at_ms(now_ms);
         first.tick(now);
         second.tick(now);
         for life in first.leaving_updates(now) {
-            second.heard_leaving(life, now);
+            second.record_leaving(life, now);
         }
         for life in second.leaving_updates(now) {
-            first.heard_leaving(life, now);
+            first.record_leaving(life, now);
         }
     }
     assert!(first.leaving_updates(at_ms(1_300_000)).is_empty());
     assert!(
-        first.heard_leaving(7, at_ms(1_300_000)).0,
+        first.record_leaving(7, at_ms(1_300_000)).0,
         "it is forgotten"
     );
 }
@@ -195,7 +196,7 @@
 fn memory_of_lives_is_bounded() {
     let mut table = EndpointTable::default();
     for life in 0..10_000 {
-        table.heard_leaving(life, at_ms(u64::from(life)));
+        table.record_leaving(life, at_ms(u64::from(life)));
     }
     let told = table.leaving_updates(at_ms(10_000));
     assert_eq!(told.len(), 3_600);
@@ -206,7 +207,7 @@
 #[test]
 fn a_registered_leaving_is_not_told_as_said() {
     let mut table = EndpointTable::default();
-    table.registered(draining("a"), at_ms(0));
+    table.apply_registration(draining("a"), at_ms(0));
     assert!(table.leaving_updates(at_ms(0)).is_empty());
     assert_eq!(table.leaving_count(), 0);
 }
--- a/crates/wisteriahitch-relay/tests/all/main.rs
+++ b/crates/wisteriahitch-relay/tests/all/main.rs
@@ -13,7 +13,7 @@
 mod fixture;
 mod gossip_message;
 mod gossip_pace;
-mod leaving_lives;
+mod leaving_instances;
 mod link_paces;
 mod members;
 mod metrics;
--- a/crates/wisteriahitch-relay/tests/all/members.rs
+++ b/crates/wisteriahitch-relay/tests/all/members.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use wisteriahitch_relay::{
-    GossipMessage, Heard, HubCandidate, HubPlan, MemberPhase, MemberUpdate, PeerTable,
+    GossipMessage, HubCandidate, HubPlan, MemberPhase, MemberUpdate, PeerTable, ReceiveOutcome,
     RequestUpdate,
 };
 use wisteriahitch_types::{Incarnation, TimeUs};
@@ -46,9 +46,9 @@
 #[test]
 fn callers_are_sent_to_those_that_serve_and_are_heard() {
     let mut table = PeerTable::default();
-    table.heard(&message(1, 11, 1, MemberPhase::Ready), at_ms(0));
-    table.heard(&message(2, 12, 1, MemberPhase::Draining), at_ms(0));
-    table.heard(&message(3, 13, 1, MemberPhase::Starting), at_ms(0));
+    table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(0));
+    table.receive(&message(2, 12, 1, MemberPhase::Draining), at_ms(0));
+    table.receive(&message(3, 13, 1, MemberPhase::Starting), at_ms(0));
     let ready = |table: &PeerTable, ms| table.ready(at_ms(ms)).count();
     assert_eq!(ready(&table, 100), 1);
     assert_eq!(table.alive(at_ms(100)).count(), 3);
@@ -60,20 +60,20 @@
 #[test]
 fn a_late_message_changes_nothing() {
     let mut table = PeerTable::default();
-    table.heard(&message(1, 11, 2, MemberPhase::Draining), at_ms(0));
-    let heard = table.heard(&message(1, 11, 1, MemberPhase::Ready), at_ms(1));
-    assert_eq!(heard, Heard::Old);
+    table.receive(&message(1, 11, 2, MemberPhase::Draining), at_ms(0));
+    let heard = table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(1));
+    assert_eq!(heard, ReceiveOutcome::Stale);
     assert_eq!(table.ready(at_ms(2)).count(), 0);
     // A new life begins to count anew.
-    let heard = table.heard(&message(1, 21, 1, MemberPhase::Ready), at_ms(3));
-    assert_eq!(heard, Heard::Joined);
+    let heard = table.receive(&message(1, 21, 1, MemberPhase::Ready), at_ms(3));
+    assert_eq!(heard, ReceiveOutcome::Joined);
     assert_eq!(table.ready(at_ms(4)).count(), 1);
 }
 
 #[test]
 fn a_silent_daemon_is_told_once() {
     let mut table = PeerTable::default();
-    table.heard(&message(1, 11, 1, MemberPhase::Ready), at_ms(0));
+    table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(0));
     let fell_silent = table.tick(at_ms(0), at_ms(1_000));
     assert_eq!(fell_silent, [Incarnation::new(11)]);
     assert!(table.tick(at_ms(1_000), at_ms(1_100)).is_empty());
@@ -96,7 +96,7 @@
 
 #[test]
 fn in_a_small_fleet_everybody_is_a_hub() {
-    let plan = HubPlan::of(&fleet(9));
+    let plan = HubPlan::for_members(&fleet(9));
     assert!(plan.is_small);
     assert!(
         fleet(9)
@@ -108,7 +108,7 @@
 #[test]
 fn in_a_large_fleet_news_go_through_a_few() {
     let members = fleet(75);
-    let plan = HubPlan::of(&members);
+    let plan = HubPlan::for_members(&members);
     assert!(!plan.is_small);
     assert_eq!(plan.hubs.len(), 15, "the root of 25 in each of three zones");
     let followers = members
@@ -128,9 +128,9 @@
 #[test]
 fn a_hub_of_all_is_a_hub_of_every_part() {
     let members = fleet(75);
-    let whole = HubPlan::of(&members);
+    let whole = HubPlan::for_members(&members);
     for known in [14, 30, 60] {
-        let part = HubPlan::of(&members[..known]);
+        let part = HubPlan::for_members(&members[..known]);
         for member in &members[..known] {
             assert!(
                 !whole.is_hub(member.ip) || part.is_hub(member.ip),
@@ -155,7 +155,7 @@
         link_mbps: 10,
     };
     news.members = vec![told(1, MemberPhase::Ready), told(2, MemberPhase::Draining)];
-    table.heard(&news, at_ms(0));
+    table.receive(&news, at_ms(0));
     let entries = table.entries(at_ms(100));
     let ips: Vec<Ipv4Addr> = entries.iter().map(|entry| entry.ip).collect();
     assert_eq!(
@@ -173,9 +173,9 @@
     let mut table = PeerTable::default();
     for member in &members {
         let place = Some((member.zone.clone(), member.link_mbps));
-        table.know(member.ip, place, at_ms(0));
+        table.record_address(member.ip, place, at_ms(0));
     }
-    let plan = HubPlan::of(&members);
+    let plan = HubPlan::for_members(&members);
     for member in &members {
         let targets = table.targets(member, &plan, at_ms(10));
         match plan.is_hub(member.ip) {
@@ -261,9 +261,9 @@
     let ip = Ipv4Addr::new(10, 0, 0, 9);
     for case in cases {
         let mut table = PeerTable::default();
-        table.heard(&message(9, 19, 1, case.said), at_ms(0));
+        table.receive(&message(9, 19, 1, case.said), at_ms(0));
         for ms in (200..=case.told_until_ms).step_by(200) {
-            table.heard(&telling(ms, case.told), at_ms(ms));
+            table.receive(&telling(ms, case.told), at_ms(ms));
             table.tick(at_ms(ms - 200), at_ms(ms));
         }
         table.tick(at_ms(case.asked_at_ms - 1), at_ms(case.asked_at_ms));
@@ -271,11 +271,11 @@
         let entries = table.entries(now);
         let names_it = entries.iter().any(|entry| entry.ip == ip);
         assert_eq!(names_it, case.is_named, "{}", case.name);
-        let sees_it = table.sighting(me, true, now).alive.contains(&ip);
+        let sees_it = table.observe_members(me, true, now).alive.contains(&ip);
         assert_eq!(sees_it, case.is_named, "{}", case.name);
         if case.is_named {
             let tells_on = table
-                .recently_gossiped(now)
+                .recent_indirect_members(now)
                 .any(|(entry, _)| entry.ip == ip);
             assert!(tells_on, "{}", case.name);
             assert_eq!(table.count(now), 2, "{}", case.name);
