--- a/crates/wisteriahitch-relay/tests/all/named_limit.rs
+++ b/crates/wisteriahitch-relay/tests/all/named_limit.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
     Admission, CallPermits, EndpointTable, LimitCause, LimitUpdate, PartStores, PermitShares,
-    PlacementRequest, Sighting, place,
+    PlacementRequest, ViewObservation, place,
 };
 use wisteriahitch_types::{CallRate, Code, DurationUs, TimeUs};
 
@@ -16,7 +16,7 @@
 const ME: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 
 /// How long a limit holds that nobody hears of again.
-const LIFE: DurationUs = DurationUs::from_ms(60_000);
+const LIMIT_TTL: DurationUs = DurationUs::from_ms(60_000);
 
 /// Time at which a daemon has looked around for long enough.
 const START_MS: u64 = 5_000;
@@ -34,45 +34,45 @@
     /// A daemon that is alone and has looked around until the start.
     fn alone() -> Self {
         let mut daemon = Self {
-            table: EndpointTable::default().with_limit_life(LIFE),
+            table: EndpointTable::default().with_limit_ttl(LIMIT_TTL),
             shares: PermitShares::new(ME, at_ms(0)),
         };
-        daemon.table.registered(engine("a"), at_ms(0));
-        daemon.look_until(START_MS);
+        daemon.table.apply_registration(engine("a"), at_ms(0));
+        daemon.observe_until(START_MS);
         daemon
     }
 
-    fn look(&mut self, now: TimeUs) {
-        let sighting = Sighting {
+    fn observe(&mut self, now: TimeUs) {
+        let observation = ViewObservation {
             alive: BTreeSet::from([ME]),
             is_complete: true,
-            ..Sighting::default()
+            ..ViewObservation::default()
         };
-        self.shares.look(&sighting, now);
-        self.table.set_shares(&self.shares, now);
+        self.shares.observe(&observation, now);
+        self.table.set_permit_shares(&self.shares, now);
     }
 
-    fn look_until(&mut self, now_ms: u64) {
+    fn observe_until(&mut self, now_ms: u64) {
         let from_ms = now_ms.saturating_sub(START_MS);
         for ms in (from_ms..=now_ms).step_by(100) {
-            self.look(at_ms(ms));
+            self.observe(at_ms(ms));
         }
     }
 
-    fn hear(&mut self, per_s: Option<f64>, now_ms: u64) {
+    fn receive_answer(&mut self, per_s: Option<f64>, now_ms: u64) {
         let rate = per_s.and_then(rate);
-        self.table.heard_limit(&id("a"), rate, at_ms(now_ms));
-        self.look(at_ms(now_ms));
+        self.table.record_limit(&id("a"), rate, at_ms(now_ms));
+        self.observe(at_ms(now_ms));
     }
 
-    fn be_told(&mut self, per_s: Option<f64>, age_ms: u64, now_ms: u64) {
+    fn receive_update(&mut self, per_s: Option<f64>, age_ms: u64, now_ms: u64) {
         let update = LimitUpdate {
             endpoint: self.table.get(&id("a")).unwrap().short_name,
             rate: per_s.and_then(rate),
             age_ms,
         };
-        self.table.told_limit(&update, at_ms(now_ms));
-        self.look(at_ms(now_ms));
+        self.table.apply_limit_update(&update, at_ms(now_ms));
+        self.observe(at_ms(now_ms));
     }
 
     fn admission(&self, now_ms: u64) -> Admission {
@@ -92,8 +92,8 @@
             match self.admission(now_ms) {
                 Admission::Permit(permits) => {
                     let now = at_ms(now_ms);
-                    self.table.use_permits(&id("a"), permits, now);
-                    assert!(self.table.admits(&id("a"), permits, now));
+                    self.table.mark_permits_used(&id("a"), permits, now);
+                    assert!(self.table.try_admit(&id("a"), permits, now));
                     sent += 1;
                 }
                 Admission::Limited(LimitCause::Named, _) => return Some(sent),
@@ -152,13 +152,13 @@
     ];
     for case in cases {
         let mut daemon = Daemon::alone();
-        daemon.hear(Some(case.per_s), START_MS);
+        daemon.receive_answer(Some(case.per_s), START_MS);
         assert_eq!(daemon.send_all(START_MS), case.sent, "{}", case.per_s);
         let again_ms = START_MS + case.again_after_ms;
         if case.sent.is_some() {
-            daemon.look_until(again_ms - 1);
+            daemon.observe_until(again_ms - 1);
             assert_eq!(daemon.send_all(again_ms - 1), Some(0), "{}", case.per_s);
-            daemon.look(at_ms(again_ms));
+            daemon.observe(at_ms(again_ms));
             assert!(daemon.send_all(again_ms) > Some(0), "{}", case.per_s);
         }
     }
@@ -231,8 +231,8 @@
         let mut daemon = Daemon::alone();
         for (now_ms, per_s, age_ms) in case.words {
             match age_ms {
-                None => daemon.hear(*per_s, *now_ms),
-                Some(age_ms) => daemon.be_told(*per_s, *age_ms, *now_ms),
+                None => daemon.receive_answer(*per_s, *now_ms),
+                Some(age_ms) => daemon.receive_update(*per_s, *age_ms, *now_ms),
             }
         }
         assert_eq!(daemon.named(), case.named, "{}", case.name);
@@ -245,10 +245,10 @@
 #[test]
 fn a_limit_that_nobody_hears_of_ends() {
     let mut daemon = Daemon::alone();
-    daemon.hear(Some(2.1), START_MS);
-    daemon.look_until(64_999);
+    daemon.receive_answer(Some(2.1), START_MS);
+    daemon.observe_until(64_999);
     assert_eq!(daemon.send_all(64_999), Some(8));
-    daemon.look(at_ms(65_000));
+    daemon.observe(at_ms(65_000));
     assert_eq!(daemon.admission(65_000), Admission::Open);
     assert!(daemon.table.limit_updates(at_ms(65_000)).is_empty());
 }
@@ -258,10 +258,10 @@
 fn others_are_told_of_a_limit_and_of_its_end() {
     let mut daemon = Daemon::alone();
     assert!(daemon.table.limit_updates(at_ms(START_MS)).is_empty());
-    daemon.hear(Some(2.1), START_MS);
+    daemon.receive_answer(Some(2.1), START_MS);
     let told = daemon.table.limit_updates(at_ms(6_000));
     assert_eq!((told[0].rate, told[0].age_ms), (rate(2.1), 1_000));
-    daemon.hear(None, 7_000);
+    daemon.receive_answer(None, 7_000);
     let told = daemon.table.limit_updates(at_ms(11_900));
     assert_eq!((told[0].rate, told[0].age_ms), (None, 4_900));
     assert!(daemon.table.limit_updates(at_ms(12_000)).is_empty());
@@ -271,10 +271,10 @@
 #[test]
 fn what_was_placed_before_needs_a_permit() {
     let mut daemon = Daemon::alone();
-    daemon.hear(Some(0.3), START_MS);
+    daemon.receive_answer(Some(0.3), START_MS);
     let mut admits = || {
         let none = CallPermits::default();
-        daemon.table.admits(&id("a"), none, at_ms(START_MS))
+        daemon.table.try_admit(&id("a"), none, at_ms(START_MS))
     };
     assert!(admits());
     assert!(!admits());
@@ -284,9 +284,9 @@
 #[test]
 fn a_suspended_daemon_uses_no_permit() {
     let mut daemon = Daemon::alone();
-    daemon.hear(Some(2.1), START_MS);
+    daemon.receive_answer(Some(2.1), START_MS);
     assert_eq!(daemon.send_all(START_MS + 800), Some(0));
-    daemon.look(at_ms(START_MS + 800));
+    daemon.observe(at_ms(START_MS + 800));
     assert_eq!(daemon.send_all(START_MS + 800), Some(0));
 }
 
@@ -294,7 +294,7 @@
 #[test]
 fn callers_are_refused_until_a_permit_is_free() {
     let mut daemon = Daemon::alone();
-    daemon.hear(Some(2.1), START_MS);
+    daemon.receive_answer(Some(2.1), START_MS);
     assert_eq!(daemon.send_all(START_MS), Some(8));
     let (setting, prompt) = (CallSetting::in_zone("a"), prompt(100, 100));
     let request = PlacementRequest {
@@ -305,15 +305,15 @@
     let stores = PartStores::default();
     let mut try_at =
         |now: TimeUs, daemon: &Daemon| place(&daemon.table, &stores, &request, now, &mut rng);
-    daemon.look(at_ms(5_400));
+    daemon.observe(at_ms(5_400));
     let refused = try_at(at_ms(5_400), &daemon).unwrap_err();
     assert_eq!(refused.code, Code::EndpointsLimited);
     let wait = refused.retry_after_us.unwrap();
     let (least, spread) = (ms(3_620), ms(800));
     assert!(wait >= least && wait <= least + spread, "{wait}");
-    daemon.look_until(9_020);
+    daemon.observe_until(9_020);
     let now = at_ms(5_400) + wait;
-    daemon.look(now);
+    daemon.observe(now);
     assert!(!try_at(now, &daemon).unwrap().permits.is_empty());
 }
 
@@ -321,8 +321,10 @@
 #[test]
 fn others_are_chosen_first() {
     let mut daemon = Daemon::alone();
-    daemon.table.registered(engine("b"), at_ms(START_MS));
-    daemon.hear(Some(0.0), START_MS);
+    daemon
+        .table
+        .apply_registration(engine("b"), at_ms(START_MS));
+    daemon.receive_answer(Some(0.0), START_MS);
     assert_eq!(daemon.send_all(START_MS), Some(1));
     let (setting, prompt) = (CallSetting::in_zone("a"), prompt(100, 100));
     let request = setting.request(&prompt);
--- a/crates/wisteriahitch-relay/tests/all/outlier.rs
+++ b/crates/wisteriahitch-relay/tests/all/outlier.rs
@@ -1,6 +1,6 @@
 //! Ejection of endpoints that fail.
 
-use wisteriahitch_relay::{Outlier, OutlierOptions};
+use wisteriahitch_relay::{OutlierDetector, OutlierOptions};
 
 use crate::fixture::at_ms;
 
@@ -38,11 +38,11 @@
     ];
     let options = OutlierOptions::default();
     for case in cases {
-        let mut outlier = Outlier::default();
+        let mut outlier = OutlierDetector::default();
         for good in case.outcomes {
             match good {
-                true => outlier.succeeded(&options),
-                false => outlier.failed(&options, at_ms(0)),
+                true => outlier.record_success(&options),
+                false => outlier.record_failure(&options, at_ms(0)),
             };
         }
         assert_eq!(outlier.is_ejected(at_ms(1)), case.ejected, "{}", case.what);
@@ -52,26 +52,26 @@
 #[test]
 fn one_request_at_a_time_probes_and_readmits() {
     let options = OutlierOptions::default();
-    let mut outlier = Outlier::default();
+    let mut outlier = OutlierDetector::default();
     outlier.eject(&options, at_ms(0));
     assert!(outlier.is_ejected(at_ms(999)));
     assert!(
         !outlier.is_ejected(at_ms(1_001)),
         "the next request may try it"
     );
-    outlier.sent(at_ms(1_001));
+    outlier.record_sent(at_ms(1_001));
     assert!(
         outlier.is_ejected(at_ms(1_002)),
         "and no other one meanwhile"
     );
-    assert!(outlier.succeeded(&options));
+    assert!(outlier.record_success(&options));
     assert!(!outlier.is_ejected(at_ms(1_003)));
 }
 
 #[test]
 fn a_failed_probe_ejects_for_longer_up_to_a_bound() {
     let options = OutlierOptions::default();
-    let mut outlier = Outlier::default();
+    let mut outlier = OutlierDetector::default();
     let mut now = 0;
     for span_ms in [1_000, 2_000, 4_000, 4_000] {
         outlier.eject(&options, at_ms(now));
--- a/crates/wisteriahitch-relay/tests/all/overload.rs
+++ b/crates/wisteriahitch-relay/tests/all/overload.rs
@@ -43,7 +43,7 @@
         },
     ];
     for case in cases {
-        let bound = levels().longest_queue(&service(), case.priority, ms(case.target_ms));
+        let bound = levels().max_queue(&service(), case.priority, ms(case.target_ms));
         let expected = ms(case.expected_ms);
         let difference = bound.get().abs_diff(expected.get());
         assert!(difference < 1_000, "priority {}: {bound}", case.priority);
@@ -52,6 +52,6 @@
 
 #[test]
 fn a_service_without_routes_is_bound_by_the_target_alone() {
-    let bound = levels().longest_queue(&"other".parse().unwrap(), 5, ms(300));
+    let bound = levels().max_queue(&"other".parse().unwrap(), 5, ms(300));
     assert_eq!(bound, DurationUs::from_ms(300));
 }
--- a/crates/wisteriahitch-relay/tests/all/part_sources.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_sources.rs
@@ -28,11 +28,11 @@
     /// Engine `a` gets the call; the others are full.
     fn new(others: &[&str]) -> Self {
         let mut table = EndpointTable::default();
-        table.registered(engine("a"), NOW);
+        table.apply_registration(engine("a"), NOW);
         for name in others {
-            table.registered(engine(name), NOW);
+            table.apply_registration(engine(name), NOW);
             let row = table.get_mut(&id(name)).unwrap();
-            row.own.add(Load {
+            row.own_load.add(Load {
                 unread_tokens: 500_000,
                 ..Load::default()
             });
@@ -160,7 +160,7 @@
             what: "an engine that is about to leave",
             change: |site| {
                 site.keep("b", "w1");
-                site.table.registered(draining("b"), NOW);
+                site.table.apply_registration(draining("b"), NOW);
             },
             expected: None,
         },
--- a/crates/wisteriahitch-relay/tests/all/parts.rs
+++ b/crates/wisteriahitch-relay/tests/all/parts.rs
@@ -57,9 +57,9 @@
     ];
     for case in cases {
         let (mut table, now) = (EndpointTable::default(), at_ms(60_000));
-        table.registered(engine("a"), TimeUs::ZERO);
+        table.apply_registration(engine("a"), TimeUs::ZERO);
         let row = table.get_mut(&id("a")).unwrap();
-        row.own.add(Load {
+        row.own_load.add(Load {
             memory_tokens: case.running_tokens,
             ..Load::default()
         });
@@ -74,7 +74,7 @@
 #[test]
 fn a_use_is_news_once_a_second() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     let row = table.get_mut(&id("a")).unwrap();
     let key = PartNamer::new(&model(), "w1").key(1);
     let told: Vec<bool> = [0, 400, 800, 1_900]
--- a/crates/wisteriahitch-relay/tests/all/permit_shares.rs
+++ b/crates/wisteriahitch-relay/tests/all/permit_shares.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-use wisteriahitch_relay::{MinorityShare, PermitShares, RateBound, RateLimit, Sighting};
+use wisteriahitch_relay::{MinorityShare, PermitShares, RateBound, RateLimit, ViewObservation};
 use wisteriahitch_types::{DurationUs, EndpointId, TimeUs};
 
 use crate::fixture::{at_ms, ms};
@@ -157,13 +157,13 @@
             let is_due = at_ms(now_ms).since(member.looked_at) >= ms(LOOK_MS);
             if is_due || now_ms % LOOK_MS == (me as u64 * 50) % LOOK_MS {
                 member.looked_at = at_ms(now_ms);
-                let sighting = Sighting {
+                let observation = ViewObservation {
                     alive,
                     registered,
                     leaving: BTreeSet::new(),
                     is_complete: true,
                 };
-                member.shares.look(&sighting, at_ms(now_ms));
+                member.shares.observe(&observation, at_ms(now_ms));
             }
         }
     }
@@ -417,7 +417,7 @@
     ];
     for case in cases {
         let mut shares = PermitShares::new(ip(0), at_ms(0));
-        let sighting = Sighting {
+        let observation = ViewObservation {
             alive: BTreeSet::from([ip(0)]),
             registered: (0..case.registered).map(ip).collect(),
             leaving: BTreeSet::new(),
@@ -430,7 +430,7 @@
                     .now,
                 0
             );
-            shares.look(&sighting, at_ms(now_ms));
+            shares.observe(&observation, at_ms(now_ms));
         }
         let share = shares
             .share(&endpoint(0), PERMITS, MinorityShare::Nothing, at_ms(3_600))
@@ -443,17 +443,17 @@
 #[test]
 fn who_has_said_that_it_leaves_no_longer_counts() {
     let mut shares = PermitShares::new(ip(0), at_ms(0));
-    let of = |alive: usize, leaving: &[usize]| Sighting {
+    let of = |alive: usize, leaving: &[usize]| ViewObservation {
         alive: (0..alive).map(ip).collect(),
         registered: BTreeSet::new(),
         leaving: leaving.iter().map(|number| ip(*number)).collect(),
         is_complete: true,
     };
     for now_ms in (0..5_000).step_by(100) {
-        shares.look(&of(4, &[]), at_ms(now_ms));
+        shares.observe(&of(4, &[]), at_ms(now_ms));
     }
     for now_ms in (5_000..9_000).step_by(100) {
-        shares.look(&of(1, &[1, 2, 3]), at_ms(now_ms));
+        shares.observe(&of(1, &[1, 2, 3]), at_ms(now_ms));
     }
     assert_eq!(
         shares
@@ -507,7 +507,7 @@
         },
     ];
     for case in cases {
-        let sighting = Sighting {
+        let observation = ViewObservation {
             alive: (0..case.alive).map(ip).collect(),
             registered: (0..case.known).map(ip).collect(),
             leaving: BTreeSet::new(),
@@ -516,7 +516,7 @@
         let share = |number: usize| {
             let mut shares = PermitShares::new(ip(number), at_ms(0));
             for now_ms in (0..4_000).step_by(100) {
-                shares.look(&sighting, at_ms(now_ms));
+                shares.observe(&observation, at_ms(now_ms));
             }
             shares
                 .share(&endpoint(0), PERMITS, case.rule, at_ms(3_900))
--- a/crates/wisteriahitch-relay/tests/all/placement.rs
+++ b/crates/wisteriahitch-relay/tests/all/placement.rs
@@ -30,7 +30,7 @@
     fn new(names: &[&str]) -> Self {
         let mut table = EndpointTable::default();
         for name in names {
-            table.registered(engine(name), NOW);
+            table.apply_registration(engine(name), NOW);
         }
         Self {
             table,
@@ -47,7 +47,7 @@
 
     fn load(&mut self, name: &str, unread_tokens: u64) {
         let row = self.table.get_mut(&id(name)).unwrap();
-        row.own.add(Load {
+        row.own_load.add(Load {
             running: 1,
             unread_tokens,
             memory_tokens: unread_tokens,
@@ -161,7 +161,7 @@
         Case {
             what: "not the one that is about to leave",
             change: |site| {
-                site.table.registered(draining("a"), NOW);
+                site.table.apply_registration(draining("a"), NOW);
             },
             expected: "b",
         },
@@ -175,8 +175,8 @@
             change: |site| {
                 let options = site.table.outlier_options;
                 let row = site.table.get_mut(&id("a")).unwrap();
-                row.outlier.failed(&options, NOW);
-                row.outlier.failed(&options, NOW);
+                row.outlier.record_failure(&options, NOW);
+                row.outlier.record_failure(&options, NOW);
             },
             expected: "b",
         },
@@ -218,7 +218,7 @@
     site.wall = Some("dispatch".parse().unwrap());
     assert_eq!(scope(&site).as_deref(), Some("w1.dispatch"));
     site.table
-        .saw_weights(&id("a"), &model(), WeightNumber::new(2));
+        .record_weights(&id("a"), &model(), WeightNumber::new(2));
     assert_eq!(scope(&site).as_deref(), Some("w2.dispatch"));
     site.wall = None;
     assert_eq!(scope(&site).as_deref(), Some("w2"));
@@ -239,7 +239,7 @@
             what: "old weights are as good as new ones at first",
             change: |site| {
                 site.table
-                    .saw_weights(&id("b"), &model(), WeightNumber::new(2));
+                    .record_weights(&id("b"), &model(), WeightNumber::new(2));
                 site.wanted.named(WeightNumber::new(2), at_ms(49_800));
                 site.load("b", 3_000);
             },
@@ -250,7 +250,7 @@
             what: "later new ones go first",
             change: |site| {
                 site.table
-                    .saw_weights(&id("b"), &model(), WeightNumber::new(2));
+                    .record_weights(&id("b"), &model(), WeightNumber::new(2));
                 site.wanted.named(WeightNumber::new(2), at_ms(48_000));
                 site.load("b", 3_000);
             },
@@ -278,7 +278,7 @@
             what: "a stream goes on with the weights that it began on",
             change: |site| {
                 site.table
-                    .saw_weights(&id("b"), &model(), WeightNumber::new(2));
+                    .record_weights(&id("b"), &model(), WeightNumber::new(2));
                 site.required = Some(WeightNumber::new(1));
                 site.load("a", 30_000);
             },
@@ -369,7 +369,7 @@
     site.required = None;
     let mut newer = engine("b");
     newer.weights.insert(model(), WeightNumber::new(2));
-    site.table.registered(newer, NOW);
+    site.table.apply_registration(newer, NOW);
     site.load("b", 20_000);
     assert_eq!(
         site.chosen(&prompt(100, 100)),
@@ -454,7 +454,7 @@
 fn an_endpoint_without_a_free_slot_costs_the_wait_for_one() {
     let mut site = Site::new(&["a", "b"]);
     let row = site.table.get_mut(&id("a")).unwrap();
-    row.own.running = 80;
+    row.own_load.running = 80;
     row.endpoint.slots = 64;
     assert_eq!(site.chosen(&prompt(100, 100)), "b");
     let row = site.table.get_mut(&id("b")).unwrap();
@@ -463,7 +463,7 @@
         waiting: 60,
         slots: 64,
     };
-    row.told = Some((report, NOW));
+    row.reported_load = Some((report, NOW));
     assert_eq!(
         site.chosen(&prompt(100, 100)),
         "a",
--- a/crates/wisteriahitch-relay/tests/all/rest.rs
+++ b/crates/wisteriahitch-relay/tests/all/rest.rs
@@ -14,7 +14,7 @@
 fn table_of(names: &[&str]) -> EndpointTable {
     let mut table = EndpointTable::default();
     for name in names {
-        table.registered(engine(name), at_ms(0));
+        table.apply_registration(engine(name), at_ms(0));
     }
     table
 }
@@ -80,7 +80,7 @@
     for case in cases {
         let mut table = table_of(&["a"]);
         for (at, rest) in &case.asked {
-            table.heard_rest(&id("a"), *rest, at_ms(*at));
+            table.record_rest(&id("a"), *rest, at_ms(*at));
         }
         let last = case.asked.last().map_or(0, |(at, _)| *at);
         let expected = match case.until_ms {
@@ -108,10 +108,10 @@
 fn what_was_placed_before_is_not_sent() {
     let mut table = table_of(&["a"]);
     let none = CallPermits::default();
-    assert!(table.admits(&id("a"), none, at_ms(0)));
-    table.heard_rest(&id("a"), ms(3_000), at_ms(0));
-    assert!(!table.admits(&id("a"), none, at_ms(2_999)));
-    assert!(table.admits(&id("a"), none, at_ms(3_000)));
+    assert!(table.try_admit(&id("a"), none, at_ms(0)));
+    table.record_rest(&id("a"), ms(3_000), at_ms(0));
+    assert!(!table.try_admit(&id("a"), none, at_ms(2_999)));
+    assert!(table.try_admit(&id("a"), none, at_ms(3_000)));
 }
 
 /// Guards against callers that are turned away by resting endpoints, or refused, while others have room; and where all
@@ -147,7 +147,7 @@
         let resting = &ENGINES[..case.resting];
         for (number, name) in resting.iter().enumerate() {
             let rest = ms(3_000 + 100 * number as u64);
-            table.heard_rest(&id(name), rest, at_ms(0));
+            table.record_rest(&id(name), rest, at_ms(0));
         }
         let (setting, prompt) = (CallSetting::in_zone("a"), prompt(100, 100));
         let request = PlacementRequest {
@@ -182,11 +182,11 @@
 #[test]
 fn it_is_known_when_a_service_takes_calls_again() {
     let mut table = table_of(&["a", "b"]);
-    let at = |table: &EndpointTable, now| table.takes_calls_at(&service(), at_ms(now));
+    let at = |table: &EndpointTable, now| table.next_admission_at(&service(), at_ms(now));
     assert_eq!(at(&table, 0), Some(at_ms(0)));
-    table.heard_rest(&id("a"), ms(3_000), at_ms(0));
+    table.record_rest(&id("a"), ms(3_000), at_ms(0));
     assert_eq!(at(&table, 0), Some(at_ms(0)));
-    table.heard_rest(&id("b"), ms(2_000), at_ms(0));
+    table.record_rest(&id("b"), ms(2_000), at_ms(0));
     assert_eq!(at(&table, 0), Some(at_ms(2_000)));
     assert_eq!(at(&table, 2_500), Some(at_ms(2_500)));
     assert_eq!(at(&EndpointTable::default(), 0), None);
--- a/crates/wisteriahitch-relay/tests/all/staleness.rs
+++ b/crates/wisteriahitch-relay/tests/all/staleness.rs
@@ -214,7 +214,7 @@
     ];
     let mut delay = MessageDelay::default();
     for case in cases {
-        let held_up = delay.received(at_ms(case.sent_ms), at_ms(case.received_ms));
+        let held_up = delay.record(at_ms(case.sent_ms), at_ms(case.received_ms));
         assert_eq!(held_up, case.held_up, "{}", case.what);
     }
 }
@@ -229,12 +229,12 @@
         for last in 1..=8 {
             let mut message = message(last, u64::from(last), 1, MemberPhase::Ready);
             change(&mut message);
-            table.heard(&message, at_ms(0));
+            table.receive(&message, at_ms(0));
         }
         table
     };
     let place = |table: &PeerTable, follows, now_ms| {
-        table.place_in_turn("endpoints", ME, follows, at_ms(now_ms))
+        table.confirmation_rank("endpoints", ME, follows, at_ms(now_ms))
     };
     let all = change(|_| ());
     assert!(place(&all, true, 100) <= 8);
--- a/crates/wisteriahitch-relay/tests/all/suspicion.rs
+++ b/crates/wisteriahitch-relay/tests/all/suspicion.rs
@@ -58,16 +58,21 @@
     ];
     for case in cases {
         let mut table = EndpointTable::default();
-        table.registered(engine("a"), TimeUs::ZERO);
-        table.registered(engine("b"), TimeUs::ZERO);
+        table.apply_registration(engine("a"), TimeUs::ZERO);
+        table.apply_registration(engine("b"), TimeUs::ZERO);
         let short_name = table.get(&id("a")).unwrap().short_name;
         if case.own {
-            table.unreachable(&id("a"), at_ms(0));
+            table.record_connect_failure(&id("a"), at_ms(0));
         }
         for (peer, is_verdict) in case.peers {
             let peer = Incarnation::new(*peer);
-            table.peer_load(peer, [].into(), at_ms(0));
-            table.peer_unreachable(peer, HashSet::from([short_name]), *is_verdict, at_ms(0));
+            table.apply_peer_load(peer, [].into(), at_ms(0));
+            table.apply_peer_connect_failures(
+                peer,
+                HashSet::from([short_name]),
+                *is_verdict,
+                at_ms(0),
+            );
         }
         let suspected = |name, at| table.get(&id(name)).unwrap().suspected_until_us > at;
         assert_eq!(
