--- a/crates/wisteriahitch-relay/src/decide/cold_limit.rs
+++ b/crates/wisteriahitch-relay/src/decide/cold_limit.rs
@@ -1,52 +1,55 @@
-//! Until when an endpoint bears few calls after its start.
+//! Until when an endpoint counts as cold, that is, takes only few calls after its start.
 //!
-//! A cold endpoint crashes at a rate well above the one that its service states. Permits bound what it gets
-//! ([`super::rate_limit`]). `docs/design/cold-endpoints.md` gives the reasons.
+//! A cold endpoint crashes at a call rate well above the one that its service states, so permits
+//! bound the calls that it gets ([`super::rate_limit`]). `docs/design/cold-endpoints.md` gives the
+//! reasons.
 
 use wisteriahitch_types::{EndpointStart, TimeUs};
 
 use super::rate_limit::{RateLimit, ReservedPermits};
 
-/// What one daemon knows and uses of one endpoint's coldness.
+/// Cold period of one endpoint, and the permits that this daemon uses during it.
 #[derive(Clone, Debug, Default)]
 pub struct ColdState {
-    /// Until when it is cold.
+    /// End of the cold period.
     pub until_us: TimeUs,
-    /// Until when it is taken to be cold, whatever it says.
+    /// Earliest end of the cold period, whatever the endpoint reports.
     assumed_until_us: TimeUs,
-    /// Start of the process that answered last, where it isn't the registered one or tells none.
+    /// Start of the process that answered last, if it differs from the registered start.
+    /// `Some(None)` means that the process reported no start.
     unregistered_start: Option<Option<EndpointStart>>,
     /// Permits that this daemon holds.
     pub permits: ReservedPermits,
 }
 
 impl ColdState {
-    /// Starts with an endpoint that is cold until a time.
-    pub(super) fn until(until_us: TimeUs) -> Self {
+    /// Creates the state of an endpoint that is cold until `until_us`.
+    pub(super) fn cold_until(until_us: TimeUs) -> Self {
         Self {
             until_us,
             ..Self::default()
         }
     }
 
-    /// Returns whether it is cold.
+    /// Returns whether the endpoint is cold.
     pub fn is_cold(&self, now: TimeUs) -> bool {
         self.until_us > now
     }
 
-    /// Takes over what it says itself.
+    /// Applies the end of the cold period that the endpoint reports.
     pub(super) fn set_reported_until(&mut self, until_us: TimeUs) {
         self.until_us = until_us.max(self.assumed_until_us);
     }
 
-    /// Takes it for cold until a time at least.
+    /// Keeps the endpoint cold until `until_us` at least, whatever it reports.
     pub(super) fn extend_until(&mut self, until_us: TimeUs) {
         self.assumed_until_us = self.assumed_until_us.max(until_us);
         self.until_us = self.until_us.max(until_us);
     }
 
-    /// Notes the start of the process that answers there now, and returns whether it isn't known to be the one that
-    /// answered before.
+    /// Records the start of the process that answers at the endpoint's address. Returns whether it
+    /// may be another process than the one that answered before; a process that reports no start
+    /// always may.
     pub(super) fn record_seen_start(
         &mut self,
         registered: Option<EndpointStart>,
@@ -57,8 +60,8 @@
         seen.is_none() || seen != known
     }
 
-    /// Makes a change that may turn it cold. Where it does, calls were sent to it without permits, and all permits count
-    /// as just used.
+    /// Makes a change that may start a cold period. If it does, earlier calls were sent without
+    /// permits, so all permits count as just used.
     pub(super) fn apply_change(
         &mut self,
         limit: Option<&RateLimit>,
--- a/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
@@ -1,5 +1,5 @@
-//! Whether an endpoint may get a call now: evacuated zones, endpoints right after their start, endpoints that name a limit,
-//! and endpoints that have asked for rest.
+//! Whether an endpoint may get a call now. Bounded are endpoints in evacuated zones, endpoints
+//! right after their start, endpoints that name a limit, and endpoints that have asked for rest.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -15,23 +15,24 @@
 };
 use super::rate_limit::{RateLimit, ReservedPermits};
 
-/// What cold endpoints of a service bear.
+/// Limit on the calls to each cold endpoint of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServiceColdLimit {
-    /// Permits of each.
+    /// Permits of each cold endpoint.
     pub limit: RateLimit,
-    /// How long one is cold after its start.
+    /// How long an endpoint is cold after its start.
     pub cold_period_us: DurationUs,
 }
 
-/// How fresh the shares of permits are.
+/// When the permit shares were last updated, and from when the shares of the newest view of the
+/// members may be used.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShareTimes {
     updated_at_us: TimeUs,
     usable_at_us: Option<TimeUs>,
 }
 
-/// Says what an endpoint's permits are given out for.
+/// Which bound a permit belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum PermitSource {
     Cold,
@@ -47,18 +48,18 @@
     }
 }
 
-/// Says why an endpoint gets no call for a while.
+/// Why an endpoint gets no call for a while.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitCause {
-    /// It has just started.
+    /// The endpoint has just started.
     Cold,
-    /// It names a limit itself.
+    /// The endpoint names a limit itself.
     Named,
-    /// It has turned a call of this daemon away and asked for rest.
+    /// The endpoint has turned away a call of this daemon and asked for rest.
     Resting,
 }
 
-/// The permits under which an endpoint gets one call, one for each cause that bounds it.
+/// Permits under which an endpoint gets one call: one for each bound that applies to it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CallPermits {
     cold: Option<usize>,
@@ -66,7 +67,7 @@
 }
 
 impl CallPermits {
-    /// Returns whether no permit is needed.
+    /// Returns whether the call needs no permit.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
@@ -86,25 +87,25 @@
     }
 }
 
-/// One bound that an endpoint is under.
+/// A bound that applies to an endpoint now.
 struct CallBound<'a> {
     source: PermitSource,
     limit: &'a RateLimit,
     reserved: &'a ReservedPermits,
-    /// When it ends by itself.
+    /// When the bound ends by itself; [`TimeUs::MAX`] if it doesn't.
     ends_at_us: TimeUs,
 }
 
-/// Says whether an endpoint may get a call.
+/// Whether an endpoint may get a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may.
+    /// The endpoint may get a call.
     Open,
-    /// Its calls are bounded, and it may get one under these permits.
+    /// The endpoint's calls are bounded, and it may get one under these permits.
     Permit(CallPermits),
-    /// It may get none before this time.
+    /// The endpoint may get no call before this time.
     Limited(LimitCause, TimeUs),
-    /// Its zone is evacuated.
+    /// The endpoint's zone is evacuated.
     Evacuated,
 }
 
@@ -116,10 +117,10 @@
 }
 
 impl EndpointTable {
-    /// Takes over which zones are evacuated, and returns what has changed.
+    /// Replaces the set of evacuated zones, and returns what has changed.
     ///
-    /// Endpoints of a zone that may be used again count as cold from then on: operators restart them meanwhile, and
-    /// what they registered last may be older than that.
+    /// Endpoints of a zone that is no longer evacuated count as cold from then on: operators
+    /// restart them during an evacuation, and the last registration may be older than the restart.
     pub fn set_evacuated_zones(
         &mut self,
         zones: BTreeSet<AvailabilityZone>,
@@ -146,19 +147,21 @@
         }
     }
 
-    /// Returns whether a connection to an endpoint must first say which process is at its other end.
+    /// Returns whether a connection to an endpoint must first ask which process answers there.
     ///
-    /// One that has started again under its id is cold, and its registration may take seconds or, without the store,
-    /// minutes to be read. Where no start is told, an id names one process; where no limit is stated, it doesn't matter.
-    /// Engines alone are asked: who has no weights may have no report, and would get no call at all.
+    /// An endpoint that has restarted under its id is cold, and reading its new registration may
+    /// take seconds, or minutes while the store is down. The check isn't needed where endpoints
+    /// report no start, since an id names one process there, nor where the service has no limit for
+    /// cold endpoints. Only engines are asked: an endpoint without weights may have no report, and
+    /// would get no call at all.
     pub fn must_verify_start(&self, instance: &EndpointInstance) -> bool {
         let row = self.get(instance).filter(|_| instance.start.is_some());
         let row = row.filter(|row| !row.endpoint.weights.is_empty());
         row.is_some_and(|row| self.cold_limits.contains_key(&row.endpoint.service))
     }
 
-    /// Notes which start a process has told on a connection to an endpoint, and returns whether the endpoint counts as
-    /// cold since.
+    /// Records the start that a process reports on a connection to an endpoint. Returns whether
+    /// this starts a cold period.
     pub fn record_seen_start(
         &mut self,
         instance: &EndpointInstance,
@@ -181,12 +184,13 @@
         is_new
     }
 
-    /// Takes over what cold endpoints of each service bear.
+    /// Replaces the limits of cold endpoints by service.
     pub fn set_cold_limits(&mut self, limits: HashMap<ServiceName, ServiceColdLimit>) {
         self.cold_limits = limits;
     }
 
-    /// Takes over how many permits of each bounded endpoint this daemon holds. To be called several times a second.
+    /// Updates how many permits of each bounded endpoint this daemon may use. Must be called
+    /// several times a second.
     pub fn set_permit_shares(&mut self, shares: &PermitShares, now: TimeUs) {
         self.shares = Some(ShareTimes {
             updated_at_us: now,
@@ -199,7 +203,8 @@
                 true => self.cold_limits.get(&row.endpoint.service),
                 false => None,
             };
-            // Whoever holds permits when the bound begins again is found out anew.
+            // The share is computed anew whenever a cold period begins, since the holders of the
+            // permits may have changed since the last one.
             row.cold.permits.share = cold.map_or(PermitShare::default(), |cold| {
                 share(&cold.limit, MinorityShare::Nothing)
             });
@@ -211,13 +216,14 @@
         }
     }
 
-    /// Returns how many endpoints are cold, for the metrics.
+    /// Returns how many endpoints are cold and bounded, for the metrics.
     pub fn cold_count(&self, now: TimeUs) -> usize {
         let is_cold = |row: &&EndpointRow| self.cold_limit(row, now).is_some();
         self.rows.values().filter(is_cold).count()
     }
 
-    /// Returns the limit that an endpoint is under; none where it isn't cold or the deployment has no bound.
+    /// Returns the limit of a cold endpoint; `None` if the endpoint isn't cold or the deployment
+    /// sets no bound.
     fn cold_limit(&self, row: &EndpointRow, now: TimeUs) -> Option<&RateLimit> {
         if !row.cold.is_cold(now) {
             return None;
@@ -226,7 +232,7 @@
         Some(&cold.limit)
     }
 
-    /// Lists the bounds that an endpoint is under now.
+    /// Lists the bounds that apply to an endpoint now.
     fn bounds<'a>(
         &'a self,
         row: &'a EndpointRow,
@@ -249,7 +255,7 @@
         cold.into_iter().chain(named)
     }
 
-    /// Says whether an endpoint may get a call now.
+    /// Returns whether an endpoint may get a call now.
     pub fn admission(&self, row: &EndpointRow, now: TimeUs) -> Admission {
         if self.is_evacuated(row) {
             return Admission::Evacuated;
@@ -279,7 +285,8 @@
         }
     }
 
-    /// Returns when an endpoint of a service takes the next call of this daemon; none where no endpoint takes any.
+    /// Returns the earliest time at which an endpoint of a service takes a call of this daemon;
+    /// `None` if no endpoint takes any.
     pub fn next_admission_at(&self, service: &ServiceName, now: TimeUs) -> Option<TimeUs> {
         let rows = self.rows.values();
         let rows = rows.filter(|row| row.endpoint.service == *service && row.accepts_requests());
@@ -291,25 +298,27 @@
         times.min()
     }
 
-    /// Returns when a bound lets the next call of this daemon through.
+    /// Returns when a bound allows the next call of this daemon.
     fn free_at(&self, bound: &CallBound<'_>, now: TimeUs) -> TimeUs {
         let shares = self.fresh_shares(now);
         let usable_at = shares.and_then(|shares| shares.usable_at_us);
-        // Without a view of the members, one may begin now at the earliest.
+        // There is no usable view of the members. The earliest possible one begins now.
         let usable_at = usable_at.unwrap_or(now + PERMIT_ACTIVATION_DELAY_US);
         let free_at = bound.reserved.next_free_at(bound.limit);
         let free_at = free_at.unwrap_or(now + bound.limit.window_us);
         free_at.max(usable_at).min(bound.ends_at_us)
     }
 
-    /// Returns as of when shares are known, unless that is too long ago to go by them.
+    /// Returns the update times of the permit shares, or `None` if the last update is too long ago
+    /// for the shares to be used.
     fn fresh_shares(&self, now: TimeUs) -> Option<ShareTimes> {
         let is_fresh =
             |shares: &ShareTimes| now.since(shares.updated_at_us) <= MAX_OBSERVATION_GAP_US;
         self.shares.filter(is_fresh)
     }
 
-    /// Uses the permits under which a call was placed, so that no other call is placed under them.
+    /// Marks the permits under which a call was placed as used, so that no other call is placed
+    /// under them.
     pub fn mark_permits_used(
         &mut self,
         instance: &EndpointInstance,
@@ -337,9 +346,11 @@
         self.evacuated.contains(&row.endpoint.zone)
     }
 
-    /// Returns whether a call that was placed at an endpoint may be sent there now, and counts it against the
-    /// endpoint's permits as of now: between placement and sending a connection may have been opened. An endpoint that
-    /// is no longer known gets it: nothing is held against it.
+    /// Returns whether a call that was placed at an endpoint may be sent there now, and if so marks
+    /// its permits as used now.
+    ///
+    /// Opening a connection between placement and sending may have taken a while. A call to an
+    /// endpoint that is no longer in the table is admitted: no bound is known for it.
     pub fn try_admit(
         &mut self,
         instance: &EndpointInstance,
@@ -360,8 +371,8 @@
         true
     }
 
-    /// Returns the permits under which a call is sent: those that it was placed with, and free ones for bounds that have
-    /// begun since. None where one is missing.
+    /// Returns the permits under which a call is sent: those of its placement, and free ones for
+    /// bounds that have begun since. Returns `None` if one of them isn't available.
     fn permits_to_send(
         &self,
         row: &EndpointRow,
--- a/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
@@ -1,4 +1,5 @@
-//! What peers tell of endpoints: the load that they put there, orders, and failures to connect.
+//! What peers report about endpoints: the load that they send there, endpoints that an order
+//! reserves, and failures to connect.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,31 +8,33 @@
 use super::backlog::Load;
 use super::endpoint_table::EndpointTable;
 
-/// Time after which what a peer told of its load no longer counts.
+/// Time after which the load that a peer last reported no longer counts.
 const PEER_LOAD_TTL_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Daemons that must have failed to connect to an endpoint before it is suspected by all.
+/// Number of daemons that must have failed to connect to an endpoint before it is suspected.
 const MIN_REPORTERS: usize = 2;
 
-/// How long a failure to connect counts as evidence: some messages, so that others hear of it.
+/// How long a failure to connect counts as evidence: long enough for several gossip messages to
+/// carry it to the other daemons.
 const CONNECT_FAILURE_TTL_US: DurationUs = DurationUs::from_ms(1_200);
 
-/// How long an endpoint is suspected after the last evidence was weighed. Then calls try it again.
+/// How long an endpoint stays suspected after the last evidence against it. Then calls try it
+/// again.
 const SUSPICION_TTL_US: DurationUs = DurationUs::from_ms(800);
 
-/// What a peer told of its load.
+/// Latest report of one peer.
 #[derive(Debug)]
 pub(super) struct PeerReport {
     pub(super) received_at_us: TimeUs,
     pub(super) loads: HashMap<u32, Load>,
-    /// Endpoints that it says an order keeps from taking requests.
+    /// Endpoints that an order keeps from taking requests, according to the peer.
     pub(super) reserved: HashSet<u32>,
-    /// Endpoints that it couldn't connect to lately.
+    /// Endpoints that the peer failed to connect to lately.
     pub(super) unreachable: HashSet<u32>,
 }
 
 impl EndpointTable {
-    /// Takes over what a peer has sent to endpoints.
+    /// Replaces the load that a peer has sent to endpoints, by short name.
     pub fn apply_peer_load(&mut self, peer: Incarnation, loads: HashMap<u32, Load>, now: TimeUs) {
         let previous = self.peer_reports.remove(&peer);
         let reserved = previous.as_ref().map(|previous| previous.reserved.clone());
@@ -57,11 +60,12 @@
         self.peer_reports.insert(peer, report);
     }
 
-    /// Takes over which endpoints a peer says an order keeps from taking requests until `until`, and
-    /// returns whether one of them is new.
+    /// Replaces the set of endpoints that an order keeps from taking requests until `until`,
+    /// according to a peer. Returns whether one of them wasn't reserved before.
     ///
-    /// One that it no longer names is free at once, unless another peer still names it: engines with
-    /// new weights are the ones that are missed most, and each was idle until the time was over.
+    /// An endpoint that the peer no longer names is free at once, unless another peer still names
+    /// it. Engines with new weights are needed most, and each of them used to stay idle until the
+    /// reservation ran out.
     pub fn apply_peer_reservations(
         &mut self,
         peer: Incarnation,
@@ -89,12 +93,12 @@
         is_new
     }
 
-    /// Returns what a peer has sent, by the endpoints' short names.
+    /// Returns the load that a peer has sent to endpoints, by short name.
     pub fn peer_load_of(&self, peer: Incarnation) -> Option<&HashMap<u32, Load>> {
         self.peer_reports.get(&peer).map(|report| &report.loads)
     }
 
-    /// Notes that this daemon couldn't connect to an endpoint.
+    /// Records that this daemon failed to connect to an endpoint.
     pub fn record_connect_failure(&mut self, instance: &EndpointInstance, now: TimeUs) {
         if let Some(row) = self.get_mut(instance) {
             row.unreachable_until_us = now + CONNECT_FAILURE_TTL_US;
@@ -103,8 +107,8 @@
         }
     }
 
-    /// Takes over which endpoints a peer couldn't connect to lately. `is_verdict` says that the peer has
-    /// weighed what several daemons said.
+    /// Replaces the set of endpoints that a peer failed to connect to lately. `is_corroborated`
+    /// means that the peer names only endpoints that several daemons failed to connect to.
     pub fn apply_peer_connect_failures(
         &mut self,
         peer: Incarnation,
@@ -126,11 +130,12 @@
         }
     }
 
-    /// Suspects an endpoint that two daemons couldn't connect to.
+    /// Suspects an endpoint if [`MIN_REPORTERS`] daemons failed to connect to it.
     ///
-    /// Load pattern: engines fall silent, and each daemon of a large fleet finds out about each of them by
-    /// a call that waits for nothing. One daemon alone may itself be cut off; so may two, but then the
-    /// others lose at most what those two can't reach, and where all are suspected none counts as such.
+    /// Without this, when engines stop answering, each daemon of a large fleet finds out about each
+    /// of them by a call that waits in vain. A single daemon may be cut off itself, and so may two.
+    /// In the latter case the others lose only the endpoints that those two can't reach, and if all
+    /// endpoints are suspected, the suspicion is ignored.
     fn update_suspicion(&mut self, short_name: u32, now: TimeUs) {
         let peers = self.peer_reports.values();
         let peers = peers.filter(|report| report.unreachable.contains(&short_name));
@@ -145,8 +150,8 @@
         }
     }
 
-    /// Notes that an order keeps an endpoint from taking requests until `until`, and returns
-    /// whether that is new.
+    /// Records that an order keeps an endpoint from taking requests until `until`. Returns whether
+    /// the endpoint wasn't reserved before.
     pub fn reserve(&mut self, short_name: u32, until: TimeUs, now: TimeUs) -> bool {
         let Some(row) = self.row_by_short_name(short_name) else {
             return false;
@@ -156,7 +161,7 @@
         is_new
     }
 
-    /// Forgets the load of peers that have been silent for too long.
+    /// Removes the reports of peers that have been silent for longer than [`PEER_LOAD_TTL_US`].
     pub(super) fn prune_silent_peers(&mut self, now: TimeUs) {
         let is_expired = |load: &PeerReport| now.since(load.received_at_us) > PEER_LOAD_TTL_US;
         let expired: Vec<Incarnation> = self
--- a/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
@@ -1,4 +1,4 @@
-//! What is learnt of the parts of prompts that endpoints keep.
+//! Tracks which prompt parts endpoints have cached.
 
 use wisteriahitch_types::{EndpointInstance, TimeUs};
 
@@ -8,7 +8,8 @@
 use crate::border::PartEvent;
 
 impl EndpointTable {
-    /// Notes that an endpoint with this short name has read a part; one of no tokens is gone.
+    /// Records that the endpoint with this short name has cached a part, or has evicted it if
+    /// `tokens` is 0.
     pub fn record_part(&mut self, short_name: u32, key: PartKey, tokens: u64, now: TimeUs) {
         if let Some(row) = self.row_by_short_name(short_name) {
             match tokens {
@@ -18,7 +19,9 @@
         }
     }
 
-    /// Takes over what an engine tells of its memory, and returns what is news to the other daemons.
+    /// Applies events about an engine's memory that the engine itself reports. Returns the changes
+    /// to send to the other daemons. `until` is the time until which the engine's reports count as
+    /// complete.
     pub fn apply_part_events(
         &mut self,
         instance: &EndpointInstance,
@@ -50,14 +53,15 @@
         updates
     }
 
-    /// Notes until when somebody follows an engine's memory, as a peer tells.
+    /// Records that a peer receives an engine's memory events until `until`.
     pub fn extend_parts_tracking(&mut self, short_name: u32, until: TimeUs) {
         if let Some(row) = self.row_by_short_name(short_name) {
             row.parts_tracked_until_us = row.parts_tracked_until_us.max(until);
         }
     }
 
-    /// Lists which parts engines are believed to keep, for a daemon that has just started.
+    /// Lists the parts that each engine is believed to have cached, for a daemon that has just
+    /// started.
     pub fn engine_memory(&self, now: TimeUs) -> Vec<EngineMemory> {
         let rows = self.rows.values().filter(|row| !row.parts.is_empty());
         let memory = rows.map(|row| EngineMemory {
@@ -67,13 +71,13 @@
         memory.collect()
     }
 
-    /// Takes over which parts engines keep, from a daemon that has been there for longer.
+    /// Adopts the lists of cached parts that another daemon has collected.
     pub fn adopt_engine_memory(&mut self, memory: &[EngineMemory], now: TimeUs) {
         for engine in memory {
             let Some(row) = self.row_by_short_name(engine.endpoint) else {
                 continue;
             };
-            // The oldest first, so that the order of last uses is theirs.
+            // Oldest first, to keep the order of last use.
             for part in engine.parts.iter().rev() {
                 row.parts.take_over(part, now);
             }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its life, its load and what it keeps.
+//! One endpoint: its state, its load and its cached parts.
 
 use wisteriahitch_types::{DurationUs, EndpointInstance, ModelName, TimeUs, WeightNumber};
 
@@ -9,89 +9,93 @@
 use super::parts::{MAX_KEPT_US, PartCache, kept_for};
 use crate::site::Endpoint;
 
-/// Says whether an endpoint gets new requests.
+/// Whether an endpoint gets new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndpointState {
-    /// It does.
+    /// The endpoint gets new requests.
     Ready,
-    /// It is about to leave.
+    /// The endpoint is about to leave and gets no new requests.
     Draining,
-    /// Its registration lapsed in an outage of the store; it does until this time.
+    /// The registration is missing. The endpoint gets requests until this time, since the
+    /// registration may only have lapsed in an outage of the store.
     Lapsed(TimeUs),
-    /// Its registration can't be read, so that nobody knows what is there. It gets none until its
-    /// registration can be read again; what it runs goes on.
+    /// The registration can't be read, so it is unknown what runs there. The endpoint gets no new
+    /// requests until it can be read again; running ones continue.
     Unreadable,
 }
 
-/// One life of an endpoint, with all that is believed of it.
+/// One instance of an endpoint, and everything known or assumed about it.
 ///
-/// A restart replaces the whole row: what a field holds was learnt of a process that is gone.
+/// A restart replaces the whole row, since its fields describe a process that has ended.
 /// `docs/design/endpoint-lives.md` says for each field what that means.
 #[derive(Debug)]
 pub struct EndpointRow {
-    /// What it registered.
+    /// The endpoint's registration.
     pub endpoint: Endpoint,
-    /// Life.
+    /// Whether the endpoint gets new requests.
     pub state: EndpointState,
-    /// Whether another endpoint has its address now, as that one has registered or an answer shows.
+    /// Whether another endpoint has this one's address now, according to a later registration or an
+    /// answer.
     ///
-    /// Its registration stays for seconds after a crash. One would notice by calls that are sent there
-    /// again and again and refused as meant for somebody else, while other endpoints are free.
+    /// After a crash the registration stays for seconds. Without this flag, calls are sent there
+    /// again and again and refused as misdirected, while other endpoints are free.
     pub is_displaced: bool,
-    /// Work sent by this daemon.
+    /// Unfinished work that this daemon has sent.
     pub own_load: Load,
-    /// Work sent by the other daemons, as they told last.
+    /// Unfinished work that the other daemons have sent, by their last reports.
     pub peers_load: Load,
-    /// Load that it told itself, and when.
+    /// Load that the endpoint itself reported last, and when the report arrived.
     pub reported_load: Option<(LoadReport, TimeUs)>,
-    /// Failures.
+    /// Failure rate and ejection.
     pub outlier: OutlierDetector,
-    /// Parts of prompts that it is believed to keep.
+    /// Prompt parts that the endpoint is believed to have cached.
     pub parts: PartCache,
-    /// Until when `parts` follows what the engine itself tells of its memory.
+    /// Until when `parts` follows the engine's own memory events, received by this daemon or a peer.
     pub parts_tracked_until_us: TimeUs,
     /// Until when this daemon's own failure to connect counts as evidence.
     pub unreachable_until_us: TimeUs,
-    /// Until when several daemons say to this one that it can't be reached.
+    /// Until when the endpoint is suspected because several daemons reported directly to this one
+    /// that they can't connect to it.
     pub corroborated_until_us: TimeUs,
-    /// The same, or a hub says so that has heard it from several.
+    /// Until when the endpoint is suspected, by direct reports or because a hub reports that
+    /// several daemons can't connect to it.
     pub suspected_until_us: TimeUs,
-    /// Until when an order keeps it from taking requests.
+    /// Until when an order keeps the endpoint from taking requests.
     pub reserved_until_us: TimeUs,
-    /// Until when it bears few calls, and this daemon's part of them.
+    /// Cold period, and this daemon's permits during it.
     pub cold: ColdState,
-    /// What it says of itself in its answers.
+    /// Limit, rest and other statements that the endpoint makes in its answers.
     pub statements: EndpointStatements,
-    /// Short name under which daemons tell each other of this life.
+    /// Hash that names this instance in messages between daemons.
     pub short_name: u32,
 }
 
 impl EndpointRow {
-    /// Returns which life of which endpoint it is.
+    /// Returns the endpoint's id and start.
     pub fn instance(&self) -> &EndpointInstance {
         &self.endpoint.instance
     }
 
-    /// Returns the weights that it has for a model.
+    /// Returns the version of the weights that the endpoint has for a model.
     pub fn weights(&self, model: &ModelName) -> Option<WeightNumber> {
         self.endpoint.weights.get(model).copied()
     }
 
-    /// Returns whether it may get requests at all. One that has said that it leaves, or whose
-    /// registration can't be read, gets none even where there is no other.
+    /// Returns whether the endpoint may get requests at all. One that has announced its leaving, or
+    /// whose registration can't be read, gets none even if the service has no other endpoint.
     pub fn accepts_requests(&self) -> bool {
         matches!(self.state, EndpointState::Ready | EndpointState::Lapsed(_))
     }
 
-    /// Returns all work that is known to be sent to it.
+    /// Returns the unfinished work that all daemons have sent.
     pub fn load(&self) -> Load {
         let mut load = self.own_load;
         load.add(self.peers_load);
         load
     }
 
-    /// Returns since when a part must have been used to be still there, if a token stays in the
-    /// endpoint's memory for `duration_us` while its request runs.
+    /// Returns the earliest last use of a part that is still expected to be cached. `duration_us`
+    /// is how long a token stays in the endpoint's memory while its request runs.
     pub fn parts_kept_since(
         &self,
         memory_tokens: u64,
--- a/crates/wisteriahitch-relay/src/decide/endpoint_statements.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_statements.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers.
+//! What endpoints state about themselves in their answers: a call limit, rest, and leaving.
 
 use wisteriahitch_types::{CallRate, DurationUs, EndpointInstance, TimeUs};
 
@@ -7,22 +7,23 @@
 use super::gossip_message::LimitUpdate;
 use super::named_limit::{LimitNotice, LimitOutcome, NamedLimit};
 
-/// Longest rest that an endpoint gets without being asked again. One that wants nothing for longer than an hour has left.
+/// Maximum rest after which an endpoint gets calls again. One that wants no call for more than an
+/// hour has left.
 const MAX_REST_US: DurationUs = DurationUs::from_ms(3_600_000);
 
-/// What one endpoint says of itself in its answers.
+/// What one endpoint instance has stated in its answers.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointStatements {
-    /// The calls a second that it takes.
+    /// The rate of calls that the endpoint accepts.
     pub limit: NamedLimit,
-    /// Until when it wants nothing from this daemon.
+    /// Until when the endpoint wants no call from this daemon.
     pub rest_until_us: TimeUs,
-    /// Whether it has ever made a statement that can't be read.
+    /// Whether an answer has ever contained a statement that can't be parsed.
     pub has_malformed: bool,
 }
 
 impl EndpointTable {
-    /// Takes over the limit that an answer names; none where it names none.
+    /// Records the limit that an answer names; `None` if it names no limit.
     pub fn record_limit(
         &mut self,
         instance: &EndpointInstance,
@@ -35,7 +36,8 @@
         })
     }
 
-    /// Takes over what a peer tells of an endpoint's limit, and returns the endpoint where it is known.
+    /// Applies a peer's report of an endpoint's limit. Returns the endpoint and what has changed,
+    /// or `None` if the endpoint isn't in the table.
     pub fn apply_limit_update(
         &mut self,
         update: &LimitUpdate,
@@ -53,7 +55,7 @@
         Some((row.instance().clone(), outcome))
     }
 
-    /// Lists what other daemons are to be told of endpoints' limits.
+    /// Lists the limits to send to the other daemons.
     pub fn limit_updates(&self, now: TimeUs) -> Vec<LimitUpdate> {
         let updates = self.rows.values().filter_map(|row| {
             let notice = row
@@ -69,7 +71,7 @@
         updates.collect()
     }
 
-    /// Returns whether an endpoint wants few calls now, or none: it names a limit, or has asked this daemon for rest.
+    /// Returns whether an endpoint names a limit, or has asked this daemon for rest.
     pub fn limits_calls(&self, instance: &EndpointInstance, now: TimeUs) -> bool {
         let statements = self.get(instance).map(|row| &row.statements);
         statements.is_some_and(|statements| {
@@ -78,8 +80,8 @@
         })
     }
 
-    /// Takes over that an endpoint has said in an answer that it leaves, to this daemon or to a peer. Returns whether that
-    /// is news, and what changes with it.
+    /// Records that an endpoint has announced its leaving in an answer to this daemon or to a peer.
+    /// Returns whether this wasn't known yet, and the change of the endpoint's state.
     pub fn record_leaving(
         &mut self,
         short_name: u32,
@@ -97,19 +99,19 @@
         (true, change)
     }
 
-    /// Lists the lives that other daemons are to be told of as leaving, by short name.
+    /// Lists the short names of leaving instances to send to the other daemons.
     pub fn leaving_updates(&self, now: TimeUs) -> Vec<u32> {
         let is_registered = |short_name: u32| self.by_short_name.contains_key(&short_name);
         self.leaving.to_gossip(is_registered, now)
     }
 
-    /// Returns whether an endpoint has said in an answer that it leaves.
+    /// Returns whether an endpoint has announced its leaving in an answer.
     pub fn has_announced_leaving(&self, row: &EndpointRow) -> bool {
         self.leaving.contains(row.short_name)
     }
 
-    /// Takes over for how long an endpoint that turned a call away wants nothing from this daemon, and returns whether
-    /// that is later than before.
+    /// Records how long an endpoint that turned a call away wants no further call from this daemon.
+    /// Returns whether that extends its rest.
     pub fn record_rest(
         &mut self,
         instance: &EndpointInstance,
@@ -127,21 +129,21 @@
         is_later
     }
 
-    /// Notes that an answer made a statement that can't be read, and returns whether it is the first one of this life
-    /// of the endpoint.
+    /// Records that an answer contained a statement that can't be parsed. Returns whether it is the
+    /// first one of this instance.
     pub fn record_malformed(&mut self, instance: &EndpointInstance) -> bool {
         let row = self.get_mut(instance);
         row.is_some_and(|row| !std::mem::replace(&mut row.statements.has_malformed, true))
     }
 
-    /// Returns how many endpoints want nothing from this daemon now, for the metrics.
+    /// Returns how many endpoints want no call from this daemon now, for the metrics.
     pub fn resting_count(&self, now: TimeUs) -> usize {
         let statements = self.rows.values().map(|row| &row.statements);
         let resting = statements.filter(|statements| statements.rest_until_us > now);
         resting.count()
     }
 
-    /// Returns how many endpoints have said in an answer that they leave, for the metrics.
+    /// Returns how many endpoints have announced their leaving in an answer, for the metrics.
     pub fn leaving_count(&self) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| self.has_announced_leaving(row)).count()
--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! Endpoints and which of their lives each one is in.
+//! The endpoints of a site, and the state of each.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -22,31 +22,32 @@
 use super::parts::PartCache;
 use crate::site::Endpoint;
 
-/// Time after the store's return within which endpoints that live have registered again.
+/// How long after the store's return endpoints that are still running may take to register again.
 ///
-/// Registrations lapse while the store is away. Taken for the end of the endpoint, such a lapse
-/// would leave a service without endpoints for seconds; callers would be refused for nothing. The
-/// platform promises two seconds; the rest covers the way of the news.
+/// Registrations lapse during an outage of the store. If a lapse counted as the end of the
+/// endpoint, a service would have no endpoints for seconds, and callers would be refused
+/// needlessly. The platform promises 2 s; the rest is for propagation.
 pub(crate) const REREGISTRATION_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_300);
 
-/// Weights that are taken for the memory of an engine which doesn't say how much it has.
+/// Memory, in tokens, assumed for an engine that reports none.
 const DEFAULT_MEMORY_TOKENS: u64 = 100_000;
 
-/// Says how much an absence from the store means.
+/// Why a registration may be missing from the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AbsenceCause {
-    /// The store was there all the time: the endpoint has left.
+    /// The store was reachable all the time, so the endpoint has left.
     Left,
-    /// The store has just been away: the registration may only have lapsed.
+    /// The store was unreachable until a moment ago, so the registration may only have lapsed.
     MayHaveLapsed,
 }
 
-/// A registration as the store holds it.
+/// A registration as read from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Registration {
-    /// One that can be read.
+    /// A registration that can be parsed.
     Valid(Endpoint),
-    /// One that can't. Something else than the endpoint may have written it.
+    /// A registration that can't be parsed, by id and revision. It may not have been written by the
+    /// endpoint.
     Unreadable(EndpointId, Revision),
 }
 
@@ -65,71 +66,72 @@
     }
 }
 
-/// A change that the log and the connections need to know.
+/// A change of an endpoint, for the log and the connections.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointChange {
-    /// A new one was seen.
+    /// A new endpoint instance has registered.
     Added(EndpointInstance),
-    /// This life has ended: another one has registered under its id.
+    /// The instance has ended: another one has registered under its id.
     Ended(EndpointInstance),
-    /// One is about to leave.
+    /// The endpoint is about to leave.
     Draining(EndpointInstance),
-    /// One is gone.
+    /// The endpoint was removed from the table.
     Removed(EndpointInstance),
-    /// One has lapsed.
+    /// The registration is missing; the endpoint is removed if it doesn't come back.
     Lapsed(EndpointInstance),
-    /// The registration of one can't be read.
+    /// The registration can't be parsed.
     Unreadable(EndpointInstance),
-    /// Another one has its address.
+    /// Another endpoint has its address.
     Displaced(EndpointInstance),
 }
 
-/// All endpoints of the site.
+/// All endpoints of a site.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     pub(super) rows: BTreeMap<EndpointId, EndpointRow>,
     pub(super) by_short_name: HashMap<u32, EndpointId>,
     pub(super) peer_reports: HashMap<Incarnation, PeerReport>,
-    /// Memory of the engines of each service, from the configuration.
+    /// Memory of the engines of each service in tokens, from the configuration.
     pub(super) memory_tokens: HashMap<ServiceName, u64>,
-    /// Services that the configuration names.
+    /// Services in the configuration.
     pub(super) services: HashSet<ServiceName>,
     pub(super) evacuated: EvacuatedZones,
-    /// What cold endpoints of each service bear, where the deployment bounds it.
+    /// Limits of cold endpoints by service, where the deployment sets one.
     pub(super) cold_limits: HashMap<ServiceName, ServiceColdLimit>,
-    /// As of when the shares of cold endpoints' permits are known, and from when on those of the newest view may be used.
+    /// When the permit shares of the rows were last updated; `None` before the first update.
     pub(super) shares: Option<ShareTimes>,
-    /// How fast parts come over the endpoints' and the stores' links.
+    /// Throughput of the links over which endpoints and part stores send parts.
     pub links: LinkPaces,
-    /// Bounds of ejection.
+    /// Options of outlier ejection.
     pub outlier_options: OutlierOptions,
-    /// Time for which an endpoint that has left without a word still gets requests where its
-    /// service has no other one. It goes on serving for a while, and a silent outage of the store
-    /// that nobody has noticed looks the same.
+    /// How long an endpoint that left without announcing it still gets requests if its service has
+    /// no other endpoint. It goes on serving for a while, and an outage of the store that went
+    /// unnoticed looks the same.
     pub(super) drain_fallback_us: DurationUs,
-    /// Lives that have said in an answer that they leave.
+    /// Instances that have announced their leaving in an answer.
     pub(super) leaving: LeavingInstances,
-    /// How long a limit that an endpoint names holds, if nobody hears of it again.
+    /// How long a limit that an endpoint names stays in force without being repeated.
     pub(super) limit_ttl_us: DurationUs,
 }
 
 impl EndpointTable {
-    /// Takes over how long an endpoint that has left without a word still gets requests where its
-    /// service has no other one.
+    /// Sets how long an endpoint that left without announcing it still gets requests if its service
+    /// has no other endpoint.
     #[must_use]
     pub fn with_drain_fallback(mut self, drain_fallback_us: DurationUs) -> Self {
         self.drain_fallback_us = drain_fallback_us;
         self
     }
 
-    /// Takes over how long a limit that an endpoint names holds, if nobody hears of it again; until then none does.
+    /// Sets how long a limit that an endpoint names stays in force without being repeated. The
+    /// default of zero ignores all limits.
     #[must_use]
     pub fn with_limit_ttl(mut self, limit_ttl_us: DurationUs) -> Self {
         self.limit_ttl_us = limit_ttl_us;
         self
     }
 
-    /// Takes over which services there are, and how much memory the engines of each have.
+    /// Sets the services in the configuration, and the memory of each service's engines in tokens.
     pub fn set_services(
         &mut self,
         services: HashSet<ServiceName>,
@@ -139,13 +141,13 @@
         self.memory_tokens = memory_tokens;
     }
 
-    /// Returns whether the configuration names an endpoint's service. A registration with another
-    /// one names nothing that can be used or given orders.
+    /// Returns whether the configuration has the endpoint's service. An endpoint of an unknown
+    /// service can't be used or get orders.
     pub fn has_known_service(&self, row: &EndpointRow) -> bool {
         self.services.contains(&row.endpoint.service)
     }
 
-    /// Takes over a whole listing.
+    /// Applies a complete listing of registrations.
     pub fn apply_listing(
         &mut self,
         registrations: Vec<Registration>,
@@ -166,11 +168,11 @@
         changes
     }
 
-    /// Takes over a registration.
+    /// Applies a registration.
     ///
-    /// Of two registrations of one id the one with the higher revision is the newer one. Their starts
-    /// don't say: a clock that was set back before a restart gives the later life the earlier start, and
-    /// ordered by starts it would be shut out for good.
+    /// Of two registrations of one id the one with the higher revision is the newer one. Their
+    /// starts don't give the order: if the clock was set back before a restart, the later instance
+    /// has the earlier start, and ordered by starts it would be ignored for good.
     pub fn apply_registration(
         &mut self,
         registration: impl Into<Registration>,
@@ -189,7 +191,8 @@
         }
         let known = row.instance();
         if known.start.is_some() && endpoint.instance.start.is_none() {
-            // Where starts are told all registrations tell them; somebody else has written this one.
+            // An endpoint that has reported its start always does, so this registration was written
+            // by something else.
             return self.mark_unreadable(&id, endpoint.revision);
         }
         match *known == endpoint.instance {
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Takes over a registration of the life that is known.
+    /// Applies a new registration of a known instance.
     fn renew(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let instance = endpoint.instance.clone();
         let state = self.state_of(&endpoint);
@@ -215,8 +218,8 @@
             row.is_displaced = false;
         }
         let previous_state = row.state;
-        // An endpoint that has announced its leaving doesn't come back in the same life; a
-        // registration that says so is an old one.
+        // An endpoint that has announced its leaving doesn't become ready again without a restart;
+        // a registration that says so is outdated.
         if previous_state != EndpointState::Draining {
             row.state = state;
         }
@@ -238,10 +241,11 @@
         changes
     }
 
-    /// Replaces all that is believed of one life by what the next one says of itself.
+    /// Replaces an instance by the one that has registered after it under the same id.
     ///
-    /// The new process holds and knows nothing. Without this, calls would be sent to it for parts that
-    /// it doesn't keep, or none at all because the life before had said that it leaves.
+    /// The new process has cached nothing. If the row were kept, calls would be sent to it for
+    /// parts that it doesn't have, or it would get none because the previous instance had announced
+    /// its leaving.
     fn replace_restarted(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(before) = self.remove(&endpoint.instance.id) {
@@ -252,7 +256,7 @@
         changes
     }
 
-    /// Takes in a life that wasn't known.
+    /// Adds an instance that isn't in the table.
     fn add(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let instance = endpoint.instance.clone();
         let state = self.state_of(&endpoint);
@@ -262,7 +266,7 @@
         changes
     }
 
-    /// Notes that a registration can't be read.
+    /// Records that a registration can't be parsed.
     fn mark_unreadable(&mut self, id: &EndpointId, revision: Revision) -> Vec<EndpointChange> {
         let Some(row) = self.rows.get_mut(id) else {
             return Vec::new();
@@ -280,7 +284,7 @@
         vec![EndpointChange::Unreadable(instance)]
     }
 
-    /// Notes that a registration is gone.
+    /// Records that a registration is missing from the store.
     pub fn apply_unregistration(
         &mut self,
         id: &EndpointId,
@@ -305,10 +309,12 @@
         }
     }
 
-    /// Notes that an endpoint refused a call as meant for somebody else, and who is at its address.
+    /// Records that an endpoint refused a call as misdirected, because the endpoint `found` is at
+    /// its address.
     ///
-    /// The answer shows what registrations only claim: who isn't there gets no more calls, and who is
-    /// there gets them again if another registration had claimed its address.
+    /// The answer is better evidence than a registration: the endpoint that isn't there gets no
+    /// more calls, and the one that is gets them again if another registration had claimed its
+    /// address.
     pub fn record_misdirection(
         &mut self,
         instance: &EndpointInstance,
@@ -327,13 +333,14 @@
         (!was_displaced).then(|| EndpointChange::Displaced(instance.clone()))
     }
 
-    /// Returns whether this life is known to have ended: another one has registered under its id.
+    /// Returns whether another instance has registered under this one's id.
     pub fn has_ended(&self, instance: &EndpointInstance) -> bool {
         let row = self.rows.get(&instance.id);
         row.is_some_and(|row| row.instance() != instance)
     }
 
-    /// Removes endpoints whose registration lapsed and didn't come back, and old news of peers.
+    /// Removes endpoints whose registration lapsed and didn't come back, and expired reports of
+    /// peers.
     pub fn tick(&mut self, now: TimeUs) -> Vec<EndpointChange> {
         self.links.tick(now);
         let has_lapsed =
@@ -356,7 +363,8 @@
         removed
     }
 
-    /// Notes the weights that an endpoint was seen with; they never go back within its life.
+    /// Records the version of the weights that an endpoint has for a model. Versions never decrease
+    /// within an instance. New weights invalidate all cached parts.
     pub fn record_weights(
         &mut self,
         instance: &EndpointInstance,
@@ -373,20 +381,20 @@
         }
     }
 
-    /// Returns an endpoint, if it is still in this life: what is learnt late of one life must not
-    /// touch the next.
+    /// Returns the row of an endpoint if it is still this instance, so that late information about
+    /// one instance never reaches the next.
     pub fn get(&self, instance: &EndpointInstance) -> Option<&EndpointRow> {
         let row = self.rows.get(&instance.id)?;
         (row.instance() == instance).then_some(row)
     }
 
-    /// Returns an endpoint to change, if it is still in this life.
+    /// Returns the row of an endpoint for changes if it is still this instance.
     pub fn get_mut(&mut self, instance: &EndpointInstance) -> Option<&mut EndpointRow> {
         let row = self.rows.get_mut(&instance.id)?;
         (*row.instance() == *instance).then_some(row)
     }
 
-    /// Returns an endpoint, whichever life it is in.
+    /// Returns the row of an endpoint, whichever instance it is.
     pub fn by_id(&self, id: &EndpointId) -> Option<&EndpointRow> {
         self.rows.get(id)
     }
@@ -396,7 +404,7 @@
         self.rows.values()
     }
 
-    /// Counts endpoints by life, for the metrics.
+    /// Counts the endpoints by state, for the metrics.
     pub fn count_by_state(&self) -> [(&'static str, usize); 4] {
         let count = |is: fn(&EndpointState) -> bool| {
             self.rows.values().filter(|row| is(&row.state)).count()
@@ -415,12 +423,12 @@
         ]
     }
 
-    /// Returns how many endpoints there are.
+    /// Returns the number of endpoints.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Returns whether there is none.
+    /// Returns whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -437,7 +445,7 @@
         let id = endpoint.instance.id.clone();
         self.by_short_name.insert(short_name, id.clone());
         let row = EndpointRow {
-            cold: ColdState::until(now + endpoint.cold_left_us),
+            cold: ColdState::cold_until(now + endpoint.cold_left_us),
             endpoint,
             state,
             is_displaced: false,
@@ -465,12 +473,12 @@
         Some(row)
     }
 
-    /// Takes the address of an endpoint that has just been seen there from the others that registered
-    /// before it, or from itself where another one registered later.
+    /// Marks the other endpoints at the address of `instance` as displaced if they registered
+    /// before it, or `instance` itself if one of them registered later.
     ///
-    /// Addresses are used again soon after a crash, and the registration of the one that crashed stays
-    /// for some heartbeats. One with an unknown service claims nothing: nobody would ever find out by
-    /// a call whether it is there.
+    /// Addresses are reused soon after a crash, and the registration of the crashed endpoint stays
+    /// for some heartbeats. An endpoint of an unknown service displaces none, since no call would
+    /// ever reveal whether it is there.
     fn claim_address(&mut self, instance: &EndpointInstance) -> Vec<EndpointChange> {
         let Some(row) = self.get(instance) else {
             return Vec::new();
@@ -499,7 +507,8 @@
         changes
     }
 
-    /// Gives the address of an endpoint that is no longer used back to others that name it.
+    /// Marks the other endpoints at the address of an endpoint that is no longer used as not
+    /// displaced.
     fn release_address(&mut self, instance: &EndpointInstance) {
         let Some(address) = self.by_id(&instance.id).map(|row| row.endpoint.address) else {
             return;
@@ -511,7 +520,8 @@
         }
     }
 
-    /// Returns whether an endpoint gets new calls, by its registration and by what it has said in answers.
+    /// Returns the state of an endpoint, from its registration and from what it has announced in
+    /// answers.
     fn state_of(&self, endpoint: &Endpoint) -> EndpointState {
         let has_announced_leaving = self
             .leaving
@@ -528,15 +538,15 @@
     }
 }
 
-/// Returns the short name of one life of an endpoint.
+/// Returns the short name of an endpoint instance.
 pub(crate) fn instance_short_name(instance: &EndpointInstance) -> u32 {
     short_name(&instance.to_string())
 }
 
-/// Returns the short name under which daemons tell each other of something.
+/// Returns the hash that names an endpoint or a store in messages between daemons.
 ///
-/// Two things with the same one would share their load; with some thousand names that happens in
-/// one fleet of some thousand, and costs a little balance.
+/// Two names with the same hash would share their load. With some thousand names that happens in
+/// one fleet out of some thousand, and makes the balance slightly worse.
 pub(crate) fn short_name(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) >> u32::BITS) as u32
 }
--- a/crates/wisteriahitch-relay/src/decide/evacuated_zones.rs
+++ b/crates/wisteriahitch-relay/src/decide/evacuated_zones.rs
@@ -1,30 +1,31 @@
-//! Availability zones whose endpoints are to get nothing more.
+//! Availability zones whose endpoints get no more calls.
 //!
-//! An operator evacuates a zone before work on it. All that is sent to an endpoint asks here: first attempts,
-//! retries, streams that go on, and calls that were placed but not sent yet. What runs there already goes on.
-//! `docs/design/evacuations.md` gives the reasons.
+//! An operator evacuates a zone before work on it. Everything that is sent to an endpoint is
+//! checked here: first attempts, retries, resumed streams, and calls that were placed but not sent
+//! yet. Calls that already run in the zone continue. `docs/design/evacuations.md` gives the
+//! reasons.
 
 use std::collections::BTreeSet;
 
 use wisteriahitch_types::AvailabilityZone;
 
-/// Says what has changed for one zone.
+/// A change of one zone.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ZoneChange {
-    /// Its endpoints get nothing more.
+    /// The zone's endpoints get no more calls.
     Evacuated(AvailabilityZone),
-    /// Its endpoints may be used again.
+    /// The zone's endpoints may be used again.
     Restored(AvailabilityZone),
 }
 
-/// The evacuated zones.
+/// The set of evacuated zones.
 #[derive(Debug, Default)]
 pub struct EvacuatedZones {
     zones: BTreeSet<AvailabilityZone>,
 }
 
 impl EvacuatedZones {
-    /// Takes over all evacuated zones, and returns what has changed.
+    /// Replaces the set of evacuated zones, and returns what has changed.
     pub fn replace(&mut self, zones: BTreeSet<AvailabilityZone>) -> Vec<ZoneChange> {
         let evacuated = zones.difference(&self.zones).cloned();
         let restored = self.zones.difference(&zones).cloned();
--- a/crates/wisteriahitch-relay/src/decide/hubs.rs
+++ b/crates/wisteriahitch-relay/src/decide/hubs.rs
@@ -1,49 +1,52 @@
-//! Who tells whom: a few daemons of each availability zone gather the news of the others.
+//! Gossip topology: which daemons exchange messages with which.
 //!
-//! Told by everybody to everybody, news grows with the square of the fleet; at some dozen daemons on
-//! slow links it would crowd out the callers' own bytes. In a small fleet everybody is a hub, and
-//! news takes one step. In a larger one each daemon tells its hub, hubs tell each other and their
-//! own, and news takes three. `docs/design/platform.md` has the figures.
+//! If every daemon sent its gossip to every other one, the traffic would grow with the square of
+//! the fleet size, and with some dozen daemons on slow links it would crowd out the callers' bytes.
+//! In a small fleet every daemon is a hub, and gossip takes one hop. In a larger one a few daemons
+//! of each availability zone are hubs: each daemon sends to its hub, hubs send to each other and to
+//! their own daemons, and gossip takes three hops. `docs/design/platform.md` has the figures.
 
 use std::net::Ipv4Addr;
 
 use wisteriahitch_core::fleet::Rendezvous;
 
-/// Fleets up to this size tell everything directly.
+/// Maximum size of a fleet in which all daemons gossip with each other directly.
 pub(crate) const SMALL_FLEET_MAX_SIZE: usize = 12;
 
-/// Daemons of a zone that follow the platform's store and the part stores in a larger fleet. A part
-/// store serves about a dozen such questions at once, and each return of a watch is paid for.
+/// Number of daemons in each zone of a larger fleet that watch the platform's store and the part
+/// stores themselves. A part store serves about a dozen watches at once, and each answer to a watch
+/// costs money.
 const STORE_WATCHERS_PER_ZONE: usize = 2;
 
-/// A link counts as wide from this part of the widest one of its zone on.
+/// A link counts as wide if its rate is at least that of the zone's widest link divided by this.
 const WIDE_LINK_DIVISOR: u16 = 4;
 
-/// One daemon as far as it matters here.
+/// What the choice of hubs depends on for one daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HubCandidate {
     /// Address.
     pub ip: Ipv4Addr,
     /// Availability zone.
     pub zone: String,
-    /// Rate of its VM's link.
+    /// Rate of its VM's link in Mbit/s.
     pub link_mbps: u16,
 }
 
 /// The hubs of a fleet as one daemon sees them.
 ///
-/// They follow from the members' addresses alone. A daemon that is a hub among all is one in every
-/// part of the fleet too, so that daemons which don't know of each other yet still meet at a hub.
+/// Hubs are chosen by hashing the members' addresses, without messages. A daemon that is a hub of
+/// the whole fleet is also one of every subset that it belongs to, so daemons that know different
+/// subsets of the fleet still meet at a hub.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct HubPlan {
-    /// All hubs with their zones.
+    /// All hubs.
     pub hubs: Vec<HubCandidate>,
-    /// Whether the fleet is small, so that everybody is a hub.
+    /// Whether the fleet is small, so that every daemon is a hub.
     pub is_small: bool,
 }
 
 impl HubPlan {
-    /// Makes the plan of a fleet.
+    /// Chooses the hubs of a fleet.
     pub fn for_members(members: &[HubCandidate]) -> Self {
         if members.len() <= SMALL_FLEET_MAX_SIZE {
             return Self {
@@ -69,7 +72,7 @@
         self.hubs.iter().any(|hub| hub.ip == ip)
     }
 
-    /// Returns the hub of a daemon that isn't one.
+    /// Returns the hub of a daemon that isn't one itself.
     pub fn hub_of(&self, member: &HubCandidate) -> Option<Ipv4Addr> {
         let same_zone = |hub: &&HubCandidate| hub.zone == member.zone;
         let in_zone: Vec<Ipv4Addr> = self
@@ -84,7 +87,8 @@
             .copied()
     }
 
-    /// Returns whether a daemon follows the stores itself instead of hearing of them.
+    /// Returns whether a daemon watches the stores itself instead of learning their contents by
+    /// gossip.
     pub fn follows_stores(&self, member: &HubCandidate) -> bool {
         if self.is_small {
             return true;
@@ -96,12 +100,13 @@
     }
 }
 
-/// Returns the hubs of one zone, the first by hash first: as many as the root of its daemons, so
-/// that a hub has about as many daemons as other hubs of its zone.
+/// Returns the hubs of one zone in the order of their hash score. Their number is the square root
+/// of the number of daemons in the zone, so that each hub has about as many daemons as there are
+/// hubs.
 ///
-/// Only wide links count where a zone has some: a hub sends a few megabits a second, and on a link of
-/// ten its callers' own bytes would wait behind them. One would notice by connections that don't
-/// open in time although both ends are well.
+/// Only daemons with wide links are chosen if the zone has enough of them. A hub sends a few
+/// Mbit/s, and on a link of 10 Mbit/s its callers' bytes would wait behind these: connections would
+/// time out although both ends are healthy.
 fn hubs_of(zone: &str, members: &[HubCandidate]) -> Vec<HubCandidate> {
     let in_zone: Vec<HubCandidate> = members
         .iter()
--- a/crates/wisteriahitch-relay/src/decide/members.rs
+++ b/crates/wisteriahitch-relay/src/decide/members.rs
@@ -1,7 +1,7 @@
-//! The other daemons, as their own messages tell.
+//! Membership of the fleet, from gossip messages.
 //!
-//! Each daemon sends small datagrams several times a second. What they believe of each other makes
-//! the fleet faster, never wrong; what must be right rests on the platform's store.
+//! Each daemon sends small datagrams several times a second. What they convey is only used to make
+//! the fleet faster; correctness relies on the platform's store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -14,45 +14,47 @@
 use super::message_delay::MessageDelay;
 use super::permit_shares::ViewObservation;
 
-/// Silence after which a member is no longer named to callers. Members send at least four times a
-/// second, so that a few lost datagrams don't count.
+/// Silence after which a member is no longer named to callers. Members send at least four messages
+/// a second, so losing a few doesn't matter.
 const DIRECT_TIMEOUT_US: DurationUs = DurationUs::from_ms(900);
-/// The same for a member that a hub tells of.
+/// How long a member that is only known through a hub counts after the hub last named it.
 const INDIRECT_TTL_US: DurationUs = DurationUs::from_ms(2_500);
-/// Silence up to which what a daemon said itself goes before what hubs tell of it: the time after which no hub tells any
-/// more of one that fell silent, and as much again for its own silence.
+/// Silence up to which a daemon's own messages take precedence over what hubs report about it.
+/// Twice the time after which no hub reports a silent daemon any more: once for that, and once for
+/// the daemon's own silence.
 const DIRECT_PRECEDENCE_US: DurationUs = DurationUs::from_ms(4_000);
-/// Age up to which what a hub has told is told on; each step adds its own.
+/// Maximum age of a hub's report of a member that is forwarded. Each hop adds its own delay.
 const FORWARD_MAX_AGE_US: DurationUs = DurationUs::from_ms(1_200);
-/// Time for which a registration that was listed counts: two listings.
+/// How long a registration counts after it was last listed: two listings.
 const REGISTRATION_TTL_US: DurationUs = DurationUs::from_ms(10_000);
-/// Silence after which a member is forgotten.
+/// Silence after which a member is removed.
 const MEMBER_RETENTION_US: DurationUs = DurationUs::from_ms(30_000);
-/// Time for which an address that was never heard is still taken for a daemon's.
+/// How long an address counts as a daemon's if no daemon there ever sent a message or was
+/// reported by a hub.
 const UNCONFIRMED_ADDRESS_TTL_US: DurationUs = DurationUs::from_ms(3_000);
 
-/// One other daemon that is heard directly.
+/// Another daemon whose messages this one receives directly.
 #[derive(Clone, Debug)]
 pub struct PeerRow {
-    /// Life.
+    /// Start of the daemon's process; a restarted daemon has another one.
     pub incarnation: Incarnation,
     /// Address.
     pub ip: Ipv4Addr,
     /// Availability zone.
     pub zone: String,
-    /// What it does.
+    /// Whether the daemon is starting, ready or draining.
     pub phase: MemberPhase,
-    /// What it can carry.
+    /// Capacity that the daemon reports, in thousandths of a core.
     pub capacity: u16,
-    /// Rate of its VM's link.
+    /// Rate of its VM's link in Mbit/s.
     pub link_mbps: u16,
-    /// Whether it is a hub.
+    /// Whether the daemon is a hub.
     pub is_hub: bool,
-    /// Whether it asks the stores itself.
+    /// Whether the daemon watches the stores itself.
     pub follows_stores: bool,
-    /// Whether the store answers it, or one that it hears.
+    /// Whether the daemon reaches the store, or hears from another one that does.
     pub is_store_reachable: bool,
-    /// For how long its last message was held up on the way.
+    /// How much longer its last message took than the fastest recent one.
     pub message_delay_us: DurationUs,
     delay_tracker: MessageDelay,
     message_number: u64,
@@ -60,7 +62,7 @@
 }
 
 impl PeerRow {
-    /// Returns it as callers are told of it.
+    /// Returns the daemon in the form in which callers are given it.
     pub fn entry(&self) -> EntryPoint {
         EntryPoint {
             ip: self.ip,
@@ -71,7 +73,7 @@
     }
 }
 
-/// One daemon that a hub tells of.
+/// A daemon that a hub reports.
 #[derive(Clone, Debug)]
 struct IndirectPeerRow {
     zone: String,
@@ -88,13 +90,13 @@
     pub ip: Ipv4Addr,
     /// Availability zone.
     pub zone: String,
-    /// What it can carry.
+    /// Capacity that the daemon reports, in thousandths of a core.
     pub capacity: u16,
-    /// Rate of its VM's link.
+    /// Rate of its VM's link in Mbit/s.
     pub link_mbps: u16,
 }
 
-/// An address that is known from elsewhere: the settings, the store, or other daemons.
+/// An address that may be a daemon's, known from the settings, the store or other daemons.
 #[derive(Clone, Debug)]
 struct KnownAddress {
     zone: Option<String>,
@@ -108,23 +110,24 @@
     peers: BTreeMap<Ipv4Addr, PeerRow>,
     indirect: BTreeMap<Ipv4Addr, IndirectPeerRow>,
     known: BTreeMap<Ipv4Addr, KnownAddress>,
-    /// When each address was last seen registered in the store.
+    /// When each address was last listed as registered in the store.
     registered: BTreeMap<Ipv4Addr, TimeUs>,
 }
 
-/// What a message changed.
+/// Effect of a received message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReceiveOutcome {
-    /// It is an old one.
+    /// The message is outdated and was ignored.
     Stale,
     /// The sender was known.
     Known,
-    /// The sender is new, or is back.
+    /// The sender is new, has restarted, or is back after a silence.
     Joined,
 }
 
 impl PeerTable {
-    /// Notes an address that may be a daemon's, with its zone and link if those are known.
+    /// Records an address that may be a daemon's, with its zone and the rate of its link in Mbit/s
+    /// if known.
     pub fn record_address(&mut self, ip: Ipv4Addr, place: Option<(String, u16)>, now: TimeUs) {
         let row = self.known.entry(ip).or_insert(KnownAddress {
             zone: None,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Notes that the store holds a registration of an address.
+    /// Records that an address is registered in the store.
     pub fn record_registration(&mut self, ip: Ipv4Addr, now: TimeUs) {
         self.registered.insert(ip, now);
     }
@@ -147,9 +150,9 @@
         self.registered.len()
     }
 
-    /// Returns what is seen of the members, for the permits of cold endpoints.
+    /// Returns which members are alive, registered and leaving, for the distribution of permits.
     pub fn observe_members(&self, me: Ipv4Addr, is_complete: bool, now: TimeUs) -> ViewObservation {
-        let stays = |phase: MemberPhase| phase != MemberPhase::Draining;
+        let is_staying = |phase: MemberPhase| phase != MemberPhase::Draining;
         let direct = self.alive(now).map(|peer| (peer.ip, peer.phase));
         let indirect = self.indirect_members(now).map(|(ip, row)| (*ip, row.phase));
         let mut observation = ViewObservation {
@@ -159,7 +162,7 @@
             is_complete,
         };
         for (ip, phase) in direct.chain(indirect) {
-            match stays(phase) {
+            match is_staying(phase) {
                 true => observation.alive.insert(ip),
                 false => observation.leaving.insert(ip),
             };
@@ -167,7 +170,7 @@
         observation
     }
 
-    /// Takes a message in.
+    /// Applies a message that another daemon sent to this one.
     pub fn receive(&mut self, message: &GossipMessage, now: TimeUs) -> ReceiveOutcome {
         let old = self.peers.get(&message.ip);
         let is_same_incarnation = old.is_some_and(|old| old.incarnation == message.incarnation);
@@ -233,8 +236,7 @@
         self.record_address(member.ip, Some((zone.clone(), member.link_mbps)), now);
     }
 
-    /// Forgets those that have been silent for long, and returns those that fell silent since
-    /// `last`.
+    /// Removes expired members, and returns those that fell silent since `last`.
     pub fn tick(&mut self, last: TimeUs, now: TimeUs) -> Vec<Incarnation> {
         self.peers
             .retain(|_, peer| now.since(peer.received_at_us) < MEMBER_RETENTION_US);
@@ -255,21 +257,21 @@
         silent.map(|peer| peer.incarnation).collect()
     }
 
-    /// Lists the daemons that are heard directly.
+    /// Lists the daemons that have sent a message to this one lately.
     pub fn alive(&self, now: TimeUs) -> impl Iterator<Item = &PeerRow> {
         self.peers
             .values()
             .filter(move |peer| !is_silent(peer, now))
     }
 
-    /// Lists the daemons that serve and are heard directly.
+    /// Lists the daemons that have sent a message to this one lately and are ready.
     pub fn ready(&self, now: TimeUs) -> impl Iterator<Item = &PeerRow> {
         self.alive(now)
             .filter(|peer| peer.phase == MemberPhase::Ready)
     }
 
-    /// Lists the daemons that callers may be sent to: those that are heard, and those that a hub
-    /// tells of.
+    /// Lists the daemons that callers may be sent to, whether they are heard directly or reported
+    /// by a hub.
     pub fn entries(&self, now: TimeUs) -> Vec<EntryPoint> {
         let direct = self.ready(now).map(PeerRow::entry);
         let mut entries: Vec<EntryPoint> = direct.collect();
@@ -286,10 +288,11 @@
         entries
     }
 
-    /// Lists the daemons that are known through hubs alone.
+    /// Lists the daemons that are known only through hubs.
     ///
-    /// What a daemon says itself goes before what others tell of it, also its silence, but only for a while: when all
-    /// start at once, many are heard directly before each has a hub, and never again.
+    /// A daemon's own messages, and its silence, take precedence over what others report about it,
+    /// but only for a while. When all daemons start at once, many are heard directly before each
+    /// has a hub, and never again.
     fn indirect_members(&self, now: TimeUs) -> impl Iterator<Item = (&Ipv4Addr, &IndirectPeerRow)> {
         self.indirect.iter().filter(move |(ip, _)| {
             let silence = self.silence(**ip, now);
@@ -297,7 +300,7 @@
         })
     }
 
-    /// Lists the daemons that a hub has told of a moment ago, to be told on.
+    /// Lists the daemons that a hub has reported a moment ago, for forwarding.
     pub fn recent_indirect_members(
         &self,
         now: TimeUs,
@@ -322,7 +325,7 @@
         alive + self.indirect_members(now).count()
     }
 
-    /// Makes the plan of hubs for a fleet with `me` in it.
+    /// Chooses the hubs of the fleet, including `me`.
     pub fn hub_plan(&self, me: &HubCandidate, now: TimeUs) -> HubPlan {
         let mut members = vec![me.clone()];
         for (ip, known) in &self.known {
@@ -342,7 +345,7 @@
         HubPlan::for_members(&members)
     }
 
-    /// Returns the addresses that a daemon tells its news.
+    /// Returns the addresses to which a daemon sends its gossip.
     pub fn targets(&self, me: &HubCandidate, plan: &HubPlan, now: TimeUs) -> Vec<Ipv4Addr> {
         let others = self.known.keys().copied().filter(|ip| *ip != me.ip);
         if plan.is_small {
@@ -369,11 +372,12 @@
         targets
     }
 
-    /// Returns how many daemons ask the store before this one does, each of which confirms for all what
-    /// is known of the objects that `kind` names.
+    /// Returns how many daemons ask the store about the objects named by `kind` before this one
+    /// does. The answer to each of them confirms for the whole fleet what is known.
     ///
-    /// One that doesn't follow the store asks after those that do, and its turn is drawn from the size
-    /// of the fleet: most of those that don't hear of each other.
+    /// A daemon that doesn't watch the store asks after those that do. Its rank among the others is
+    /// a hash modulo the size of the fleet, since most of those daemons don't receive each other's
+    /// messages.
     pub fn confirmation_rank(&self, kind: &str, me: Ipv4Addr, follows: bool, now: TimeUs) -> usize {
         let rank = Rendezvous::new("confirms", kind);
         let mine = rank.score(&me.octets());
@@ -389,19 +393,19 @@
         1 + followers.count() + usize::try_from(mine).unwrap_or(0) % daemons
     }
 
-    /// Returns a daemon that is heard directly.
+    /// Returns a daemon whose messages this one receives directly.
     pub fn get(&self, ip: Ipv4Addr) -> Option<&PeerRow> {
         self.peers.get(&ip)
     }
 
-    /// Returns how long ago anything was heard from an address.
+    /// Returns the time since the last message from an address; `None` if there was none.
     pub fn silence(&self, ip: Ipv4Addr, now: TimeUs) -> Option<DurationUs> {
         self.peers
             .get(&ip)
             .map(|peer| now.since(peer.received_at_us))
     }
 
-    /// Returns whether a hub tells of an address.
+    /// Returns whether a hub reports an address.
     pub fn is_known_indirectly(&self, ip: Ipv4Addr) -> bool {
         self.indirect.contains_key(&ip)
     }
--- a/crates/wisteriahitch-relay/src/decide/message_delay.rs
+++ b/crates/wisteriahitch-relay/src/decide/message_delay.rs
@@ -1,25 +1,29 @@
-//! For how long a message was under way.
+//! How long messages were delayed on their way.
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Time after which the least lag is measured anew. Clocks of two VMs drift apart by some milliseconds a minute.
+/// How long a minimum lag is used before it is measured again. The clocks of two VMs drift apart by
+/// some milliseconds a minute.
 const MIN_LAG_WINDOW_US: DurationUs = DurationUs::from_ms(10_000);
 
-/// Tells messages that were held up from those that came at once, by clocks that needn't agree.
+/// Tells delayed messages from prompt ones, without synchronized clocks.
 ///
-/// A daemon that was suspended finds the messages of that time waiting. What they say of ages was right when
-/// they were sent; taken as of their arrival, news that are seconds old would look new. So each message
-/// carries its sender's time, and its lag counts above the least one of the last seconds.
+/// A daemon that was suspended receives the messages of that time late. The ages that they state
+/// were right when they were sent; counted from their arrival, information that is seconds old
+/// would look new. So each message carries its sender's time. The difference to the receiver's time
+/// is its lag, and a message counts as delayed by the excess over the lowest lag of the last
+/// seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageDelay {
     window_began_at_us: TimeUs,
     min_lag_us: Option<i64>,
-    /// The least lag of the time before.
+    /// Minimum lag in the previous window.
     previous_min_lag_us: Option<i64>,
 }
 
 impl MessageDelay {
-    /// Notes a message, by its sender's clock and by the own one, and returns for how long it was held up.
+    /// Records a message by its sender's clock and this daemon's, and returns by how much it was
+    /// delayed.
     pub fn record(&mut self, sent_at: TimeUs, now: TimeUs) -> DurationUs {
         if now.since(self.window_began_at_us) >= MIN_LAG_WINDOW_US {
             self.window_began_at_us = now;
--- a/crates/wisteriahitch-relay/src/decide/mod.rs
+++ b/crates/wisteriahitch-relay/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions without input or output: events and a time go in, a choice or commands come out.
+//! Decision logic without I/O: takes events and the current time, returns choices or commands.
 
 pub(crate) mod backlog;
 pub(crate) mod cold_limit;
--- a/crates/wisteriahitch-relay/src/decide/named_limit.rs
+++ b/crates/wisteriahitch-relay/src/decide/named_limit.rs
@@ -1,7 +1,8 @@
-//! The rate of calls that an endpoint names for itself.
+//! The rate of calls that an endpoint names as its limit.
 //!
-//! It counts the calls of all daemons together, and holds for as long as the endpoint says so. Permits bound what the
-//! endpoint gets ([`super::rate_limit`]). `docs/design/endpoint-limits.md` gives the reasons.
+//! It counts the calls of all daemons together, and stays in force until the endpoint withdraws it
+//! or it expires. Permits bound the calls that the endpoint gets ([`super::rate_limit`]).
+//! `docs/design/endpoint-limits.md` gives the reasons.
 
 use wisteriahitch_types::{CallRate, DurationUs, TimeUs};
 
@@ -14,34 +15,38 @@
     span_us: DurationUs::from_ms(4_000),
 };
 
-/// Least rate at which an endpoint gets calls, whatever it names. One that gets none can't say that its limit is over;
-/// one call in ten seconds is a small part of the calls that the bound allows beyond any rate.
+/// Minimum rate of calls to an endpoint, whatever limit it names. An endpoint that gets no call
+/// can't report that its limit is over. One call in ten seconds is little compared with the calls
+/// that the bound allows beyond any rate.
 const MIN_CALLS_PER_S: f64 = 0.1;
 
-/// Rate from which a limit bounds nothing: the peak of a whole site (docs/DEVELOPERS.md).
+/// Rate from which a limit has no effect: the peak rate of a whole site (docs/DEVELOPERS.md).
 const UNBOUNDED_CALLS_PER_S: f64 = 1_100.0;
 
-/// Time by which what a peer tells must be newer to allow more calls than what is known: the longest delay of a message
-/// that isn't lost.
+/// How much newer than the known limit a peer's report must be to raise it: the longest delay of a
+/// message that isn't lost.
 const RAISE_MARGIN_US: DurationUs = DurationUs::from_ms(500);
 
-/// How long others are told that a limit is over: several messages, some of which are lost.
+/// How long the end of a limit is sent to other daemons: several messages, some of which may be
+/// lost.
 const LIMIT_END_GOSSIP_US: DurationUs = DurationUs::from_ms(5_000);
 
-/// Least time between two log lines about one endpoint's limit, which may change with each answer.
+/// Minimum time between two log lines about the limit of one endpoint, which may change with every
+/// answer.
 const MIN_LOG_INTERVAL_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// What an endpoint said of its limit.
+/// An endpoint's latest statement of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitNotice {
-    /// Calls that it takes from all daemons together; none where it names no limit any more.
+    /// Calls a second that the endpoint accepts from all daemons together; `None` if it no longer
+    /// names a limit.
     pub rate: Option<CallRate>,
-    /// When its answer came.
+    /// When the answer with the statement arrived.
     pub received_at_us: TimeUs,
 }
 
 impl LimitNotice {
-    /// Returns whether it allows more calls than another one.
+    /// Returns whether this notice allows more calls than another one.
     fn allows_more(&self, other: &Self) -> bool {
         match (self.rate, other.rate) {
             (None, Some(_)) => true,
@@ -50,7 +55,7 @@
         }
     }
 
-    /// Returns whether it replaces what is known, where a peer tells of it.
+    /// Returns whether this notice, reported by a peer, replaces the known one.
     fn supersedes(&self, known: &Self) -> bool {
         let margin_us = match self.allows_more(known) {
             true => RAISE_MARGIN_US,
@@ -60,20 +65,20 @@
     }
 }
 
-/// What a word of an endpoint's limit calls for.
+/// Result of applying a statement of an endpoint's limit.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LimitOutcome {
-    /// Whether the rate is another one than before.
+    /// Whether the rate differs from the previous one.
     pub is_changed: bool,
-    /// Whether the rate is to be logged.
+    /// Whether the rate should be logged.
     pub should_log: bool,
 }
 
-/// What one daemon knows and uses of the limit of one endpoint.
+/// Limit of one endpoint, and the permits that this daemon uses under it.
 #[derive(Clone, Debug, Default)]
 pub struct NamedLimit {
     notice: Option<LimitNotice>,
-    /// Permits at the rate of the notice.
+    /// Permits derived from the rate of `notice`; `None` if there is no limit or it has no effect.
     limit: Option<RateLimit>,
     /// Permits that this daemon holds.
     pub permits: ReservedPermits,
@@ -82,30 +87,31 @@
 }
 
 impl NamedLimit {
-    /// Returns what the endpoint last said, if it has ever named a limit.
+    /// Returns the endpoint's latest statement; `None` if it has never named a limit.
     pub fn notice(&self) -> Option<LimitNotice> {
         self.notice
     }
 
-    /// Returns the rate that it names.
+    /// Returns the rate that the endpoint names.
     pub fn rate(&self) -> Option<CallRate> {
         self.notice.and_then(|notice| notice.rate)
     }
 
-    /// Returns how long ago the endpoint last said something of its limit.
+    /// Returns the milliseconds since the endpoint's latest statement of its limit.
     pub fn last_seen_ms_ago(&self, now: TimeUs) -> Option<u64> {
         let notice = self.notice?;
         Some(now.since(notice.received_at_us).as_ms())
     }
 
-    /// Returns the permits that it bounds calls to, unless nobody has heard of it for `life_us`.
+    /// Returns the permits that bound the endpoint's calls; `None` if there is no limit or its
+    /// latest statement is `ttl_us` old.
     pub fn active_limit(&self, ttl_us: DurationUs, now: TimeUs) -> Option<&RateLimit> {
         let notice = self.notice?;
         let limit = self.limit.as_ref();
         limit.filter(|_| now.since(notice.received_at_us) < ttl_us)
     }
 
-    /// Returns what other daemons are to be told.
+    /// Returns the notice to send to other daemons, if any.
     pub(super) fn notice_to_gossip(&self, ttl_us: DurationUs, now: TimeUs) -> Option<LimitNotice> {
         let notice = self.notice?;
         let gossip_for_us = match notice.rate {
@@ -115,7 +121,7 @@
         (now.since(notice.received_at_us) < gossip_for_us).then_some(notice)
     }
 
-    /// Takes over what an answer to this daemon says.
+    /// Applies the limit that an answer to this daemon names; `None` if it names none.
     pub(super) fn record_answer(&mut self, rate: Option<CallRate>, now: TimeUs) -> LimitOutcome {
         if rate.is_none() && self.notice.is_none() {
             return LimitOutcome::default();
@@ -127,7 +133,7 @@
         self.adopt(notice, now)
     }
 
-    /// Takes over what a peer tells, where it is newer.
+    /// Applies a notice reported by a peer, if it supersedes the known one.
     pub(super) fn apply_peer_notice(&mut self, notice: LimitNotice, now: TimeUs) -> LimitOutcome {
         let is_newer = match &self.notice {
             Some(known) => notice.supersedes(known),
@@ -149,7 +155,9 @@
         }
     }
 
-    /// Returns whether the rate is to be logged now: it isn't the one that was logged last, and that was a while ago.
+    /// Returns whether the rate should be logged now, and if so records it as logged. It should if
+    /// it differs from the last logged rate and that was logged at least [`MIN_LOG_INTERVAL_US`]
+    /// ago.
     fn mark_logged_if_due(&mut self, now: TimeUs) -> bool {
         let rate = self.rate();
         let is_due = match self.logged {
@@ -163,7 +171,7 @@
     }
 }
 
-/// Derives the permits of a named rate; none where it bounds nothing.
+/// Derives the permits of a named rate; `None` if the rate is too high to have an effect.
 fn rate_limit(rate: CallRate) -> Option<RateLimit> {
     let per_s = rate.per_s();
     (per_s < UNBOUNDED_CALLS_PER_S)
--- a/crates/wisteriahitch-relay/src/decide/outlier.rs
+++ b/crates/wisteriahitch-relay/src/decide/outlier.rs
@@ -1,17 +1,17 @@
-//! Tells an endpoint that fails from the others of its service.
+//! Outlier detection: ejects endpoints that fail more often than the others of their service.
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Bounds of outlier ejection.
+/// Options of outlier ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierOptions {
     /// Weight of the newest outcome in the moving failure rate.
     pub sample_weight: f64,
-    /// Failure rate above which an endpoint is ejected; two failures in a row reach it.
+    /// Failure rate above which an endpoint is ejected. Two failures in a row exceed it.
     pub max_failure_rate: f64,
-    /// First ejection; each further one lasts twice as long.
+    /// Duration of the first ejection; each further one in a row lasts twice as long.
     pub first_ejection_us: DurationUs,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection_us: DurationUs,
 }
 
@@ -26,10 +26,11 @@
     }
 }
 
-/// Moving failure rate of one endpoint, and its ejection.
+/// Moving failure rate and ejection of one endpoint.
 ///
-/// An endpoint's own health answers are not asked: one that fails half of its requests may call
-/// itself healthy, and callers would go on losing every second one.
+/// Only outcomes of requests count, not the endpoint's own health reports: an endpoint that fails
+/// half of its requests may report itself as healthy, and callers would go on losing every second
+/// request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierDetector {
     failure_rate: f64,
@@ -38,11 +39,11 @@
     probe_since_us: Option<TimeUs>,
 }
 
-/// After this time without an outcome another request may probe an ejected endpoint.
+/// Time without an outcome of a probe after which another request may probe an ejected endpoint.
 const PROBE_TIMEOUT_US: DurationUs = DurationUs::from_ms(1_000);
 
 impl OutlierDetector {
-    /// Notes an answer that ended well, and returns whether that ended an ejection.
+    /// Records a successful request, and returns whether it ended an ejection.
     pub fn record_success(&mut self, options: &OutlierOptions) -> bool {
         self.failure_rate *= 1.0 - options.sample_weight;
         let was_ejected = self.ejected_until_us.take().is_some();
@@ -55,7 +56,7 @@
         was_ejected
     }
 
-    /// Notes a failure, and returns whether the endpoint is ejected by it.
+    /// Records a failed request, and returns whether it ejected the endpoint.
     pub fn record_failure(&mut self, options: &OutlierOptions, now: TimeUs) -> bool {
         let retained_weight = 1.0 - options.sample_weight;
         self.failure_rate = self.failure_rate * retained_weight + options.sample_weight;
@@ -68,7 +69,7 @@
         !is_ejected
     }
 
-    /// Ejects the endpoint at once, as after a connection that it refused.
+    /// Ejects the endpoint regardless of its failure rate, for example after a refused connection.
     pub fn eject(&mut self, options: &OutlierOptions, now: TimeUs) {
         let doublings = self.ejections_in_row.min(8);
         let ejection_us = options.first_ejection_us.get() << doublings;
@@ -77,7 +78,8 @@
         self.ejections_in_row += 1;
     }
 
-    /// Returns whether the endpoint should get no requests now.
+    /// Returns whether the endpoint should get no requests now. After an ejection only one request
+    /// at a time probes the endpoint, until a success ends the ejection.
     pub fn is_ejected(&self, now: TimeUs) -> bool {
         let Some(until) = self.ejected_until_us else {
             return false;
@@ -86,7 +88,7 @@
         until > now || self.probe_since_us.is_some_and(is_probed)
     }
 
-    /// Notes that a request was sent; after an ejection it is the one that probes the endpoint.
+    /// Records that a request was sent. After an ejection this request is the probe.
     pub fn record_sent(&mut self, now: TimeUs) {
         if self.ejected_until_us.is_some() {
             self.probe_since_us = Some(now);
--- a/crates/wisteriahitch-relay/src/decide/overload.rs
+++ b/crates/wisteriahitch-relay/src/decide/overload.rs
@@ -1,10 +1,10 @@
-//! How long a queue may be before a call is refused.
+//! Load shedding: how long a queue may be before calls are refused.
 //!
-//! Load pattern: callers ask for more than the endpoints can do, as when a part of them is lost or
-//! their caches were emptied by new weights. Let in without a bound, calls wait behind each other
-//! until all of them are late, and the endpoints are busy with answers that nobody waits for any
-//! more. With a bound some are refused at once and told when to come back, and the others are in
-//! time. `docs/design/overload.md` has the figures.
+//! Callers may ask for more than the endpoints can serve, for example when some endpoints are lost
+//! or new weights have emptied their caches. Without a bound, calls queue up until all of them are
+//! late, and the endpoints are busy with answers that nobody waits for any more. With a bound, some
+//! calls are refused at once with the time to retry after, and the others are on time.
+//! `docs/design/overload.md` has the figures.
 
 use std::collections::HashMap;
 
@@ -13,35 +13,37 @@
 
 use crate::site::Route;
 
-/// Longest queue that the most urgent calls join, in multiples of their target. Above it they would
-/// certainly be late, and what they displace would be too.
+/// Maximum queue that the most urgent calls join, in multiples of their target. Behind a longer one
+/// they would certainly be late, and so would the calls that they displace.
 const MOST_URGENT_QUEUE_TARGETS: f64 = 1.0;
 
-/// The same for the least urgent calls. They are refused earlier: prompts that are less urgent are
-/// the long ones, and one of them occupies an endpoint for as long as several urgent ones.
+/// Maximum queue that the least urgent calls join, in multiples of their target. They are refused
+/// earlier, because less urgent prompts are the long ones, and one of them occupies an endpoint for
+/// as long as several urgent ones.
 const LEAST_URGENT_QUEUE_TARGETS: f64 = 0.9;
 
-/// Shortest wait that a refused caller is told.
+/// Minimum time after which a refused caller is told to retry.
 const MIN_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(150);
 
-/// Over this time the returns of refused callers are spread, so that they don't meet again.
+/// Range of the random delay added to the retry times of refused callers, so that they don't return
+/// all at once.
 const RETRY_JITTER_US: DurationUs = DurationUs::from_ms(800);
 
-/// One rank among the routes of a service.
+/// One priority among the routes of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UrgencyLevel {
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Shortest target of the routes of this rank and of more urgent ones.
+    /// Shortest target of the routes of this priority and of more urgent ones.
     pub target_us: DurationUs,
 }
 
-/// The ranks of each service's routes, the most urgent first.
+/// The priorities of each service's routes, the most urgent first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UrgencyLevels(HashMap<ServiceName, Vec<UrgencyLevel>>);
 
 impl UrgencyLevels {
-    /// Gathers the ranks of all routes.
+    /// Collects the priorities of all routes.
     pub fn from_routes<'a>(routes: impl Iterator<Item = &'a Route>) -> Self {
         let mut by_service: HashMap<ServiceName, Vec<UrgencyLevel>> = HashMap::new();
         for route in routes {
@@ -65,11 +67,11 @@
         Self(by_service)
     }
 
-    /// Returns the longest queue that a call joins.
+    /// Returns the maximum queue that a call joins.
     ///
-    /// The bound of a call is never above that of a more urgent one. Counted by its own target
-    /// alone, a long prompt with a generous target would still be let in where a short urgent one
-    /// is refused.
+    /// The bound of a call never exceeds that of a more urgent one. With a bound derived from its
+    /// own target alone, a long prompt with a generous target would be accepted where a short
+    /// urgent one is refused.
     pub fn max_queue(
         &self,
         service: &ServiceName,
@@ -89,10 +91,10 @@
     }
 }
 
-/// Returns when a caller may come back whose call would have waited `excess_us` too long.
+/// Returns when a caller whose call would have waited `excess_us` too long may retry.
 ///
-/// By then the queue has shrunk to its bound, if no more comes than goes. The returns of those who
-/// were refused together are spread.
+/// By then the queue has shrunk to its bound if calls arrive no faster than they finish. A random
+/// delay spreads the retries of callers that were refused at the same time.
 pub(crate) fn retry_after(excess_us: DurationUs, rng: &mut impl Rng) -> DurationUs {
     let jitter = RETRY_JITTER_US.get();
     excess_us.max(MIN_RETRY_AFTER_US) + DurationUs::new(rng.random_range(0..jitter))
--- a/crates/wisteriahitch-relay/src/decide/permit_shares.rs
+++ b/crates/wisteriahitch-relay/src/decide/permit_shares.rs
@@ -1,18 +1,24 @@
-//! Which daemon holds which permits of an endpoint whose calls are bounded, without a message about it.
+//! Assigns the permits of an endpoint whose calls are bounded to daemons, without messages about
+//! it.
 //!
-//! The members' addresses and the endpoint's id rank the daemons; the first ones hold a permit each, and in a fleet
-//! smaller than the number of permits they go round. So every permit has one holder among all that see the same members,
-//! and what is left are moments at which they don't:
+//! A hash of the members' addresses and the endpoint's id ranks the daemons. The first ones get a
+//! permit each; if there are more permits than daemons, the assignment starts over with the first.
+//! So all daemons that see the same members agree on the one holder of each permit. The remaining
+//! problem is times at which they see different members:
 //!
-//! - **Members come and go.** A daemon uses a permit only if it has held it in every view of the last [`HOLD_US`],
-//!   and gives one up at once. That time is longer than all others take to learn of the same change.
-//! - **A fleet in parts.** Only the part that sees more than half of all members of the last [`MEMORY_US`] uses all
-//!   permits. A smaller one uses none of a cold endpoint's, and of an endpoint that names a limit as large a part as it
-//!   is of the fleet: all parts together then use half as much again at most, which the unused half of the bound covers.
-//! - **A daemon that was suspended** counts as having seen nothing, until it has looked around for [`HOLD_US`] again;
-//!   so does one that has just started, and one that hasn't yet read who is registered.
+//! - **Members join and leave.** A daemon uses a permit only if it has held it in every view of the
+//!   last [`PERMIT_ACTIVATION_DELAY_US`], and stops using it as soon as it loses it. That time is
+//!   longer than all others take to notice the same change.
+//! - **Partitions.** Only a partition that sees more than half of all members of the last
+//!   [`MEMBER_RETENTION_US`] uses all permits. A smaller one uses no permits of a cold endpoint,
+//!   and of an endpoint that names a limit a share proportional to its size. Together, all
+//!   partitions then use at most half as many again, which the unused half of the bound covers.
+//! - **Suspended daemons.** A daemon that was suspended counts as having seen no member until it
+//!   has observed the members for [`PERMIT_ACTIVATION_DELAY_US`] again. So does one that has just
+//!   started, and one that hasn't read the registrations yet.
 //!
-//! Where nobody may use a permit a cold endpoint gets nothing until it is warm, which is seconds.
+//! Where no daemon may use a permit, a cold endpoint gets no calls until it is warm, which takes
+//! seconds.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -20,90 +26,96 @@
 use wisteriahitch_core::fleet::Rendezvous;
 use wisteriahitch_types::{DurationUs, EndpointId, TimeUs};
 
-/// Time for which a daemon must have held a permit before it uses it: the most by which daemons differ in learning that
-/// a member is gone (0.9 s after its last message, or 2.7 s through a hub) and that one is there (0.6 s), and the
-/// window of a cold endpoint's permit. The window of a named limit is longer: what a permit's holder before has used within
-/// it is covered by the unused half of the bound.
+/// How long a daemon must have held a permit before it uses it. This covers the largest difference
+/// between the times at which daemons notice that a member has left (0.9 s after its last message,
+/// or 2.7 s through a hub) or has joined (0.6 s), and the window of a cold endpoint's permit. The
+/// window of a named limit is longer; calls that the permit's previous holder has sent within it
+/// are covered by the unused half of the bound.
 pub(crate) const PERMIT_ACTIVATION_DELAY_US: DurationUs = DurationUs::from_ms(3_500);
 
-/// Time for which a member that has fallen silent still counts as one of all.
+/// How long a member that has fallen silent still counts as a member of the fleet.
 const MEMBER_RETENTION_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Time between two looks at the members from which on the process counts as suspended. They are 0.1 to 0.2 s apart.
+/// Time between two observations of the members above which the process counts as suspended.
+/// Observations are 0.1 to 0.2 s apart.
 pub(crate) const MAX_OBSERVATION_GAP_US: DurationUs = DurationUs::from_ms(700);
 
-/// The members that a daemon saw from a time on.
+/// The members that a daemon saw from some time on.
 #[derive(Clone, Debug)]
 struct View {
     since_us: TimeUs,
-    /// Sorted; empty where permits may not be used.
+    /// Sorted; empty if no permits may be used.
     members: Vec<Ipv4Addr>,
-    /// Which part of the fleet they are, where that is half of it or less.
-    minority: Option<FleetPart>,
+    /// Size of this partition, if it has half of the fleet or less.
+    minority: Option<Partition>,
 }
 
-/// A part of the fleet.
+/// Size of a partition of the fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct FleetPart {
+struct Partition {
     seen: usize,
-    /// All members of the last [`MEMORY_US`].
+    /// All members of the last [`MEMBER_RETENTION_US`].
     known: usize,
 }
 
-impl FleetPart {
-    /// Returns its part of some permits, rounded down: all parts together have no more than all permits.
+impl Partition {
+    /// Returns the partition's proportional share of some permits, rounded down, so that all
+    /// partitions together get no more than all permits.
     fn share_of(self, permits: u32) -> u32 {
-        let part = f64::from(permits) * self.seen as f64 / self.known.max(1) as f64;
-        part as u32
+        let share = f64::from(permits) * self.seen as f64 / self.known.max(1) as f64;
+        share as u32
     }
 }
 
-/// Says what a part of the fleet may use that doesn't see more than half of it.
+/// What a partition that doesn't see more than half of the fleet may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MinorityShare {
-    /// Nothing: what is bounded breaks if it gets too much, and the bound ends by itself in seconds.
+    /// No permits. For bounds whose excess breaks the endpoint, and which end by themselves within
+    /// seconds.
     Nothing,
-    /// As large a part of the permits as it is of the fleet: nobody knows when the bound ends.
+    /// A share of the permits proportional to the size of the partition. For bounds of unknown
+    /// duration.
     Proportional,
 }
 
 /// What a daemon sees of the members at one time.
 #[derive(Clone, Debug, Default)]
 pub struct ViewObservation {
-    /// Daemons that are heard or told of and stay, this one included.
+    /// Daemons that are heard or reported by a hub and aren't leaving, including this one.
     pub alive: BTreeSet<Ipv4Addr>,
-    /// Daemons that have registered, whether they are heard or not.
+    /// Daemons that are registered, whether they are heard or not.
     pub registered: BTreeSet<Ipv4Addr>,
-    /// Daemons that have said that they leave.
+    /// Daemons that have announced their leaving.
     pub leaving: BTreeSet<Ipv4Addr>,
-    /// Whether this daemon has ever read who is registered.
+    /// Whether this daemon has read the registrations at least once.
     pub is_complete: bool,
 }
 
 /// How many of an endpoint's permits a daemon may use.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PermitShare {
-    /// How many now.
+    /// Number of permits that may be used now.
     pub now: u32,
-    /// From when on how many, unless the daemon's view of the members changes before; none without a view.
+    /// From when on how many permits may be used, unless the daemon's view of the members changes
+    /// before; `None` if there is no usable view.
     pub later: Option<(TimeUs, u32)>,
 }
 
 impl PermitShare {
-    /// Returns how many it may use at a time.
+    /// Returns how many permits may be used at a time.
     pub(super) fn at(&self, now: TimeUs) -> usize {
         let later = self.later.filter(|(usable_at, _)| *usable_at <= now);
         later.map_or(self.now, |(_, share)| share) as usize
     }
 
-    /// Returns how many it may use at one time or another.
+    /// Returns the maximum number of permits that may be used now or later.
     pub(super) fn max(&self) -> usize {
         let later = self.later.map_or(0, |(_, share)| share);
         self.now.max(later) as usize
     }
 }
 
-/// The views of one daemon.
+/// The recent views of one daemon.
 #[derive(Debug)]
 pub struct PermitShares {
     me: Ipv4Addr,
@@ -113,7 +125,7 @@
 }
 
 impl PermitShares {
-    /// Starts without having seen anybody.
+    /// Starts with a view without any members.
     pub fn new(me: Ipv4Addr, now: TimeUs) -> Self {
         Self {
             me,
@@ -127,7 +139,7 @@
         }
     }
 
-    /// Takes over what is seen of the members now. To be called several times a second.
+    /// Records an observation of the members. Must be called several times a second.
     pub fn observe(&mut self, observation: &ViewObservation, now: TimeUs) {
         if now.since(self.observed_at_us) > MAX_OBSERVATION_GAP_US {
             self.begin_view(Vec::new(), None, now);
@@ -143,7 +155,8 @@
         if !self.views.back().is_some_and(is_same) {
             self.begin_view(members, minority, now);
         }
-        // The first one that is kept may have begun before, and was in force within the time.
+        // The oldest view that is kept may have begun earlier, but was still in force within that
+        // time.
         while self
             .views
             .get(1)
@@ -166,7 +179,7 @@
             let permits = match (view.minority, rule) {
                 (None, _) => permits,
                 (Some(_), MinorityShare::Nothing) => 0,
-                (Some(part), MinorityShare::Proportional) => part.share_of(permits),
+                (Some(partition), MinorityShare::Proportional) => partition.share_of(permits),
             };
             self.share_in(view, &rank, permits)
         };
@@ -180,7 +193,8 @@
         }
     }
 
-    /// Returns when the permits of the newest view may be used; none where it gives none, or only a part of them.
+    /// Returns when the permits of the newest view may be used; `None` if it allows no permits or
+    /// only a proportional share of them.
     pub fn usable_at(&self) -> Option<TimeUs> {
         let newest = self.views.back()?;
         let is_majority = !newest.members.is_empty() && newest.minority.is_none();
@@ -199,7 +213,7 @@
         permits.saturating_sub(before).div_ceil(members)
     }
 
-    fn begin_view(&mut self, members: Vec<Ipv4Addr>, minority: Option<FleetPart>, now: TimeUs) {
+    fn begin_view(&mut self, members: Vec<Ipv4Addr>, minority: Option<Partition>, now: TimeUs) {
         self.views.push_back(View {
             since_us: now,
             members,
@@ -217,10 +231,10 @@
         });
     }
 
-    /// Returns which part of the fleet is alive, unless it is more than half of it.
-    fn minority(&self, alive: &BTreeSet<Ipv4Addr>) -> Option<FleetPart> {
+    /// Returns the size of the partition that is alive, if it isn't more than half of the fleet.
+    fn minority(&self, alive: &BTreeSet<Ipv4Addr>) -> Option<Partition> {
         let seen = alive.iter().filter(|ip| self.last_seen_us.contains_key(ip));
         let (seen, known) = (seen.count(), self.last_seen_us.len());
-        (seen * 2 <= known).then_some(FleetPart { seen, known })
+        (seen * 2 <= known).then_some(Partition { seen, known })
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/rate_limit.rs
+++ b/crates/wisteriahitch-relay/src/decide/rate_limit.rs
@@ -1,43 +1,45 @@
-//! Permits for the calls that an endpoint takes from all daemons together.
+//! Permits that bound the calls an endpoint gets from all daemons together.
 //!
-//! A bound on the calls of an endpoint counts what all daemons send, and no daemon sees what the others do in the same
-//! moment. So the endpoint has a number of permits, each good for one call in a window, and each permit has one daemon
-//! ([`super::permit_shares`]). Endpoints right after their start and endpoints that name a limit are bounded alike.
-//! `docs/design/endpoint-limits.md` gives the reasons.
+//! The bound counts the calls of all daemons, and no daemon knows what the others send at the same
+//! moment. So an endpoint has a number of permits, each of which allows one call per window and
+//! belongs to one daemon ([`super::permit_shares`]). Endpoints right after their start and
+//! endpoints that name a limit are bounded alike. `docs/design/endpoint-limits.md` gives the
+//! reasons.
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 use super::permit_shares::PermitShare;
 
-/// What a deployment allows beyond a stated rate.
+/// How many calls a deployment allows beyond a stated rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateBound {
-    /// Multiple of the rate.
+    /// Factor on the stated rate.
     pub rate_ratio: f64,
-    /// Calls beyond that in any span.
+    /// Additional calls in any span.
     pub burst_calls: f64,
-    /// Span in which the calls are counted.
+    /// Length of the span in which calls are counted.
     pub span_us: DurationUs,
 }
 
-/// The part of the bound that all permits of an endpoint together use. Two views of the members may be in force at
-/// once, and each gives out all permits.
+/// Fraction of the bound that all permits of an endpoint use together. Two views of the members may
+/// be in force at once, and each of them assigns all permits.
 const PERMITTED_FRACTION: f64 = 0.5;
 
-/// What the clocks of a daemon and of an endpoint may differ by in a window.
+/// Maximum drift between the clocks of a daemon and an endpoint within a window.
 const MAX_CLOCK_DRIFT_US: DurationUs = DurationUs::from_ms(20);
 
-/// The permits of an endpoint.
+/// Permits of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RateLimit {
-    /// How many there are.
+    /// Number of permits.
     pub permits: u32,
-    /// How long each is used up after a call.
+    /// How long a permit can't be used again after a call.
     pub window_us: DurationUs,
 }
 
 impl RateLimit {
-    /// Derives the permits from the calls a second that an endpoint bears and what the deployment allows beyond.
+    /// Derives the permits from the rate of calls per second that an endpoint states, and from what
+    /// the deployment allows beyond it.
     ///
     /// ```
     /// use wisteriahitch_relay::{RateBound, RateLimit};
@@ -67,7 +69,7 @@
                 window_us: bound.span_us,
             };
         }
-        // One permit, used less than once in a span.
+        // One permit with a window longer than the span.
         Self {
             permits: 1,
             window_us: DurationUs::from_secs_f64(span_s / permitted_per_span) + MAX_CLOCK_DRIFT_US,
@@ -75,12 +77,12 @@
     }
 }
 
-/// Which of an endpoint's permits one daemon holds, and when it used them.
+/// One daemon's permits of an endpoint, and when it last used them.
 #[derive(Clone, Debug, Default)]
 pub struct ReservedPermits {
-    /// How many it may use.
+    /// How many of the permits this daemon may use.
     pub share: PermitShare,
-    /// When each was last used.
+    /// When each permit was last used; `None` if never.
     used_at_us: Vec<Option<TimeUs>>,
 }
 
@@ -90,19 +92,19 @@
         (0..self.share.at(now)).find(|permit| self.free_at(*permit, limit) <= now)
     }
 
-    /// Returns when the next permit is free that this daemon may use now or later; none where there is none.
+    /// Returns when this daemon may use a permit next; `None` if it has none now or later.
     pub fn next_free_at(&self, limit: &RateLimit) -> Option<TimeUs> {
         (0..self.share.max())
             .map(|permit| self.free_at(permit, limit))
             .min()
     }
 
-    /// Returns whether this daemon holds a permit.
+    /// Returns whether this daemon may use a permit at all, used up or not.
     pub fn contains(&self, permit: usize, now: TimeUs) -> bool {
         permit < self.share.at(now)
     }
 
-    /// Uses a permit, or renews its use when the call's bytes leave.
+    /// Marks a permit as used now: when a call is placed, and again when its bytes are sent.
     pub fn mark_used(&mut self, permit: usize, now: TimeUs) {
         if self.used_at_us.len() <= permit {
             self.used_at_us.resize(permit + 1, None);
@@ -110,7 +112,7 @@
         self.used_at_us[permit] = Some(now);
     }
 
-    /// Takes all permits for just used, where calls were sent without them.
+    /// Marks all permits as just used, after calls were sent without permits.
     pub(super) fn mark_all_used(&mut self, limit: &RateLimit, now: TimeUs) {
         self.used_at_us = vec![Some(now); limit.permits as usize];
     }
