--- a/crates/wisteriahitch-relay/tests/all/cold_limit.rs
+++ b/crates/wisteriahitch-relay/tests/all/cold_limit.rs
@@ -1,4 +1,4 @@
-//! What a cold endpoint may get, and when.
+//! Calls that a cold endpoint gets, and when.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::Ipv4Addr;
@@ -21,7 +21,7 @@
     span_us: DurationUs::from_ms(1_000),
 };
 
-/// Guards against permits that go beyond the bound where two views of the members are in force.
+/// Guards against permits that exceed the bound while two views of the members are in force.
 #[test]
 fn permits_of_two_views_stay_within_the_bound() {
     struct Case {
@@ -85,18 +85,18 @@
 }
 
 impl Daemon {
-    /// A daemon that is alone and has looked around until `now`.
+    /// Creates a daemon that is the only member and has observed the members until `now`.
     fn alone(now: TimeUs) -> Self {
         let mut daemon = Self {
             table: EndpointTable::default(),
             shares: PermitShares::new(ME, at_ms(0)),
             alive: BTreeSet::from([ME]),
         };
-        let coldness = ServiceColdLimit {
+        let cold_limit = ServiceColdLimit {
             limit: RateLimit::new(8.8, BOUND),
             cold_period_us: ms(3_000),
         };
-        let limits = HashMap::from([(service(), coldness)]);
+        let limits = HashMap::from([(service(), cold_limit)]);
         daemon.table.set_cold_limits(limits);
         let mut at = at_ms(0);
         while at < now {
@@ -130,7 +130,7 @@
         self.table.admission(self.table.get(&id("a")).unwrap(), now)
     }
 
-    /// Sends as many calls as are let through, and returns how many.
+    /// Sends as many calls as are admitted, and returns how many.
     fn send_all(&mut self, now: TimeUs) -> usize {
         let mut sent = 0;
         while let Admission::Permit(permits) = self.admission(now) {
@@ -142,9 +142,10 @@
     }
 }
 
-/// Guards against a permit that is used twice in a window, and against one that is never free again.
+/// Guards against a permit that is used twice in a window, and against one that is never free
+/// again.
 #[test]
-fn each_permit_is_good_for_one_call_in_a_window() {
+fn each_permit_allows_one_call_per_window() {
     let mut daemon = Daemon::alone(at_ms(5_000));
     daemon.apply_registration(60_000, 1, at_ms(5_000));
     assert_eq!(daemon.send_all(at_ms(5_000)), 8);
@@ -160,34 +161,34 @@
     assert_eq!(daemon.send_all(at_ms(6_020)), 8);
 }
 
-/// Guards against a caller that comes back at the time it was told and is sent away again, since the daemon hasn't
-/// looked at the members in that moment.
+/// Guards against a caller that returns at the time it was told and is refused again because the
+/// daemon hasn't observed the members at that moment.
 #[test]
-fn permits_are_good_from_the_time_that_was_told() {
+fn permits_are_usable_from_the_reported_time() {
     struct Case {
         observed_at: u64,
-        told_at: u64,
+        asked_at: u64,
     }
     let cases = [
         Case {
             observed_at: 300,
-            told_at: 300,
+            asked_at: 300,
         },
         Case {
             observed_at: 3_200,
-            told_at: 3_200,
+            asked_at: 3_200,
         },
         Case {
             observed_at: 3_500,
-            told_at: 3_550,
+            asked_at: 3_550,
         },
     ];
     for case in cases {
         let mut daemon = Daemon::alone(at_ms(case.observed_at));
         daemon.apply_registration(60_000, 1, at_ms(case.observed_at));
-        let Admission::Limited(LimitCause::Cold, free_at) = daemon.admission(at_ms(case.told_at))
+        let Admission::Limited(LimitCause::Cold, free_at) = daemon.admission(at_ms(case.asked_at))
         else {
-            panic!("it has just started");
+            panic!("expected a limited endpoint: the daemon has just started");
         };
         assert_eq!(free_at, at_ms(3_600));
         let mut at = at_ms(case.observed_at);
@@ -195,14 +196,14 @@
             at = at + ms(150);
             daemon.observe(at);
         }
-        assert_eq!(daemon.send_all(free_at), 8, "{}", case.told_at);
+        assert_eq!(daemon.send_all(free_at), 8, "{}", case.asked_at);
     }
 }
 
-/// Guards against a caller that is sent away until the endpoint is warm, by a daemon that hasn't read yet who is
-/// registered and may use permits long before.
+/// Guards against a daemon that hasn't read the registrations yet and refuses callers until the
+/// endpoint is warm, although it may use permits long before.
 #[test]
-fn a_daemon_that_has_just_started_tells_when_it_may_have_permits() {
+fn a_daemon_that_has_just_started_reports_when_it_may_use_permits() {
     let mut daemon = Daemon::alone(at_ms(0));
     daemon.apply_registration(60_000, 1, at_ms(50));
     assert_eq!(
@@ -211,9 +212,10 @@
     );
 }
 
-/// Guards against a call that waits for its connection and is counted at its placement alone.
+/// Guards against a call that is counted only when it is placed, although it then waits for its
+/// connection.
 #[test]
-fn a_call_counts_from_when_its_bytes_leave() {
+fn a_permit_counts_as_used_when_its_call_is_sent() {
     let mut daemon = Daemon::alone(at_ms(5_000));
     daemon.apply_registration(60_000, 1, at_ms(5_000));
     let Admission::Permit(permits) = daemon.admission(at_ms(5_000)) else {
@@ -230,65 +232,65 @@
     assert_eq!(daemon.send_all(at_ms(6_420)), 1);
 }
 
-/// Guards against an endpoint that is taken for warm by an older registration, before its time, or after an
-/// evacuation whose restarts nobody has heard of yet; and against one that never counts as warm again.
+/// Guards against an endpoint that counts as warm too early, by an older registration or after an
+/// evacuation in which it restarted unnoticed, and against one that never becomes warm again.
 #[test]
-fn an_endpoint_is_cold_for_as_long_as_the_newest_says() {
+fn the_newest_registration_sets_the_end_of_the_cold_period() {
     struct Case {
         name: &'static str,
-        /// Time, revision, and how much longer it says to stay cold.
-        told: &'static [(u64, u64, u64)],
-        /// When an evacuation of its zone ends.
+        /// Time in ms, revision, and the remaining cold period in ms.
+        registrations: &'static [(u64, u64, u64)],
+        /// When an evacuation of its zone ends, in ms.
         restored_at: Option<u64>,
-        /// None where it never is.
+        /// End of the cold period in ms; `None` if the endpoint is never cold.
         cold_until: Option<u64>,
     }
     let cases = [
         Case {
-            name: "never",
-            told: &[(5_000, 1, 0)],
+            name: "never cold",
+            registrations: &[(5_000, 1, 0)],
             restored_at: None,
             cold_until: None,
         },
         Case {
             name: "at its start",
-            told: &[(5_000, 1, 3_000)],
+            registrations: &[(5_000, 1, 3_000)],
             restored_at: None,
             cold_until: Some(8_000),
         },
         Case {
-            name: "listed again",
-            told: &[(5_000, 1, 3_000), (7_000, 1, 3_000)],
+            name: "the same registration listed again",
+            registrations: &[(5_000, 1, 3_000), (7_000, 1, 3_000)],
             restored_at: None,
             cold_until: Some(8_000),
         },
         Case {
-            name: "sooner warm",
-            told: &[(5_000, 1, 3_000), (6_000, 2, 100)],
+            name: "a newer registration with an earlier end",
+            registrations: &[(5_000, 1, 3_000), (6_000, 2, 100)],
             restored_at: None,
             cold_until: Some(6_100),
         },
         Case {
             name: "an old registration",
-            told: &[(5_000, 5, 3_000), (6_000, 4, 0)],
+            registrations: &[(5_000, 5, 3_000), (6_000, 4, 0)],
             restored_at: None,
             cold_until: Some(8_000),
         },
         Case {
             name: "cold again without a restart",
-            told: &[(5_000, 1, 0), (6_000, 2, 2_000)],
+            registrations: &[(5_000, 1, 0), (6_000, 2, 2_000)],
             restored_at: None,
             cold_until: Some(8_000),
         },
         Case {
             name: "its zone is no longer evacuated",
-            told: &[(5_000, 1, 0)],
+            registrations: &[(5_000, 1, 0)],
             restored_at: Some(6_000),
             cold_until: Some(9_000),
         },
         Case {
-            name: "the same, and an older state is told",
-            told: &[(5_000, 1, 0), (6_500, 2, 0)],
+            name: "its zone is no longer evacuated, and a registration says it is warm",
+            registrations: &[(5_000, 1, 0), (6_500, 2, 0)],
             restored_at: Some(6_000),
             cold_until: Some(9_000),
         },
@@ -296,7 +298,7 @@
     for case in cases {
         let mut daemon = Daemon::alone(at_ms(5_000));
         let mut restored_at = case.restored_at;
-        for (ms, revision, left) in case.told {
+        for (ms, revision, left) in case.registrations {
             if let Some(restored_at) = restored_at.take_if(|at| *at < *ms) {
                 restore(&mut daemon, restored_at);
             }
@@ -323,14 +325,14 @@
     daemon.table.set_evacuated_zones(BTreeSet::new(), at_ms(ms));
 }
 
-/// Guards against an endpoint that has started again under its id and counts as warm until its registration is read; and
-/// against one that counts as started again with each connection.
+/// Guards against an endpoint that has restarted under its id and counts as warm until its
+/// registration is read, and against one that counts as restarted with each connection.
 #[test]
-fn a_process_with_another_start_is_cold() {
+fn a_process_with_an_unregistered_start_is_cold() {
     struct Case {
         name: &'static str,
         registered: Option<u64>,
-        /// Time, and the start that a process tells on a connection.
+        /// Time in ms, and the start that a process reports on a connection.
         seen: &'static [(u64, Option<u64>)],
         must_verify_start: bool,
         cold_until: Option<u64>,
@@ -358,14 +360,14 @@
             cold_until: Some(10_000),
         },
         Case {
-            name: "one that tells none",
+            name: "one that reports none",
             registered: Some(1),
             seen: &[(6_000, None), (7_000, None)],
             must_verify_start: true,
             cold_until: Some(10_000),
         },
         Case {
-            name: "where no start is told, an id names one process",
+            name: "without a registered start, an id names one process",
             registered: None,
             seen: &[],
             must_verify_start: false,
@@ -398,7 +400,8 @@
     }
 }
 
-/// Guards against a plain service that gets no call at all, since its endpoints have no report to tell their start in.
+/// Guards against a plain service that gets no calls because its endpoints have no report that
+/// could contain their start.
 #[test]
 fn endpoints_without_weights_are_not_asked_for_their_start() {
     let mut daemon = Daemon::alone(at_ms(5_000));
@@ -413,9 +416,10 @@
     assert!(!daemon.table.must_verify_start(&instance));
 }
 
-/// Guards against a herd at an endpoint that turns cold under its usual load, which no permit has counted.
+/// Guards against a burst of calls to an endpoint that turns cold under its usual load, which no
+/// permit has counted.
 #[test]
-fn an_endpoint_that_turns_cold_gets_nothing_for_a_window() {
+fn an_endpoint_that_turns_cold_gets_no_calls_for_a_window() {
     let mut daemon = Daemon::alone(at_ms(5_000));
     daemon.apply_registration(0, 1, at_ms(5_000));
     assert_eq!(daemon.admission(at_ms(5_000)), Admission::Open);
@@ -426,9 +430,10 @@
     assert_eq!(daemon.send_all(at_ms(6_020)), 8);
 }
 
-/// Guards against a permit of an earlier cold time that another daemon has held since.
+/// Guards against the use of a permit from an earlier cold period that another daemon has held
+/// since.
 #[test]
-fn permits_end_with_the_cold_time() {
+fn permits_end_with_the_cold_period() {
     let mut daemon = Daemon::alone(at_ms(5_000));
     daemon.apply_registration(1_000, 1, at_ms(5_000));
     assert_eq!(daemon.send_all(at_ms(5_000)), 8);
@@ -439,14 +444,15 @@
         at = at + ms(100);
         daemon.observe(at);
     }
-    // Nothing is looked up between the end of the evacuation and the next call.
+    // The shares aren't updated between the end of the evacuation and the next call.
     restore(&mut daemon, 9_050);
     assert_eq!(daemon.send_all(at_ms(9_050)), 0);
 }
 
-/// Guards against calls that were placed at a warm endpoint and are sent after it has turned cold.
+/// Guards against calls that were placed while the endpoint was warm and are sent after it turned
+/// cold.
 #[test]
-fn what_was_placed_before_needs_a_permit() {
+fn a_call_placed_before_the_cold_period_needs_a_permit() {
     let mut daemon = Daemon::alone(at_ms(5_000));
     daemon.apply_registration(0, 1, at_ms(5_000));
     assert!(
@@ -472,7 +478,7 @@
     assert_eq!(admitted, 8);
 }
 
-/// Guards against a caller that is sent away without a true time to return, or waits for nothing.
+/// Guards against a caller that is refused with a wrong retry time, or waits in vain.
 #[test]
 fn callers_are_refused_until_a_permit_is_free() {
     let mut daemon = Daemon::alone(at_ms(5_000));
--- a/crates/wisteriahitch-relay/tests/all/endpoint_lives.rs
+++ b/crates/wisteriahitch-relay/tests/all/endpoint_lives.rs
@@ -1,4 +1,4 @@
-//! Restarts of endpoints under their id, registrations that can't be read, and shared addresses.
+//! Restarts of endpoints under their id, unreadable registrations, and shared addresses.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -14,18 +14,18 @@
 
 use crate::fixture::{at_ms, draining, engine, engine_address, id, model, ms, service};
 
-const LIVES_PAGE: &str = include_str!("../../../../docs/design/endpoint-lives.md");
+const FIELDS_PAGE: &str = include_str!("../../../../docs/design/endpoint-lives.md");
 
 /// An endpoint that started at `start_ms` by its own clock and registered at this revision.
-fn born(name: &str, start_ms: u64, revision: u64) -> Endpoint {
+fn started(name: &str, start_ms: u64, revision: u64) -> Endpoint {
     Endpoint {
-        instance: life(name, start_ms),
+        instance: instance(name, start_ms),
         revision: Revision(revision),
         ..engine(name)
     }
 }
 
-fn life(name: &str, start_ms: u64) -> EndpointInstance {
+fn instance(name: &str, start_ms: u64) -> EndpointInstance {
     EndpointInstance {
         start: Some(EndpointStart::from_unix_ms(start_ms)),
         ..id(name)
@@ -42,8 +42,8 @@
     table
 }
 
-/// Takes a row apart, so that a new field doesn't compile before it is named here, and returns the
-/// names with the parts.
+/// Destructures a row and returns the names and values of its fields. A new field doesn't compile
+/// until it is named where this is used.
 macro_rules! fields {
     ($row:expr; $($field:ident),+; times: $($time:ident),+; $name:ident) => {{
         let EndpointRow { $($field),+, $($time),+, $name } = $row;
@@ -52,8 +52,8 @@
     }};
 }
 
-/// Lets everything become known of a life that can be.
-fn wear(table: &mut EndpointTable, instance: &EndpointInstance, load: Load) {
+/// Sets everything that can be known of an instance to a value other than the default.
+fn set_all_fields(table: &mut EndpointTable, instance: &EndpointInstance, load: Load) {
     let options = table.outlier_options;
     {
         let row = table.get_mut(instance).unwrap();
@@ -78,19 +78,19 @@
     table.record_weights(instance, &model(), WeightNumber::new(9));
     table.record_limit(instance, "2.1".parse().ok(), at_ms(0));
     table.record_malformed(instance);
-    let life = table.get(instance).unwrap().short_name;
-    table.record_leaving(life, at_ms(0));
+    let short_name = table.get(instance).unwrap().short_name;
+    table.record_leaving(short_name, at_ms(0));
     table.record_rest(instance, DurationUs::from_ms(60_000), at_ms(0));
 }
 
-/// Symptom: a prompt is sent to an engine for parts that it doesn't keep, or an engine that is well
-/// gets nothing. Sequence: it is used, fails, leaves and starts again under its id. Cause: something
-/// that was learnt of the life before was taken for true of the next one.
+/// Guards against a new instance that inherits what was learned of the previous one: it would get
+/// prompts for parts that it hasn't cached, or no calls at all. The endpoint is used, fails, leaves
+/// and restarts under its id.
 #[test]
-fn a_restart_leaves_nothing_of_the_life_before() {
+fn a_restart_discards_the_state_of_the_previous_instance() {
     let mut table = site();
-    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
-    let before = life("a", 1_000);
+    table.apply_registration(started("a", 1_000, 10), TimeUs::ZERO);
+    let before = instance("a", 1_000);
     let short_name_before = table.get(&before).unwrap().short_name;
     let peer = Incarnation::new(7);
     let load = Load {
@@ -100,11 +100,11 @@
     };
     let loads = HashMap::from([(short_name_before, load)]);
     table.apply_peer_load(peer, loads.clone(), at_ms(0));
-    wear(&mut table, &before, load);
+    set_all_fields(&mut table, &before, load);
     table.get_mut(&before).unwrap().state = EndpointState::Draining;
 
-    let changes = table.apply_registration(born("a", 2_000, 11), TimeUs::ZERO);
-    let after = life("a", 2_000);
+    let changes = table.apply_registration(started("a", 2_000, 11), TimeUs::ZERO);
+    let after = instance("a", 2_000);
     let expected = [
         EndpointChange::Ended(before.clone()),
         EndpointChange::Added(after.clone()),
@@ -126,19 +126,19 @@
         peers_load,
         reported_load,
         outlier,
-        kept,
+        cached_parts,
         cold,
         statements,
         times,
         name,
     ) = parts;
-    assert_eq!(*endpoint, born("a", 2_000, 11), "its weights among them");
+    assert_eq!(*endpoint, started("a", 2_000, 11), "registered weights");
     assert_eq!(*state, EndpointState::Ready);
     assert!(!is_displaced);
     assert_eq!((*own_load, *peers_load), (Load::default(), Load::default()));
     assert!(reported_load.is_none());
     assert!(!outlier.is_ejected(at_ms(1)) && outlier.failure_rate() == 0.0);
-    assert!(kept.is_empty());
+    assert!(cached_parts.is_empty());
     assert!(!cold.is_cold(at_ms(0)) && cold.permits.share == PermitShare::default());
     assert!(statements.limit.notice().is_none() && !statements.has_malformed);
     assert_eq!(statements.rest_until_us, TimeUs::ZERO);
@@ -149,25 +149,28 @@
     );
     assert_ne!(*name, short_name_before);
 
-    let told: BTreeSet<&str> = LIVES_PAGE
+    let documented: BTreeSet<&str> = FIELDS_PAGE
         .lines()
         .filter_map(|line| line.strip_prefix("| `"))
         .filter_map(|row| row.split('`').next())
         .collect();
-    let missing: Vec<_> = names.difference(&told).collect();
-    assert!(missing.is_empty(), "the page doesn't say of {missing:?}");
+    let missing: Vec<_> = names.difference(&documented).collect();
+    assert!(
+        missing.is_empty(),
+        "fields missing from endpoint-lives.md: {missing:?}"
+    );
 }
 
-/// Symptom: an engine that has just started counts as busy, as keeping parts, or as taken out for an
-/// order. Sequence: it restarts; a peer's message of before, and the end of a call to the life before,
-/// arrive after. Cause: they name the endpoint by its id alone.
+/// Guards against late information about the previous instance that is applied to the new one,
+/// which then counts as busy, as having cached parts, or as reserved for an order. A peer's earlier
+/// message and the end of a call arrive after the restart; both would match by id alone.
 #[test]
-fn late_news_of_the_life_before_changes_nothing() {
+fn late_reports_about_the_previous_instance_are_ignored() {
     let mut table = site();
-    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
-    let (before, after) = (life("a", 1_000), life("a", 2_000));
+    table.apply_registration(started("a", 1_000, 10), TimeUs::ZERO);
+    let (before, after) = (instance("a", 1_000), instance("a", 2_000));
     let name = table.get(&before).unwrap().short_name;
-    table.apply_registration(born("a", 2_000, 11), TimeUs::ZERO);
+    table.apply_registration(started("a", 2_000, 11), TimeUs::ZERO);
 
     let peer = Incarnation::new(7);
     let load = Load {
@@ -188,66 +191,66 @@
     assert_eq!(row.weights(&model()), Some(WeightNumber::new(1)));
 }
 
-/// Symptom: a daemon ends, or takes a full engine for an idle one. Sequence: messages name loads beyond all
-/// numbers. Cause: they were added up as they stood.
+/// Guards against an overflow when peers report huge loads, which ends the daemon or makes a busy
+/// engine look idle.
 #[test]
-fn absurd_loads_of_peers_add_up_to_the_most() {
+fn huge_loads_of_peers_saturate() {
     let mut table = site();
-    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
-    let name = table.get(&life("a", 1_000)).unwrap().short_name;
-    let most = Load {
+    table.apply_registration(started("a", 1_000, 10), TimeUs::ZERO);
+    let name = table.get(&instance("a", 1_000)).unwrap().short_name;
+    let max = Load {
         running: u32::MAX,
         unread_tokens: u64::MAX,
         memory_tokens: u64::MAX,
     };
     for peer in [7, 8] {
-        let loads = HashMap::from([(name, most)]);
+        let loads = HashMap::from([(name, max)]);
         table.apply_peer_load(Incarnation::new(peer), loads, at_ms(0));
     }
-    assert_eq!(table.get(&life("a", 1_000)).unwrap().load(), most);
+    assert_eq!(table.get(&instance("a", 1_000)).unwrap().load(), max);
 }
 
-/// Symptom: an engine that restarted is shut out for good, or one that is gone is used again.
-/// Sequence: its clock was set back before the restart, or an old registration arrives late. Cause:
-/// its start was taken for an order in time. The store's revision is one.
+/// Guards against a restarted engine that is ignored for good, and against one that is gone and
+/// used again, because instances are ordered by their starts. A start may go back with the clock;
+/// the store's revision doesn't.
 #[test]
-fn the_revision_says_which_life_is_the_later_one() {
+fn the_revision_says_which_instance_is_the_later_one() {
     struct Case {
         what: &'static str,
         first: Endpoint,
         second: Endpoint,
-        lives: EndpointInstance,
+        current: EndpointInstance,
     }
     let cases = [
         Case {
             what: "a later start in a newer registration",
-            first: born("a", 1_000, 10),
-            second: born("a", 2_000, 11),
-            lives: life("a", 2_000),
+            first: started("a", 1_000, 10),
+            second: started("a", 2_000, 11),
+            current: instance("a", 2_000),
         },
         Case {
             what: "a clock that was set back before the restart",
-            first: born("a", 2_000, 10),
-            second: born("a", 1_000, 11),
-            lives: life("a", 1_000),
+            first: started("a", 2_000, 10),
+            second: started("a", 1_000, 11),
+            current: instance("a", 1_000),
         },
         Case {
             what: "an old registration that arrives late",
-            first: born("a", 2_000, 11),
-            second: born("a", 1_000, 10),
-            lives: life("a", 2_000),
+            first: started("a", 2_000, 11),
+            second: started("a", 1_000, 10),
+            current: instance("a", 2_000),
         },
         Case {
             what: "an old registration with a later start, before a clock was set back",
-            first: born("a", 1_000, 11),
-            second: born("a", 2_000, 10),
-            lives: life("a", 1_000),
+            first: started("a", 1_000, 11),
+            second: started("a", 2_000, 10),
+            current: instance("a", 1_000),
         },
         Case {
-            what: "the first registration that tells a start",
+            what: "the first registration with a start",
             first: engine("a"),
-            second: born("a", 1_000, 10),
-            lives: life("a", 1_000),
+            second: started("a", 1_000, 10),
+            current: instance("a", 1_000),
         },
     ];
     for case in cases {
@@ -255,43 +258,43 @@
         table.apply_registration(case.first, TimeUs::ZERO);
         table.apply_registration(case.second, TimeUs::ZERO);
         let row = table.by_id(&id("a").id).unwrap();
-        assert_eq!(*row.instance(), case.lives, "{}", case.what);
+        assert_eq!(*row.instance(), case.current, "{}", case.what);
         assert_eq!(row.state, EndpointState::Ready, "{}", case.what);
     }
 }
 
-/// Symptom: an engine that was emptied, left and started again gets no call for as long as the daemon
-/// lives. Cause: an announced leaving was kept for the id instead of for the life.
+/// Guards against an engine that left, restarted and gets no calls, because the announced leaving
+/// is kept by id instead of by instance.
 #[test]
 fn an_endpoint_that_left_and_starts_again_is_used() {
     let mut table = site();
-    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(started("a", 1_000, 10), TimeUs::ZERO);
     let leaving = Endpoint {
         is_draining: true,
-        ..born("a", 1_000, 11)
+        ..started("a", 1_000, 11)
     };
     table.apply_registration(leaving, TimeUs::ZERO);
-    table.apply_registration(born("a", 1_000, 12), TimeUs::ZERO);
-    let takes = |table: &EndpointTable| table.by_id(&id("a").id).unwrap().accepts_requests();
-    assert!(!takes(&table), "it doesn't come back in the same life");
-    table.apply_registration(born("a", 5_000, 13), TimeUs::ZERO);
-    assert!(takes(&table));
+    table.apply_registration(started("a", 1_000, 12), TimeUs::ZERO);
+    let is_used = |table: &EndpointTable| table.by_id(&id("a").id).unwrap().accepts_requests();
+    assert!(!is_used(&table), "it isn't used again without a restart");
+    table.apply_registration(started("a", 5_000, 13), TimeUs::ZERO);
+    assert!(is_used(&table));
 }
 
-/// Symptom: calls go on to an endpoint that nobody vouches for. Sequence: something else writes over
-/// its registration, so that it can't be read; later the endpoint writes it again. Cause: the last good
-/// registration stayed in use.
+/// Guards against calls to an endpoint whose registration was overwritten with something
+/// unreadable, because the last readable registration stays in use. Later the endpoint registers
+/// again.
 #[test]
-fn an_unreadable_registration_names_nobody_until_it_is_good_again() {
+fn an_unreadable_registration_stops_calls_until_it_can_be_read_again() {
     let mut table = site();
-    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
-    table.apply_registration(born("b", 1_000, 11), TimeUs::ZERO);
-    let a = life("a", 1_000);
+    table.apply_registration(started("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(started("b", 1_000, 11), TimeUs::ZERO);
+    let a = instance("a", 1_000);
     table.get_mut(&a).unwrap().own_load.running = 2;
     let changes = table.apply_registration(unreadable("a", 12), TimeUs::ZERO);
     assert_eq!(changes, [EndpointChange::Unreadable(a.clone())]);
     assert!(!table.get(&a).unwrap().accepts_requests());
-    // Told again, or in an older listing, it is no news.
+    // Another unreadable version, or an older listing, is no change.
     assert!(
         table
             .apply_registration(unreadable("a", 13), TimeUs::ZERO)
@@ -302,20 +305,21 @@
             .apply_registration(unreadable("b", 9), TimeUs::ZERO)
             .is_empty()
     );
-    let b = table.get(&life("b", 1_000)).unwrap();
-    assert!(b.accepts_requests(), "the others hold");
-    // In a listing it isn't missing: what runs there is still counted.
-    let listing = vec![unreadable("a", 13), born("b", 1_000, 11).into()];
+    let b = table.get(&instance("b", 1_000)).unwrap();
+    assert!(b.accepts_requests(), "other endpoints are unaffected");
+    // An unreadable registration isn't missing from a listing: running calls still count.
+    let listing = vec![unreadable("a", 13), started("b", 1_000, 11).into()];
     assert!(
         table
             .apply_listing(listing, AbsenceCause::Left, at_ms(1))
             .is_empty()
     );
-    table.apply_registration(born("a", 1_000, 14), TimeUs::ZERO);
+    table.apply_registration(started("a", 1_000, 14), TimeUs::ZERO);
     let row = table.get(&a).unwrap();
     assert!(row.accepts_requests());
     assert_eq!(row.own_load.running, 2);
-    // Without its start, where it has told one, it is somebody else's.
+    // A registration without a start, from an endpoint that has reported one, was written by
+    // something else.
     let startless = Endpoint {
         revision: Revision(15),
         ..engine("a")
@@ -324,59 +328,65 @@
         table.apply_registration(startless, TimeUs::ZERO),
         [EndpointChange::Unreadable(a.clone())]
     );
-    let gone = table.apply_unregistration(&a.id, AbsenceCause::MayHaveLapsed, at_ms(2));
-    assert_eq!(gone, Some(EndpointChange::Removed(a)));
+    let removed = table.apply_unregistration(&a.id, AbsenceCause::MayHaveLapsed, at_ms(2));
+    assert_eq!(removed, Some(EndpointChange::Removed(a)));
 }
 
-/// Symptom: a call is sent to two engines in a row that refuse it as meant for somebody else, while
-/// others are free. Sequence: an engine crashes; another one starts at its address; the registration
-/// of the first stays for some heartbeats. Cause: both were believed to be there.
+/// Guards against calls to two engines that both refuse them as misdirected, while others are free.
+/// An engine crashes, another one starts at its address, and the registration of the first stays
+/// for some heartbeats.
 #[test]
 fn an_address_belongs_to_one_endpoint() {
     let at_a = |name: &str, revision| Endpoint {
         address: engine_address("a"),
-        ..born(name, 1_000, revision)
+        ..started(name, 1_000, revision)
     };
     let is_displaced =
-        |table: &EndpointTable, name: &str| table.get(&life(name, 1_000)).unwrap().is_displaced;
+        |table: &EndpointTable, name: &str| table.get(&instance(name, 1_000)).unwrap().is_displaced;
     let mut table = site();
-    table.apply_registration(born("a", 1_000, 10), TimeUs::ZERO);
+    table.apply_registration(started("a", 1_000, 10), TimeUs::ZERO);
     let changes = table.apply_registration(at_a("b", 11), TimeUs::ZERO);
-    let displaced = EndpointChange::Displaced(life("a", 1_000));
+    let displaced = EndpointChange::Displaced(instance("a", 1_000));
     assert_eq!(
         changes,
-        [EndpointChange::Added(life("b", 1_000)), displaced.clone()]
+        [
+            EndpointChange::Added(instance("b", 1_000)),
+            displaced.clone()
+        ]
+    );
+    // An answer takes precedence over whichever registration came last.
+    let change = table.record_misdirection(&instance("b", 1_000), &id("a").id);
+    assert_eq!(
+        change,
+        Some(EndpointChange::Displaced(instance("b", 1_000)))
     );
-    // The answer of who is there settles it, whatever was registered last.
-    let change = table.record_misdirection(&life("b", 1_000), &id("a").id);
-    assert_eq!(change, Some(EndpointChange::Displaced(life("b", 1_000))));
     assert!(is_displaced(&table, "b") && !is_displaced(&table, "a"));
     assert_eq!(
-        table.record_misdirection(&life("a", 1_000), &id("a").id),
+        table.record_misdirection(&instance("a", 1_000), &id("a").id),
         None
     );
     assert_eq!(
-        table.record_misdirection(&life("a", 1_000), &id("b").id),
+        table.record_misdirection(&instance("a", 1_000), &id("b").id),
         Some(displaced)
     );
-    // Whoever no longer claims it gives it back.
+    // An endpoint that no longer claims the address gives it back.
     table.apply_registration(unreadable("b", 12), TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
-    // One whose service nobody knows claims nothing.
+    // An endpoint of an unknown service claims no address.
     let unknown = Endpoint {
         service: "elsewhere".parse().unwrap(),
         ..at_a("c", 13)
     };
     table.apply_registration(unknown, TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
-    // A new registration of its own says that it is there.
-    table.record_misdirection(&life("a", 1_000), &id("d").id);
-    table.apply_registration(born("a", 1_000, 14), TimeUs::ZERO);
+    // A new registration of the endpoint claims its address again.
+    table.record_misdirection(&instance("a", 1_000), &id("d").id);
+    table.apply_registration(started("a", 1_000, 14), TimeUs::ZERO);
     assert!(!is_displaced(&table, "a"));
-    // One that leaves is no claim either.
+    // Nor does an endpoint that leaves claim one.
     let leaving = Endpoint {
         address: engine_address("a"),
-        instance: life("e", 1_000),
+        instance: instance("e", 1_000),
         revision: Revision(15),
         ..draining("e")
     };
@@ -384,48 +394,47 @@
     assert!(!is_displaced(&table, "a"));
 }
 
-/// Symptom: a daemon that starts sends calls to an engine that is gone, and none to the one at its address.
-/// Sequence: both registrations are listed at once. Cause: the one that was read last counted as the later
-/// one.
+/// Guards against a starting daemon that calls an engine that is gone instead of the one now at its
+/// address, because the registration that was read last in a listing counts as the later one.
 #[test]
 fn of_two_listed_at_one_address_the_later_registration_has_it() {
     struct Case {
-        gone: (&'static str, u64),
-        there: (&'static str, u64),
+        displaced: (&'static str, u64),
+        present: (&'static str, u64),
     }
     let cases = [
         Case {
-            gone: ("a", 10),
-            there: ("b", 11),
+            displaced: ("a", 10),
+            present: ("b", 11),
         },
         Case {
-            gone: ("b", 10),
-            there: ("a", 11),
+            displaced: ("b", 10),
+            present: ("a", 11),
         },
     ];
     for case in cases {
         let at_one_address = |(name, revision): (&str, u64)| {
             let endpoint = Endpoint {
                 address: engine_address("a"),
-                ..born(name, 1_000, revision)
+                ..started(name, 1_000, revision)
             };
             Registration::Valid(endpoint)
         };
         let mut table = site();
-        let mut listing = vec![at_one_address(case.gone), at_one_address(case.there)];
+        let mut listing = vec![at_one_address(case.displaced), at_one_address(case.present)];
         listing.sort_by_key(|registration| format!("{registration:?}"));
         table.apply_listing(listing, AbsenceCause::Left, at_ms(0));
-        let is_displaced = |name| table.get(&life(name, 1_000)).unwrap().is_displaced;
-        assert!(is_displaced(case.gone.0), "{}", case.gone.0);
-        assert!(!is_displaced(case.there.0), "{}", case.there.0);
+        let is_displaced = |name| table.get(&instance(name, 1_000)).unwrap().is_displaced;
+        assert!(is_displaced(case.displaced.0), "{}", case.displaced.0);
+        assert!(!is_displaced(case.present.0), "{}", case.present.0);
     }
 }
 
-/// Symptom: an engine that crashed while it loaded new weights keeps the old ones for seconds.
-/// Sequence: its order is accepted, it crashes and is back at once with the weights of before. Cause:
-/// the order was still believed to be under way.
+/// Guards against an engine that keeps its old weights for seconds because an order to the previous
+/// instance still counts as running. The engine accepts the order, crashes while it loads the
+/// weights, and restarts at once with the old ones.
 #[test]
-fn an_order_ends_with_the_life_that_accepted_it() {
+fn an_order_ends_with_the_instance_that_accepted_it() {
     let mut rollout = Rollout::new(PaceOptions {
         parallel_min: 1,
         parallel_share: 0.0,
@@ -443,13 +452,13 @@
         weights: [(model(), WeightNumber::new(1))].into(),
         ..EngineReport::default()
     };
-    let (before, after) = (life("a", 1_000), life("a", 2_000));
+    let (before, after) = (instance("a", 1_000), instance("a", 2_000));
     rollout.tick(&[row(&before)], 1, at_ms(0));
     rollout.tick(&[row(&before)], 1, at_ms(200));
     rollout.reported(&before, Some(&report), at_ms(210));
     rollout.tick(&[row(&before)], 1, at_ms(220));
     rollout.ordered(&before, &OrderOutcome::Accepted, at_ms(230));
-    // The next life is announced like any other engine, and gets an order of its own.
+    // The next instance is reported like any other engine, and gets an order of its own.
     rollout.tick(&[row(&after)], 1, at_ms(300));
     rollout.reported(&before, Some(&report), at_ms(310));
     let steps = rollout.tick(&[row(&after)], 1, at_ms(500));
--- a/crates/wisteriahitch-relay/tests/all/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/tests/all/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The life of endpoints.
+//! States of endpoints, weights, and reports of peers.
 
 use std::collections::HashMap;
 
@@ -7,9 +7,9 @@
 
 use crate::fixture::{at_ms, draining, engine, id, model, ms};
 
-/// Symptom: for two seconds after an outage of the store, every call is refused for want of an
-/// endpoint. Sequence: registrations lapse while the store is away; the store returns and lists
-/// none; endpoints register again. Cause: a lapsed registration was taken for an endpoint's end.
+/// Guards against two seconds of refused calls after an outage of the store, because lapsed
+/// registrations count as the end of endpoints. The store returns and lists none; then the
+/// endpoints register again.
 #[test]
 fn registrations_that_lapse_in_an_outage_are_waited_for() {
     let mut table = EndpointTable::default();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn one_that_doesn_t_come_back_is_gone() {
+fn an_endpoint_that_doesn_t_register_again_is_removed() {
     struct Case {
         absence: AbsenceCause,
         gone_by_ms: u64,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Symptom: a leaving endpoint gets new requests again. Sequence: it registers as draining, and an
-/// older registration of it arrives late. Cause: the later arrival was taken for the newer state.
+/// Guards against new requests to a leaving endpoint. It registers as draining, and an older
+/// registration that arrives late replaces the newer state.
 #[test]
 fn a_draining_endpoint_stays_draining() {
     let mut table = EndpointTable::default();
@@ -73,15 +73,15 @@
     );
     table.apply_registration(engine("a"), TimeUs::ZERO);
     assert_eq!(table.get(&id("a")).unwrap().state, EndpointState::Draining);
-    // Its end is at once: it has said so before.
+    // It has announced its leaving, so it is removed at once.
     let change = table.apply_unregistration(&id("a").id, AbsenceCause::Left, at_ms(1));
     assert_eq!(change, Some(EndpointChange::Removed(id("a"))));
 }
 
-/// Symptom: a request runs on weights that the endpoint no longer has. Sequence: an answer names
-/// new weights; a late registration names the old ones. Cause: the later arrival won.
+/// Guards against requests for weights that the endpoint no longer has. An answer names new
+/// weights, and a late registration with the old ones replaces them.
 #[test]
-fn weights_never_go_back() {
+fn weight_versions_never_decrease() {
     let mut table = EndpointTable::default();
     table.apply_registration(engine("a"), TimeUs::ZERO);
     table.record_weights(&id("a"), &model(), WeightNumber::new(3));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn loads_of_peers_replace_each_other_and_grow_old() {
+fn loads_of_peers_are_replaced_and_expire() {
     let mut table = EndpointTable::default();
     table.apply_registration(engine("a"), TimeUs::ZERO);
     let hash = table.get(&id("a")).unwrap().short_name;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_peers_told_before_counts_for_an_endpoint_that_is_seen_later() {
+fn a_peer_load_counts_for_an_endpoint_that_registers_later() {
     let mut table = EndpointTable::default();
     table.apply_registration(engine("a"), TimeUs::ZERO);
     let hash = table.get(&id("a")).unwrap().short_name;
@@ -135,20 +135,20 @@
     assert_eq!(late.get(&id("a")).unwrap().load().running, 2);
 }
 
-/// Symptom: engines stood idle for half a second after they had got new weights, while the others
-/// refused calls. Sequence: a daemon takes an engine out, brings it back and no longer names it.
-/// Cause: what it had named counted until its time was over.
+/// Guards against engines that stay idle for half a second after they got new weights, while the
+/// others refuse calls. A daemon reserves an engine, releases it and no longer names it, but its
+/// reservation stays until it runs out.
 #[test]
-fn an_engine_that_is_no_longer_taken_out_is_free_at_once() {
+fn an_engine_that_is_no_longer_reserved_is_free_at_once() {
     struct Case {
         what: &'static str,
-        /// Messages: who, whether it names the engine, when in milliseconds.
+        /// Peer, whether it names the engine, and time in ms.
         messages: &'static [(u64, bool, u64)],
         free_at_ms: u64,
     }
     let cases = [
         Case {
-            what: "named once, and nothing more heard",
+            what: "named once, and no further message",
             messages: &[(1, true, 100)],
             free_at_ms: 700,
         },
--- a/crates/wisteriahitch-relay/tests/all/evacuated_zones.rs
+++ b/crates/wisteriahitch-relay/tests/all/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! Evacuated availability zones in the decisions.
+//! Effect of evacuated availability zones on placement and admission.
 
 use std::collections::BTreeSet;
 
@@ -17,9 +17,9 @@
     names.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-/// Guards against changes that are told twice or not at all.
+/// Guards against changes that are returned twice or not at all.
 #[test]
-fn each_change_is_told_once() {
+fn each_change_is_returned_once() {
     struct Case {
         before: &'static [&'static str],
         after: &'static [&'static str],
@@ -66,7 +66,7 @@
             expected: Ok("a"),
         },
         Case {
-            name: "the zone of the engine that keeps the prompt",
+            name: "the zone of the engine that has cached the prompt",
             evacuated: &["zone-a"],
             expected: Ok("b"),
         },
@@ -115,7 +115,8 @@
     }
 }
 
-/// Guards against a call that was placed before an evacuation was known and is sent after.
+/// Guards against a call that is sent to an evacuated zone because it was placed before the
+/// evacuation was known.
 #[test]
 fn a_call_that_was_placed_before_is_no_longer_admitted() {
     let mut table = EndpointTable::default();
--- a/crates/wisteriahitch-relay/tests/all/fixture.rs
+++ b/crates/wisteriahitch-relay/tests/all/fixture.rs
@@ -1,4 +1,4 @@
-//! Endpoints, prompts and times for the tables of cases.
+//! Endpoints, prompts and times shared by the tests.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     }
 }
 
-/// A prompt of a shared part and one of its own.
+/// A prompt of a shared part and a unique part, in tokens.
 pub(crate) fn prompt(shared: u64, own: u64) -> PromptShape {
     PromptShape {
         model: model(),
@@ -115,7 +115,7 @@
     }
 }
 
-/// Three routes as a site has them: short urgent ones, and long ones that aren't.
+/// Three routes like those of a real site: short urgent calls, and long ones that are less urgent.
 pub(crate) fn levels() -> UrgencyLevels {
     let routes = [
         route("short", 0, 400),
@@ -125,7 +125,7 @@
     UrgencyLevels::from_routes(routes.iter())
 }
 
-/// No versions yet; replaced ones are used for six seconds.
+/// No versions yet; replaced versions may be used for six seconds.
 pub(crate) fn wanted_versions() -> WantedVersions {
     WantedVersions::new(OldWeightsLimits {
         until_us: ms(6_000),
@@ -133,7 +133,7 @@
     })
 }
 
-/// What placements of the fixture's calls have in common.
+/// What all placements of a test have in common.
 pub(crate) struct CallSetting {
     service: ServiceName,
     engine: EngineTraits,
@@ -142,7 +142,7 @@
 }
 
 impl CallSetting {
-    /// A daemon in this zone, and calls that may run anywhere.
+    /// A daemon in this zone, and calls that may run in any zone.
     pub(crate) fn in_zone(zone: &str) -> Self {
         Self {
             service: service(),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns what a placement of this prompt is for, in a fleet of six daemons.
+    /// Returns a placement request for this prompt, in a fleet of six daemons.
     pub(crate) fn request<'a>(&'a self, prompt: &'a PromptShape) -> PlacementRequest<'a> {
         PlacementRequest {
             service: &self.service,
--- a/crates/wisteriahitch-relay/tests/all/leaving_instances.rs
+++ b/crates/wisteriahitch-relay/tests/all/leaving_instances.rs
@@ -1,4 +1,5 @@
-//! Endpoints that have said in an answer that they leave: what undoes that, and what doesn't.
+//! Endpoints that have announced their leaving in an answer: what ends that state, and what
+//! doesn't.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -11,19 +12,19 @@
 
 use crate::fixture::{CallSetting, at_ms, draining, engine, id, prompt};
 
-/// What a daemon learns of the endpoint, in order.
-enum News {
-    /// An answer says that it leaves.
-    Said,
-    /// Its registration is read; start and revision.
+/// An event that a daemon observes of the endpoint.
+enum Event {
+    /// An answer announces that the endpoint leaves.
+    Announced,
+    /// A registration as ready is read: start and revision.
     Ready(u64, u64),
-    /// The same, and says that it leaves.
+    /// A registration as draining is read: revision.
     Draining(u64),
-    /// Its registration can't be read.
+    /// A registration that can't be read: revision.
     Unreadable(u64),
-    /// Its registration is gone.
-    Gone(AbsenceCause),
-    /// Time passes.
+    /// The registration is missing.
+    Missing(AbsenceCause),
+    /// Time passes until this time in ms.
     Until(u64),
 }
 
@@ -42,61 +43,61 @@
     }
 }
 
-/// Returns the short name of the endpoint's first life, as other daemons know it.
-fn first_life() -> u32 {
+/// Returns the short name of the endpoint's first instance.
+fn first_instance() -> u32 {
     let mut table = EndpointTable::default();
     table.apply_registration(registration(1, 1), at_ms(0));
     table.get(&instance(1)).unwrap().short_name
 }
 
-fn learn(table: &mut EndpointTable, news: &News, now: &mut TimeUs) {
-    match *news {
-        News::Said => drop(table.record_leaving(first_life(), *now)),
-        News::Ready(start, revision) => {
+fn apply(table: &mut EndpointTable, event: &Event, now: &mut TimeUs) {
+    match *event {
+        Event::Announced => drop(table.record_leaving(first_instance(), *now)),
+        Event::Ready(start, revision) => {
             table.apply_registration(registration(start, revision), *now);
         }
-        News::Draining(revision) => {
+        Event::Draining(revision) => {
             let endpoint = Endpoint {
                 is_draining: true,
                 ..registration(1, revision)
             };
             table.apply_registration(endpoint, *now);
         }
-        News::Unreadable(revision) => {
+        Event::Unreadable(revision) => {
             let entry = Registration::Unreadable(id("a").id, Revision(revision));
             table.apply_registration(entry, *now);
         }
-        News::Gone(absence) => drop(table.apply_unregistration(&id("a").id, absence, *now)),
-        News::Until(ms) => {
+        Event::Missing(absence) => drop(table.apply_unregistration(&id("a").id, absence, *now)),
+        Event::Until(ms) => {
             *now = at_ms(ms);
             table.tick(*now);
         }
     }
 }
 
-/// Guards against an endpoint that has said that it leaves and is used again in the same life, and against one that is
-/// shut out in its next life.
+/// Guards against an endpoint that is used again after it has announced its leaving, and against
+/// one that is ignored after a restart.
 #[test]
-fn leaving_ends_with_the_life_that_said_so() {
-    use News::*;
+fn leaving_ends_with_the_instance_that_announced_it() {
+    use Event::*;
     struct Case {
         name: &'static str,
-        news: Vec<News>,
-        /// Life at the end; none where the endpoint isn't known.
+        events: Vec<Event>,
+        /// State at the end; `None` if the endpoint isn't in the table.
         state: Option<EndpointState>,
     }
     let cases = [
         Case {
             name: "its entry still says that it is ready",
-            news: vec![Ready(1, 1), Said, Ready(1, 1), Ready(1, 9)],
+            events: vec![Ready(1, 1), Announced, Ready(1, 1), Ready(1, 9)],
             state: Some(EndpointState::Draining),
         },
         Case {
             name: "its entry lapses in an outage and comes back",
-            news: vec![
+            events: vec![
                 Ready(1, 1),
-                Said,
-                Gone(AbsenceCause::MayHaveLapsed),
+                Announced,
+                Missing(AbsenceCause::MayHaveLapsed),
                 Until(3_000),
                 Ready(1, 9),
             ],
@@ -104,35 +105,40 @@
         },
         Case {
             name: "its entry can't be read for a while",
-            news: vec![Ready(1, 1), Said, Unreadable(2), Ready(1, 9)],
+            events: vec![Ready(1, 1), Announced, Unreadable(2), Ready(1, 9)],
             state: Some(EndpointState::Draining),
         },
         Case {
-            name: "it says so before its entry is read",
-            news: vec![Said, Ready(1, 1)],
+            name: "it announces it before its entry is read",
+            events: vec![Announced, Ready(1, 1)],
             state: Some(EndpointState::Draining),
         },
         Case {
-            name: "its entry says so too, and is gone",
-            news: vec![Ready(1, 1), Said, Draining(2), Gone(AbsenceCause::Left)],
+            name: "its entry is draining too, and is removed",
+            events: vec![
+                Ready(1, 1),
+                Announced,
+                Draining(2),
+                Missing(AbsenceCause::Left),
+            ],
             state: None,
         },
         Case {
             name: "it starts again",
-            news: vec![Ready(1, 1), Said, Ready(2, 2)],
+            events: vec![Ready(1, 1), Announced, Ready(2, 2)],
             state: Some(EndpointState::Ready),
         },
         Case {
-            name: "late news of the life before",
-            news: vec![Ready(1, 1), Ready(2, 2), Said],
+            name: "a late announcement of the previous instance",
+            events: vec![Ready(1, 1), Ready(2, 2), Announced],
             state: Some(EndpointState::Ready),
         },
         Case {
-            name: "long after it has gone",
-            news: vec![
+            name: "long after it was removed",
+            events: vec![
                 Ready(1, 1),
-                Said,
-                Gone(AbsenceCause::Left),
+                Announced,
+                Missing(AbsenceCause::Left),
                 Until(700_000),
                 Ready(1, 9),
             ],
@@ -142,24 +148,24 @@
     for case in cases {
         let mut table = EndpointTable::default();
         let mut now = at_ms(0);
-        for news in case.news {
-            learn(&mut table, &news, &mut now);
+        for event in case.events {
+            apply(&mut table, &event, &mut now);
         }
         let state = table.by_id(&id("a").id).map(|row| row.state);
         assert_eq!(state, case.state, "{}", case.name);
     }
 }
 
-/// Guards against calls that were placed before the answer came and are sent after it, and against an endpoint that is
-/// used because its service has no other one.
+/// Guards against calls that were placed before the announcement and are sent after it, and against
+/// a leaving endpoint that is used because its service has no other one.
 #[test]
-fn nothing_is_placed_or_sent_there_any_more() {
+fn no_call_is_placed_at_or_sent_to_a_leaving_endpoint() {
     let mut table = EndpointTable::default();
     table.apply_registration(engine("a"), at_ms(0));
-    let life = table.get(&id("a")).unwrap().short_name;
+    let short_name = table.get(&id("a")).unwrap().short_name;
     let none = CallPermits::default();
     assert!(table.try_admit(&id("a"), none, at_ms(0)));
-    table.record_leaving(life, at_ms(1));
+    table.record_leaving(short_name, at_ms(1));
     assert!(!table.try_admit(&id("a"), none, at_ms(1)));
     let (setting, prompt) = (CallSetting::in_zone("a"), prompt(100, 100));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -168,44 +174,46 @@
     assert_eq!(placed.unwrap_err().code, Code::NoEndpoint);
 }
 
-/// Guards against daemons that keep a life that has gone in mind for ever, since they tell each other of it.
+/// Guards against daemons that keep a removed instance forever because they gossip it to each
+/// other.
 #[test]
-fn what_is_told_on_ends() {
+fn gossip_about_a_removed_instance_ends() {
     let (mut first, mut second) = (EndpointTable::default(), EndpointTable::default());
     first.record_leaving(7, at_ms(0));
     for now_ms in (0..1_300_000).step_by(10_000) {
         let now = at_ms(now_ms);
         first.tick(now);
         second.tick(now);
-        for life in first.leaving_updates(now) {
-            second.record_leaving(life, now);
+        for short_name in first.leaving_updates(now) {
+            second.record_leaving(short_name, now);
         }
-        for life in second.leaving_updates(now) {
-            first.record_leaving(life, now);
+        for short_name in second.leaving_updates(now) {
+            first.record_leaving(short_name, now);
         }
     }
     assert!(first.leaving_updates(at_ms(1_300_000)).is_empty());
     assert!(
         first.record_leaving(7, at_ms(1_300_000)).0,
-        "it is forgotten"
+        "the instance was removed"
     );
 }
 
-/// Guards against a table that grows with every life that has ever left.
+/// Guards against a table that grows with every instance that has ever left.
 #[test]
-fn memory_of_lives_is_bounded() {
+fn the_number_of_leaving_instances_is_bounded() {
     let mut table = EndpointTable::default();
-    for life in 0..10_000 {
-        table.record_leaving(life, at_ms(u64::from(life)));
+    for short_name in 0..10_000 {
+        table.record_leaving(short_name, at_ms(u64::from(short_name)));
     }
-    let told = table.leaving_updates(at_ms(10_000));
-    assert_eq!(told.len(), 3_600);
-    assert!(!told.contains(&0) && told.contains(&9_999));
+    let updates = table.leaving_updates(at_ms(10_000));
+    assert_eq!(updates.len(), 3_600);
+    assert!(!updates.contains(&0) && updates.contains(&9_999));
 }
 
-/// Guards against a registered leaving that is told as one of an answer, or lost where an answer says so too.
+/// Guards against a leaving that is known only from the registration and gossiped as announced in
+/// an answer.
 #[test]
-fn a_registered_leaving_is_not_told_as_said() {
+fn a_leaving_known_from_the_registration_is_not_gossiped() {
     let mut table = EndpointTable::default();
     table.apply_registration(draining("a"), at_ms(0));
     assert!(table.leaving_updates(at_ms(0)).is_empty());
--- a/crates/wisteriahitch-relay/tests/all/members.rs
+++ b/crates/wisteriahitch-relay/tests/all/members.rs
@@ -1,4 +1,4 @@
-//! What daemons believe of each other.
+//! Membership of the fleet and the choice of hubs.
 
 use std::net::Ipv4Addr;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn callers_are_sent_to_those_that_serve_and_are_heard() {
+fn callers_are_sent_to_ready_daemons_that_are_not_silent() {
     let mut table = PeerTable::default();
     table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(0));
     table.receive(&message(2, 12, 1, MemberPhase::Draining), at_ms(0));
@@ -52,26 +52,30 @@
     let ready = |table: &PeerTable, ms| table.ready(at_ms(ms)).count();
     assert_eq!(ready(&table, 100), 1);
     assert_eq!(table.alive(at_ms(100)).count(), 3);
-    assert_eq!(ready(&table, 1_000), 0, "a silent one is no longer named");
+    assert_eq!(
+        ready(&table, 1_000),
+        0,
+        "a silent daemon is no longer named"
+    );
 }
 
-/// Symptom: a daemon that has said it leaves is named again. Sequence: its older message arrives
-/// after the newer one. Cause: messages were taken in the order of their arrival.
+/// Guards against a leaving daemon that is named to callers again. Its older message arrives after
+/// the newer one; messages must be ordered by their number, not by their arrival.
 #[test]
 fn a_late_message_changes_nothing() {
     let mut table = PeerTable::default();
     table.receive(&message(1, 11, 2, MemberPhase::Draining), at_ms(0));
-    let heard = table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(1));
-    assert_eq!(heard, ReceiveOutcome::Stale);
+    let outcome = table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(1));
+    assert_eq!(outcome, ReceiveOutcome::Stale);
     assert_eq!(table.ready(at_ms(2)).count(), 0);
-    // A new life begins to count anew.
-    let heard = table.receive(&message(1, 21, 1, MemberPhase::Ready), at_ms(3));
-    assert_eq!(heard, ReceiveOutcome::Joined);
+    // Message numbers of a restarted daemon start over.
+    let outcome = table.receive(&message(1, 21, 1, MemberPhase::Ready), at_ms(3));
+    assert_eq!(outcome, ReceiveOutcome::Joined);
     assert_eq!(table.ready(at_ms(4)).count(), 1);
 }
 
 #[test]
-fn a_silent_daemon_is_told_once() {
+fn a_silent_daemon_is_reported_once() {
     let mut table = PeerTable::default();
     table.receive(&message(1, 11, 1, MemberPhase::Ready), at_ms(0));
     let fell_silent = table.tick(at_ms(0), at_ms(1_000));
@@ -106,11 +110,15 @@
 }
 
 #[test]
-fn in_a_large_fleet_news_go_through_a_few() {
+fn a_large_fleet_has_few_hubs() {
     let members = fleet(75);
     let plan = HubPlan::for_members(&members);
     assert!(!plan.is_small);
-    assert_eq!(plan.hubs.len(), 15, "the root of 25 in each of three zones");
+    assert_eq!(
+        plan.hubs.len(),
+        15,
+        "the square root of 25 in each of three zones"
+    );
     let followers = members
         .iter()
         .filter(|member| plan.follows_stores(member))
@@ -123,8 +131,8 @@
     assert!(of_hub.values().all(|count| *count <= 12), "{of_hub:?}");
 }
 
-/// Symptom: after a start of all at once, parts of a fleet never meet. Sequence: each daemon has
-/// listed only those that registered before it. Cause: each part had chosen other hubs.
+/// Guards against partitions of a fleet that never meet, because each has chosen other hubs. All
+/// daemons start at once, and each has listed only those that registered before it.
 #[test]
 fn a_hub_of_all_is_a_hub_of_every_part() {
     let members = fleet(75);
@@ -140,22 +148,25 @@
     }
 }
 
-/// Symptom: callers are sent to a daemon that has died, or not to one that lives in another part of
-/// a large fleet. Cause: what a hub told was kept for ever, or not at all.
+/// Guards against callers that are sent to a dead daemon, or never to one in another part of a
+/// large fleet, because what a hub reports is kept forever or not at all.
 #[test]
-fn a_hub_tells_of_daemons_that_aren_t_heard() {
+fn members_reported_by_a_hub_count_until_they_expire() {
     let mut table = PeerTable::default();
-    let mut news = message(1, 11, 1, MemberPhase::Ready);
-    news.zones = vec!["b".to_owned()];
-    let told = |number, phase| MemberUpdate {
+    let mut report = message(1, 11, 1, MemberPhase::Ready);
+    report.zones = vec!["b".to_owned()];
+    let member = |number, phase| MemberUpdate {
         ip: Ipv4Addr::new(10, 0, 2, number),
         zone: 0,
         phase,
         capacity: 120,
         link_mbps: 10,
     };
-    news.members = vec![told(1, MemberPhase::Ready), told(2, MemberPhase::Draining)];
-    table.receive(&news, at_ms(0));
+    report.members = vec![
+        member(1, MemberPhase::Ready),
+        member(2, MemberPhase::Draining),
+    ];
+    table.receive(&report, at_ms(0));
     let entries = table.entries(at_ms(100));
     let ips: Vec<Ipv4Addr> = entries.iter().map(|entry| entry.ip).collect();
     assert_eq!(
@@ -166,9 +177,10 @@
     assert!(table.entries(at_ms(3_000)).is_empty());
 }
 
-/// Everybody's news reaches everybody in three steps, whoever is asked.
+/// Guards against a daemon that gossip doesn't reach. Each daemon is reached within three hops,
+/// whoever sends.
 #[test]
-fn targets_join_a_large_fleet() {
+fn targets_connect_a_large_fleet() {
     let members = fleet(40);
     let mut table = PeerTable::default();
     for member in &members {
@@ -186,16 +198,20 @@
             false => assert_eq!(targets, [plan.hub_of(member).unwrap()]),
         }
     }
-    let told: std::collections::BTreeSet<Ipv4Addr> = plan
+    let reached: std::collections::BTreeSet<Ipv4Addr> = plan
         .hubs
         .iter()
         .flat_map(|hub| table.targets(hub, &plan, at_ms(10)))
         .collect();
-    assert_eq!(told.len(), 40, "each daemon is told by some hub");
+    assert_eq!(
+        reached.len(),
+        40,
+        "each daemon receives messages from some hub"
+    );
 }
 
-/// A hub's message that tells of daemon 9.
-fn telling(number: u64, phase: MemberPhase) -> GossipMessage {
+/// A hub's message that reports daemon 9.
+fn report_of_member(number: u64, phase: MemberPhase) -> GossipMessage {
     GossipMessage {
         zones: vec!["b".to_owned()],
         members: vec![MemberUpdate {
@@ -209,50 +225,51 @@
     }
 }
 
-/// Guards against a daemon that is missing from entry lists, from the count of daemons and from what hubs tell on, because
-/// it was once heard directly and is now heard of through a hub alone, as happens when all start at once.
+/// Guards against a daemon that is missing from entry lists, from the count of daemons and from
+/// what hubs forward, because it was once heard directly and is now known only through a hub, as
+/// happens when all start at once.
 #[test]
-fn who_is_told_of_counts_although_it_was_once_heard_directly() {
+fn a_member_reported_by_a_hub_counts_although_it_was_once_heard_directly() {
     struct Case {
         name: &'static str,
-        /// What it said itself, at 0 ms.
-        said: MemberPhase,
-        told: MemberPhase,
-        /// Until when a hub tells of it, five times a second.
-        told_until_ms: u64,
+        /// Phase in its own message, at 0 ms.
+        own_phase: MemberPhase,
+        reported_phase: MemberPhase,
+        /// Until when a hub reports it, five times a second.
+        reported_until_ms: u64,
         asked_at_ms: u64,
         is_named: bool,
     }
     let cases = [
         Case {
-            name: "told of all the time",
-            said: MemberPhase::Starting,
-            told: MemberPhase::Ready,
-            told_until_ms: 8_000,
+            name: "reported all the time",
+            own_phase: MemberPhase::Starting,
+            reported_phase: MemberPhase::Ready,
+            reported_until_ms: 8_000,
             asked_at_ms: 8_000,
             is_named: true,
         },
         Case {
             name: "fell silent, and a hub hasn't noticed yet",
-            said: MemberPhase::Ready,
-            told: MemberPhase::Ready,
-            told_until_ms: 2_000,
+            own_phase: MemberPhase::Ready,
+            reported_phase: MemberPhase::Ready,
+            reported_until_ms: 2_000,
             asked_at_ms: 2_000,
             is_named: false,
         },
         Case {
             name: "fell silent for good",
-            said: MemberPhase::Ready,
-            told: MemberPhase::Ready,
-            told_until_ms: 2_400,
+            own_phase: MemberPhase::Ready,
+            reported_phase: MemberPhase::Ready,
+            reported_until_ms: 2_400,
             asked_at_ms: 5_000,
             is_named: false,
         },
         Case {
-            name: "left, and a hub tells that it leaves",
-            said: MemberPhase::Ready,
-            told: MemberPhase::Draining,
-            told_until_ms: 8_000,
+            name: "left, and a hub reports it as draining",
+            own_phase: MemberPhase::Ready,
+            reported_phase: MemberPhase::Draining,
+            reported_until_ms: 8_000,
             asked_at_ms: 8_000,
             is_named: false,
         },
@@ -261,23 +278,23 @@
     let ip = Ipv4Addr::new(10, 0, 0, 9);
     for case in cases {
         let mut table = PeerTable::default();
-        table.receive(&message(9, 19, 1, case.said), at_ms(0));
-        for ms in (200..=case.told_until_ms).step_by(200) {
-            table.receive(&telling(ms, case.told), at_ms(ms));
+        table.receive(&message(9, 19, 1, case.own_phase), at_ms(0));
+        for ms in (200..=case.reported_until_ms).step_by(200) {
+            table.receive(&report_of_member(ms, case.reported_phase), at_ms(ms));
             table.tick(at_ms(ms - 200), at_ms(ms));
         }
         table.tick(at_ms(case.asked_at_ms - 1), at_ms(case.asked_at_ms));
         let now = at_ms(case.asked_at_ms);
         let entries = table.entries(now);
-        let names_it = entries.iter().any(|entry| entry.ip == ip);
-        assert_eq!(names_it, case.is_named, "{}", case.name);
-        let sees_it = table.observe_members(me, true, now).alive.contains(&ip);
-        assert_eq!(sees_it, case.is_named, "{}", case.name);
+        let is_listed = entries.iter().any(|entry| entry.ip == ip);
+        assert_eq!(is_listed, case.is_named, "{}", case.name);
+        let is_observed = table.observe_members(me, true, now).alive.contains(&ip);
+        assert_eq!(is_observed, case.is_named, "{}", case.name);
         if case.is_named {
-            let tells_on = table
+            let is_forwarded = table
                 .recent_indirect_members(now)
                 .any(|(entry, _)| entry.ip == ip);
-            assert!(tells_on, "{}", case.name);
+            assert!(is_forwarded, "{}", case.name);
             assert_eq!(table.count(now), 2, "{}", case.name);
         }
     }
--- a/crates/wisteriahitch-relay/tests/all/named_limit.rs
+++ b/crates/wisteriahitch-relay/tests/all/named_limit.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name a limit: what a daemon believes of it, and what it sends.
+//! Endpoints that name a limit: which limit applies, and how many calls are sent.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -15,10 +15,10 @@
 
 const ME: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 
-/// How long a limit holds that nobody hears of again.
+/// How long a limit stays in force without being repeated.
 const LIMIT_TTL: DurationUs = DurationUs::from_ms(60_000);
 
-/// Time at which a daemon has looked around for long enough.
+/// Time at which a daemon has observed the members for long enough to use permits.
 const START_MS: u64 = 5_000;
 
 fn rate(per_s: f64) -> Option<CallRate> {
@@ -31,7 +31,7 @@
 }
 
 impl Daemon {
-    /// A daemon that is alone and has looked around until the start.
+    /// Creates a daemon that is the only member and has observed the members until the start.
     fn alone() -> Self {
         let mut daemon = Self {
             table: EndpointTable::default().with_limit_ttl(LIMIT_TTL),
@@ -85,7 +85,7 @@
         row.statements.limit.rate().map(CallRate::per_s)
     }
 
-    /// Sends as many calls as are let through, and returns how many; nothing where there is no bound.
+    /// Sends as many calls as are admitted, and returns how many; `None` if there is no bound.
     fn send_all(&mut self, now_ms: u64) -> Option<usize> {
         let mut sent = 0;
         loop {
@@ -103,13 +103,14 @@
     }
 }
 
-/// Guards against a rate below one a second that comes out as none at all or as one a second, against a large one that is
-/// cut down to nothing, and against an endpoint that is never asked again.
+/// Guards against a rate below one call a second that is rounded to zero or to one, against a large
+/// rate that is cut down to nothing, and against an endpoint that never gets a call again.
 #[test]
 fn permits_follow_the_named_rate() {
     struct Case {
         per_s: f64,
-        /// Calls at once, and how long until the next one; none where there is no bound.
+        /// Number of calls admitted at once; `None` if there is no bound. `again_after_ms` later
+        /// the next one is.
         sent: Option<usize>,
         again_after_ms: u64,
     }
@@ -164,47 +165,47 @@
     }
 }
 
-/// Something that a daemon hears of a limit: when, what, and how old it is where a peer tells it.
-type Word = (u64, Option<f64>, Option<u64>);
+/// A notice of a limit: time in ms, rate, and its age in ms if a peer reports it.
+type Notice = (u64, Option<f64>, Option<u64>);
 
-/// Guards against a limit that outlives the endpoint's last word of it, and against one that old news of another daemon
-/// brings back or takes away.
+/// Guards against a limit that outlives the endpoint's latest statement, and against one that an
+/// outdated report of a peer restores or removes.
 #[test]
-fn the_newest_word_of_a_limit_counts() {
+fn the_newest_notice_of_a_limit_counts() {
     struct Case {
         name: &'static str,
-        words: &'static [Word],
+        notices: &'static [Notice],
         named: Option<f64>,
     }
     let cases = [
         Case {
             name: "never named",
-            words: &[(5_000, None, None)],
+            notices: &[(5_000, None, None)],
             named: None,
         },
         Case {
             name: "changed from answer to answer",
-            words: &[(5_000, Some(2.0), None), (5_010, Some(3.0), None)],
+            notices: &[(5_000, Some(2.0), None), (5_010, Some(3.0), None)],
             named: Some(3.0),
         },
         Case {
             name: "over",
-            words: &[(5_000, Some(2.0), None), (5_010, None, None)],
+            notices: &[(5_000, Some(2.0), None), (5_010, None, None)],
             named: None,
         },
         Case {
-            name: "told by a peer",
-            words: &[(5_000, Some(2.0), Some(100))],
+            name: "reported by a peer",
+            notices: &[(5_000, Some(2.0), Some(100))],
             named: Some(2.0),
         },
         Case {
-            name: "a peer tells that it is over",
-            words: &[(5_000, Some(2.0), None), (6_000, None, Some(100))],
+            name: "a peer reports that it is over",
+            notices: &[(5_000, Some(2.0), None), (6_000, None, Some(100))],
             named: None,
         },
         Case {
-            name: "a peer that hasn't heard of the end tells of it again",
-            words: &[
+            name: "a peer that doesn't know of the end reports it again",
+            notices: &[
                 (5_000, Some(2.0), None),
                 (6_000, None, None),
                 (6_100, Some(2.0), Some(1_100)),
@@ -212,24 +213,24 @@
             named: None,
         },
         Case {
-            name: "a peer has heard an answer without a limit before",
-            words: &[(5_000, Some(2.0), None), (5_100, None, Some(200))],
+            name: "a peer reports an earlier answer without a limit",
+            notices: &[(5_000, Some(2.0), None), (5_100, None, Some(200))],
             named: Some(2.0),
         },
         Case {
-            name: "two words of about the same time: the lower one",
-            words: &[(5_000, Some(2.0), None), (5_400, Some(9.0), Some(100))],
+            name: "two notices of about the same time: the lower one",
+            notices: &[(5_000, Some(2.0), None), (5_400, Some(9.0), Some(100))],
             named: Some(2.0),
         },
         Case {
-            name: "the same, the other way round",
-            words: &[(5_000, Some(9.0), None), (5_400, Some(2.0), Some(100))],
+            name: "two notices of about the same time, the lower one later",
+            notices: &[(5_000, Some(9.0), None), (5_400, Some(2.0), Some(100))],
             named: Some(2.0),
         },
     ];
     for case in cases {
         let mut daemon = Daemon::alone();
-        for (now_ms, per_s, age_ms) in case.words {
+        for (now_ms, per_s, age_ms) in case.notices {
             match age_ms {
                 None => daemon.receive_answer(*per_s, *now_ms),
                 Some(age_ms) => daemon.receive_update(*per_s, *age_ms, *now_ms),
@@ -241,9 +242,9 @@
     }
 }
 
-/// Guards against a limit that nobody hears of and that stands for ever.
+/// Guards against a limit that stays in force forever without being repeated.
 #[test]
-fn a_limit_that_nobody_hears_of_ends() {
+fn a_limit_that_is_not_repeated_expires() {
     let mut daemon = Daemon::alone();
     daemon.receive_answer(Some(2.1), START_MS);
     daemon.observe_until(64_999);
@@ -253,23 +254,25 @@
     assert!(daemon.table.limit_updates(at_ms(65_000)).is_empty());
 }
 
-/// Guards against a limit whose end some daemons never hear of: it is told for as long as messages may be lost.
+/// Guards against a limit whose end some daemons never learn: it is sent for as long as messages
+/// may be lost.
 #[test]
-fn others_are_told_of_a_limit_and_of_its_end() {
+fn a_limit_and_its_end_are_gossiped() {
     let mut daemon = Daemon::alone();
     assert!(daemon.table.limit_updates(at_ms(START_MS)).is_empty());
     daemon.receive_answer(Some(2.1), START_MS);
-    let told = daemon.table.limit_updates(at_ms(6_000));
-    assert_eq!((told[0].rate, told[0].age_ms), (rate(2.1), 1_000));
+    let updates = daemon.table.limit_updates(at_ms(6_000));
+    assert_eq!((updates[0].rate, updates[0].age_ms), (rate(2.1), 1_000));
     daemon.receive_answer(None, 7_000);
-    let told = daemon.table.limit_updates(at_ms(11_900));
-    assert_eq!((told[0].rate, told[0].age_ms), (None, 4_900));
+    let updates = daemon.table.limit_updates(at_ms(11_900));
+    assert_eq!((updates[0].rate, updates[0].age_ms), (None, 4_900));
     assert!(daemon.table.limit_updates(at_ms(12_000)).is_empty());
 }
 
-/// Guards against calls that were placed before the limit was known and are sent after it is used up.
+/// Guards against calls that were placed before the limit was known and are sent after it is used
+/// up.
 #[test]
-fn what_was_placed_before_needs_a_permit() {
+fn a_call_placed_before_the_limit_needs_a_permit() {
     let mut daemon = Daemon::alone();
     daemon.receive_answer(Some(0.3), START_MS);
     let mut admits = || {
@@ -280,7 +283,8 @@
     assert!(!admits());
 }
 
-/// Guards against a daemon that was suspended, and goes on with permits that others use meanwhile.
+/// Guards against a daemon that was suspended and continues to use permits that others use
+/// meanwhile.
 #[test]
 fn a_suspended_daemon_uses_no_permit() {
     let mut daemon = Daemon::alone();
@@ -290,7 +294,7 @@
     assert_eq!(daemon.send_all(START_MS + 800), Some(0));
 }
 
-/// Guards against a caller that waits in vain, or is sent away without a true time to return.
+/// Guards against a caller that waits in vain, or is refused with a wrong retry time.
 #[test]
 fn callers_are_refused_until_a_permit_is_free() {
     let mut daemon = Daemon::alone();
@@ -309,17 +313,17 @@
     let refused = try_at(at_ms(5_400), &daemon).unwrap_err();
     assert_eq!(refused.code, Code::EndpointsLimited);
     let wait = refused.retry_after_us.unwrap();
-    let (least, spread) = (ms(3_620), ms(800));
-    assert!(wait >= least && wait <= least + spread, "{wait}");
+    let (min, spread) = (ms(3_620), ms(800));
+    assert!(wait >= min && wait <= min + spread, "{wait}");
     daemon.observe_until(9_020);
     let now = at_ms(5_400) + wait;
     daemon.observe(now);
     assert!(!try_at(now, &daemon).unwrap().permits.is_empty());
 }
 
-/// Guards against an endpoint at its limit that is chosen again and again, while others have room.
+/// Guards against an endpoint at its limit that is chosen again and again while others are free.
 #[test]
-fn others_are_chosen_first() {
+fn an_endpoint_at_its_limit_is_not_chosen_while_others_are_free() {
     let mut daemon = Daemon::alone();
     daemon
         .table
--- a/crates/wisteriahitch-relay/tests/all/outlier.rs
+++ b/crates/wisteriahitch-relay/tests/all/outlier.rs
@@ -4,9 +4,8 @@
 
 use crate::fixture::at_ms;
 
-/// Symptom: every second caller of a service gets a failure for as long as one endpoint is faulty.
-/// Sequence: the endpoint fails a part of its requests while its own health answers are good.
-/// Cause: only the endpoint's word was asked.
+/// Guards against a faulty endpoint that fails every second request for as long as its own health
+/// reports are good, because only these are considered.
 #[test]
 fn an_endpoint_is_ejected_by_the_outcomes_of_requests() {
     struct Case {
--- a/crates/wisteriahitch-relay/tests/all/overload.rs
+++ b/crates/wisteriahitch-relay/tests/all/overload.rs
@@ -4,9 +4,9 @@
 
 use crate::fixture::{levels, ms, service};
 
-/// Load pattern: a service of short urgent calls and long ones that aren't, with more of both than
-/// it can do. Counted by their own targets, the long ones would still be let in where the short
-/// ones are refused: callers with the urgent calls would be served less often.
+/// Guards against urgent calls that are served less often than others on an overloaded service.
+/// With bounds by their own targets alone, long calls would be accepted where short urgent ones are
+/// refused.
 #[test]
 fn a_less_urgent_call_never_joins_a_longer_queue() {
     struct Case {
@@ -30,7 +30,7 @@
             target_ms: 800,
             expected_ms: 360,
         },
-        // A workspace whose rank is above all routes, and one that is below them.
+        // A workspace with a higher priority than all routes, and one with a lower priority.
         Case {
             priority: 0,
             target_ms: 800,
--- a/crates/wisteriahitch-relay/tests/all/permit_shares.rs
+++ b/crates/wisteriahitch-relay/tests/all/permit_shares.rs
@@ -1,4 +1,4 @@
-//! Permits of endpoints whose calls are bounded over a whole fleet, whatever its daemons see of each other.
+//! Permits of bounded endpoints over a whole fleet, whatever its daemons see of each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -10,12 +10,12 @@
 
 const PERMITS: u32 = 8;
 
-/// Time between two looks of a daemon.
-const LOOK_MS: u64 = 200;
+/// Time between two observations of a daemon.
+const OBSERVATION_INTERVAL_MS: u64 = 200;
 
-/// Time until a daemon has learnt that another one is gone, or is there.
-const GONE_AFTER_MS: u64 = 2_700;
-const THERE_AFTER_MS: u64 = 600;
+/// Time until a daemon notices that another one has left or joined.
+const LEAVE_NOTICED_AFTER_MS: u64 = 2_700;
+const JOIN_NOTICED_AFTER_MS: u64 = 600;
 
 fn ip(number: usize) -> Ipv4Addr {
     let number = u32::try_from(number).unwrap();
@@ -26,11 +26,11 @@
     format!("i-{number}").parse().unwrap()
 }
 
-/// One daemon that uses each permit as often as it may.
+/// A daemon that uses each permit as often as it may.
 struct Member {
     shares: PermitShares,
-    looked_at: TimeUs,
-    /// When each permit of each endpoint was last used.
+    observed_at: TimeUs,
+    /// When each permit of each endpoint was last used, by endpoint and permit.
     used_at: BTreeMap<(usize, usize), TimeUs>,
 }
 
@@ -38,26 +38,27 @@
     fn new(number: usize, now: TimeUs) -> Self {
         Self {
             shares: PermitShares::new(ip(number), now),
-            looked_at: now,
+            observed_at: now,
             used_at: BTreeMap::new(),
         }
     }
 }
 
-/// What happens to a fleet.
+/// An event in a fleet. The first two numbers are a range of daemons.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// Those of these numbers start.
+    /// These daemons start.
     Start(usize, usize),
-    /// They end without a word.
+    /// These daemons are killed.
     Kill(usize, usize),
-    /// They stand still until this time.
+    /// These daemons are suspended until this time in ms.
     Freeze(usize, usize, u64),
-    /// Each of them hears nobody else from now on, and still reaches endpoints and the store.
+    /// Each of these daemons no longer receives messages of any other, but still reaches the
+    /// endpoints and the store.
     CutOff(usize, usize),
-    /// They hear each other, and nobody else.
+    /// These daemons receive messages only of each other.
     Split(usize, usize),
-    /// All hear each other again.
+    /// All daemons receive each other's messages again.
     Heal,
 }
 
@@ -65,13 +66,13 @@
     limit: RateLimit,
     rule: MinorityShare,
     members: BTreeMap<usize, Member>,
-    /// Part of the fleet that each one is in.
-    part: BTreeMap<usize, usize>,
-    /// Since when each one hears each other one, or hasn't.
-    hears: BTreeMap<(usize, usize), (bool, u64)>,
+    /// Partition that each daemon is in.
+    partition: BTreeMap<usize, usize>,
+    /// Whether each daemon receives the messages of each other one, and since when.
+    receives: BTreeMap<(usize, usize), (bool, u64)>,
     frozen_until: BTreeMap<usize, u64>,
     registered: BTreeSet<usize>,
-    /// Sent calls by endpoint.
+    /// Times of the calls sent to each endpoint, in ms.
     sent: BTreeMap<usize, Vec<u64>>,
     endpoints: usize,
 }
@@ -82,8 +83,8 @@
             limit,
             rule,
             members: BTreeMap::new(),
-            part: BTreeMap::new(),
-            hears: BTreeMap::new(),
+            partition: BTreeMap::new(),
+            receives: BTreeMap::new(),
             frozen_until: BTreeMap::new(),
             registered: BTreeSet::new(),
             sent: BTreeMap::new(),
@@ -96,7 +97,7 @@
             Event::Start(from, to) => (from..to).for_each(|number| {
                 self.members
                     .insert(number, Member::new(number, at_ms(now_ms)));
-                self.part.insert(number, 0);
+                self.partition.insert(number, 0);
                 self.registered.insert(number);
             }),
             Event::Kill(from, to) => (from..to).for_each(|number| {
@@ -106,12 +107,15 @@
                 self.frozen_until.insert(number, until);
             }),
             Event::CutOff(from, to) => (from..to).for_each(|number| {
-                self.part.insert(number, 1_000 + number);
+                self.partition.insert(number, 1_000 + number);
             }),
             Event::Split(from, to) => (from..to).for_each(|number| {
-                self.part.insert(number, 1);
+                self.partition.insert(number, 1);
             }),
-            Event::Heal => self.part.values_mut().for_each(|part| *part = 0),
+            Event::Heal => self
+                .partition
+                .values_mut()
+                .for_each(|partition| *partition = 0),
         }
     }
 
@@ -120,19 +124,19 @@
         until.is_some_and(|until| *until > now_ms)
     }
 
-    /// Returns whether one knows the other to be there, after the time that the news takes.
-    fn knows(&mut self, me: usize, other: usize, now_ms: u64) -> bool {
-        let hears = self.members.contains_key(&other)
+    /// Returns whether `me` believes that `other` is there, after the time that gossip takes.
+    fn believes_alive(&mut self, me: usize, other: usize, now_ms: u64) -> bool {
+        let receives = self.members.contains_key(&other)
             && !self.is_frozen(other, now_ms)
-            && self.part[&me] == self.part[&other];
-        let entry = self.hears.entry((me, other)).or_insert((false, now_ms));
-        if entry.0 != hears {
-            *entry = (hears, now_ms);
+            && self.partition[&me] == self.partition[&other];
+        let entry = self.receives.entry((me, other)).or_insert((false, now_ms));
+        if entry.0 != receives {
+            *entry = (receives, now_ms);
         }
         let for_ms = now_ms - entry.1;
-        match hears {
-            true => for_ms >= THERE_AFTER_MS,
-            false => for_ms < GONE_AFTER_MS && entry.1 > 0,
+        match receives {
+            true => for_ms >= JOIN_NOTICED_AFTER_MS,
+            false => for_ms < LEAVE_NOTICED_AFTER_MS && entry.1 > 0,
         }
     }
 
@@ -142,7 +146,7 @@
             let others: Vec<usize> = self.registered.iter().copied().collect();
             let mut alive = BTreeSet::from([ip(me)]);
             for other in others.into_iter().filter(|other| *other != me) {
-                if self.knows(me, other, now_ms) {
+                if self.believes_alive(me, other, now_ms) {
                     alive.insert(ip(other));
                 }
             }
@@ -151,12 +155,14 @@
             }
             let registered = self.registered.iter().map(|number| ip(*number)).collect();
             let member = self.members.get_mut(&me).unwrap();
-            // Calls go on between two looks, and go first after a freeze.
+            // Calls are sent between two observations, and before the first one after a suspension.
             let bound = (&self.limit, self.rule);
             use_permits(member, bound, self.endpoints, now_ms, &mut self.sent);
-            let is_due = at_ms(now_ms).since(member.looked_at) >= ms(LOOK_MS);
-            if is_due || now_ms % LOOK_MS == (me as u64 * 50) % LOOK_MS {
-                member.looked_at = at_ms(now_ms);
+            let is_due = at_ms(now_ms).since(member.observed_at) >= ms(OBSERVATION_INTERVAL_MS);
+            if is_due
+                || now_ms % OBSERVATION_INTERVAL_MS == (me as u64 * 50) % OBSERVATION_INTERVAL_MS
+            {
+                member.observed_at = at_ms(now_ms);
                 let observation = ViewObservation {
                     alive,
                     registered,
@@ -168,8 +174,8 @@
         }
     }
 
-    fn most_in(&self, span: DurationUs) -> usize {
-        let most = |times: &Vec<u64>| {
+    fn max_calls_in(&self, span: DurationUs) -> usize {
+        let max_of = |times: &Vec<u64>| {
             let in_span = |from: &u64| {
                 let until = from + span.as_ms();
                 times
@@ -179,7 +185,7 @@
             };
             times.iter().map(in_span).max().unwrap_or(0)
         };
-        self.sent.values().map(most).max().unwrap_or(0)
+        self.sent.values().map(max_of).max().unwrap_or(0)
     }
 }
 
@@ -207,11 +213,11 @@
     }
 }
 
-/// What happens to a fleet, and what must be sent all the same.
+/// Events in a fleet, and how many calls must be sent in the end.
 struct Case {
     name: &'static str,
     events: &'static [(u64, Event)],
-    /// Part of the permits that are used once everything has settled, in hundredths.
+    /// Percentage of the permits that must be used once everything has settled.
     used_at_the_end: usize,
 }
 
@@ -256,7 +262,7 @@
         used_at_the_end: 75,
     },
     Case {
-        name: "frozen with permits in hand",
+        name: "suspended while holding permits",
         events: &[
             (100, Event::Start(0, 30)),
             (6_000, Event::Freeze(0, 10, 11_000)),
@@ -300,19 +306,19 @@
         used_at_the_end: 75,
     },
     Case {
-        name: "half of two gone",
+        name: "one of two daemons killed",
         events: &[(100, Event::Start(0, 2)), (6_000, Event::Kill(0, 1))],
         used_at_the_end: 0,
     },
 ];
 
-/// A rate that an endpoint bears, and what the deployment's rule makes of it.
+/// A rate that an endpoint names, and the bound that the deployment derives from it.
 struct Bounded {
     rule: MinorityShare,
     calls_per_s: f64,
     span: DurationUs,
-    /// Calls in any span that the rule allows.
-    most_in_span: usize,
+    /// Maximum number of calls that the bound allows in any span.
+    max_in_span: usize,
 }
 
 const BOUNDED: [Bounded; 4] = [
@@ -320,30 +326,30 @@
         rule: MinorityShare::Nothing,
         calls_per_s: 8.8,
         span: DurationUs::from_ms(1_000),
-        most_in_span: 18,
+        max_in_span: 18,
     },
     Bounded {
         rule: MinorityShare::Proportional,
         calls_per_s: 2.1,
         span: DurationUs::from_ms(4_000),
-        most_in_span: 17,
+        max_in_span: 17,
     },
     Bounded {
         rule: MinorityShare::Proportional,
         calls_per_s: 0.3,
         span: DurationUs::from_ms(4_000),
-        most_in_span: 6,
+        max_in_span: 6,
     },
     Bounded {
         rule: MinorityShare::Proportional,
         calls_per_s: 10.0,
         span: DurationUs::from_ms(4_000),
-        most_in_span: 65,
+        max_in_span: 65,
     },
 ];
 
-/// Guards against daemons that together send more than the bound while they see different members: as they start, end,
-/// stand still or are cut off from each other.
+/// Guards against daemons that together exceed the bound while they see different members: as they
+/// start, end, are suspended or are cut off from each other.
 #[test]
 fn all_daemons_together_stay_within_the_bound() {
     std::thread::scope(|scope| {
@@ -353,7 +359,8 @@
     });
 }
 
-/// Time by which news of the last event has reached all and permits have been held for long enough.
+/// Time in ms by which all daemons have noticed the last event and have held their permits for long
+/// enough.
 const SETTLED_MS: u64 = 23_000;
 
 fn stay_within(bounded: &Bounded, case: &Case) {
@@ -364,8 +371,8 @@
     };
     let limit = RateLimit::new(bounded.calls_per_s, bound);
     let mut fleet = Fleet::new(2, limit, bounded.rule);
-    // Every permit comes up once more after everything has settled.
-    let end_ms = SETTLED_MS + limit.window_us.as_ms() + LOOK_MS;
+    // Every permit may be used once more after everything has settled.
+    let end_ms = SETTLED_MS + limit.window_us.as_ms() + OBSERVATION_INTERVAL_MS;
     for now_ms in (0..end_ms).step_by(50) {
         let due = case.events.iter().filter(|(at, _)| *at == now_ms);
         for (_, event) in due {
@@ -374,21 +381,21 @@
         fleet.step(now_ms);
     }
     let (rate, name) = (bounded.calls_per_s, case.name);
-    let most = fleet.most_in(bounded.span);
+    let max = fleet.max_calls_in(bounded.span);
     assert!(
-        most <= bounded.most_in_span,
-        "{rate} a second, {name}: {most}"
+        max <= bounded.max_in_span,
+        "{rate} a second, {name}: {max} calls in a span"
     );
-    let least = limit.permits as usize * case.used_at_the_end / 100;
+    let min = limit.permits as usize * case.used_at_the_end / 100;
     for (number, times) in &fleet.sent {
         let late = times.iter().filter(|at| **at >= SETTLED_MS).count();
-        assert!(late >= least, "{rate} a second, {name}: {late} at {number}");
+        assert!(late >= min, "{rate} a second, {name}: {late} at {number}");
     }
 }
 
-/// Guards against a daemon that knows nothing yet, or hasn't read who is registered, and takes all for its own.
+/// Guards against a daemon that uses all permits because it doesn't know the other members yet.
 #[test]
-fn who_knows_too_little_uses_no_permit() {
+fn a_daemon_without_a_complete_view_uses_no_permit() {
     struct Case {
         name: &'static str,
         is_complete: bool,
@@ -403,7 +410,7 @@
             expected: 0,
         },
         Case {
-            name: "others are registered and not heard",
+            name: "others are registered but silent",
             is_complete: true,
             registered: 3,
             expected: 0,
@@ -439,9 +446,9 @@
     }
 }
 
-/// Guards against members that left in order and keep the rest from using their permits.
+/// Guards against members that have left in order and keep the others from using their permits.
 #[test]
-fn who_has_said_that_it_leaves_no_longer_counts() {
+fn a_leaving_member_no_longer_counts() {
     let mut shares = PermitShares::new(ip(0), at_ms(0));
     let of = |alive: usize, leaving: &[usize]| ViewObservation {
         alive: (0..alive).map(ip).collect(),
@@ -463,15 +470,15 @@
     );
 }
 
-/// Guards against a service whose endpoints all name limits and which is away for a minute, since most daemons are gone for
-/// good; and against parts of a fleet that together use more than all permits.
+/// Guards against a minute without calls for a service whose endpoints all name limits, after most
+/// daemons are gone for good, and against partitions that together use more than all permits.
 #[test]
-fn a_minority_uses_its_part_of_the_permits() {
+fn a_minority_uses_a_proportional_share_of_the_permits() {
     struct Case {
         known: usize,
         alive: usize,
         rule: MinorityShare,
-        /// Permits of all that are alive together.
+        /// Number of permits of all daemons that are alive.
         together: u32,
     }
     let cases = [
--- a/crates/wisteriahitch-relay/tests/all/rest.rs
+++ b/crates/wisteriahitch-relay/tests/all/rest.rs
@@ -23,15 +23,15 @@
     table.admission(table.get(&id(name)).unwrap(), now)
 }
 
-/// Guards against a rest that a later turning away cuts short, that ends with a number that makes no sense, or that never
-/// ends.
+/// Guards against a rest that a later refusal shortens, against a nonsensical one, and against one
+/// that never ends.
 #[test]
-fn the_latest_end_holds() {
+fn the_latest_end_of_rest_applies() {
     struct Case {
         name: &'static str,
-        /// When a call is turned away, and for how long.
+        /// When a call is turned away in ms, and the rest that is asked for.
         asked: Vec<(u64, DurationUs)>,
-        /// When the endpoint gets calls again; none where it always does.
+        /// When the endpoint gets calls again in ms; `None` if it always does.
         until_ms: Option<u64>,
     }
     let cases = [
@@ -72,7 +72,7 @@
             until_ms: Some(1_000),
         },
         Case {
-            name: "for longer than anybody waits",
+            name: "longer than the maximum rest",
             asked: vec![(0, DurationUs::MAX)],
             until_ms: Some(3_600_000),
         },
@@ -103,9 +103,9 @@
     }
 }
 
-/// Guards against a call that was placed before the endpoint asked for rest and is sent into it.
+/// Guards against a call that is sent during the rest because it was placed before.
 #[test]
-fn what_was_placed_before_is_not_sent() {
+fn a_call_placed_before_the_rest_is_not_sent() {
     let mut table = table_of(&["a"]);
     let none = CallPermits::default();
     assert!(table.try_admit(&id("a"), none, at_ms(0)));
@@ -114,13 +114,14 @@
     assert!(table.try_admit(&id("a"), none, at_ms(3_000)));
 }
 
-/// Guards against callers that are turned away by resting endpoints, or refused, while others have room; and where all
-/// rest, against callers that wait, or come back before one of them takes calls again.
+/// Guards against callers that are refused, or sent to resting endpoints, while others are free;
+/// and, if all endpoints rest, against callers that wait or retry before one of them accepts calls
+/// again.
 #[test]
-fn a_service_that_rests_in_part_is_served_by_the_rest() {
+fn calls_go_to_endpoints_that_are_not_resting() {
     struct Case {
         resting: usize,
-        /// Least and most time until a refused caller comes back.
+        /// Minimum and maximum time until a refused caller retries; `None` if no call is refused.
         refused: Option<(DurationUs, DurationUs)>,
     }
     let cases = [
@@ -137,7 +138,7 @@
             refused: None,
         },
         Case {
-            // The first of them takes calls again after 3 s, and the returns are spread.
+            // The first of them accepts calls again after 3 s; the rest of the range is jitter.
             resting: 6,
             refused: Some((ms(3_000), ms(3_800))),
         },
@@ -168,19 +169,19 @@
                 }
                 Err(refusal) => {
                     assert_eq!(refusal.code, Code::EndpointsLimited);
-                    let (least, most) = case.refused.expect("others have room");
+                    let (min, max) = case.refused.expect("other endpoints are free");
                     let wait = refusal.retry_after_us.unwrap();
-                    assert!((least..=most).contains(&wait), "{wait}");
+                    assert!((min..=max).contains(&wait), "{wait}");
                 }
             }
         }
     }
 }
 
-/// Guards against callers that are told to come back at once, since their calls were turned away one after the other, while
-/// nobody takes calls for seconds.
+/// Guards against callers that are told to retry at once, after all endpoints have turned their
+/// calls away one after the other, while none accepts calls for seconds.
 #[test]
-fn it_is_known_when_a_service_takes_calls_again() {
+fn the_next_admission_is_the_earliest_end_of_rest() {
     let mut table = table_of(&["a", "b"]);
     let at = |table: &EndpointTable, now| table.next_admission_at(&service(), at_ms(now));
     assert_eq!(at(&table, 0), Some(at_ms(0)));
--- a/crates/wisteriahitch-relay/tests/all/staleness.rs
+++ b/crates/wisteriahitch-relay/tests/all/staleness.rs
@@ -1,4 +1,4 @@
-//! How old what is known of the store may become.
+//! How old the known state of the store may become.
 
 use std::net::Ipv4Addr;
 
@@ -18,10 +18,10 @@
     final_us: ms(1_800),
 };
 
-/// The first of the fleet has its watch answered so often that what all know is confirmed in time; the
-/// watches of the others may wait.
+/// The first daemon of the fleet has its watch answered often enough to confirm for all in time
+/// what they know; the watches of the others may wait.
 #[test]
-fn one_daemon_asks_often_for_all() {
+fn one_daemon_confirms_for_the_fleet() {
     struct Case {
         what: &'static str,
         place: usize,
@@ -66,10 +66,10 @@
     }
 }
 
-/// Symptom: a daemon says for seconds that it knows the newest. Sequence: the connection of its watch
-/// falls silent. Cause: a watch that says nothing was taken for a store in which nothing changes.
+/// Guards against a daemon that claims for seconds to be up to date after the connection of its
+/// watch has failed silently, because a silent watch counts as one without changes.
 #[test]
-fn watches_that_nobody_confirms_are_given_up_in_turn() {
+fn unconfirmed_watches_are_given_up_one_after_the_other() {
     struct Case {
         what: &'static str,
         place: usize,
@@ -100,7 +100,7 @@
             give_up_at: at_ms(10_700),
         },
         Case {
-            what: "one that was never told anything",
+            what: "one that never received a confirmation",
             place: 0,
             as_of: None,
             asked_at: at_ms(10_000),
@@ -113,10 +113,10 @@
     }
 }
 
-/// Symptom: what the store has acknowledged seconds ago is called unknown right after an answer. Sequence:
-/// an answer is held up on the way. Cause: it counted as of its arrival.
+/// Guards against acknowledged objects that are refused as unknown right after an answer, because
+/// an answer that was delayed counts as of its arrival.
 #[test]
-fn an_answer_counts_as_of_its_question_or_the_end_of_its_wait() {
+fn an_answer_counts_as_of_its_request_or_the_end_of_its_wait() {
     struct Case {
         what: &'static str,
         has_changes: bool,
@@ -131,7 +131,7 @@
             as_of: at_ms(11_000),
         },
         Case {
-            what: "no changes, and held up",
+            what: "no changes, and delayed",
             has_changes: false,
             answered_at: at_ms(15_000),
             as_of: at_ms(11_000),
@@ -143,7 +143,7 @@
             as_of: at_ms(10_000),
         },
         Case {
-            what: "changes, which may have been held up",
+            what: "changes, which may have been delayed",
             has_changes: true,
             answered_at: at_ms(15_000),
             as_of: at_ms(10_000),
@@ -156,22 +156,22 @@
 }
 
 #[test]
-fn unknown_is_final_only_by_what_was_confirmed_lately() {
+fn unknown_is_final_only_after_a_recent_confirmation() {
     assert!(!LIMITS.is_final(None, at_ms(10_000)));
     assert!(LIMITS.is_final(Some(at_ms(8_200)), at_ms(10_000)));
     assert!(!LIMITS.is_final(Some(at_ms(8_199)), at_ms(10_000)));
 }
 
-/// Symptom: a daemon that wakes after a suspension calls unknown what was added meanwhile. Sequence: the
-/// others' messages of that time wait for it, each of which says that everything was confirmed a moment
-/// ago. Cause: their ages counted as of their arrival.
+/// Guards against a daemon that wakes up after a suspension and refuses as unknown what was added
+/// meanwhile. It receives the others' messages of that time late; each says that everything was
+/// confirmed a moment ago, and would count as of its arrival.
 #[test]
-fn a_message_that_was_held_up_is_told_from_one_that_came_at_once() {
+fn a_delayed_message_is_distinguished_from_a_prompt_one() {
     struct Case {
         what: &'static str,
         sent_ms: u64,
         received_ms: u64,
-        held_up: DurationUs,
+        delay_us: DurationUs,
     }
     // The sender's clock is behind by 50 s.
     let cases = [
@@ -179,51 +179,52 @@
             what: "the first",
             sent_ms: 10_000,
             received_ms: 60_003,
-            held_up: ms(0),
+            delay_us: ms(0),
         },
         Case {
             what: "a quicker one",
             sent_ms: 10_100,
             received_ms: 60_101,
-            held_up: ms(0),
+            delay_us: ms(0),
         },
         Case {
             what: "one that waited for a suspended process",
             sent_ms: 10_200,
             received_ms: 65_000,
-            held_up: ms(4_799),
+            delay_us: ms(4_799),
         },
         Case {
             what: "the last one of that time",
             sent_ms: 14_900,
             received_ms: 65_000,
-            held_up: ms(99),
+            delay_us: ms(99),
         },
         Case {
             what: "one after a long suspension",
             sent_ms: 15_000,
             received_ms: 95_000,
-            held_up: ms(29_999),
+            delay_us: ms(29_999),
         },
         Case {
             what: "a while later, after clocks have drifted apart",
             sent_ms: 60_000,
             received_ms: 110_041,
-            held_up: ms(0),
+            delay_us: ms(0),
         },
     ];
     let mut delay = MessageDelay::default();
     for case in cases {
-        let held_up = delay.record(at_ms(case.sent_ms), at_ms(case.received_ms));
-        assert_eq!(held_up, case.held_up, "{}", case.what);
+        let delay_us = delay.record(at_ms(case.sent_ms), at_ms(case.received_ms));
+        assert_eq!(delay_us, case.delay_us, "{}", case.what);
     }
 }
 
 const ME: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 9);
 
-/// Whoever the store turns away, leaves or isn't heard confirms nothing, and holds up nobody's turn.
+/// Daemons that can't reach the store, are leaving or are silent confirm nothing, and delay no
+/// other daemon.
 #[test]
-fn those_that_can_t_ask_the_store_have_no_turn() {
+fn daemons_that_can_t_ask_the_store_have_no_rank() {
     let change = |change: fn(&mut GossipMessage)| {
         let mut table = PeerTable::default();
         for last in 1..=8 {
@@ -240,25 +241,27 @@
     assert!(place(&all, true, 100) <= 8);
     assert!(
         place(&all, false, 100) > 8,
-        "one that only hears of it is after them"
+        "a daemon that doesn't watch the store asks after them"
     );
-    assert_eq!(place(&all, true, 2_000), 0, "nobody is heard any more");
+    assert_eq!(place(&all, true, 2_000), 0, "all others are silent");
     let turned_away = change(|message| message.is_store_reachable = false);
     assert_eq!(place(&turned_away, true, 100), 0);
-    let hearing = change(|message| message.follows_stores = false);
-    assert_eq!(place(&hearing, true, 100), 0);
+    let unwatching = change(|message| message.follows_stores = false);
+    assert_eq!(place(&unwatching, true, 100), 0);
     let leaving = change(|message| message.phase = MemberPhase::Draining);
     assert_eq!(place(&leaving, true, 100), 0);
 }
 
-/// A fleet that follows one kind of objects on a store that answers at once, by a clock of its own.
+/// A fleet that watches one kind of objects on a store that answers at once, with a simulated
+/// clock.
 struct Fleet {
     limits: StalenessLimits,
-    /// Time until what one daemon knows is known to the others.
-    telling: DurationUs,
+    /// Time until the other daemons receive what one daemon knows.
+    gossip_delay: DurationUs,
     daemons: Vec<Follower>,
-    /// What was confirmed and is on its way to the others, and when it is there.
-    told: Vec<(TimeUs, TimeUs)>,
+    /// Confirmations on their way to the others: time of arrival, and time as of which everything
+    /// is known.
+    in_transit: Vec<(TimeUs, TimeUs)>,
     calls: usize,
 }
 
@@ -266,47 +269,47 @@
     as_of: TimeUs,
     asked_at: TimeUs,
     wait: DurationUs,
-    /// Whether the answer never comes.
+    /// Whether its watch is never answered.
     is_silent: bool,
-    /// Whether it does nothing any more.
-    is_gone: bool,
+    /// Whether the daemon has died.
+    is_dead: bool,
 }
 
 /// Step of the clock.
 const STEP: DurationUs = ms(10);
 
-/// Wait of a watch that takes the place of one that was given up.
+/// Wait of a watch that replaces one that was given up.
 const SHORT_WAIT: DurationUs = ms(300);
 
 impl Fleet {
-    fn new(limits: StalenessLimits, telling: DurationUs, size: usize) -> Self {
+    fn new(limits: StalenessLimits, gossip_delay: DurationUs, size: usize) -> Self {
         let daemons = (0..size).map(|place| Follower {
             as_of: TimeUs::ZERO,
             asked_at: TimeUs::ZERO,
             wait: limits.wait(place, Some(TimeUs::ZERO), TimeUs::ZERO),
             is_silent: false,
-            is_gone: false,
+            is_dead: false,
         });
         Self {
             limits,
-            telling,
+            gossip_delay,
             daemons: daemons.collect(),
-            told: Vec::new(),
+            in_transit: Vec::new(),
             calls: 0,
         }
     }
 
-    /// What happens up to `now`, in the order in which daemons have their turns.
+    /// Runs the daemons up to `now`, in the order of their ranks.
     fn step(&mut self, now: TimeUs) {
         let mut place = 0;
         for daemon in &mut self.daemons {
-            if daemon.is_gone {
+            if daemon.is_dead {
                 continue;
             }
             let end_at = daemon.asked_at + daemon.wait;
             if !daemon.is_silent && now >= end_at {
                 daemon.as_of = daemon.as_of.max(end_at);
-                self.told.push((now + self.telling, end_at));
+                self.in_transit.push((now + self.gossip_delay, end_at));
                 daemon.asked_at = now;
                 daemon.wait = self.limits.wait(place, Some(daemon.as_of), now);
                 self.calls += 1;
@@ -322,14 +325,16 @@
             }
             place += 1;
         }
-        let there = self.told.extract_if(.., |(there_at, _)| *there_at <= now);
+        let there = self
+            .in_transit
+            .extract_if(.., |(there_at, _)| *there_at <= now);
         let newest = there.map(|(_, as_of)| as_of).max().unwrap_or_default();
         for daemon in &mut self.daemons {
             daemon.as_of = daemon.as_of.max(newest);
         }
     }
 
-    /// Returns the calls of a time in which nothing changes.
+    /// Returns the expected number of calls in a time without changes.
     fn calm_calls(&self, time: DurationUs) -> usize {
         let calls = |wait: DurationUs| usize::try_from(time.get().div_ceil(wait.get())).unwrap();
         let others = self.daemons.len() - 1;
@@ -344,19 +349,19 @@
         }
     }
 
-    /// Returns as of when the one who knows least knows everything.
+    /// Returns the oldest time as of which a daemon knows everything.
     fn as_of(&self) -> TimeUs {
-        let there = self.daemons.iter().filter(|daemon| !daemon.is_gone);
+        let there = self.daemons.iter().filter(|daemon| !daemon.is_dead);
         there.map(|daemon| daemon.as_of).min().unwrap()
     }
 }
 
-/// Deployments by the size of their fleets of followers, and what they demand.
+/// A deployment: the number of daemons that watch the store, and its time limits.
 struct Deployment {
     followers: usize,
     known_within: DurationUs,
     contact: DurationUs,
-    telling: DurationUs,
+    gossip_delay: DurationUs,
 }
 
 const DEPLOYMENTS: [Deployment; 4] = [
@@ -364,25 +369,25 @@
         followers: 1,
         known_within: ms(2_000),
         contact: ms(3_000),
-        telling: ms(0),
+        gossip_delay: ms(0),
     },
     Deployment {
         followers: 9,
         known_within: ms(2_000),
         contact: ms(3_000),
-        telling: ms(100),
+        gossip_delay: ms(100),
     },
     Deployment {
         followers: 6,
         known_within: ms(3_000),
         contact: ms(4_000),
-        telling: ms(600),
+        gossip_delay: ms(600),
     },
     Deployment {
         followers: 10,
         known_within: ms(4_000),
         contact: ms(5_000),
-        telling: ms(600),
+        gossip_delay: ms(600),
     },
 ];
 
@@ -400,14 +405,15 @@
         };
         let bounds = bounds.checked().unwrap();
         let limits = bounds.staleness(ObjectRole::Configuration);
-        Fleet::new(limits, self.telling, self.followers)
+        Fleet::new(limits, self.gossip_delay, self.followers)
     }
 }
 
-/// Load pattern: nothing changes for a minute. The store is asked by one daemon as often as the bound
-/// demands and by the others as seldom as before; what isn't known can be called unknown all the time.
+/// Guards against needless calls, and against daemons that can't call anything unknown, during a
+/// minute without changes. One daemon asks the store as often as the bound demands, and the others
+/// ask rarely.
 #[test]
-fn a_calm_fleet_asks_little_and_always_knows() {
+fn a_fleet_without_changes_asks_rarely_and_stays_confirmed() {
     for deployment in DEPLOYMENTS {
         let mut fleet = deployment.fleet();
         for second in 1..=60 {
@@ -423,15 +429,16 @@
     }
 }
 
-/// Load pattern: all watches begin at one moment, by a change that all were waiting for; at any moment
-/// after, the connections of all fall silent, or the one that confirms for all dies. Everything that the store
-/// had acknowledged by then is known when daemons are held to it, and the calls of the fleet stay few.
+/// Guards against daemons that stay out of date after all watches fail silently at once, or the
+/// confirming daemon dies. All watches begin at the same moment, after a change that all were
+/// waiting for. Everything that the store had acknowledged must be known within the bound, with few
+/// calls.
 #[test]
-fn a_fleet_whose_watches_fall_silent_knows_again_in_time() {
+fn a_fleet_whose_watches_fall_silent_is_confirmed_again_in_time() {
     for deployment in DEPLOYMENTS {
         for harmed_ms in (0..6_000).step_by(50) {
-            for is_first_gone in [false, true] {
-                if is_first_gone && deployment.followers == 1 {
+            for is_first_dead in [false, true] {
+                if is_first_dead && deployment.followers == 1 {
                     continue;
                 }
                 let mut fleet = deployment.fleet();
@@ -439,11 +446,11 @@
                 for daemon in &mut fleet.daemons {
                     daemon.is_silent = true;
                 }
-                fleet.daemons[0].is_gone = is_first_gone;
+                fleet.daemons[0].is_dead = is_first_dead;
                 fleet.calls = 0;
                 let harmed_at = at_ms(harmed_ms);
-                let held_to_it_at = harmed_at + deployment.contact;
-                fleet.run(harmed_at, held_to_it_at);
+                let deadline = harmed_at + deployment.contact;
+                fleet.run(harmed_at, deadline);
                 let as_of = fleet.as_of();
                 assert!(as_of >= harmed_at, "{harmed_ms}: {as_of}");
                 let expected = fleet.calm_calls(deployment.contact) + deployment.followers;
