--- a/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
@@ -1,5 +1,7 @@
-//! Whether an endpoint may get a call now. Bounded are endpoints in evacuated zones, endpoints
-//! right after their start, endpoints that name a limit, and endpoints that have asked for rest.
+//! Decides whether an endpoint may get a call now.
+//!
+//! Endpoints in evacuated zones get no calls. Endpoints right after their start and endpoints that
+//! name a limit get few, and endpoints that have asked for rest get none until it is over.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -203,8 +205,8 @@
                 true => self.cold_limits.get(&row.endpoint.service),
                 false => None,
             };
-            // The share is computed anew whenever a cold period begins, since the holders of the
-            // permits may have changed since the last one.
+            // Outside a cold period the share is reset, since other daemons may hold the permits
+            // when the next one begins.
             row.cold.permits.share = cold.map_or(PermitShare::default(), |cold| {
                 share(&cold.limit, MinorityShare::Nothing)
             });
@@ -302,7 +304,7 @@
     fn free_at(&self, bound: &CallBound<'_>, now: TimeUs) -> TimeUs {
         let shares = self.fresh_shares(now);
         let usable_at = shares.and_then(|shares| shares.usable_at_us);
-        // There is no usable view of the members. The earliest possible one begins now.
+        // Without a usable view of the members, the earliest possible one begins now.
         let usable_at = usable_at.unwrap_or(now + PERMIT_ACTIVATION_DELAY_US);
         let free_at = bound.reserved.next_free_at(bound.limit);
         let free_at = free_at.unwrap_or(now + bound.limit.window_us);
--- a/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
@@ -26,6 +26,7 @@
 #[derive(Debug)]
 pub(super) struct PeerReport {
     pub(super) received_at_us: TimeUs,
+    /// Unfinished work that the peer has sent, by the endpoints' short names.
     pub(super) loads: HashMap<u32, Load>,
     /// Endpoints that an order keeps from taking requests, according to the peer.
     pub(super) reserved: HashSet<u32>,
--- a/crates/wisteriahitch-relay/src/decide/leaving_instances.rs
+++ b/crates/wisteriahitch-relay/src/decide/leaving_instances.rs
@@ -20,9 +20,10 @@
 /// (docs/DEVELOPERS.md).
 const MAX_INSTANCES: usize = 3_600;
 
-/// Leaving instances by short name.
+/// Leaving instances, by short name.
 #[derive(Debug, Default)]
 pub(super) struct LeavingInstances {
+    /// When each announcement became known.
     received_at_us: HashMap<u32, TimeUs>,
 }
 
--- a/crates/wisteriahitch-relay/src/decide/members.rs
+++ b/crates/wisteriahitch-relay/src/decide/members.rs
@@ -101,6 +101,7 @@
 struct KnownAddress {
     zone: Option<String>,
     link_mbps: u16,
+    /// When the address was first recorded, or the daemon's last message arrived.
     since_us: TimeUs,
 }
 
@@ -108,7 +109,9 @@
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<Ipv4Addr, PeerRow>,
+    /// Daemons that hubs report.
     indirect: BTreeMap<Ipv4Addr, IndirectPeerRow>,
+    /// All addresses that may be a daemon's.
     known: BTreeMap<Ipv4Addr, KnownAddress>,
     /// When each address was last listed as registered in the store.
     registered: BTreeMap<Ipv4Addr, TimeUs>,
--- a/crates/wisteriahitch-relay/src/decide/permit_shares.rs
+++ b/crates/wisteriahitch-relay/src/decide/permit_shares.rs
@@ -53,6 +53,7 @@
 /// Size of a partition of the fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Partition {
+    /// Members that are alive.
     seen: usize,
     /// All members of the last [`MEMBER_RETENTION_US`].
     known: usize,
@@ -119,7 +120,9 @@
 #[derive(Debug)]
 pub struct PermitShares {
     me: Ipv4Addr,
+    /// Views in force within the last [`PERMIT_ACTIVATION_DELAY_US`], the oldest first.
     views: VecDeque<View>,
+    /// When each member of the fleet was last alive or registered.
     last_seen_us: BTreeMap<Ipv4Addr, TimeUs>,
     observed_at_us: TimeUs,
 }
--- a/crates/wisteriahitch-relay/tests/all/permit_shares.rs
+++ b/crates/wisteriahitch-relay/tests/all/permit_shares.rs
@@ -13,8 +13,10 @@
 /// Time between two observations of a daemon.
 const OBSERVATION_INTERVAL_MS: u64 = 200;
 
-/// Time until a daemon notices that another one has left or joined.
+/// Time until a daemon notices that another one has left.
 const LEAVE_NOTICED_AFTER_MS: u64 = 2_700;
+
+/// Time until a daemon notices that another one has joined.
 const JOIN_NOTICED_AFTER_MS: u64 = 600;
 
 fn ip(number: usize) -> Ipv4Addr {
