--- a/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_admission.rs
@@ -1,5 +1,7 @@
-//! Whether an endpoint may get a call now: evacuated zones, endpoints right after their start, endpoints that name a limit,
-//! and endpoints that have asked for rest.
+//! Decides whether an endpoint may get a call now.
+//!
+//! Endpoints in evacuated zones get no calls. Endpoints right after their start and endpoints that
+//! name a limit get few, and endpoints that have asked for rest get none until it is over.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,26 +12,29 @@
 use super::endpoint_row::EndpointRow;
 use super::endpoint_table::EndpointTable;
 use super::evacuated_zones::ZoneChange;
-use super::permit_shares::{HOLD_US, LONGEST_GAP_US, MinorityShare, PermitShare, PermitShares};
-use super::rate_limit::{HeldPermits, RateLimit};
+use super::permit_shares::{
+    MAX_OBSERVATION_GAP_US, MinorityShare, PERMIT_ACTIVATION_DELAY_US, PermitShare, PermitShares,
+};
+use super::rate_limit::{RateLimit, ReservedPermits};
 
-/// What cold endpoints of a service bear.
+/// Limit on the calls to each cold endpoint of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ServiceColdness {
-    /// Permits of each.
+pub struct ServiceColdLimit {
+    /// Permits of each cold endpoint.
     pub limit: RateLimit,
-    /// How long one is cold after its start.
-    pub start_us: DurationUs,
+    /// How long an endpoint is cold after its start.
+    pub cold_period_us: DurationUs,
 }
 
-/// How fresh the shares of permits are.
+/// When the permit shares were last updated, and from when the shares of the newest view of the
+/// members may be used.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SharesAsOf {
-    known_at_us: TimeUs,
+pub(super) struct ShareTimes {
+    updated_at_us: TimeUs,
     usable_at_us: Option<TimeUs>,
 }
 
-/// Says what an endpoint's permits are given out for.
+/// Which bound a permit belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum PermitSource {
     Cold,
@@ -45,18 +50,18 @@
     }
 }
 
-/// Says why an endpoint gets no call for a while.
+/// Why an endpoint gets no call for a while.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitCause {
-    /// It has just started.
+    /// The endpoint has just started.
     Cold,
-    /// It names a limit itself.
+    /// The endpoint names a limit itself.
     Named,
-    /// It has turned a call of this daemon away and asked for rest.
+    /// The endpoint has turned away a call of this daemon and asked for rest.
     Resting,
 }
 
-/// The permits under which an endpoint gets one call, one for each cause that bounds it.
+/// Permits under which an endpoint gets one call: one for each bound that applies to it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CallPermits {
     cold: Option<usize>,
@@ -64,7 +69,7 @@
 }
 
 impl CallPermits {
-    /// Returns whether no permit is needed.
+    /// Returns whether the call needs no permit.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
@@ -84,25 +89,25 @@
     }
 }
 
-/// One bound that an endpoint is under.
+/// A bound that applies to an endpoint now.
 struct CallBound<'a> {
     source: PermitSource,
     limit: &'a RateLimit,
-    held: &'a HeldPermits,
-    /// When it ends by itself.
+    reserved: &'a ReservedPermits,
+    /// When the bound ends by itself; [`TimeUs::MAX`] if it doesn't.
     ends_at_us: TimeUs,
 }
 
-/// Says whether an endpoint may get a call.
+/// Whether an endpoint may get a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may.
+    /// The endpoint may get a call.
     Open,
-    /// Its calls are bounded, and it may get one under these permits.
+    /// The endpoint's calls are bounded, and it may get one under these permits.
     Permit(CallPermits),
-    /// It may get none before this time.
+    /// The endpoint may get no call before this time.
     Limited(LimitCause, TimeUs),
-    /// Its zone is evacuated.
+    /// The endpoint's zone is evacuated.
     Evacuated,
 }
 
@@ -114,11 +119,11 @@
 }
 
 impl EndpointTable {
-    /// Takes over which zones are evacuated, and returns what has changed.
+    /// Replaces the set of evacuated zones, and returns what has changed.
     ///
-    /// Endpoints of a zone that may be used again count as cold from then on: operators restart them meanwhile, and
-    /// what they registered last may be older than that.
-    pub fn set_evacuated(
+    /// Endpoints of a zone that is no longer evacuated count as cold from then on: operators
+    /// restart them during an evacuation, and the last registration may be older than the restart.
+    pub fn set_evacuated_zones(
         &mut self,
         zones: BTreeSet<AvailabilityZone>,
         now: TimeUs,
@@ -126,38 +131,40 @@
         let changes = self.evacuated.replace(zones);
         for change in &changes {
             if let ZoneChange::Restored(zone) = change {
-                self.assume_cold(zone, now);
+                self.mark_zone_cold(zone, now);
             }
         }
         changes
     }
 
-    fn assume_cold(&mut self, zone: &AvailabilityZone, now: TimeUs) {
+    fn mark_zone_cold(&mut self, zone: &AvailabilityZone, now: TimeUs) {
         for row in self
             .rows
             .values_mut()
             .filter(|row| row.endpoint.zone == *zone)
         {
             if let Some(cold) = self.cold_limits.get(&row.endpoint.service) {
-                row.cold.assume_until(now + cold.start_us);
+                row.cold.extend_until(now + cold.cold_period_us);
             }
         }
     }
 
-    /// Returns whether a connection to an endpoint must first say which process is at its other end.
+    /// Returns whether a connection to an endpoint must first ask which process answers there.
     ///
-    /// One that has started again under its id is cold, and its registration may take seconds or, without the store,
-    /// minutes to be read. Where no start is told, an id names one process; where no limit is stated, it doesn't matter.
-    /// Engines alone are asked: who has no weights may have no report, and would get no call at all.
-    pub fn needs_start(&self, instance: &EndpointInstance) -> bool {
+    /// An endpoint that has restarted under its id is cold, and reading its new registration may
+    /// take seconds, or minutes while the store is down. The check isn't needed where endpoints
+    /// report no start, since an id names one process there, nor where the service has no limit for
+    /// cold endpoints. Only engines are asked: an endpoint without weights may have no report, and
+    /// would get no call at all.
+    pub fn must_verify_start(&self, instance: &EndpointInstance) -> bool {
         let row = self.get(instance).filter(|_| instance.start.is_some());
         let row = row.filter(|row| !row.endpoint.weights.is_empty());
         row.is_some_and(|row| self.cold_limits.contains_key(&row.endpoint.service))
     }
 
-    /// Notes which start a process has told on a connection to an endpoint, and returns whether the endpoint counts as
-    /// cold since.
-    pub fn saw_start(
+    /// Records the start that a process reports on a connection to an endpoint. Returns whether
+    /// this starts a cold period.
+    pub fn record_seen_start(
         &mut self,
         instance: &EndpointInstance,
         seen: Option<EndpointStart>,
@@ -170,24 +177,25 @@
         let Some(cold) = self.cold_limits.get(&row.endpoint.service) else {
             return false;
         };
-        let is_new = row.cold.saw_start(instance.start, seen);
+        let is_new = row.cold.record_seen_start(instance.start, seen);
         if is_new {
-            let until_us = now + cold.start_us;
+            let until_us = now + cold.cold_period_us;
             row.cold
-                .turn(Some(&cold.limit), now, |state| state.assume_until(until_us));
+                .apply_change(Some(&cold.limit), now, |state| state.extend_until(until_us));
         }
         is_new
     }
 
-    /// Takes over what cold endpoints of each service bear.
-    pub fn set_cold_limits(&mut self, limits: HashMap<ServiceName, ServiceColdness>) {
+    /// Replaces the limits of cold endpoints by service.
+    pub fn set_cold_limits(&mut self, limits: HashMap<ServiceName, ServiceColdLimit>) {
         self.cold_limits = limits;
     }
 
-    /// Takes over how many permits of each bounded endpoint this daemon holds. To be called several times a second.
-    pub fn set_shares(&mut self, shares: &PermitShares, now: TimeUs) {
-        self.shares = Some(SharesAsOf {
-            known_at_us: now,
+    /// Updates how many permits of each bounded endpoint this daemon may use. Must be called
+    /// several times a second.
+    pub fn set_permit_shares(&mut self, shares: &PermitShares, now: TimeUs) {
+        self.shares = Some(ShareTimes {
+            updated_at_us: now,
             usable_at_us: shares.usable_at(),
         });
         for row in self.rows.values_mut() {
@@ -197,25 +205,27 @@
                 true => self.cold_limits.get(&row.endpoint.service),
                 false => None,
             };
-            // Whoever holds permits when the bound begins again is found out anew.
+            // Outside a cold period the share is reset, since other daemons may hold the permits
+            // when the next one begins.
             row.cold.permits.share = cold.map_or(PermitShare::default(), |cold| {
                 share(&cold.limit, MinorityShare::Nothing)
             });
             let named = &mut row.statements.limit;
-            let limit = named.limit(self.limit_life_us, now);
+            let limit = named.active_limit(self.limit_ttl_us, now);
             named.permits.share = limit.map_or(PermitShare::default(), |limit| {
                 share(limit, MinorityShare::Proportional)
             });
         }
     }
 
-    /// Returns how many endpoints are cold, for the metrics.
+    /// Returns how many endpoints are cold and bounded, for the metrics.
     pub fn cold_count(&self, now: TimeUs) -> usize {
         let is_cold = |row: &&EndpointRow| self.cold_limit(row, now).is_some();
         self.rows.values().filter(is_cold).count()
     }
 
-    /// Returns the limit that an endpoint is under; none where it isn't cold or the deployment has no bound.
+    /// Returns the limit of a cold endpoint; `None` if the endpoint isn't cold or the deployment
+    /// sets no bound.
     fn cold_limit(&self, row: &EndpointRow, now: TimeUs) -> Option<&RateLimit> {
         if !row.cold.is_cold(now) {
             return None;
@@ -224,7 +234,7 @@
         Some(&cold.limit)
     }
 
-    /// Lists the bounds that an endpoint is under now.
+    /// Lists the bounds that apply to an endpoint now.
     fn bounds<'a>(
         &'a self,
         row: &'a EndpointRow,
@@ -233,21 +243,21 @@
         let cold = self.cold_limit(row, now).map(|limit| CallBound {
             source: PermitSource::Cold,
             limit,
-            held: &row.cold.permits,
+            reserved: &row.cold.permits,
             ends_at_us: row.cold.until_us,
         });
         let named = &row.statements.limit;
-        let limit = named.limit(self.limit_life_us, now);
+        let limit = named.active_limit(self.limit_ttl_us, now);
         let named = limit.map(|limit| CallBound {
             source: PermitSource::Named,
             limit,
-            held: &named.permits,
+            reserved: &named.permits,
             ends_at_us: TimeUs::MAX,
         });
         cold.into_iter().chain(named)
     }
 
-    /// Says whether an endpoint may get a call now.
+    /// Returns whether an endpoint may get a call now.
     pub fn admission(&self, row: &EndpointRow, now: TimeUs) -> Admission {
         if self.is_evacuated(row) {
             return Admission::Evacuated;
@@ -257,7 +267,7 @@
         let mut limited = (rest_until_us > now).then_some((LimitCause::Resting, rest_until_us));
         for bound in self.bounds(row, now) {
             let shares = self.fresh_shares(now);
-            match shares.and_then(|_| bound.held.free(bound.limit, now)) {
+            match shares.and_then(|_| bound.reserved.first_free(bound.limit, now)) {
                 Some(permit) => permits.set(bound.source, permit),
                 None => {
                     let free_at = self.free_at(&bound, now);
@@ -277,10 +287,11 @@
         }
     }
 
-    /// Returns when an endpoint of a service takes the next call of this daemon; none where no endpoint takes any.
-    pub fn takes_calls_at(&self, service: &ServiceName, now: TimeUs) -> Option<TimeUs> {
+    /// Returns the earliest time at which an endpoint of a service takes a call of this daemon;
+    /// `None` if no endpoint takes any.
+    pub fn next_admission_at(&self, service: &ServiceName, now: TimeUs) -> Option<TimeUs> {
         let rows = self.rows.values();
-        let rows = rows.filter(|row| row.endpoint.service == *service && row.takes_requests());
+        let rows = rows.filter(|row| row.endpoint.service == *service && row.accepts_requests());
         let times = rows.filter_map(|row| match self.admission(row, now) {
             Admission::Open | Admission::Permit(_) => Some(now),
             Admission::Limited(_, free_at) => Some(free_at),
@@ -289,33 +300,41 @@
         times.min()
     }
 
-    /// Returns when a bound lets the next call of this daemon through.
+    /// Returns when a bound allows the next call of this daemon.
     fn free_at(&self, bound: &CallBound<'_>, now: TimeUs) -> TimeUs {
         let shares = self.fresh_shares(now);
         let usable_at = shares.and_then(|shares| shares.usable_at_us);
-        // Without a view of the members, one may begin now at the earliest.
-        let usable_at = usable_at.unwrap_or(now + HOLD_US);
-        let free_at = bound.held.next_free_at(bound.limit);
+        // Without a usable view of the members, the earliest possible one begins now.
+        let usable_at = usable_at.unwrap_or(now + PERMIT_ACTIVATION_DELAY_US);
+        let free_at = bound.reserved.next_free_at(bound.limit);
         let free_at = free_at.unwrap_or(now + bound.limit.window_us);
         free_at.max(usable_at).min(bound.ends_at_us)
     }
 
-    /// Returns as of when shares are known, unless that is too long ago to go by them.
-    fn fresh_shares(&self, now: TimeUs) -> Option<SharesAsOf> {
-        let is_fresh = |shares: &SharesAsOf| now.since(shares.known_at_us) <= LONGEST_GAP_US;
+    /// Returns the update times of the permit shares, or `None` if the last update is too long ago
+    /// for the shares to be used.
+    fn fresh_shares(&self, now: TimeUs) -> Option<ShareTimes> {
+        let is_fresh =
+            |shares: &ShareTimes| now.since(shares.updated_at_us) <= MAX_OBSERVATION_GAP_US;
         self.shares.filter(is_fresh)
     }
 
-    /// Uses the permits under which a call was placed, so that no other call is placed under them.
-    pub fn use_permits(&mut self, instance: &EndpointInstance, permits: CallPermits, now: TimeUs) {
+    /// Marks the permits under which a call was placed as used, so that no other call is placed
+    /// under them.
+    pub fn mark_permits_used(
+        &mut self,
+        instance: &EndpointInstance,
+        permits: CallPermits,
+        now: TimeUs,
+    ) {
         let Some(row) = self.get_mut(instance) else {
             return;
         };
         if let Some(permit) = permits.cold {
-            row.cold.permits.use_up(permit, now);
+            row.cold.permits.mark_used(permit, now);
         }
         if let Some(permit) = permits.named {
-            row.statements.limit.permits.use_up(permit, now);
+            row.statements.limit.permits.mark_used(permit, now);
         }
     }
 
@@ -329,10 +348,12 @@
         self.evacuated.contains(&row.endpoint.zone)
     }
 
-    /// Returns whether a call that was placed at an endpoint may be sent there now, and counts it against the
-    /// endpoint's permits as of now: between placement and sending a connection may have been opened. An endpoint that
-    /// is no longer known gets it: nothing is held against it.
-    pub fn admits(
+    /// Returns whether a call that was placed at an endpoint may be sent there now, and if so marks
+    /// its permits as used now.
+    ///
+    /// Opening a connection between placement and sending may have taken a while. A call to an
+    /// endpoint that is no longer in the table is admitted: no bound is known for it.
+    pub fn try_admit(
         &mut self,
         instance: &EndpointInstance,
         placed: CallPermits,
@@ -342,18 +363,18 @@
             return true;
         };
         let is_resting = row.statements.rest_until_us > now;
-        if self.is_evacuated(row) || !row.takes_requests() || is_resting {
+        if self.is_evacuated(row) || !row.accepts_requests() || is_resting {
             return false;
         }
         let Some(permits) = self.permits_to_send(row, placed, now) else {
             return false;
         };
-        self.use_permits(instance, permits, now);
+        self.mark_permits_used(instance, permits, now);
         true
     }
 
-    /// Returns the permits under which a call is sent: those that it was placed with, and free ones for bounds that have
-    /// begun since. None where one is missing.
+    /// Returns the permits under which a call is sent: those of its placement, and free ones for
+    /// bounds that have begun since. Returns `None` if one of them isn't available.
     fn permits_to_send(
         &self,
         row: &EndpointRow,
@@ -364,8 +385,8 @@
         for bound in self.bounds(row, now) {
             self.fresh_shares(now)?;
             let permit = placed.get(bound.source);
-            let permit = permit.or_else(|| bound.held.free(bound.limit, now))?;
-            if !bound.held.holds(permit, now) {
+            let permit = permit.or_else(|| bound.reserved.first_free(bound.limit, now))?;
+            if !bound.reserved.contains(permit, now) {
                 return None;
             }
             permits.set(bound.source, permit);
--- a/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_gossip.rs
@@ -1,4 +1,5 @@
-//! What peers tell of endpoints: the load that they put there, orders, and failures to connect.
+//! What peers report about endpoints: the load that they send there, endpoints that an order
+//! reserves, and failures to connect.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,60 +8,66 @@
 use super::backlog::Load;
 use super::endpoint_table::EndpointTable;
 
-/// Time after which what a peer told of its load no longer counts.
-const PEER_LOAD_LIFE_US: DurationUs = DurationUs::from_ms(1_000);
+/// Time after which the load that a peer last reported no longer counts.
+const PEER_LOAD_TTL_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Daemons that must have failed to connect to an endpoint before it is suspected by all.
-const MIN_WITNESSES: usize = 2;
+/// Number of daemons that must have failed to connect to an endpoint before it is suspected.
+const MIN_REPORTERS: usize = 2;
 
-/// How long a failure to connect counts as evidence: some messages, so that others hear of it.
-const EVIDENCE_LIFE_US: DurationUs = DurationUs::from_ms(1_200);
+/// How long a failure to connect counts as evidence: long enough for several gossip messages to
+/// carry it to the other daemons.
+const CONNECT_FAILURE_TTL_US: DurationUs = DurationUs::from_ms(1_200);
 
-/// How long an endpoint is suspected after the last evidence was weighed. Then calls try it again.
-const VERDICT_LIFE_US: DurationUs = DurationUs::from_ms(800);
+/// How long an endpoint stays suspected after the last evidence against it. Then calls try it
+/// again.
+const SUSPICION_TTL_US: DurationUs = DurationUs::from_ms(800);
 
-/// What a peer told of its load.
+/// Latest report of one peer.
 #[derive(Debug)]
-pub(super) struct PeerLoad {
-    pub(super) told_at_us: TimeUs,
+pub(super) struct PeerReport {
+    pub(super) received_at_us: TimeUs,
+    /// Unfinished work that the peer has sent, by the endpoints' short names.
     pub(super) loads: HashMap<u32, Load>,
-    /// Endpoints that it says an order keeps from taking requests.
+    /// Endpoints that an order keeps from taking requests, according to the peer.
     pub(super) reserved: HashSet<u32>,
-    /// Endpoints that it couldn't connect to lately.
+    /// Endpoints that the peer failed to connect to lately.
     pub(super) unreachable: HashSet<u32>,
 }
 
 impl EndpointTable {
-    /// Takes over what a peer has sent to endpoints.
-    pub fn peer_load(&mut self, peer: Incarnation, loads: HashMap<u32, Load>, now: TimeUs) {
-        let old = self.peer_loads.remove(&peer);
-        let reserved = old.as_ref().map(|old| old.reserved.clone());
-        let unreachable = old.as_ref().map(|old| old.unreachable.clone());
-        for (hash, load) in old.iter().flat_map(|old| &old.loads) {
-            if let Some(row) = self.row_by_short_name(*hash) {
-                row.peers.sub(*load);
+    /// Replaces the load that a peer has sent to endpoints, by short name.
+    pub fn apply_peer_load(&mut self, peer: Incarnation, loads: HashMap<u32, Load>, now: TimeUs) {
+        let previous = self.peer_reports.remove(&peer);
+        let reserved = previous.as_ref().map(|previous| previous.reserved.clone());
+        let unreachable = previous
+            .as_ref()
+            .map(|previous| previous.unreachable.clone());
+        for (short_name, load) in previous.iter().flat_map(|previous| &previous.loads) {
+            if let Some(row) = self.row_by_short_name(*short_name) {
+                row.peers_load.sub(*load);
             }
         }
-        for (hash, load) in &loads {
-            if let Some(row) = self.row_by_short_name(*hash) {
-                row.peers.add(*load);
+        for (short_name, load) in &loads {
+            if let Some(row) = self.row_by_short_name(*short_name) {
+                row.peers_load.add(*load);
             }
         }
-        let told = PeerLoad {
-            told_at_us: now,
+        let report = PeerReport {
+            received_at_us: now,
             loads,
             reserved: reserved.unwrap_or_default(),
             unreachable: unreachable.unwrap_or_default(),
         };
-        self.peer_loads.insert(peer, told);
+        self.peer_reports.insert(peer, report);
     }
 
-    /// Takes over which endpoints a peer says an order keeps from taking requests until `until`, and
-    /// returns whether one of them is new.
+    /// Replaces the set of endpoints that an order keeps from taking requests until `until`,
+    /// according to a peer. Returns whether one of them wasn't reserved before.
     ///
-    /// One that it no longer names is free at once, unless another peer still names it: engines with
-    /// new weights are the ones that are missed most, and each was idle until the time was over.
-    pub fn peer_reserved(
+    /// An endpoint that the peer no longer names is free at once, unless another peer still names
+    /// it. Engines with new weights are needed most, and each of them used to stay idle until the
+    /// reservation ran out.
+    pub fn apply_peer_reservations(
         &mut self,
         peer: Incarnation,
         reserved: HashSet<u32>,
@@ -68,85 +75,86 @@
         now: TimeUs,
     ) -> bool {
         let mut is_new = false;
-        for hash in &reserved {
-            is_new |= self.reserve(*hash, until, now);
+        for short_name in &reserved {
+            is_new |= self.reserve(*short_name, until, now);
         }
-        let Some(told) = self.peer_loads.get_mut(&peer) else {
+        let Some(report) = self.peer_reports.get_mut(&peer) else {
             return is_new;
         };
-        let before = std::mem::replace(&mut told.reserved, reserved);
-        for hash in before {
-            let mut peers = self.peer_loads.values();
-            if peers.any(|told| told.reserved.contains(&hash)) {
+        let before = std::mem::replace(&mut report.reserved, reserved);
+        for short_name in before {
+            let mut peers = self.peer_reports.values();
+            if peers.any(|report| report.reserved.contains(&short_name)) {
                 continue;
             }
-            if let Some(row) = self.row_by_short_name(hash) {
+            if let Some(row) = self.row_by_short_name(short_name) {
                 row.reserved_until_us = row.reserved_until_us.min(now);
             }
         }
         is_new
     }
 
-    /// Returns what a peer has sent, by the endpoints' short names.
-    pub fn load_of(&self, peer: Incarnation) -> Option<&HashMap<u32, Load>> {
-        self.peer_loads.get(&peer).map(|told| &told.loads)
+    /// Returns the load that a peer has sent to endpoints, by short name.
+    pub fn peer_load_of(&self, peer: Incarnation) -> Option<&HashMap<u32, Load>> {
+        self.peer_reports.get(&peer).map(|report| &report.loads)
     }
 
-    /// Notes that this daemon couldn't connect to an endpoint.
-    pub fn unreachable(&mut self, instance: &EndpointInstance, now: TimeUs) {
+    /// Records that this daemon failed to connect to an endpoint.
+    pub fn record_connect_failure(&mut self, instance: &EndpointInstance, now: TimeUs) {
         if let Some(row) = self.get_mut(instance) {
-            row.unreachable_until_us = now + EVIDENCE_LIFE_US;
+            row.unreachable_until_us = now + CONNECT_FAILURE_TTL_US;
             let short_name = row.short_name;
-            self.weigh_evidence(short_name, now);
+            self.update_suspicion(short_name, now);
         }
     }
 
-    /// Takes over which endpoints a peer couldn't connect to lately. `is_verdict` says that the peer has
-    /// weighed what several daemons said.
-    pub fn peer_unreachable(
+    /// Replaces the set of endpoints that a peer failed to connect to lately. `is_corroborated`
+    /// means that the peer names only endpoints that several daemons failed to connect to.
+    pub fn apply_peer_connect_failures(
         &mut self,
         peer: Incarnation,
         unreachable: HashSet<u32>,
-        is_verdict: bool,
+        is_corroborated: bool,
         now: TimeUs,
     ) {
-        for short_name in unreachable.iter().filter(|_| is_verdict) {
+        for short_name in unreachable.iter().filter(|_| is_corroborated) {
             if let Some(row) = self.row_by_short_name(*short_name) {
-                row.suspected_until_us = now + VERDICT_LIFE_US;
+                row.suspected_until_us = now + SUSPICION_TTL_US;
             }
         }
-        let Some(told) = self.peer_loads.get_mut(&peer) else {
+        let Some(report) = self.peer_reports.get_mut(&peer) else {
             return;
         };
-        told.unreachable.clone_from(&unreachable);
+        report.unreachable.clone_from(&unreachable);
         for short_name in unreachable {
-            self.weigh_evidence(short_name, now);
+            self.update_suspicion(short_name, now);
         }
     }
 
-    /// Suspects an endpoint that two daemons couldn't connect to.
+    /// Suspects an endpoint if [`MIN_REPORTERS`] daemons failed to connect to it.
     ///
-    /// Load pattern: engines fall silent, and each daemon of a large fleet finds out about each of them by
-    /// a call that waits for nothing. One daemon alone may itself be cut off; so may two, but then the
-    /// others lose at most what those two can't reach, and where all are suspected none counts as such.
-    fn weigh_evidence(&mut self, short_name: u32, now: TimeUs) {
-        let peers = self.peer_loads.values();
-        let peers = peers.filter(|told| told.unreachable.contains(&short_name));
-        let peers = peers.take(MIN_WITNESSES).count();
+    /// Without this, when engines stop answering, each daemon of a large fleet finds out about each
+    /// of them by a call that waits in vain. A single daemon may be cut off itself, and so may two.
+    /// In the latter case the others lose only the endpoints that those two can't reach, and if all
+    /// endpoints are suspected, the suspicion is ignored.
+    fn update_suspicion(&mut self, short_name: u32, now: TimeUs) {
+        let peers = self.peer_reports.values();
+        let peers = peers.filter(|report| report.unreachable.contains(&short_name));
+        let peers = peers.take(MIN_REPORTERS).count();
         let Some(row) = self.row_by_short_name(short_name) else {
             return;
         };
         let own = usize::from(row.unreachable_until_us > now);
-        if peers + own >= MIN_WITNESSES {
-            row.weighed_until_us = now + VERDICT_LIFE_US;
-            row.suspected_until_us = now + VERDICT_LIFE_US;
+        if peers + own >= MIN_REPORTERS {
+            row.corroborated_until_us = now + SUSPICION_TTL_US;
+            row.suspected_until_us = now + SUSPICION_TTL_US;
         }
     }
 
-    /// Notes that an order keeps an endpoint from taking requests until `until`, and returns
-    /// whether that is new.
-    pub fn reserve(&mut self, hash: u32, until: TimeUs, now: TimeUs) -> bool {
-        let Some(row) = self.row_by_short_name(hash) else {
+    /// Records that an order keeps an endpoint from taking requests until `until`. Returns whether
+    /// the endpoint wasn't reserved before.
+    pub fn reserve(&mut self, short_name: u32, until: TimeUs, now: TimeUs) -> bool {
+        let Some(row) = self.row_by_short_name(short_name) else {
             return false;
         };
         let is_new = row.reserved_until_us <= now;
@@ -154,18 +162,18 @@
         is_new
     }
 
-    /// Forgets the load of peers that have been silent for too long.
-    pub(super) fn forget_silent_peers(&mut self, now: TimeUs) {
-        let is_old = |load: &PeerLoad| now.since(load.told_at_us) > PEER_LOAD_LIFE_US;
-        let old: Vec<Incarnation> = self
-            .peer_loads
+    /// Removes the reports of peers that have been silent for longer than [`PEER_LOAD_TTL_US`].
+    pub(super) fn prune_silent_peers(&mut self, now: TimeUs) {
+        let is_expired = |load: &PeerReport| now.since(load.received_at_us) > PEER_LOAD_TTL_US;
+        let expired: Vec<Incarnation> = self
+            .peer_reports
             .iter()
-            .filter(|(_, load)| is_old(load))
+            .filter(|(_, load)| is_expired(load))
             .map(|(peer, _)| *peer)
             .collect();
-        for peer in old {
-            self.peer_load(peer, HashMap::new(), now);
-            self.peer_loads.remove(&peer);
+        for peer in expired {
+            self.apply_peer_load(peer, HashMap::new(), now);
+            self.peer_reports.remove(&peer);
         }
     }
 }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_memory.rs
@@ -1,4 +1,4 @@
-//! What is learnt of the parts of prompts that endpoints keep.
+//! Tracks which prompt parts endpoints have cached.
 
 use wisteriahitch_types::{EndpointInstance, TimeUs};
 
@@ -8,9 +8,10 @@
 use crate::border::PartEvent;
 
 impl EndpointTable {
-    /// Notes that an endpoint with this short name has read a part; one of no tokens is gone.
-    pub fn has_part(&mut self, hash: u32, key: PartKey, tokens: u64, now: TimeUs) {
-        if let Some(row) = self.row_by_short_name(hash) {
+    /// Records that the endpoint with this short name has cached a part, or has evicted it if
+    /// `tokens` is 0.
+    pub fn record_part(&mut self, short_name: u32, key: PartKey, tokens: u64, now: TimeUs) {
+        if let Some(row) = self.row_by_short_name(short_name) {
             match tokens {
                 0 => row.parts.record_eviction(key),
                 _ => row.parts.record_use(key, tokens, now),
@@ -18,8 +19,10 @@
         }
     }
 
-    /// Takes over what an engine tells of its memory, and returns what is news to the other daemons.
-    pub fn part_events(
+    /// Applies events about an engine's memory that the engine itself reports. Returns the changes
+    /// to send to the other daemons. `until` is the time until which the engine's reports count as
+    /// complete.
+    pub fn apply_part_events(
         &mut self,
         instance: &EndpointInstance,
         events: &[PartEvent],
@@ -29,8 +32,8 @@
         let Some(row) = self.get_mut(instance) else {
             return Vec::new();
         };
-        row.followed_until_us = until;
-        let mut news = Vec::new();
+        row.parts_tracked_until_us = until;
+        let mut updates = Vec::new();
         for event in events {
             let part = &event.part;
             let key = PartKeyHasher::new(&part.model, &part.scope).key(part.id);
@@ -44,24 +47,25 @@
                 false => row.parts.record_eviction(key),
             };
             if is_update {
-                news.push(PartUpdate {
+                updates.push(PartUpdate {
                     endpoint: row.short_name,
                     part: key.0,
                     tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
                 });
             }
         }
-        news
+        updates
     }
 
-    /// Notes until when somebody follows an engine's memory, as a peer tells.
-    pub fn followed(&mut self, short_name: u32, until: TimeUs) {
+    /// Records that a peer receives an engine's memory events until `until`.
+    pub fn extend_parts_tracking(&mut self, short_name: u32, until: TimeUs) {
         if let Some(row) = self.row_by_short_name(short_name) {
-            row.followed_until_us = row.followed_until_us.max(until);
+            row.parts_tracked_until_us = row.parts_tracked_until_us.max(until);
         }
     }
 
-    /// Lists which parts engines are believed to keep, for a daemon that has just started.
+    /// Lists the parts that each engine is believed to have cached, for a daemon that has just
+    /// started.
     pub fn engine_memory(&self, now: TimeUs) -> Vec<EngineMemory> {
         let rows = self.rows.values().filter(|row| !row.parts.is_empty());
         let memory = rows.map(|row| EngineMemory {
@@ -71,13 +75,13 @@
         memory.collect()
     }
 
-    /// Takes over which parts engines keep, from a daemon that has been there for longer.
-    pub fn take_over(&mut self, memory: &[EngineMemory], now: TimeUs) {
+    /// Adopts the lists of cached parts that another daemon has collected.
+    pub fn adopt_engine_memory(&mut self, memory: &[EngineMemory], now: TimeUs) {
         for engine in memory {
             let Some(row) = self.row_by_short_name(engine.endpoint) else {
                 continue;
             };
-            // The oldest first, so that the order of last uses is theirs.
+            // Oldest first, to keep the order of last use.
             for part in engine.parts.iter().rev() {
                 row.parts.merge_peer_part(part, now);
             }
--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! Endpoints and which of their lives each one is in.
+//! The endpoints of a site, and the state of each.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -11,125 +11,127 @@
 
 use super::backlog::Load;
 use super::cold_limit::ColdState;
-use super::endpoint_admission::{ServiceColdness, SharesAsOf};
-use super::endpoint_gossip::PeerLoad;
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_admission::{ServiceColdLimit, ShareTimes};
+use super::endpoint_gossip::PeerReport;
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_statements::EndpointStatements;
 use super::evacuated_zones::EvacuatedZones;
-use super::leaving_lives::LeavingLives;
+use super::leaving_instances::LeavingInstances;
 use super::link_throughputs::LinkThroughputs;
-use super::outlier::{Outlier, OutlierOptions};
+use super::outlier::{OutlierDetector, OutlierOptions};
 use super::parts::PartCache;
 use crate::site::Endpoint;
 
-/// Time after the store's return within which endpoints that live have registered again.
+/// How long after the store's return endpoints that are still running may take to register again.
 ///
-/// Registrations lapse while the store is away. Taken for the end of the endpoint, such a lapse
-/// would leave a service without endpoints for seconds; callers would be refused for nothing. The
-/// platform promises two seconds; the rest covers the way of the news.
-pub(crate) const REGISTER_AGAIN_US: DurationUs = DurationUs::from_ms(2_300);
+/// Registrations lapse during an outage of the store. If a lapse counted as the end of the
+/// endpoint, a service would have no endpoints for seconds, and callers would be refused
+/// needlessly. The platform promises 2 s; the rest is for propagation.
+pub(crate) const REREGISTRATION_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_300);
 
-/// Weights that are taken for the memory of an engine which doesn't say how much it has.
+/// Memory, in tokens, assumed for an engine that reports none.
 const DEFAULT_MEMORY_TOKENS: u64 = 100_000;
 
-/// Says how much an absence from the store means.
+/// Why a registration may be missing from the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Absence {
-    /// The store was there all the time: the endpoint has left.
+pub enum AbsenceCause {
+    /// The store was reachable all the time, so the endpoint has left.
     Left,
-    /// The store has just been away: the registration may only have lapsed.
+    /// The store was unreachable until a moment ago, so the registration may only have lapsed.
     MayHaveLapsed,
 }
 
-/// A registration as the store holds it.
+/// A registration as read from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Registration {
-    /// One that can be read.
-    Good(Endpoint),
-    /// One that can't. Something else than the endpoint may have written it.
+    /// A registration that can be parsed.
+    Valid(Endpoint),
+    /// A registration that can't be parsed, by id and revision. It may not have been written by the
+    /// endpoint.
     Unreadable(EndpointId, Revision),
 }
 
 impl From<Endpoint> for Registration {
     fn from(endpoint: Endpoint) -> Self {
-        Registration::Good(endpoint)
+        Registration::Valid(endpoint)
     }
 }
 
 impl Registration {
     fn id(&self) -> &EndpointId {
         match self {
-            Registration::Good(endpoint) => &endpoint.instance.id,
+            Registration::Valid(endpoint) => &endpoint.instance.id,
             Registration::Unreadable(id, _) => id,
         }
     }
 }
 
-/// A change that the log and the connections need to know.
+/// A change of an endpoint, for the log and the connections.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointChange {
-    /// A new one was seen.
-    Seen(EndpointInstance),
-    /// This life has ended: another one has registered under its id.
+    /// A new endpoint instance has registered.
+    Added(EndpointInstance),
+    /// The instance has ended: another one has registered under its id.
     Ended(EndpointInstance),
-    /// One is about to leave.
+    /// The endpoint is about to leave.
     Draining(EndpointInstance),
-    /// One is gone.
-    Gone(EndpointInstance),
-    /// One has lapsed.
+    /// The endpoint was removed from the table.
+    Removed(EndpointInstance),
+    /// The registration is missing; the endpoint is removed if it doesn't come back.
     Lapsed(EndpointInstance),
-    /// The registration of one can't be read.
+    /// The registration can't be parsed.
     Unreadable(EndpointInstance),
-    /// Another one has its address.
+    /// Another endpoint has its address.
     Displaced(EndpointInstance),
 }
 
-/// All endpoints of the site.
+/// All endpoints of a site.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     pub(super) rows: BTreeMap<EndpointId, EndpointRow>,
     pub(super) by_short_name: HashMap<u32, EndpointId>,
-    pub(super) peer_loads: HashMap<Incarnation, PeerLoad>,
-    /// Memory of the engines of each service, from the configuration.
+    pub(super) peer_reports: HashMap<Incarnation, PeerReport>,
+    /// Memory of the engines of each service in tokens, from the configuration.
     pub(super) memory_tokens: HashMap<ServiceName, u64>,
-    /// Services that the configuration names.
+    /// Services in the configuration.
     pub(super) services: HashSet<ServiceName>,
     pub(super) evacuated: EvacuatedZones,
-    /// What cold endpoints of each service bear, where the deployment bounds it.
-    pub(super) cold_limits: HashMap<ServiceName, ServiceColdness>,
-    /// As of when the shares of cold endpoints' permits are known, and from when on those of the newest view may be used.
-    pub(super) shares: Option<SharesAsOf>,
-    /// How fast parts come over the endpoints' and the stores' links.
+    /// Limits of cold endpoints by service, where the deployment sets one.
+    pub(super) cold_limits: HashMap<ServiceName, ServiceColdLimit>,
+    /// When the permit shares of the rows were last updated; `None` before the first update.
+    pub(super) shares: Option<ShareTimes>,
+    /// Throughput of the links over which endpoints and part stores send parts.
     pub links: LinkThroughputs,
-    /// Bounds of ejection.
+    /// Options of outlier ejection.
     pub outlier_options: OutlierOptions,
-    /// Time for which an endpoint that has left without a word still gets requests where its
-    /// service has no other one. It goes on serving for a while, and a silent outage of the store
-    /// that nobody has noticed looks the same.
+    /// How long an endpoint that left without announcing it still gets requests if its service has
+    /// no other endpoint. It goes on serving for a while, and an outage of the store that went
+    /// unnoticed looks the same.
     pub(super) drain_fallback_us: DurationUs,
-    /// Lives that have said in an answer that they leave.
-    pub(super) leaving: LeavingLives,
-    /// How long a limit that an endpoint names holds, if nobody hears of it again.
-    pub(super) limit_life_us: DurationUs,
+    /// Instances that have announced their leaving in an answer.
+    pub(super) leaving: LeavingInstances,
+    /// How long a limit that an endpoint names stays in force without being repeated.
+    pub(super) limit_ttl_us: DurationUs,
 }
 
 impl EndpointTable {
-    /// Takes over how long an endpoint that has left without a word still gets requests where its
-    /// service has no other one.
+    /// Sets how long an endpoint that left without announcing it still gets requests if its service
+    /// has no other endpoint.
     #[must_use]
     pub fn with_drain_fallback(mut self, drain_fallback_us: DurationUs) -> Self {
         self.drain_fallback_us = drain_fallback_us;
         self
     }
 
-    /// Takes over how long a limit that an endpoint names holds, if nobody hears of it again; until then none does.
+    /// Sets how long a limit that an endpoint names stays in force without being repeated. The
+    /// default of zero ignores all limits.
     #[must_use]
-    pub fn with_limit_life(mut self, limit_life_us: DurationUs) -> Self {
-        self.limit_life_us = limit_life_us;
+    pub fn with_limit_ttl(mut self, limit_ttl_us: DurationUs) -> Self {
+        self.limit_ttl_us = limit_ttl_us;
         self
     }
 
-    /// Takes over which services there are, and how much memory the engines of each have.
+    /// Sets the services in the configuration, and the memory of each service's engines in tokens.
     pub fn set_services(
         &mut self,
         services: HashSet<ServiceName>,
@@ -139,130 +141,133 @@
         self.memory_tokens = memory_tokens;
     }
 
-    /// Returns whether the configuration names an endpoint's service. A registration with another
-    /// one names nothing that can be used or given orders.
+    /// Returns whether the configuration has the endpoint's service. An endpoint of an unknown
+    /// service can't be used or get orders.
     pub fn has_known_service(&self, row: &EndpointRow) -> bool {
         self.services.contains(&row.endpoint.service)
     }
 
-    /// Takes over a whole listing.
-    pub fn listed(
+    /// Applies a complete listing of registrations.
+    pub fn apply_listing(
         &mut self,
         registrations: Vec<Registration>,
-        absence: Absence,
+        absence: AbsenceCause,
         now: TimeUs,
     ) -> Vec<EndpointChange> {
         let named = registrations.iter().map(|r| r.id().clone());
         let ids: HashSet<EndpointId> = named.collect();
         let mut changes = Vec::new();
         for registration in registrations {
-            changes.extend(self.registered(registration, now));
+            changes.extend(self.apply_registration(registration, now));
         }
         let is_missing = |id: &&EndpointId| !ids.contains(id);
         let missing: Vec<EndpointId> = self.rows.keys().filter(is_missing).cloned().collect();
         for id in missing {
-            changes.extend(self.unregistered(&id, absence, now));
+            changes.extend(self.apply_unregistration(&id, absence, now));
         }
         changes
     }
 
-    /// Takes over a registration.
+    /// Applies a registration.
     ///
-    /// Of two registrations of one id the one with the higher revision is the newer one. Their starts
-    /// don't say: a clock that was set back before a restart gives the later life the earlier start, and
-    /// ordered by starts it would be shut out for good.
-    pub fn registered(
+    /// Of two registrations of one id the one with the higher revision is the newer one. Their
+    /// starts don't give the order: if the clock was set back before a restart, the later instance
+    /// has the earlier start, and ordered by starts it would be ignored for good.
+    pub fn apply_registration(
         &mut self,
         registration: impl Into<Registration>,
         now: TimeUs,
     ) -> Vec<EndpointChange> {
         let endpoint = match registration.into() {
-            Registration::Good(endpoint) => endpoint,
-            Registration::Unreadable(id, revision) => return self.unreadable(&id, revision),
+            Registration::Valid(endpoint) => endpoint,
+            Registration::Unreadable(id, revision) => return self.mark_unreadable(&id, revision),
         };
         let id = endpoint.instance.id.clone();
         let Some(row) = self.rows.get(&id) else {
-            return self.begin(endpoint, now);
+            return self.add(endpoint, now);
         };
         if endpoint.revision < row.endpoint.revision {
             return Vec::new();
         }
         let known = row.instance();
         if known.start.is_some() && endpoint.instance.start.is_none() {
-            // Where starts are told all registrations tell them; somebody else has written this one.
-            return self.unreadable(&id, endpoint.revision);
+            // An endpoint that has reported its start always does, so this registration was written
+            // by something else.
+            return self.mark_unreadable(&id, endpoint.revision);
         }
         match *known == endpoint.instance {
-            true => self.renewed(endpoint, now),
-            false => self.restarted(endpoint, now),
+            true => self.renew(endpoint, now),
+            false => self.replace_restarted(endpoint, now),
         }
     }
 
-    /// Takes over a registration of the life that is known.
-    fn renewed(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
+    /// Applies a new registration of a known instance.
+    fn renew(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let instance = endpoint.instance.clone();
-        let life = self.life_of(&endpoint);
+        let state = self.state_of(&endpoint);
         let limit = self.cold_limits.get(&endpoint.service);
         let Some(row) = self.rows.get_mut(&instance.id) else {
             return Vec::new();
         };
         if endpoint.revision > row.endpoint.revision {
             let until_us = now + endpoint.cold_left_us;
-            row.cold.turn(limit.map(|cold| &cold.limit), now, |cold| {
-                cold.told_until(until_us);
-            });
+            row.cold
+                .apply_change(limit.map(|cold| &cold.limit), now, |cold| {
+                    cold.set_reported_until(until_us);
+                });
             row.is_displaced = false;
         }
-        let was = row.life;
-        // An endpoint that has announced its leaving doesn't come back in the same life; a
-        // registration that says so is an old one.
-        if was != EndpointLife::Draining {
-            row.life = life;
+        let previous_state = row.state;
+        // An endpoint that has announced its leaving doesn't become ready again without a restart;
+        // a registration that says so is outdated.
+        if previous_state != EndpointState::Draining {
+            row.state = state;
         }
         let has_moved = endpoint.address != row.endpoint.address;
-        let told = endpoint.weights.clone();
+        let reported_weights = endpoint.weights.clone();
         let known = std::mem::take(&mut row.endpoint.weights);
         row.endpoint = endpoint;
         row.endpoint.weights = known;
-        for (model, version) in told {
-            self.saw_weights(&instance, &model, version);
+        for (model, version) in reported_weights {
+            self.record_weights(&instance, &model, version);
         }
         let mut changes = Vec::new();
         if has_moved {
             changes.extend(self.claim_address(&instance));
         }
-        if life == EndpointLife::Draining && was != EndpointLife::Draining {
+        if state == EndpointState::Draining && previous_state != EndpointState::Draining {
             changes.push(EndpointChange::Draining(instance));
         }
         changes
     }
 
-    /// Replaces all that is believed of one life by what the next one says of itself.
+    /// Replaces an instance by the one that has registered after it under the same id.
     ///
-    /// The new process holds and knows nothing. Without this, calls would be sent to it for parts that
-    /// it doesn't keep, or none at all because the life before had said that it leaves.
-    fn restarted(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
+    /// The new process has cached nothing. If the row were kept, calls would be sent to it for
+    /// parts that it doesn't have, or it would get none because the previous instance had announced
+    /// its leaving.
+    fn replace_restarted(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         if let Some(before) = self.remove(&endpoint.instance.id) {
             self.links.remove(before.endpoint.address);
             changes.push(EndpointChange::Ended(before.endpoint.instance));
         }
-        changes.extend(self.begin(endpoint, now));
+        changes.extend(self.add(endpoint, now));
         changes
     }
 
-    /// Takes in a life that wasn't known.
-    fn begin(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
+    /// Adds an instance that isn't in the table.
+    fn add(&mut self, endpoint: Endpoint, now: TimeUs) -> Vec<EndpointChange> {
         let instance = endpoint.instance.clone();
-        let life = self.life_of(&endpoint);
-        self.insert(endpoint, life, now);
-        let mut changes = vec![EndpointChange::Seen(instance.clone())];
+        let state = self.state_of(&endpoint);
+        self.insert(endpoint, state, now);
+        let mut changes = vec![EndpointChange::Added(instance.clone())];
         changes.extend(self.claim_address(&instance));
         changes
     }
 
-    /// Notes that a registration can't be read.
-    fn unreadable(&mut self, id: &EndpointId, revision: Revision) -> Vec<EndpointChange> {
+    /// Records that a registration can't be parsed.
+    fn mark_unreadable(&mut self, id: &EndpointId, revision: Revision) -> Vec<EndpointChange> {
         let Some(row) = self.rows.get_mut(id) else {
             return Vec::new();
         };
@@ -270,45 +275,47 @@
             return Vec::new();
         }
         row.endpoint.revision = revision;
-        if !row.takes_requests() {
+        if !row.accepts_requests() {
             return Vec::new();
         }
-        row.life = EndpointLife::Unreadable;
+        row.state = EndpointState::Unreadable;
         let instance = row.endpoint.instance.clone();
         self.release_address(&instance);
         vec![EndpointChange::Unreadable(instance)]
     }
 
-    /// Notes that a registration is gone.
-    pub fn unregistered(
+    /// Records that a registration is missing from the store.
+    pub fn apply_unregistration(
         &mut self,
         id: &EndpointId,
-        absence: Absence,
+        absence: AbsenceCause,
         now: TimeUs,
     ) -> Option<EndpointChange> {
         let row = self.rows.get_mut(id)?;
-        match row.life {
-            EndpointLife::Ready => {
+        match row.state {
+            EndpointState::Ready => {
                 let grace = match absence {
-                    Absence::Left => self.drain_fallback_us,
-                    Absence::MayHaveLapsed => REGISTER_AGAIN_US,
+                    AbsenceCause::Left => self.drain_fallback_us,
+                    AbsenceCause::MayHaveLapsed => REREGISTRATION_TIMEOUT_US,
                 };
-                row.life = EndpointLife::Lapsed(now + grace);
+                row.state = EndpointState::Lapsed(now + grace);
                 Some(EndpointChange::Lapsed(row.endpoint.instance.clone()))
             }
-            EndpointLife::Lapsed(_) => None,
-            EndpointLife::Draining | EndpointLife::Unreadable => {
+            EndpointState::Lapsed(_) => None,
+            EndpointState::Draining | EndpointState::Unreadable => {
                 let row = self.remove(id)?;
-                Some(EndpointChange::Gone(row.endpoint.instance))
+                Some(EndpointChange::Removed(row.endpoint.instance))
             }
         }
     }
 
-    /// Notes that an endpoint refused a call as meant for somebody else, and who is at its address.
+    /// Records that an endpoint refused a call as misdirected, because the endpoint `found` is at
+    /// its address.
     ///
-    /// The answer shows what registrations only claim: who isn't there gets no more calls, and who is
-    /// there gets them again if another registration had claimed its address.
-    pub fn misdirected(
+    /// The answer is better evidence than a registration: the endpoint that isn't there gets no
+    /// more calls, and the one that is gets them again if another registration had claimed its
+    /// address.
+    pub fn record_misdirection(
         &mut self,
         instance: &EndpointInstance,
         found: &EndpointId,
@@ -319,44 +326,46 @@
         let row = self.get_mut(instance)?;
         let address = row.endpoint.address;
         let was_displaced = std::mem::replace(&mut row.is_displaced, true);
-        let there = self.rows.get_mut(found);
-        if let Some(there) = there.filter(|there| there.endpoint.address == address) {
-            there.is_displaced = false;
+        let occupant = self.rows.get_mut(found);
+        if let Some(occupant) = occupant.filter(|occupant| occupant.endpoint.address == address) {
+            occupant.is_displaced = false;
         }
         (!was_displaced).then(|| EndpointChange::Displaced(instance.clone()))
     }
 
-    /// Returns whether this life is known to have ended: another one has registered under its id.
+    /// Returns whether another instance has registered under this one's id.
     pub fn has_ended(&self, instance: &EndpointInstance) -> bool {
         let row = self.rows.get(&instance.id);
         row.is_some_and(|row| row.instance() != instance)
     }
 
-    /// Removes endpoints whose registration lapsed and didn't come back, and old news of peers.
+    /// Removes endpoints whose registration lapsed and didn't come back, and expired reports of
+    /// peers.
     pub fn tick(&mut self, now: TimeUs) -> Vec<EndpointChange> {
         self.links.prune(now);
-        let is_over =
-            |row: &EndpointRow| matches!(row.life, EndpointLife::Lapsed(until) if until <= now);
-        let over: Vec<EndpointId> = self
+        let has_lapsed =
+            |row: &EndpointRow| matches!(row.state, EndpointState::Lapsed(until) if until <= now);
+        let lapsed: Vec<EndpointId> = self
             .rows
             .iter()
-            .filter(|(_, row)| is_over(row))
+            .filter(|(_, row)| has_lapsed(row))
             .map(|(id, _)| id.clone())
             .collect();
-        let gone: Vec<EndpointChange> = over
+        let removed: Vec<EndpointChange> = lapsed
             .iter()
             .filter_map(|id| self.remove(id))
-            .map(|row| EndpointChange::Gone(row.endpoint.instance))
+            .map(|row| EndpointChange::Removed(row.endpoint.instance))
             .collect();
-        self.forget_silent_peers(now);
+        self.prune_silent_peers(now);
         let by_short_name = &self.by_short_name;
         self.leaving
-            .tick(|life| by_short_name.contains_key(&life), now);
-        gone
+            .tick(|instance| by_short_name.contains_key(&instance), now);
+        removed
     }
 
-    /// Notes the weights that an endpoint was seen with; they never go back within its life.
-    pub fn saw_weights(
+    /// Records the version of the weights that an endpoint has for a model. Versions never decrease
+    /// within an instance. New weights invalidate all cached parts.
+    pub fn record_weights(
         &mut self,
         instance: &EndpointInstance,
         model: &ModelName,
@@ -372,20 +381,20 @@
         }
     }
 
-    /// Returns an endpoint, if it is still in this life: what is learnt late of one life must not
-    /// touch the next.
+    /// Returns the row of an endpoint if it is still this instance, so that late information about
+    /// one instance never reaches the next.
     pub fn get(&self, instance: &EndpointInstance) -> Option<&EndpointRow> {
         let row = self.rows.get(&instance.id)?;
         (row.instance() == instance).then_some(row)
     }
 
-    /// Returns an endpoint to change, if it is still in this life.
+    /// Returns the row of an endpoint for changes if it is still this instance.
     pub fn get_mut(&mut self, instance: &EndpointInstance) -> Option<&mut EndpointRow> {
         let row = self.rows.get_mut(&instance.id)?;
         (*row.instance() == *instance).then_some(row)
     }
 
-    /// Returns an endpoint, whichever life it is in.
+    /// Returns the row of an endpoint, whichever instance it is.
     pub fn by_id(&self, id: &EndpointId) -> Option<&EndpointRow> {
         self.rows.get(id)
     }
@@ -395,58 +404,59 @@
         self.rows.values()
     }
 
-    /// Counts endpoints by life, for the metrics.
-    pub fn count_by_life(&self) -> [(&'static str, usize); 4] {
-        let count =
-            |is: fn(&EndpointLife) -> bool| self.rows.values().filter(|row| is(&row.life)).count();
+    /// Counts the endpoints by state, for the metrics.
+    pub fn count_by_state(&self) -> [(&'static str, usize); 4] {
+        let count = |is: fn(&EndpointState) -> bool| {
+            self.rows.values().filter(|row| is(&row.state)).count()
+        };
         [
-            ("ready", count(|life| *life == EndpointLife::Ready)),
-            ("draining", count(|life| *life == EndpointLife::Draining)),
+            ("ready", count(|state| *state == EndpointState::Ready)),
+            ("draining", count(|state| *state == EndpointState::Draining)),
             (
                 "lapsed",
-                count(|life| matches!(life, EndpointLife::Lapsed(_))),
+                count(|state| matches!(state, EndpointState::Lapsed(_))),
             ),
             (
                 "unreadable",
-                count(|life| *life == EndpointLife::Unreadable),
+                count(|state| *state == EndpointState::Unreadable),
             ),
         ]
     }
 
-    /// Returns how many endpoints there are.
+    /// Returns the number of endpoints.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Returns whether there is none.
+    /// Returns whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    fn insert(&mut self, endpoint: Endpoint, life: EndpointLife, now: TimeUs) {
-        let short_name = life_name(&endpoint.instance);
+    fn insert(&mut self, endpoint: Endpoint, state: EndpointState, now: TimeUs) {
+        let short_name = instance_short_name(&endpoint.instance);
         let memory = self.memory_tokens.get(&endpoint.service).copied();
-        let mut peers = Load::default();
-        for told in self.peer_loads.values() {
-            if let Some(load) = told.loads.get(&short_name) {
-                peers.add(*load);
+        let mut peers_load = Load::default();
+        for report in self.peer_reports.values() {
+            if let Some(load) = report.loads.get(&short_name) {
+                peers_load.add(*load);
             }
         }
         let id = endpoint.instance.id.clone();
         self.by_short_name.insert(short_name, id.clone());
         let row = EndpointRow {
-            cold: ColdState::until(now + endpoint.cold_left_us),
+            cold: ColdState::cold_until(now + endpoint.cold_left_us),
             endpoint,
-            life,
+            state,
             is_displaced: false,
-            own: Load::default(),
-            peers,
-            told: None,
-            outlier: Outlier::default(),
+            own_load: Load::default(),
+            peers_load,
+            reported_load: None,
+            outlier: OutlierDetector::default(),
             parts: PartCache::new(memory.unwrap_or(DEFAULT_MEMORY_TOKENS)),
-            followed_until_us: TimeUs::ZERO,
+            parts_tracked_until_us: TimeUs::ZERO,
             unreachable_until_us: TimeUs::ZERO,
-            weighed_until_us: TimeUs::ZERO,
+            corroborated_until_us: TimeUs::ZERO,
             suspected_until_us: TimeUs::ZERO,
             reserved_until_us: TimeUs::ZERO,
             statements: EndpointStatements::default(),
@@ -463,17 +473,17 @@
         Some(row)
     }
 
-    /// Takes the address of an endpoint that has just been seen there from the others that registered
-    /// before it, or from itself where another one registered later.
+    /// Marks the other endpoints at the address of `instance` as displaced if they registered
+    /// before it, or `instance` itself if one of them registered later.
     ///
-    /// Addresses are used again soon after a crash, and the registration of the one that crashed stays
-    /// for some heartbeats. One with an unknown service claims nothing: nobody would ever find out by
-    /// a call whether it is there.
+    /// Addresses are reused soon after a crash, and the registration of the crashed endpoint stays
+    /// for some heartbeats. An endpoint of an unknown service displaces none, since no call would
+    /// ever reveal whether it is there.
     fn claim_address(&mut self, instance: &EndpointInstance) -> Vec<EndpointChange> {
         let Some(row) = self.get(instance) else {
             return Vec::new();
         };
-        if !self.has_known_service(row) || !row.takes_requests() {
+        if !self.has_known_service(row) || !row.accepts_requests() {
             return Vec::new();
         }
         let (address, revision) = (row.endpoint.address, row.endpoint.revision);
@@ -481,40 +491,44 @@
             row.endpoint.address == address && row.instance() != instance && !row.is_displaced
         });
         let mut changes = Vec::new();
-        let mut is_late = false;
+        let mut is_superseded = false;
         for row in others {
-            if row.takes_requests() && row.endpoint.revision > revision {
-                is_late = true;
+            if row.accepts_requests() && row.endpoint.revision > revision {
+                is_superseded = true;
                 continue;
             }
             row.is_displaced = true;
             changes.push(EndpointChange::Displaced(row.endpoint.instance.clone()));
         }
-        if let Some(row) = self.get_mut(instance).filter(|_| is_late) {
+        if let Some(row) = self.get_mut(instance).filter(|_| is_superseded) {
             row.is_displaced = true;
             changes.push(EndpointChange::Displaced(instance.clone()));
         }
         changes
     }
 
-    /// Gives the address of an endpoint that is no longer used back to others that name it.
+    /// Marks the other endpoints at the address of an endpoint that is no longer used as not
+    /// displaced.
     fn release_address(&mut self, instance: &EndpointInstance) {
         let Some(address) = self.by_id(&instance.id).map(|row| row.endpoint.address) else {
             return;
         };
-        let gains =
+        let is_at_address =
             |row: &&mut EndpointRow| row.endpoint.address == address && row.instance() != instance;
-        for row in self.rows.values_mut().filter(gains) {
+        for row in self.rows.values_mut().filter(is_at_address) {
             row.is_displaced = false;
         }
     }
 
-    /// Returns whether an endpoint gets new calls, by its registration and by what it has said in answers.
-    fn life_of(&self, endpoint: &Endpoint) -> EndpointLife {
-        let has_said_so = self.leaving.contains(life_name(&endpoint.instance));
-        match endpoint.is_draining || has_said_so {
-            true => EndpointLife::Draining,
-            false => EndpointLife::Ready,
+    /// Returns the state of an endpoint, from its registration and from what it has announced in
+    /// answers.
+    fn state_of(&self, endpoint: &Endpoint) -> EndpointState {
+        let has_announced_leaving = self
+            .leaving
+            .contains(instance_short_name(&endpoint.instance));
+        match endpoint.is_draining || has_announced_leaving {
+            true => EndpointState::Draining,
+            false => EndpointState::Ready,
         }
     }
 
@@ -524,15 +538,15 @@
     }
 }
 
-/// Returns the short name of one life of an endpoint.
-pub(crate) fn life_name(instance: &EndpointInstance) -> u32 {
+/// Returns the short name of an endpoint instance.
+pub(crate) fn instance_short_name(instance: &EndpointInstance) -> u32 {
     short_name(&instance.to_string())
 }
 
-/// Returns the short name under which daemons tell each other of something.
+/// Returns the hash that names an endpoint or a store in messages between daemons.
 ///
-/// Two things with the same one would share their load; with some thousand names that happens in
-/// one fleet of some thousand, and costs a little balance.
+/// Two names with the same hash would share their load. With some thousand names that happens in
+/// one fleet out of some thousand, and makes the balance slightly worse.
 pub(crate) fn short_name(name: &str) -> u32 {
     (xxh3_64(name.as_bytes()) >> u32::BITS) as u32
 }
--- a/crates/wisteriahitch-relay/src/decide/mod.rs
+++ b/crates/wisteriahitch-relay/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions without input or output: events and a time go in, a choice or commands come out.
+//! Decision logic without I/O: takes events and the current time, returns choices or commands.
 
 pub(crate) mod backlog;
 pub(crate) mod cold_limit;
@@ -13,7 +13,7 @@
 pub(crate) mod gossip_message;
 pub(crate) mod gossip_schedule;
 pub(crate) mod hubs;
-mod leaving_lives;
+mod leaving_instances;
 pub(crate) mod link_throughputs;
 pub(crate) mod members;
 pub(crate) mod message_delay;
--- a/crates/wisteriahitch-relay/src/decide/outlier.rs
+++ b/crates/wisteriahitch-relay/src/decide/outlier.rs
@@ -1,18 +1,18 @@
-//! Tells an endpoint that fails from the others of its service.
+//! Outlier detection: ejects endpoints that fail more often than the others of their service.
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Bounds of outlier ejection.
+/// Options of outlier ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierOptions {
     /// Weight of the newest outcome in the moving failure rate.
     pub sample_weight: f64,
-    /// Failure rate above which an endpoint is ejected; two failures in a row reach it.
+    /// Failure rate above which an endpoint is ejected. Two failures in a row exceed it.
     pub max_failure_rate: f64,
-    /// First ejection; each further one lasts twice as long.
+    /// Duration of the first ejection; each further one in a row lasts twice as long.
     pub first_ejection_us: DurationUs,
-    /// Longest ejection.
-    pub longest_ejection_us: DurationUs,
+    /// Maximum duration of an ejection.
+    pub max_ejection_us: DurationUs,
 }
 
 impl Default for OutlierOptions {
@@ -21,29 +21,30 @@
             sample_weight: 0.2,
             max_failure_rate: 0.35,
             first_ejection_us: DurationUs::from_ms(1_000),
-            longest_ejection_us: DurationUs::from_ms(4_000),
+            max_ejection_us: DurationUs::from_ms(4_000),
         }
     }
 }
 
-/// Moving failure rate of one endpoint, and its ejection.
+/// Moving failure rate and ejection of one endpoint.
 ///
-/// An endpoint's own health answers are not asked: one that fails half of its requests may call
-/// itself healthy, and callers would go on losing every second one.
+/// Only outcomes of requests count, not the endpoint's own health reports: an endpoint that fails
+/// half of its requests may report itself as healthy, and callers would go on losing every second
+/// request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outlier {
+pub struct OutlierDetector {
     failure_rate: f64,
     ejections_in_row: u32,
     ejected_until_us: Option<TimeUs>,
     probe_since_us: Option<TimeUs>,
 }
 
-/// After this time without an outcome another request may probe an ejected endpoint.
+/// Time without an outcome of a probe after which another request may probe an ejected endpoint.
 const PROBE_TIMEOUT_US: DurationUs = DurationUs::from_ms(1_000);
 
-impl Outlier {
-    /// Notes an answer that ended well, and returns whether that ended an ejection.
-    pub fn succeeded(&mut self, options: &OutlierOptions) -> bool {
+impl OutlierDetector {
+    /// Records a successful request, and returns whether it ended an ejection.
+    pub fn record_success(&mut self, options: &OutlierOptions) -> bool {
         self.failure_rate *= 1.0 - options.sample_weight;
         let was_ejected = self.ejected_until_us.take().is_some();
         self.probe_since_us = None;
@@ -55,10 +56,10 @@
         was_ejected
     }
 
-    /// Notes a failure, and returns whether the endpoint is ejected by it.
-    pub fn failed(&mut self, options: &OutlierOptions, now: TimeUs) -> bool {
-        let kept = 1.0 - options.sample_weight;
-        self.failure_rate = self.failure_rate * kept + options.sample_weight;
+    /// Records a failed request, and returns whether it ejected the endpoint.
+    pub fn record_failure(&mut self, options: &OutlierOptions, now: TimeUs) -> bool {
+        let retained_weight = 1.0 - options.sample_weight;
+        self.failure_rate = self.failure_rate * retained_weight + options.sample_weight;
         self.probe_since_us = None;
         let is_ejected = self.ejected_until_us.is_some();
         if !is_ejected && self.failure_rate <= options.max_failure_rate {
@@ -68,16 +69,17 @@
         !is_ejected
     }
 
-    /// Ejects the endpoint at once, as after a connection that it refused.
+    /// Ejects the endpoint regardless of its failure rate, for example after a refused connection.
     pub fn eject(&mut self, options: &OutlierOptions, now: TimeUs) {
         let doublings = self.ejections_in_row.min(8);
-        let span_us = options.first_ejection_us.get() << doublings;
-        let span = DurationUs::new(span_us).min(options.longest_ejection_us);
-        self.ejected_until_us = Some(now + span);
+        let ejection_us = options.first_ejection_us.get() << doublings;
+        let ejection_us = DurationUs::new(ejection_us).min(options.max_ejection_us);
+        self.ejected_until_us = Some(now + ejection_us);
         self.ejections_in_row += 1;
     }
 
-    /// Returns whether the endpoint should get no requests now.
+    /// Returns whether the endpoint should get no requests now. After an ejection only one request
+    /// at a time probes the endpoint, until a success ends the ejection.
     pub fn is_ejected(&self, now: TimeUs) -> bool {
         let Some(until) = self.ejected_until_us else {
             return false;
@@ -86,8 +88,8 @@
         until > now || self.probe_since_us.is_some_and(is_probed)
     }
 
-    /// Notes that a request was sent; after an ejection it is the one that probes the endpoint.
-    pub fn sent(&mut self, now: TimeUs) {
+    /// Records that a request was sent. After an ejection this request is the probe.
+    pub fn record_sent(&mut self, now: TimeUs) {
         if self.ejected_until_us.is_some() {
             self.probe_since_us = Some(now);
         }
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -13,7 +13,7 @@
 use rand::seq::SliceRandom;
 use wisteriahitch_types::{TimeUs, WeightNumber};
 
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_table::EndpointTable;
 use super::link_throughputs::LinkThroughputs;
 use super::part_stores::{OTHER_ZONE_FACTOR, StoreFetch, transfer_ms};
@@ -176,7 +176,7 @@
 /// about to get new weights has nothing to offer, and an unreachable source costs some hundred
 /// milliseconds.
 fn can_serve_parts(row: &EndpointRow, now: TimeUs) -> bool {
-    let is_ready = row.life == EndpointLife::Ready && !row.is_displaced;
+    let is_ready = row.state == EndpointState::Ready && !row.is_displaced;
     is_ready && row.reserved_until_us <= now && !row.outlier.is_ejected(now)
 }
 
--- a/crates/wisteriahitch-relay/src/decide/placement.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement.rs
@@ -12,7 +12,7 @@
 use wisteriahitch_types::{Code, DurationUs, EndpointInstance, TimeUs, WeightNumber};
 
 use super::endpoint_admission::{Admission, CallPermits, LimitCause};
-use super::endpoint_row::{EndpointLife, EndpointRow};
+use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_table::EndpointTable;
 use super::overload::retry_after;
 use super::part_sources::PartSources;
@@ -247,7 +247,7 @@
     let is_free = |row: &&EndpointRow| row.reserved_until_us <= now;
     let is_trusted =
         |row: &&EndpointRow| !row.outlier.is_ejected(now) && row.suspected_until_us <= now;
-    let is_ready = |row: &&EndpointRow| row.life == EndpointLife::Ready && !row.is_displaced;
+    let is_ready = |row: &&EndpointRow| row.state == EndpointState::Ready && !row.is_displaced;
     let best: Vec<&EndpointRow> = usable_endpoints
         .iter()
         .copied()
@@ -271,7 +271,7 @@
     let service = request.service.clone();
     table
         .iter()
-        .filter(move |row| row.endpoint.service == service && row.takes_requests())
+        .filter(move |row| row.endpoint.service == service && row.accepts_requests())
 }
 
 /// Returns the endpoints that have weights which the call may use.
--- a/crates/wisteriahitch-relay/src/decide/placement_candidate.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement_candidate.rs
@@ -237,7 +237,7 @@
 /// report, whichever is higher.
 fn busy_requests(row: &EndpointRow, now: TimeUs) -> u32 {
     let reported = row
-        .told
+        .reported_load
         .filter(|(_, at)| now.since(*at) < REPORTED_LOAD_TTL_US);
     let reported = reported.map_or(0, |(report, _)| report.running + report.waiting);
     row.load().running.max(reported)
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -15,8 +15,8 @@
 use super::blocked_requests::{BlockSource, UnblockReason, record_blocked, record_unblocked};
 use super::shared::Shared;
 use crate::decide::crash_evidence::{BrokenCallVerdict, ConnectFailure};
-use crate::decide::endpoint_row::EndpointLife;
-use crate::decide::endpoint_table::life_name;
+use crate::decide::endpoint_row::EndpointState;
+use crate::decide::endpoint_table::instance_short_name;
 use crate::decide::gossip_message::RequestUpdate;
 use crate::decide::placement::Placement;
 use crate::decide::suspects::CrashVerdict;
@@ -69,12 +69,12 @@
     let is_leaving = {
         let endpoints = shared.endpoints.lock();
         let row = endpoints.get(&placement.endpoint);
-        row.is_some_and(|row| row.life != EndpointLife::Ready)
+        row.is_some_and(|row| row.state != EndpointState::Ready)
     };
     if is_leaving {
         return;
     }
-    let instance_name = life_name(&placement.endpoint);
+    let instance_name = instance_short_name(&placement.endpoint);
     let meaning = {
         let mut evidence = shared.crash_evidence.lock();
         evidence.record_broken_call(instance_name, call.fingerprint, shared.now())
@@ -103,7 +103,7 @@
 /// and the request would crash another endpoint meanwhile. This would show as `replaced` in the
 /// field `proof` of every crash.
 async fn probe_endpoint(shared: Arc<Shared>, probed: EndpointInstance, address: SocketAddr) {
-    let instance_name = life_name(&probed);
+    let instance_name = instance_short_name(&probed);
     for _ in 0..MAX_PROBES {
         if shared.crash_evidence.lock().has_crashed(instance_name) {
             return;
@@ -138,7 +138,12 @@
 
 /// Records that an endpoint's process ended without announcing it.
 pub(super) fn on_crash(shared: &Shared, endpoint: &EndpointInstance, evidence: EvidenceKind) {
-    on_named_crash(shared, life_name(endpoint), &endpoint.to_string(), evidence);
+    on_named_crash(
+        shared,
+        instance_short_name(endpoint),
+        &endpoint.to_string(),
+        evidence,
+    );
 }
 
 /// Records a crash against all calls of this daemon that were in flight at the endpoint.
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -20,7 +20,7 @@
 use super::shared::Shared;
 use super::trace::CallTrace;
 use crate::border::Refusal;
-use crate::decide::endpoint_table::life_name;
+use crate::decide::endpoint_table::instance_short_name;
 use crate::decide::overload::retry_after;
 use crate::decide::placement::{Placement, place};
 use crate::decide::placement_request::PlacementRequest;
@@ -118,7 +118,7 @@
         let now = shared.now();
         let accepts_at_us = {
             let endpoints = shared.endpoints.lock();
-            endpoints.takes_calls_at(&self.service, now)
+            endpoints.next_admission_at(&self.service, now)
         };
         match accepts_at_us {
             Some(accepts_at_us) if accepts_at_us > now => {
@@ -174,7 +174,7 @@
         let mut endpoints = shared.endpoints.lock();
         let stores = shared.part_stores.lock();
         let placement = place(&endpoints, &stores, &request, now, &mut rand::rng())?;
-        endpoints.use_permits(&placement.endpoint, placement.permits, now);
+        endpoints.mark_permits_used(&placement.endpoint, placement.permits, now);
         Ok(placement)
     }
 
@@ -329,7 +329,7 @@
         match kind {
             FailureKind::Blocked => true,
             FailureKind::Lost => {
-                let instance_name = life_name(&placement.endpoint);
+                let instance_name = instance_short_name(&placement.endpoint);
                 let suspects = shared.suspects.lock();
                 suspects.crashes_elsewhere(self.call.fingerprint, instance_name) > 0
             }
--- a/crates/wisteriahitch-relay/tests/all/engine_memory.rs
+++ b/crates/wisteriahitch-relay/tests/all/engine_memory.rs
@@ -27,7 +27,7 @@
 
 fn table() -> EndpointTable {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     table
 }
 
@@ -45,7 +45,7 @@
 fn cache_events_of_an_engine_replace_the_estimate() {
     let mut table = table();
     // So much load that by the estimate nothing is retained for more than a moment.
-    table.get_mut(&id("a")).unwrap().own = Load {
+    table.get_mut(&id("a")).unwrap().own_load = Load {
         running: 30,
         unread_tokens: 0,
         memory_tokens: MEMORY_TOKENS,
@@ -57,7 +57,7 @@
         .record_use(key(1), 800, at_ms(0));
     assert!(!is_cached(&table, 1, at_ms(3_000)), "by the estimate");
     let until = at_ms(4_000);
-    let updates = table.part_events(&id("a"), &[event(true, 1, 800)], until, at_ms(2_900));
+    let updates = table.apply_part_events(&id("a"), &[event(true, 1, 800)], until, at_ms(2_900));
     assert!(updates.is_empty(), "a known part is not gossiped again");
     assert!(is_cached(&table, 1, at_ms(3_000)));
     assert!(
@@ -66,7 +66,7 @@
     );
 
     let events = [event(false, 1, 0), event(true, 2, 300), event(false, 3, 0)];
-    let updates = table.part_events(&id("a"), &events, at_ms(6_000), at_ms(5_000));
+    let updates = table.apply_part_events(&id("a"), &events, at_ms(6_000), at_ms(5_000));
     let endpoint = table.get(&id("a")).unwrap().short_name;
     let update = |part, tokens| PartUpdate {
         endpoint,
@@ -81,10 +81,10 @@
 fn peer_updates_report_evictions_and_followed_engines() {
     let mut table = table();
     let endpoint = table.get(&id("a")).unwrap().short_name;
-    table.has_part(endpoint, key(1), 800, at_ms(0));
-    table.followed(endpoint, at_ms(9_000));
+    table.record_part(endpoint, key(1), 800, at_ms(0));
+    table.extend_parts_tracking(endpoint, at_ms(9_000));
     assert!(is_cached(&table, 1, at_ms(8_000)));
-    table.has_part(endpoint, key(1), 0, at_ms(8_000));
+    table.record_part(endpoint, key(1), 0, at_ms(8_000));
     assert!(!is_cached(&table, 1, at_ms(8_001)));
 }
 
@@ -95,13 +95,13 @@
 fn a_starting_daemon_merges_the_cache_snapshot_of_a_peer() {
     let mut peer = table();
     let endpoint = peer.get(&id("a")).unwrap().short_name;
-    peer.has_part(endpoint, key(1), 800, at_ms(0));
-    peer.has_part(endpoint, key(2), 900, at_ms(1_000));
+    peer.record_part(endpoint, key(1), 800, at_ms(0));
+    peer.record_part(endpoint, key(2), 900, at_ms(1_000));
     let memory = peer.engine_memory(at_ms(1_500));
     let mut starting = table();
     // What it has recorded itself is newer.
-    starting.has_part(endpoint, key(2), 900, at_ms(50_000));
-    starting.take_over(&memory, at_ms(50_000));
+    starting.record_part(endpoint, key(2), 900, at_ms(50_000));
+    starting.adopt_engine_memory(&memory, at_ms(50_000));
     assert!(is_cached(&starting, 1, at_ms(50_000)) && is_cached(&starting, 2, at_ms(50_000)));
     let row = starting.get(&id("a")).unwrap();
     assert!(
@@ -112,7 +112,7 @@
     assert!(row.parts.used_since(key(2), at_ms(50_000)));
     // Another instance of the engine has another short name.
     let mut other = EndpointTable::default();
-    other.registered(engine("b"), TimeUs::ZERO);
-    other.take_over(&memory, at_ms(50_000));
+    other.apply_registration(engine("b"), TimeUs::ZERO);
+    other.adopt_engine_memory(&memory, at_ms(50_000));
     assert!(other.get(&id("b")).unwrap().parts.is_empty());
 }
--- a/crates/wisteriahitch-relay/tests/all/overload.rs
+++ b/crates/wisteriahitch-relay/tests/all/overload.rs
@@ -4,9 +4,9 @@
 
 use crate::fixture::{levels, ms, service};
 
-/// Load pattern: a service of short urgent calls and long ones that aren't, with more of both than
-/// it can do. Counted by their own targets, the long ones would still be let in where the short
-/// ones are refused: callers with the urgent calls would be served less often.
+/// Guards against urgent calls that are served less often than others on an overloaded service.
+/// With bounds by their own targets alone, long calls would be accepted where short urgent ones are
+/// refused.
 #[test]
 fn a_less_urgent_call_never_joins_a_longer_queue() {
     struct Case {
@@ -30,7 +30,7 @@
             target_ms: 800,
             expected_ms: 360,
         },
-        // A workspace whose rank is above all routes, and one that is below them.
+        // A workspace with a higher priority than all routes, and one with a lower priority.
         Case {
             priority: 0,
             target_ms: 800,
@@ -43,7 +43,7 @@
         },
     ];
     for case in cases {
-        let bound = levels().longest_queue(&service(), case.priority, ms(case.target_ms));
+        let bound = levels().max_queue(&service(), case.priority, ms(case.target_ms));
         let expected = ms(case.expected_ms);
         let difference = bound.get().abs_diff(expected.get());
         assert!(difference < 1_000, "priority {}: {bound}", case.priority);
@@ -52,6 +52,6 @@
 
 #[test]
 fn a_service_without_routes_is_bound_by_the_target_alone() {
-    let bound = levels().longest_queue(&"other".parse().unwrap(), 5, ms(300));
+    let bound = levels().max_queue(&"other".parse().unwrap(), 5, ms(300));
     assert_eq!(bound, DurationUs::from_ms(300));
 }
--- a/crates/wisteriahitch-relay/tests/all/parts.rs
+++ b/crates/wisteriahitch-relay/tests/all/parts.rs
@@ -57,9 +57,9 @@
     ];
     for case in cases {
         let (mut table, now) = (EndpointTable::default(), at_ms(60_000));
-        table.registered(engine("a"), TimeUs::ZERO);
+        table.apply_registration(engine("a"), TimeUs::ZERO);
         let row = table.get_mut(&id("a")).unwrap();
-        row.own.add(Load {
+        row.own_load.add(Load {
             memory_tokens: case.running_tokens,
             ..Load::default()
         });
@@ -79,7 +79,7 @@
 #[test]
 fn uses_are_reported_at_most_once_a_second() {
     let mut table = EndpointTable::default();
-    table.registered(engine("a"), TimeUs::ZERO);
+    table.apply_registration(engine("a"), TimeUs::ZERO);
     let row = table.get_mut(&id("a")).unwrap();
     let key = PartKeyHasher::new(&model(), "w1").key(1);
     let updates: Vec<bool> = [0, 400, 800, 1_900]
--- a/crates/wisteriahitch-relay/tests/all/placement.rs
+++ b/crates/wisteriahitch-relay/tests/all/placement.rs
@@ -30,7 +30,7 @@
     fn new(names: &[&str]) -> Self {
         let mut table = EndpointTable::default();
         for name in names {
-            table.registered(engine(name), NOW);
+            table.apply_registration(engine(name), NOW);
         }
         Self {
             table,
@@ -47,7 +47,7 @@
 
     fn load(&mut self, name: &str, unread_tokens: u64) {
         let row = self.table.get_mut(&id(name)).unwrap();
-        row.own.add(Load {
+        row.own_load.add(Load {
             running: 1,
             unread_tokens,
             memory_tokens: unread_tokens,
@@ -162,7 +162,7 @@
         Case {
             what: "not the one that is about to leave",
             change: |site| {
-                site.table.registered(draining("a"), NOW);
+                site.table.apply_registration(draining("a"), NOW);
             },
             expected: "b",
         },
@@ -176,8 +176,8 @@
             change: |site| {
                 let options = site.table.outlier_options;
                 let row = site.table.get_mut(&id("a")).unwrap();
-                row.outlier.failed(&options, NOW);
-                row.outlier.failed(&options, NOW);
+                row.outlier.record_failure(&options, NOW);
+                row.outlier.record_failure(&options, NOW);
             },
             expected: "b",
         },
@@ -219,7 +219,7 @@
     site.isolated_workspace = Some("dispatch".parse().unwrap());
     assert_eq!(scope(&site).as_deref(), Some("w1.dispatch"));
     site.table
-        .saw_weights(&id("a"), &model(), WeightNumber::new(2));
+        .record_weights(&id("a"), &model(), WeightNumber::new(2));
     assert_eq!(scope(&site).as_deref(), Some("w2.dispatch"));
     site.isolated_workspace = None;
     assert_eq!(scope(&site).as_deref(), Some("w2"));
@@ -240,7 +240,7 @@
             what: "old weights are as good as new ones at first",
             change: |site| {
                 site.table
-                    .saw_weights(&id("b"), &model(), WeightNumber::new(2));
+                    .record_weights(&id("b"), &model(), WeightNumber::new(2));
                 site.wanted
                     .record_version(WeightNumber::new(2), at_ms(49_800));
                 site.load("b", 3_000);
@@ -252,7 +252,7 @@
             what: "after a while new weights are preferred",
             change: |site| {
                 site.table
-                    .saw_weights(&id("b"), &model(), WeightNumber::new(2));
+                    .record_weights(&id("b"), &model(), WeightNumber::new(2));
                 site.wanted
                     .record_version(WeightNumber::new(2), at_ms(48_000));
                 site.load("b", 3_000);
@@ -284,7 +284,7 @@
             what: "a stream continues on the weights that it started on",
             change: |site| {
                 site.table
-                    .saw_weights(&id("b"), &model(), WeightNumber::new(2));
+                    .record_weights(&id("b"), &model(), WeightNumber::new(2));
                 site.required = Some(WeightNumber::new(1));
                 site.load("a", 30_000);
             },
@@ -376,7 +376,7 @@
     site.required = None;
     let mut newer = engine("b");
     newer.weights.insert(model(), WeightNumber::new(2));
-    site.table.registered(newer, NOW);
+    site.table.apply_registration(newer, NOW);
     site.load("b", 20_000);
     assert_eq!(
         site.chosen(&prompt(100, 100)),
@@ -461,7 +461,7 @@
 fn endpoints_without_a_free_slot_cost_the_slot_wait() {
     let mut site = Site::new(&["a", "b"]);
     let row = site.table.get_mut(&id("a")).unwrap();
-    row.own.running = 80;
+    row.own_load.running = 80;
     row.endpoint.slots = 64;
     assert_eq!(site.chosen(&prompt(100, 100)), "b");
     let row = site.table.get_mut(&id("b")).unwrap();
@@ -470,7 +470,7 @@
         waiting: 60,
         slots: 64,
     };
-    row.told = Some((report, NOW));
+    row.reported_load = Some((report, NOW));
     assert_eq!(
         site.chosen(&prompt(100, 100)),
         "a",
