--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -5,7 +5,7 @@
 
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    Absence, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipPace, KeptPart, Load,
+    Absence, AllowedZones, Endpoint, EndpointTable, EngineSpec, GossipPace, KeptPart, Load,
     PartChanges, PartEvent, PartKey, PartListing, PartNamer, PartStore, PartStores, Placement,
     PlacementRequest, PromptShape, Refusal, place,
 };
@@ -27,7 +27,7 @@
     pub(super) service: ServiceName,
     pub(super) model: ModelName,
     pub(super) zone: AvailabilityZone,
-    pub(super) engine: EngineTraits,
+    pub(super) engine: EngineSpec,
 }
 
 /// What one daemon tells the others.
--- a/crates/wisteriahitch-bench/src/fleet/world.rs
+++ b/crates/wisteriahitch-bench/src/fleet/world.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    CallKind, Endpoint, EngineTraits, KeptPart, Load, PartKey, PartStore, Placement, PromptPart,
+    CallKind, Endpoint, EngineSpec, KeptPart, Load, PartKey, PartStore, Placement, PromptPart,
     PromptShape, Route, UrgencyLevels,
 };
 use wisteriahitch_types::{
@@ -158,8 +158,8 @@
                     path_prefix: format!("/{}/", kind.name),
                     kind: CallKind::Stream,
                     timeout_us: DurationUs::from_ms(kind.deadline_ms),
-                    target_us: DurationUs::from_ms(kind.target_ms),
-                    max_gap_us: DurationUs::from_ms(400),
+                    latency_slo_us: DurationUs::from_ms(kind.target_ms),
+                    max_event_gap_us: DurationUs::from_ms(400),
                     targets: vec![(names.service.clone(), 1)],
                     max_attempts: 1,
                     priority: kind.priority,
@@ -244,9 +244,9 @@
         PartStore {
             address: store_address(store),
             zone: self.names.zone.clone(),
-            room_tokens: TokenCount::new(plan.room_tokens),
+            capacity_tokens: TokenCount::new(plan.room_tokens),
             link_mbps: plan.link_mbps,
-            first_byte: DurationUs::from_secs_f64(plan.first_ms / 1_000.0).into(),
+            first_byte_delay: DurationUs::from_secs_f64(plan.first_ms / 1_000.0).into(),
             is_managed: true,
         }
     }
@@ -592,7 +592,7 @@
             zone: self.names.zone.clone(),
             slots: self.plan.engines.slots,
             is_draining: false,
-            cold_left_us: DurationUs::ZERO,
+            remaining_cold_us: DurationUs::ZERO,
             weights: BTreeMap::from([(self.names.model.clone(), WeightNumber::new(1))]),
         };
         for daemon in &mut self.daemons {
@@ -666,7 +666,7 @@
     Ok(Names {
         service: "engines".parse()?,
         zone: "zone".parse()?,
-        engine: EngineTraits {
+        engine: EngineSpec {
             slots: engines.slots,
             memory_tokens: TokenCount::new(engines.memory_tokens),
             token_bytes: ByteCount::new(engines.token_bytes),
--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -207,7 +207,7 @@
             return Vec::new();
         };
         if endpoint.revision > row.endpoint.revision {
-            let until_us = now + endpoint.cold_left_us;
+            let until_us = now + endpoint.remaining_cold_us;
             row.cold.turn(limit.map(|cold| &cold.limit), now, |cold| {
                 cold.told_until(until_us);
             });
@@ -435,7 +435,7 @@
         let id = endpoint.instance.id.clone();
         self.by_short_name.insert(short_name, id.clone());
         let row = EndpointRow {
-            cold: ColdState::until(now + endpoint.cold_left_us),
+            cold: ColdState::until(now + endpoint.remaining_cold_us),
             endpoint,
             life,
             is_displaced: false,
--- a/crates/wisteriahitch-relay/src/decide/overload.rs
+++ b/crates/wisteriahitch-relay/src/decide/overload.rs
@@ -49,7 +49,7 @@
                 let levels = by_service.entry(service.clone()).or_default();
                 levels.push(UrgencyLevel {
                     priority: route.priority,
-                    target_us: route.target_us,
+                    target_us: route.latency_slo_us,
                 });
             }
         }
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -18,7 +18,7 @@
 use super::part_stores::{Fetch, OTHER_ZONE_FACTOR, transfer_ms};
 use super::parts::{PartKey, cache_scope, part_keys};
 use super::placement_request::{EngineCall, READ_TOKENS_PER_MS};
-use crate::site::EngineTraits;
+use crate::site::EngineSpec;
 
 /// Engines that are compared as sources of one part. They are drawn anew for each call, so that a
 /// part which many ask for isn't fetched from one engine by all.
@@ -184,7 +184,7 @@
     holder: &EndpointRow,
     reader: &EndpointRow,
     tokens: u64,
-    engine: &EngineTraits,
+    engine: &EngineSpec,
 ) -> Fetch {
     let factor = match holder.endpoint.zone == reader.endpoint.zone {
         true => 1.0,
--- a/crates/wisteriahitch-relay/src/decide/part_store_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_store_row.rs
@@ -54,7 +54,7 @@
     pub(super) fn has_room(&self, tokens: u64) -> bool {
         let pending: u64 = self.pending.values().map(|(tokens, _)| tokens).sum();
         let used = self.kept_tokens + self.partial_tokens + pending + tokens;
-        used as f64 <= self.spec.room_tokens.as_f64() * FILLED_SHARE
+        used as f64 <= self.spec.capacity_tokens.as_f64() * FILLED_SHARE
     }
 
     /// Notes a part, and returns whether it is new.
--- a/crates/wisteriahitch-relay/src/decide/part_stores.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_stores.rs
@@ -18,7 +18,7 @@
 use super::part_store_row::{Kept, NEWS_LIFE_US, StoreRow};
 use super::parts::{PartKey, PartNamer};
 use crate::border::{KeptPart, PartChanges, PartListing};
-use crate::site::{AllowedZones, EngineTraits, PartStore};
+use crate::site::{AllowedZones, EngineSpec, PartStore};
 
 /// Longest time for a fetch from the sending of its request. A fetch that takes longer is thrown
 /// away by the engine.
@@ -269,7 +269,7 @@
         &self,
         key: PartKey,
         tokens: u64,
-        engine: &EngineTraits,
+        engine: &EngineSpec,
         zone: &AvailabilityZone,
         now: TimeUs,
     ) -> Option<Fetch> {
@@ -284,7 +284,7 @@
             } else {
                 OTHER_ZONE_FACTOR
             };
-            let first_ms = row.spec.first_byte.as_secs_f64() * 1_000.0;
+            let first_ms = row.spec.first_byte_delay.as_secs_f64() * 1_000.0;
             Fetch {
                 from: row.spec.address,
                 took_ms: first_ms + factor * transfer_ms(tokens, engine.token_bytes, rate),
@@ -318,7 +318,7 @@
         let rank = Rendezvous::new("part", &key.0.to_string());
         let score = |row: &&mut StoreRow| {
             let address = row.spec.address.to_string();
-            rank.weighted_score(address.as_bytes(), row.spec.room_tokens.as_f64())
+            rank.weighted_score(address.as_bytes(), row.spec.capacity_tokens.as_f64())
         };
         let row = self
             .rows
--- a/crates/wisteriahitch-relay/src/decide/placement_request.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement_request.rs
@@ -8,7 +8,7 @@
 use super::endpoint_row::EndpointRow;
 use super::part_stores::PartStores;
 use super::wanted_weights::WantedVersions;
-use crate::site::{AllowedZones, EngineTraits, PromptShape};
+use crate::site::{AllowedZones, EngineSpec, PromptShape};
 
 /// Prompt tokens that an engine reads in a millisecond while it also answers others. Engines of
 /// the deployments read 61 when they do nothing else.
@@ -26,7 +26,7 @@
     /// Service.
     pub service: &'a ServiceName,
     /// What its engines are, if it has engines.
-    pub engine: Option<&'a EngineTraits>,
+    pub engine: Option<&'a EngineSpec>,
     /// Prompt, if the call carries one.
     pub prompt: Option<&'a PromptShape>,
     /// Workspace, where it shares cached parts with nobody.
@@ -74,7 +74,7 @@
 pub(super) struct EngineCall<'a> {
     pub(super) request: &'a PlacementRequest<'a>,
     pub(super) prompt: &'a PromptShape,
-    pub(super) engine: &'a EngineTraits,
+    pub(super) engine: &'a EngineSpec,
     pub(super) stores: &'a PartStores,
     pub(super) now: TimeUs,
     /// Ranks endpoints for the prompt.
--- a/crates/wisteriahitch-relay/src/settings/mod.rs
+++ b/crates/wisteriahitch-relay/src/settings/mod.rs
@@ -137,7 +137,7 @@
 }
 
 /// Span in which the platform's rule counts what a cold endpoint gets.
-const COLD_SPAN_US: DurationUs = DurationUs::from_ms(1_000);
+const COLD_RATE_SPAN_US: DurationUs = DurationUs::from_ms(1_000);
 
 /// What all daemons together may send to an endpoint right after its start. Without both values there is no bound.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -155,7 +155,7 @@
         Some(RateBound {
             rate_ratio: self.rate_ratio?,
             burst_calls: self.burst_calls?,
-            span_us: COLD_SPAN_US,
+            span_us: COLD_RATE_SPAN_US,
         })
     }
 }
@@ -284,8 +284,9 @@
     ///
     /// See [`SettingsError`].
     pub fn parse(text: &str, mut ignored: impl FnMut(String)) -> Result<Self, SettingsError> {
-        let reader = toml::Deserializer::parse(text)?;
-        let settings: Self = serde_ignored::deserialize(reader, |path| ignored(path.to_string()))?;
+        let deserializer = toml::Deserializer::parse(text)?;
+        let settings: Self =
+            serde_ignored::deserialize(deserializer, |path| ignored(path.to_string()))?;
         settings.check()?;
         Ok(settings)
     }
--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -18,7 +18,7 @@
 use crate::border::{AnswerHead, CallHead, OutgoingCall};
 use crate::decide::placement::Placement;
 use crate::observe::Event;
-use crate::site::{AllowedZones, EngineTraits, RequestFingerprint};
+use crate::site::{AllowedZones, EngineSpec, RequestFingerprint};
 
 /// Longest wait for a connection to an endpoint. One takes some milliseconds; an opening packet
 /// that is lost is sent again after a second, and another endpoint is there sooner.
@@ -58,7 +58,7 @@
     /// Whether it may run more than once.
     pub(crate) may_repeat: bool,
     /// What the engines of its service are, if it has engines.
-    pub(crate) engine: Option<EngineTraits>,
+    pub(crate) engine: Option<EngineSpec>,
     /// Zones in which it may run, and to whose stores parts of its prompt may be saved.
     pub(crate) allowed_zones: AllowedZones,
 }
--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -102,8 +102,8 @@
             borders,
             bounds,
             site: SiteState::new(OldWeightsLimits {
-                until_us: bounds.old_weights_until(),
-                begun_by_us: bounds.old_weights_begun_by(),
+                until_us: bounds.old_weights_send_deadline(),
+                begun_by_us: bounds.old_weights_start_deadline(),
             }),
             endpoints: Mutex::new(endpoints),
             part_stores: Mutex::new(PartStores::default()),
@@ -149,7 +149,7 @@
         start_servers(&shared).await?;
         let followed = WATCHED
             .into_iter()
-            .filter(|role| shared.bounds.follows(*role));
+            .filter(|role| shared.bounds.is_watched(*role));
         for role in followed {
             tokio::spawn(run_watch(Arc::clone(&shared), role));
         }
@@ -169,7 +169,7 @@
     PaceOptions {
         parallel_min: settings.rollout.parallel_min,
         parallel_share: settings.rollout.parallel_share,
-        all_weights_within_us: bounds.all_weights_within(),
+        all_weights_within_us: bounds.rollout_deadline(),
     }
 }
 
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -123,7 +123,7 @@
     let id = workspace.as_ref().map(|workspace| workspace.id.clone());
     let fingerprint = RequestFingerprint::of(id.as_ref(), parts.uri.path(), &body.bytes);
     check_blocked(shared, fingerprint, trace)?;
-    let service = route.target(rand::random()).cloned();
+    let service = route.pick_service(rand::random()).cloned();
     let service = service.ok_or(Refusal::new(Code::NoEndpoint))?;
     shared.budgets.request(&service);
     let workspace_rank = workspace.as_ref().and_then(|workspace| workspace.priority);
@@ -132,7 +132,7 @@
     let longest_queue_us = match route.kind {
         CallKind::Stream => config
             .urgency
-            .longest_queue(&service, priority, route.target_us),
+            .longest_queue(&service, priority, route.latency_slo_us),
         _ => DurationUs::MAX,
     };
     let mut routed = Routed {
@@ -199,7 +199,7 @@
 /// A newer configuration may name the route or the key where nobody has confirmed for a while that there is
 /// none. A caller that is told "unknown" doesn't come back; so it is asked to.
 fn unknown(shared: &Shared, code: Code) -> Refusal {
-    let limits = shared.bounds.staleness(ObjectRole::Configuration);
+    let limits = shared.bounds.staleness_limits(ObjectRole::Configuration);
     match shared.watches.is_final(&limits, shared.now()) {
         true => Refusal::new(code),
         false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US),
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -44,8 +44,8 @@
 /// Gap after which callers give a stream up: the longest of two seconds, four times the target
 /// and eight times the longest good pause.
 fn patience(route: &Route) -> DurationUs {
-    let targets = route.target_us.get().saturating_mul(4);
-    let gaps = route.max_gap_us.get().saturating_mul(8);
+    let targets = route.latency_slo_us.get().saturating_mul(4);
+    let gaps = route.max_event_gap_us.get().saturating_mul(8);
     DurationUs::new(targets.max(gaps)).max(DurationUs::from_ms(2_000))
 }
 
@@ -245,7 +245,7 @@
         }
         let now = Instant::now();
         let left = due.saturating_duration_since(now);
-        let target = Duration::from(self.route.target_us).mul_f64(FIRST_ATTEMPT_TARGETS);
+        let target = Duration::from(self.route.latency_slo_us).mul_f64(FIRST_ATTEMPT_TARGETS);
         let wait = Duration::from(placement.expected_us) + target;
         due.min(now + wait.max(left.mul_f64(MIN_ATTEMPT_SHARE)))
     }
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -61,7 +61,7 @@
         let age_us = if was_listed {
             DurationUs::ZERO
         } else {
-            shared.bounds.first_age()
+            shared.bounds.assumed_initial_age()
         };
         (absence(&state, now), age_us)
     };
--- a/crates/wisteriahitch-relay/src/shell/watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch.rs
@@ -82,7 +82,7 @@
         return false;
     }
     let now = shared.now();
-    let limits = shared.bounds.staleness(role);
+    let limits = shared.bounds.staleness_limits(role);
     // One that follows the store may be asking it anew at this moment, and will be heard of in time.
     let is_confirmed = limits.is_final(shared.watches.as_of(role), now);
     is_confirmed || shared.peers.hears_of_store(me, now)
@@ -146,7 +146,7 @@
     let wait = match state.failing_since_us {
         Some(_) => RETURN_WAIT,
         None => {
-            let limits = shared.bounds.staleness(role);
+            let limits = shared.bounds.staleness_limits(role);
             limits.wait(place, state.as_of_us, now).into()
         }
     };
@@ -155,7 +155,7 @@
 
 /// Waits until it is this daemon's turn to ask anew because nobody confirms any more what is known.
 async fn confirmation_overdue(shared: &Shared, role: ObjectRole, asked_at: TimeUs) {
-    let limits = shared.bounds.staleness(role);
+    let limits = shared.bounds.staleness_limits(role);
     loop {
         let now = shared.now();
         let place = shared.peers.place_in_turn(role, shared.settings.ip, now);
--- a/crates/wisteriahitch-relay/src/shell/watch_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch_state.rs
@@ -60,7 +60,7 @@
 
     /// Returns whether every kind that `bounds` have daemons follow was listed at least once.
     pub(crate) fn has_listed_all(&self, bounds: &Bounds) -> bool {
-        let mut followed = WATCHED.iter().filter(|role| bounds.follows(**role));
+        let mut followed = WATCHED.iter().filter(|role| bounds.is_watched(**role));
         followed.all(|role| self.of(*role).lock().is_listed)
     }
 
--- a/crates/wisteriahitch-relay/src/site/configuration.rs
+++ b/crates/wisteriahitch-relay/src/site/configuration.rs
@@ -15,7 +15,7 @@
 
 /// What all engines of a service have in common.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineTraits {
+pub struct EngineSpec {
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that the accelerator's memory holds.
@@ -36,11 +36,11 @@
     /// Availability zone.
     pub zone: AvailabilityZone,
     /// Tokens that it has room for.
-    pub room_tokens: TokenCount,
+    pub capacity_tokens: TokenCount,
     /// Rate of its link, in bits a microsecond.
     pub link_mbps: f64,
     /// Wait before each transfer.
-    pub first_byte: Duration,
+    pub first_byte_delay: Duration,
     /// Whether it frees nothing on its own.
     pub is_managed: bool,
 }
@@ -51,16 +51,16 @@
     /// Name.
     pub name: ServiceName,
     /// What its endpoints are, if they are model engines.
-    pub engine: Option<EngineTraits>,
+    pub engine: Option<EngineSpec>,
     /// The store that it is, if it is one; a store has no endpoints.
     pub store: Option<PartStore>,
     /// What its endpoints bear right after their start, if that is less than later.
-    pub cold: Option<ColdTraits>,
+    pub cold: Option<ColdStartSpec>,
 }
 
 /// What an endpoint bears right after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdTraits {
+pub struct ColdStartSpec {
     /// How long it is cold.
     pub start_us: DurationUs,
     /// Calls a second that it bears meanwhile.
--- a/crates/wisteriahitch-relay/src/site/endpoint.rs
+++ b/crates/wisteriahitch-relay/src/site/endpoint.rs
@@ -30,7 +30,7 @@
     /// Whether it is about to leave.
     pub is_draining: bool,
     /// How much longer it said to stay cold.
-    pub cold_left_us: DurationUs,
+    pub remaining_cold_us: DurationUs,
     /// Weights that it said it has.
     pub weights: BTreeMap<ModelName, WeightNumber>,
 }
--- a/crates/wisteriahitch-relay/src/site/mod.rs
+++ b/crates/wisteriahitch-relay/src/site/mod.rs
@@ -8,7 +8,7 @@
 mod route;
 
 pub use configuration::{
-    CallerLimits, ColdTraits, EngineTraits, PartStore, Service, SiteConfig, WantedWeights,
+    CallerLimits, ColdStartSpec, EngineSpec, PartStore, Service, SiteConfig, WantedWeights,
     Workspace,
 };
 pub use endpoint::Endpoint;
--- a/crates/wisteriahitch-relay/src/site/route.rs
+++ b/crates/wisteriahitch-relay/src/site/route.rs
@@ -41,9 +41,9 @@
     /// Longest time that a call may take.
     pub timeout_us: DurationUs,
     /// Time within which the answer, or a stream's first event, should be there.
-    pub target_us: DurationUs,
+    pub latency_slo_us: DurationUs,
     /// Longest pause between two events of a stream that is still good.
-    pub max_gap_us: DurationUs,
+    pub max_event_gap_us: DurationUs,
     /// Services with their weights; never empty.
     pub targets: Vec<(ServiceName, u32)>,
     /// Most endpoints to which one call may be sent.
@@ -69,13 +69,13 @@
     }
 
     /// Returns the service whose share of the weights `draw` falls into.
-    pub fn target(&self, draw: u64) -> Option<&ServiceName> {
+    pub fn pick_service(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self
             .targets
             .iter()
             .map(|(_, weight)| u64::from(*weight))
             .sum();
-        let Some(mut left) = draw.checked_rem(total) else {
+        let Some(mut left) = random.checked_rem(total) else {
             return self.targets.first().map(|(service, _)| service);
         };
         for (service, weight) in &self.targets {
--- a/crates/wisteriahitch-relay/tests/all/cold_limit.rs
+++ b/crates/wisteriahitch-relay/tests/all/cold_limit.rs
@@ -118,7 +118,7 @@
 
     fn registered(&mut self, cold_ms: u64, revision: u64, now: TimeUs) {
         let endpoint = Endpoint {
-            cold_left_us: ms(cold_ms),
+            remaining_cold_us: ms(cold_ms),
             revision: Revision(revision),
             ..engine("a")
         };
--- a/crates/wisteriahitch-relay/tests/all/fixture.rs
+++ b/crates/wisteriahitch-relay/tests/all/fixture.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use wisteriahitch_relay::{
-    AllowedZones, CallKind, Endpoint, EngineTraits, OldWeightsLimits, PlacementRequest, PromptPart,
+    AllowedZones, CallKind, Endpoint, EngineSpec, OldWeightsLimits, PlacementRequest, PromptPart,
     PromptShape, Route, UrgencyLevels, WantedVersions,
 };
 use wisteriahitch_types::{
@@ -56,7 +56,7 @@
         zone: "a".parse().unwrap(),
         slots: 64,
         is_draining: false,
-        cold_left_us: DurationUs::ZERO,
+        remaining_cold_us: DurationUs::ZERO,
         weights: BTreeMap::from([(model(), WeightNumber::new(1))]),
     }
 }
@@ -68,8 +68,8 @@
     }
 }
 
-pub(crate) fn traits() -> EngineTraits {
-    EngineTraits {
+pub(crate) fn traits() -> EngineSpec {
+    EngineSpec {
         slots: 64,
         memory_tokens: TokenCount::new(MEMORY_TOKENS),
         token_bytes: ByteCount::new(163_840),
@@ -104,8 +104,8 @@
         path_prefix: format!("/{name}/"),
         kind: CallKind::Stream,
         timeout_us: ms(10_000),
-        target_us: ms(target_ms),
-        max_gap_us: ms(400),
+        latency_slo_us: ms(target_ms),
+        max_event_gap_us: ms(400),
         targets: vec![(service(), 1)],
         max_attempts: 2,
         priority,
@@ -136,7 +136,7 @@
 /// What placements of the fixture's calls have in common.
 pub(crate) struct CallSetting {
     service: ServiceName,
-    engine: EngineTraits,
+    engine: EngineSpec,
     zone: AvailabilityZone,
     allowed_zones: AllowedZones,
 }
--- a/crates/wisteriahitch-relay/tests/all/part_sources.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_sources.rs
@@ -57,9 +57,9 @@
         let store = PartStore {
             address: address(STORE_PORT),
             zone: "a".parse().unwrap(),
-            room_tokens: TokenCount::new(100_000),
+            capacity_tokens: TokenCount::new(100_000),
             link_mbps: 400_000.0,
-            first_byte: std::time::Duration::from_millis(6),
+            first_byte_delay: std::time::Duration::from_millis(6),
             is_managed: true,
         };
         self.stores.configured(std::iter::once(store));
--- a/crates/wisteriahitch-relay/tests/all/part_stores.rs
+++ b/crates/wisteriahitch-relay/tests/all/part_stores.rs
@@ -16,9 +16,9 @@
     PartStore {
         address: address(port),
         zone: "a".parse().unwrap(),
-        room_tokens: TokenCount::new(room_tokens),
+        capacity_tokens: TokenCount::new(room_tokens),
         link_mbps: 400_000.0,
-        first_byte: Duration::from_millis(6),
+        first_byte_delay: Duration::from_millis(6),
         is_managed: true,
     }
 }
--- a/crates/wisteriahitch-relay/tests/all/regions.rs
+++ b/crates/wisteriahitch-relay/tests/all/regions.rs
@@ -74,9 +74,9 @@
     let store = |port: u16, zone: &str| wisteriahitch_relay::PartStore {
         address: address(port),
         zone: zone.parse().unwrap(),
-        room_tokens: TokenCount::new(1_000_000),
+        capacity_tokens: TokenCount::new(1_000_000),
         link_mbps: 400_000.0,
-        first_byte: std::time::Duration::from_millis(1),
+        first_byte_delay: std::time::Duration::from_millis(1),
         is_managed: true,
     };
     let zones = [("a", "north"), ("b", "south")];
--- a/crates/wisteriahitch-relay/tests/all/routes.rs
+++ b/crates/wisteriahitch-relay/tests/all/routes.rs
@@ -83,7 +83,7 @@
         targets: vec![("old".parse().unwrap(), 90), ("new".parse().unwrap(), 10)],
         ..route("split", 0, 100)
     };
-    let new = (0..1_000).filter(|draw| divided.target(*draw).unwrap().as_str() == "new");
+    let new = (0..1_000).filter(|random| divided.pick_service(*random).unwrap().as_str() == "new");
     assert_eq!(new.count(), 100);
 }
 
--- a/crates/wisteriahitch-relay/tests/all/settings.rs
+++ b/crates/wisteriahitch-relay/tests/all/settings.rs
@@ -171,20 +171,20 @@
         let bounds = bounds(case.factor);
         let factor = case.factor;
         assert_eq!(
-            bounds.old_weights_until(),
+            bounds.old_weights_send_deadline(),
             case.old_weights_until,
             "{factor}"
         );
         assert_eq!(
-            bounds.all_weights_within(),
+            bounds.rollout_deadline(),
             case.all_weights_within,
             "{factor}"
         );
-        assert_eq!(bounds.first_age(), case.first_age, "{factor}");
+        assert_eq!(bounds.assumed_initial_age(), case.first_age, "{factor}");
         assert_eq!(bounds.drain_fallback(), case.drain_fallback, "{factor}");
         assert_eq!(bounds.catch_up_delay(), case.catch_up_delay, "{factor}");
         assert_eq!(bounds.watch_wait(), case.watch_wait, "{factor}");
-        let limits = bounds.staleness(ObjectRole::Configuration);
+        let limits = bounds.staleness_limits(ObjectRole::Configuration);
         let staleness = (limits.confirm_us, limits.final_us);
         assert_eq!(staleness, case.staleness, "{factor}");
     }
--- a/crates/wisteriahitch-relay/tests/all/staleness.rs
+++ b/crates/wisteriahitch-relay/tests/all/staleness.rs
@@ -399,7 +399,7 @@
             evacuation_ms: None,
         };
         let bounds = bounds.checked().unwrap();
-        let limits = bounds.staleness(ObjectRole::Configuration);
+        let limits = bounds.staleness_limits(ObjectRole::Configuration);
         Fleet::new(limits, self.telling, self.followers)
     }
 }
