--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -13,7 +13,7 @@
 
 use super::in_flight::{AttemptOutcome, InFlightAttempt};
 use super::shared::Shared;
-use super::statements::note_statements;
+use super::statements::record_statements;
 use super::transfers::Transfers;
 use crate::border::{AnswerHead, CallHead, OutgoingCall};
 use crate::decide::placement::Placement;
@@ -192,7 +192,7 @@
             FailureKind::Misdirected | FailureKind::Nonsense
         )
     });
-    note_statements(shared, &placement.endpoint, &answer, is_to_the_call);
+    record_statements(shared, &placement.endpoint, &answer, is_to_the_call);
     match checked {
         Ok(()) => Ok(Opened {
             parts,
@@ -443,7 +443,7 @@
     };
     if change.is_some() {
         // The others would find out by a refused call each.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
     shared.note_changes(change.into_iter().collect(), 0);
 }
--- a/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
+++ b/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
@@ -16,7 +16,7 @@
 use wisteriahitch_wire::platform::{PlatformError, PlatformErrorKind};
 
 use super::shared::Shared;
-use super::store_updates::{note_skipped, note_unreadable};
+use super::store_updates::{log_skipped_objects, log_unreadable_object};
 use crate::observe::Event;
 use crate::site::RequestFingerprint;
 
@@ -129,7 +129,7 @@
         source: source.label(),
     });
     shared.blocked_requests.changed.notify_waiters();
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
     if source == BlockSource::Own {
         shared.blocked_requests.add(StoreStep::Write(request));
     }
@@ -160,7 +160,7 @@
     let over = shared.suspects.lock().tick(now);
     for request in over {
         // All daemons end it at about the same time, and one of them takes it out of the store.
-        let is_first = shared.peers.place_in_turn(ROLE, shared.settings.ip, now) == 0;
+        let is_first = shared.peers.store_query_rank(ROLE, shared.settings.ip, now) == 0;
         let reason = match is_first {
             true => UnblockReason::Absent,
             false => UnblockReason::Peer,
@@ -199,7 +199,7 @@
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     };
-    note_skipped(shared, ROLE, &listing.skipped);
+    log_skipped_objects(shared, ROLE, &listing.skipped);
     for object in listing.objects {
         let Some(request) = named(shared, &object) else {
             continue;
@@ -215,7 +215,7 @@
         Ok(request) => Some(request),
         Err(error) => {
             let detail = error.to_string();
-            note_unreadable(shared, ROLE, &object.name, UnreadableKind::Name, detail);
+            log_unreadable_object(shared, ROLE, &object.name, UnreadableKind::Name, detail);
             None
         }
     }
@@ -270,6 +270,6 @@
         return None;
     }
     note_unblocked(shared, request, UnblockReason::Lifted);
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
     Some(Bytes::new())
 }
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -157,7 +157,7 @@
             note_blocked(shared, *request, BlockSource::Own);
         }
     }
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
 }
 
 /// Takes over what another daemon tells of requests under which endpoints crash.
--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -22,12 +22,12 @@
 use super::budgets::Budgets;
 use super::drain::Drain;
 use super::durations::Durations;
-use super::engine_memory_watch::{run_engine_memory_watch, take_over};
-use super::entries::EntrySide;
+use super::engine_memory_watch::{fetch_engine_memories, run_engine_memory_watch};
+use super::entries::EntryHandler;
 use super::lease::lease_table;
-use super::orders::{run_orders, wanted_snapshot};
-use super::part_store_watch::run_freeing;
-use super::peer_server::PeerSide;
+use super::orders::{run_weight_orders, wanted_weights_snapshot};
+use super::part_store_watch::run_part_freeing;
+use super::peer_server::PeerHandler;
 use super::peer_state::PeerState;
 use super::peers::run_gossip;
 use super::pipeline::CallerSide;
@@ -36,7 +36,7 @@
 use super::shared::Shared;
 use super::site_state::SiteState;
 use super::watch::run_watch;
-use super::watch_state::{WATCHED, WatchStates};
+use super::watch_state::{WATCHED_ROLES, WatchStates};
 use crate::clock::BootClock;
 use crate::decide::endpoint_table::EndpointTable;
 use crate::decide::gossip_message::MemberPhase;
@@ -50,11 +50,11 @@
 use crate::site::RegionMap;
 
 /// Time between two rounds of housekeeping: gathered log lines, idle connections, lapsed endpoints.
-const HOUSEKEEPING: Duration = Duration::from_millis(200);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Least time for which an endpoint's limit holds, if nobody hears of it again: one that takes calls at all says something
 /// within ten seconds of being asked, as the rate that it is asked at is no lower.
-const LIMIT_LIFE_US: DurationUs = DurationUs::from_ms(60_000);
+const MIN_LIMIT_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// One life of a daemon process.
 ///
@@ -94,7 +94,7 @@
         let bounds = settings.bounds()?;
         let endpoints = EndpointTable::default()
             .with_drain_fallback(bounds.drain_fallback())
-            .with_limit_life(limit_life());
+            .with_limit_life(limit_ttl());
         let shared = Shared {
             started_at_us: BootClock.now(),
             clock: BootClock,
@@ -119,7 +119,7 @@
             durations: Durations::default(),
             watches: WatchStates::default(),
             leases: Mutex::new(lease_table(&settings, incarnation)),
-            rollout: Mutex::new(Rollout::new(pace_options(&settings, &bounds))),
+            rollout: Mutex::new(Rollout::new(rollout_options(&settings, &bounds))),
             drain: Drain::default(),
             body_bytes: AtomicUsize::new(0),
             log,
@@ -147,25 +147,28 @@
             }
         }
         start_servers(&shared).await?;
-        let followed = WATCHED
+        let watched = WATCHED_ROLES
             .into_iter()
             .filter(|role| shared.bounds.is_watched(*role));
-        for role in followed {
+        for role in watched {
             tokio::spawn(run_watch(Arc::clone(&shared), role));
         }
         tokio::spawn(run_registration(Arc::clone(&shared)));
         tokio::spawn(run_blocked_requests(Arc::clone(&shared)));
-        tokio::spawn(run_orders(Arc::clone(&shared)));
-        tokio::spawn(run_freeing(Arc::clone(&shared)));
+        tokio::spawn(run_weight_orders(Arc::clone(&shared)));
+        tokio::spawn(run_part_freeing(Arc::clone(&shared)));
         tokio::spawn(run_engine_memory_watch(Arc::clone(&shared)));
-        tokio::spawn(take_over(Arc::clone(&shared)));
+        tokio::spawn(fetch_engine_memories(Arc::clone(&shared)));
         tokio::spawn(run_housekeeping(Arc::clone(&shared)));
-        tokio::spawn(run_reloads(Arc::clone(&shared), self.settings_path));
-        wait_for_end(&shared).await
+        tokio::spawn(run_settings_reloads(
+            Arc::clone(&shared),
+            self.settings_path,
+        ));
+        run_until_drained(&shared).await
     }
 }
 
-fn pace_options(settings: &RelaySettings, bounds: &Bounds) -> PaceOptions {
+fn rollout_options(settings: &RelaySettings, bounds: &Bounds) -> PaceOptions {
     PaceOptions {
         parallel_min: settings.rollout.parallel_min,
         parallel_share: settings.rollout.parallel_share,
@@ -182,14 +185,14 @@
     let callers = Arc::new(CallerSide {
         shared: Arc::clone(shared),
     });
-    let entries = Arc::new(EntrySide {
+    let entries = Arc::new(EntryHandler {
         shared: Arc::clone(shared),
     });
-    let peers = Arc::new(PeerSide {
+    let peers = Arc::new(PeerHandler {
         shared: Arc::clone(shared),
     });
     // Only callers' connections are closed when the daemon leaves: the others go on asking it.
-    let stay = CancellationToken::new();
+    let never_cancelled = CancellationToken::new();
     let leaving = shared.drain.started.clone();
     tokio::spawn(serve(
         bind(listen.callers, "the callers' side")?,
@@ -197,39 +200,47 @@
         leaving,
     ));
     let ready = bind(listen.ready, "the readiness side")?;
-    tokio::spawn(serve(ready, Arc::clone(&entries), stay.clone()));
+    tokio::spawn(serve(ready, Arc::clone(&entries), never_cancelled.clone()));
     let entry = bind(listen.entries, "the entry side")?;
-    tokio::spawn(serve(entry, entries, stay.clone()));
-    let inner = bind(peer_address, "the peers' side")?;
-    tokio::spawn(serve(inner, Arc::clone(&peers), stay.clone()));
+    tokio::spawn(serve(entry, entries, never_cancelled.clone()));
+    let peer_listener = bind(peer_address, "the peers' side")?;
+    tokio::spawn(serve(
+        peer_listener,
+        Arc::clone(&peers),
+        never_cancelled.clone(),
+    ));
     let others = [
         (listen.control, "the control side"),
         (listen.metrics, "the metrics"),
     ];
     for (address, what) in others {
         let Some(address) = address else { continue };
-        let side = serve(bind(address, what)?, Arc::clone(&peers), stay.clone());
-        tokio::spawn(side);
+        let server = serve(
+            bind(address, what)?,
+            Arc::clone(&peers),
+            never_cancelled.clone(),
+        );
+        tokio::spawn(server);
     }
     Ok(())
 }
 
-async fn wait_for_end(shared: &Arc<Shared>) -> anyhow::Result<()> {
+async fn run_until_drained(shared: &Arc<Shared>) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let begun = tokio::time::Instant::now();
+    let drain_started_at = tokio::time::Instant::now();
     shared.drain.start();
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
     let in_flight = shared.drain.in_flight();
     shared.log.write(&Event::DrainStarted { in_flight });
     shared.drain.finished(&shared.settings).await;
     shared.log.write(&Event::Stopped {
         in_flight: shared.drain.in_flight(),
-        waited_ms: u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
+        waited_ms: u64::try_from(drain_started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
     });
     shared.log.finish();
     Ok(())
@@ -238,7 +249,7 @@
 async fn run_housekeeping(shared: Arc<Shared>) {
     let mut was_ready = false;
     loop {
-        tokio::time::sleep(HOUSEKEEPING).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         let changes = shared.endpoints.lock().tick(shared.now());
         shared.note_changes(changes, 0);
         shared.pool.sweep();
@@ -258,7 +269,7 @@
 
 /// Reads the settings again when it is told to. What is in force stays in force until the next
 /// start; a faulty file is told of at once instead of then.
-async fn run_reloads(shared: Arc<Shared>, path: PathBuf) {
+async fn run_settings_reloads(shared: Arc<Shared>, path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
@@ -275,8 +286,8 @@
 
 /// Returns how long an endpoint's limit holds here, if nobody hears of it again. It differs between daemons, so that one
 /// of them asks the endpoint again and tells the others, before they all send as if there were no limit.
-fn limit_life() -> DurationUs {
-    LIMIT_LIFE_US + DurationUs::new(rand::random_range(0..LIMIT_LIFE_US.get()))
+fn limit_ttl() -> DurationUs {
+    MIN_LIMIT_TTL_US + DurationUs::new(rand::random_range(0..MIN_LIMIT_TTL_US.get()))
 }
 
 /// Shows the whole state as JSON.
@@ -320,7 +331,7 @@
         "incarnation": shared.incarnation,
         "phase": format!("{:?}", shared.phase()),
         "config_version": shared.site.config().map(|config| config.version),
-        "wanted_weights": wanted_snapshot(shared),
+        "wanted_weights": wanted_weights_snapshot(shared),
         "in_flight": shared.drain.in_flight(),
         "evacuated_zones": evacuated_zones,
         "endpoints": rows,
--- a/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
@@ -14,33 +14,33 @@
 use wisteriahitch_core::fleet::Rendezvous;
 use wisteriahitch_types::{DurationUs, EndpointInstance, Incarnation};
 
-use super::peer_client::ask_takeover;
+use super::peer_client::fetch_engine_memory_snapshot;
 use super::shared::Shared;
 use crate::decide::endpoint_row::EndpointLife;
 use crate::observe::Event;
 
 /// Time between two looks which engines are this daemon's to follow.
-const ROLE_INTERVAL: Duration = Duration::from_millis(400);
+const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Longest wait of one question; engines allow a second.
-const CHANGES_WAIT: Duration = Duration::from_millis(500);
+const CHANGES_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Least time between two questions to one engine. A busy one always has changes to tell.
-const PAUSE: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The same for an engine that names a limit or has asked for rest, which may count questions too: one in the span in which
 /// the platform's rule counts.
-const IN_NEED_PAUSE: Duration = Duration::from_secs(4);
+const THROTTLED_POLL_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Pause after an engine didn't answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+const RETRY_BACKOFF: Duration = Duration::from_millis(700);
 
 /// How long an answer counts, for the way of the next one.
-const ANSWER_LIFE_US: DurationUs = DurationUs::from_ms(1_200);
+const POLL_RESULT_TTL_US: DurationUs = DurationUs::from_ms(1_200);
 
 /// Pauses before each question to another daemon after the start. If all have started together, those
 /// that gather news have heard of the engines' memories by the later ones.
-const TAKE_OVER_PAUSES: [Duration; 5] = [
+const FETCH_DELAYS: [Duration; 5] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
     Duration::from_millis(500),
@@ -49,19 +49,19 @@
 ];
 
 /// Time since its start from which a daemon knows what can be known, so that no other one is asked.
-const KNOWS_AFTER_MS: u64 = 4_000;
+const WARMED_UP_AFTER_MS: u64 = 4_000;
 
 /// Follows the engines that are this daemon's, for as long as the process lives.
 pub(crate) async fn run_engine_memory_watch(shared: Arc<Shared>) {
-    wait_for_others(&shared).await;
+    wait_for_peers(&shared).await;
     loop {
-        let mine = mine(&shared);
-        for (instance, address) in mine {
+        let owned_engines = owned_engines(&shared);
+        for (instance, address) in owned_engines {
             if shared.followed_engines.lock().insert(instance.clone()) {
-                tokio::spawn(follow(Arc::clone(&shared), instance, address));
+                tokio::spawn(follow_engine(Arc::clone(&shared), instance, address));
             }
         }
-        tokio::time::sleep(ROLE_INTERVAL).await;
+        tokio::time::sleep(OWNERSHIP_CHECK_INTERVAL).await;
     }
 }
 
@@ -71,16 +71,16 @@
 /// once, each engine would be asked by each of them for all that it has ever told, and the answers take
 /// the time of calls: one would notice by calls that are late for seconds after the start. Waiting, 76
 /// daemons that had all lost power had a day worth 0.730 in place of 0.617 (one run each).
-async fn wait_for_others(shared: &Shared) {
+async fn wait_for_peers(shared: &Shared) {
     // Without the store they can't be known, and whoever is there is followed by nobody else.
-    shared.peers.others_are_listed().await;
-    shared.peers.others_are_heard().await;
+    shared.peers.wait_for_peer_list().await;
+    shared.peers.wait_for_gossip().await;
 }
 
 /// Returns the engines that this daemon is the first to follow by hash, among those that gather news.
-fn mine(shared: &Shared) -> Vec<(EndpointInstance, SocketAddr)> {
-    let followers = followers(shared);
-    if !followers.contains(&shared.incarnation) {
+fn owned_engines(shared: &Shared) -> Vec<(EndpointInstance, SocketAddr)> {
+    let collectors = collectors(shared);
+    if !collectors.contains(&shared.incarnation) {
         return Vec::new();
     }
     let endpoints = shared.endpoints.lock();
@@ -88,46 +88,46 @@
         row.life == EndpointLife::Ready && !row.is_displaced && !row.endpoint.weights.is_empty()
     });
     engines
-        .filter(|row| is_first(shared, &followers, row.instance()))
+        .filter(|row| is_owner(shared, &collectors, row.instance()))
         .map(|row| (row.instance().clone(), row.endpoint.address))
         .collect()
 }
 
 /// Returns the daemons that gather news for others: all of a small fleet, else its hubs.
-fn followers(shared: &Shared) -> Vec<Incarnation> {
+fn collectors(shared: &Shared) -> Vec<Incarnation> {
     let now = shared.now();
-    let plan = shared.peers.plan.lock().clone();
+    let plan = shared.peers.hub_plan.lock().clone();
     let table = shared.peers.table();
     let peers = table.ready(now).filter(|peer| plan.is_hub(peer.ip));
-    let mut followers: Vec<Incarnation> = peers.map(|peer| peer.incarnation).collect();
+    let mut collectors: Vec<Incarnation> = peers.map(|peer| peer.incarnation).collect();
     if plan.is_hub(shared.settings.ip) && !shared.drain.is_draining() {
-        followers.push(shared.incarnation);
+        collectors.push(shared.incarnation);
     }
-    followers
+    collectors
 }
 
-fn is_first(shared: &Shared, followers: &[Incarnation], instance: &EndpointInstance) -> bool {
+fn is_owner(shared: &Shared, collectors: &[Incarnation], instance: &EndpointInstance) -> bool {
     let rank = Rendezvous::new("engine", &instance.to_string());
-    let first = rank.top(followers.iter().copied(), 1, |incarnation| {
+    let first = rank.top(collectors.iter().copied(), 1, |incarnation| {
         incarnation.get().to_le_bytes().to_vec()
     });
     first.first() == Some(&shared.incarnation)
 }
 
 /// Follows one engine for as long as it is this daemon's.
-async fn follow(shared: Arc<Shared>, instance: EndpointInstance, address: SocketAddr) {
+async fn follow_engine(shared: Arc<Shared>, instance: EndpointInstance, address: SocketAddr) {
     let mut since = 0;
     let mut epoch = None;
-    while is_mine(&shared, &instance) {
+    while is_owned(&shared, &instance) {
         let control = &shared.borders.part_stores;
-        let changes = match control.changes(address, since, CHANGES_WAIT).await {
+        let changes = match control.changes(address, since, CHANGES_POLL_TIMEOUT).await {
             Ok(changes) => changes,
             Err(error) => {
                 shared.log.write(&Event::Failure {
                     what: "following an engine's memory",
                     detail: format!("{instance}: {error}"),
                 });
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_BACKOFF).await;
                 continue;
             }
         };
@@ -138,28 +138,28 @@
         epoch = Some(changes.epoch);
         since = changes.next;
         let now = shared.now();
-        let until = now + ANSWER_LIFE_US;
-        let news = {
+        let expires_at_us = now + POLL_RESULT_TTL_US;
+        let part_updates = {
             let mut endpoints = shared.endpoints.lock();
-            endpoints.part_events(&instance, &changes.events, until, now)
+            endpoints.part_events(&instance, &changes.events, expires_at_us, now)
         };
-        shared.peers.tell_parts(news);
-        tokio::time::sleep(pause(&shared, &instance)).await;
+        shared.peers.queue_part_updates(part_updates);
+        tokio::time::sleep(poll_interval(&shared, &instance)).await;
     }
     shared.followed_engines.lock().remove(&instance);
 }
 
-fn pause(shared: &Shared, instance: &EndpointInstance) -> Duration {
+fn poll_interval(shared: &Shared, instance: &EndpointInstance) -> Duration {
     let now = shared.now();
     match shared.endpoints.lock().is_in_need(instance, now) {
-        true => IN_NEED_PAUSE,
-        false => PAUSE,
+        true => THROTTLED_POLL_INTERVAL,
+        false => POLL_INTERVAL,
     }
 }
 
-fn is_mine(shared: &Shared, instance: &EndpointInstance) -> bool {
+fn is_owned(shared: &Shared, instance: &EndpointInstance) -> bool {
     let is_there = shared.endpoints.lock().get(instance).is_some();
-    is_there && is_first(shared, &followers(shared), instance)
+    is_there && is_owner(shared, &collectors(shared), instance)
 }
 
 /// Takes over what other daemons know of engines, after the start.
@@ -167,19 +167,19 @@
 /// A daemon that starts knows neither what engines keep nor how long their queues are. The queues it
 /// hears of within a tenth of a second; what engines keep it would learn by having prompts read again.
 /// No step of the start waits for this.
-pub(crate) async fn take_over(shared: Arc<Shared>) {
+pub(crate) async fn fetch_engine_memories(shared: Arc<Shared>) {
     let mut asked = HashSet::new();
-    for pause in TAKE_OVER_PAUSES {
-        tokio::time::sleep(pause.mul_f64(rand::random_range(0.8..1.2))).await;
-        let Some(ip) = next_peer(&shared, &asked) else {
+    for delay in FETCH_DELAYS {
+        tokio::time::sleep(delay.mul_f64(rand::random_range(0.8..1.2))).await;
+        let Some(ip) = pick_peer(&shared, &asked) else {
             continue;
         };
         asked.insert(ip);
-        match ask_takeover(&shared, ip).await {
-            Ok(told) => {
+        match fetch_engine_memory_snapshot(&shared, ip).await {
+            Ok(snapshot) => {
                 let now = shared.now();
-                shared.endpoints.lock().take_over(&told.engines, now);
-                if told.up_ms >= KNOWS_AFTER_MS {
+                shared.endpoints.lock().take_over(&snapshot.engines, now);
+                if snapshot.up_ms >= WARMED_UP_AFTER_MS {
                     return;
                 }
             }
@@ -192,12 +192,12 @@
 }
 
 /// Returns a daemon that serves and wasn't asked yet, one that gathers news if there is one.
-fn next_peer(shared: &Shared, asked: &HashSet<Ipv4Addr>) -> Option<Ipv4Addr> {
+fn pick_peer(shared: &Shared, asked: &HashSet<Ipv4Addr>) -> Option<Ipv4Addr> {
     let now = shared.now();
     let table = shared.peers.table();
     let ready = table.ready(now).filter(|peer| !asked.contains(&peer.ip));
     let (hubs, others): (Vec<_>, Vec<_>) = ready.partition(|peer| peer.is_hub);
-    let from = if hubs.is_empty() { others } else { hubs };
-    let ips: Vec<Ipv4Addr> = from.iter().map(|peer| peer.ip).collect();
+    let candidates = if hubs.is_empty() { others } else { hubs };
+    let ips: Vec<Ipv4Addr> = candidates.iter().map(|peer| peer.ip).collect();
     ips.choose(&mut rand::rng()).copied()
 }
--- a/crates/wisteriahitch-relay/src/shell/entries.rs
+++ b/crates/wisteriahitch-relay/src/shell/entries.rs
@@ -19,35 +19,35 @@
 use crate::site::RegionMap;
 
 /// Up to so many daemons are all named in an answer.
-const ALL_NAMED: usize = 12;
+const MAX_FULL_LIST: usize = 12;
 
 /// Daemons that are named of a larger fleet: enough for a caller to find one that lives after many
 /// have died at once.
-const DRAWN: usize = 10;
+const SAMPLE_SIZE: usize = 10;
 
 /// Answers the questions of callers that want to connect, and of the platform.
-pub(crate) struct EntrySide {
+pub(crate) struct EntryHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for EntrySide {
+impl Answers for EntryHandler {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let shared = &self.shared;
         let calls = &shared.borders.calls;
         let path = request.uri().path();
         let response = if path == calls.ready_path() {
-            ready(shared)
+            readiness(shared)
         } else if path == calls.entries_path() {
             {
                 let region = request
                     .uri()
                     .query()
                     .and_then(|query| calls.caller_region(query));
-                let entries = entries(shared, region.as_ref());
+                let entries = entry_addresses(shared, region.as_ref());
                 calls.entries(&entries, shared.settings.entry_ttl())
             }
         } else {
-            status(StatusCode::NOT_FOUND)
+            empty_response(StatusCode::NOT_FOUND)
         };
         response.map(AnswerBody::whole)
     }
@@ -60,14 +60,14 @@
     }
 }
 
-fn ready(shared: &Shared) -> Response<Bytes> {
+fn readiness(shared: &Shared) -> Response<Bytes> {
     match shared.phase() {
-        MemberPhase::Ready => status(StatusCode::OK),
-        _ => status(StatusCode::SERVICE_UNAVAILABLE),
+        MemberPhase::Ready => empty_response(StatusCode::OK),
+        _ => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-fn status(status: StatusCode) -> Response<Bytes> {
+fn empty_response(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
@@ -79,7 +79,7 @@
 /// told of all. In a larger one each answer names some, drawn by what each can carry, so that a VM
 /// with a tenth of a core isn't given as many callers as one with half. This daemon names itself
 /// where it knows nobody, since no address at all helps nobody.
-fn entries(shared: &Shared, region: Option<&Region>) -> Vec<SocketAddr> {
+fn entry_addresses(shared: &Shared, region: Option<&Region>) -> Vec<SocketAddr> {
     let port = shared.settings.listen.callers.port();
     let mut entries = shared.peers.table().entries(shared.now());
     if shared.phase() == MemberPhase::Ready || entries.is_empty() {
@@ -92,11 +92,11 @@
     }
     let entries = in_region(entries, region, &shared.regions);
     let mut rng = rand::rng();
-    let named: Vec<Entry> = match entries.len() > ALL_NAMED {
-        true => draw(entries, &mut rng),
+    let listed: Vec<Entry> = match entries.len() > MAX_FULL_LIST {
+        true => sample_by_capacity(entries, &mut rng),
         false => entries,
     };
-    let mut addresses: Vec<SocketAddr> = named
+    let mut addresses: Vec<SocketAddr> = listed
         .iter()
         .map(|entry| SocketAddr::from((entry.ip, port)))
         .collect();
@@ -110,19 +110,19 @@
     let Some(region) = region else {
         return entries;
     };
-    let is_near = |entry: &Entry| {
+    let is_in_region = |entry: &Entry| {
         let zone = entry.zone.parse();
         zone.is_ok_and(|zone| map.region(&zone) == Some(region))
     };
-    let (near, others): (Vec<Entry>, Vec<Entry>) = entries.into_iter().partition(is_near);
-    match near.is_empty() {
+    let (local, others): (Vec<Entry>, Vec<Entry>) = entries.into_iter().partition(is_in_region);
+    match local.is_empty() {
         true => others,
-        false => near,
+        false => local,
     }
 }
 
 /// Draws some entries, each with a chance in proportion to its capacity.
-fn draw(entries: Vec<Entry>, rng: &mut impl Rng) -> Vec<Entry> {
+fn sample_by_capacity(entries: Vec<Entry>, rng: &mut impl Rng) -> Vec<Entry> {
     let mut scored: Vec<(f64, Entry)> = entries
         .into_iter()
         .map(|entry| {
@@ -131,6 +131,6 @@
         })
         .collect();
     scored.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-    scored.truncate(DRAWN);
+    scored.truncate(SAMPLE_SIZE);
     scored.into_iter().map(|(_, entry)| entry).collect()
 }
--- a/crates/wisteriahitch-relay/src/shell/gossip.rs
+++ b/crates/wisteriahitch-relay/src/shell/gossip.rs
@@ -19,96 +19,104 @@
 pub(super) const MAX_GOSSIP_BYTES: usize = 8 * 1024;
 
 /// Most parts in a message; of more, the newest go first.
-const MAX_PARTS: usize = 60;
+const MAX_PART_UPDATES: usize = 60;
 
 /// Most news of part stores in a message; the rest goes with the next one.
-const MAX_KEPT: usize = 80;
+const MAX_STORED_PART_UPDATES: usize = 80;
 
 /// Most daemons in a message; messages of a larger fleet take turns.
-const MAX_MEMBERS: usize = 60;
+const MAX_MEMBER_UPDATES: usize = 60;
 
 /// Most limits of endpoints in a message; more take turns.
-const MAX_LIMITS: usize = 100;
+const MAX_LIMIT_UPDATES: usize = 100;
 
 /// Most leaving endpoints in a message; more take turns.
-const MAX_LEAVING: usize = 100;
+const MAX_LEAVING_UPDATES: usize = 100;
 
 /// Time for which messages hold the same part of what takes turns, in microseconds: two messages of a narrow link.
-const PAGE_US: u64 = 200_000;
+const PAGE_ROTATION_US: u64 = 200_000;
 
 /// What goes to several targets of one round.
-pub(super) struct Relayed {
-    near_parts: Vec<PartUpdate>,
-    far_parts: Vec<PartUpdate>,
-    kept: Vec<KeptPartUpdate>,
+pub(super) struct RoundUpdates {
+    local_parts: Vec<PartUpdate>,
+    remote_parts: Vec<PartUpdate>,
+    stored_parts: Vec<KeptPartUpdate>,
     reserved: Vec<EndpointInstance>,
     requests: RequestUpdate,
     limits: Vec<LimitUpdate>,
     leaving: Vec<u32>,
 }
 
-impl Relayed {
+impl RoundUpdates {
     /// Gathers it.
     pub(super) fn new(
         shared: &Shared,
         plan: &HubPlan,
-        near_parts: Vec<PartUpdate>,
-        far_parts: Vec<PartUpdate>,
+        local_parts: Vec<PartUpdate>,
+        remote_parts: Vec<PartUpdate>,
         now: TimeUs,
     ) -> Self {
-        let number = shared.peers.round();
+        let number = shared.peers.next_round_number();
         // In a small fleet everybody asks the stores.
-        let news = shared.part_stores.lock().take_updates(MAX_KEPT);
-        let kept = if plan.is_small { Vec::new() } else { news };
+        let updates = shared
+            .part_stores
+            .lock()
+            .take_updates(MAX_STORED_PART_UPDATES);
+        let stored_parts = if plan.is_small { Vec::new() } else { updates };
         Self {
-            near_parts,
-            far_parts,
-            kept,
+            local_parts,
+            remote_parts,
+            stored_parts,
             reserved: shared.rollout.lock().reserved().cloned().collect(),
             requests: shared.suspects.lock().news(number, now),
             limits: limit_updates(shared, now),
-            leaving: leaving(shared, now),
+            leaving: leaving_updates(shared, now),
         }
     }
 }
 
 /// Encodes the message for `own`, one of this hub's daemons, or else for everybody else.
-pub(super) fn encode(
+pub(super) fn encode_message(
     shared: &Shared,
     plan: &HubPlan,
-    relayed: &Relayed,
-    own: Option<Ipv4Addr>,
+    round: &RoundUpdates,
+    spoke: Option<Ipv4Addr>,
     now: TimeUs,
 ) -> Vec<u8> {
-    let mut message = base(shared, plan, relayed, now);
-    message.endpoints = endpoint_updates(shared, plan, relayed, own, now);
-    message.followed = followed(shared, own, now);
-    message.unreachable = unreachable(shared, plan, own, now);
-    message.parts = relayed.near_parts.clone();
-    if own.is_some() {
-        message.parts.extend(&relayed.far_parts);
+    let mut message = base_message(shared, plan, round, now);
+    message.endpoints = endpoint_updates(shared, plan, round, spoke, now);
+    message.followed = followed_engines(shared, spoke, now);
+    message.unreachable = unreachable_endpoints(shared, plan, spoke, now);
+    message.parts = round.local_parts.clone();
+    if spoke.is_some() {
+        message.parts.extend(&round.remote_parts);
     }
-    let surplus = message.parts.len().saturating_sub(MAX_PARTS);
+    let surplus = message.parts.len().saturating_sub(MAX_PART_UPDATES);
     message.parts.drain(..surplus);
     if !plan.is_small && message.is_hub {
         message.stores = store_updates(shared, now);
         // Hubs that only hear of the stores tell their own daemons alone.
-        if own.is_some() || shared.peers.follows_stores() {
-            message.kept.clone_from(&relayed.kept);
+        if spoke.is_some() || shared.peers.follows_stores() {
+            message.kept.clone_from(&round.stored_parts);
         }
-        add_members(shared, &mut message, own, now);
+        add_members(shared, &mut message, spoke, now);
     }
     message.encoded(MAX_GOSSIP_BYTES)
 }
 
-fn base(shared: &Shared, plan: &HubPlan, relayed: &Relayed, now: TimeUs) -> GossipMessage {
+fn base_message(
+    shared: &Shared,
+    plan: &HubPlan,
+    round: &RoundUpdates,
+    now: TimeUs,
+) -> GossipMessage {
     let is_store_reachable = match shared.peers.follows_stores() {
         true => shared.watches.is_store_reachable(),
-        false => shared.peers.hears_of_store(shared.settings.ip, now),
+        false => shared.peers.hub_reaches_store(shared.settings.ip, now),
     };
     GossipMessage {
         incarnation: shared.incarnation,
-        number: shared.peers.next_number(),
+        number: shared.peers.next_message_number(),
         ip: shared.settings.ip,
         zone: shared.settings.zone.to_string(),
         phase: shared.phase(),
@@ -118,16 +126,16 @@
         follows_stores: shared.peers.follows_stores(),
         is_store_reachable,
         sent_at_us: now,
-        kinds: shared.watches.news(now),
+        kinds: shared.watches.kind_updates(now),
         endpoints: Vec::new(),
-        limits: relayed.limits.clone(),
-        leaving: relayed.leaving.clone(),
+        limits: round.limits.clone(),
+        leaving: round.leaving.clone(),
         followed: Vec::new(),
         unreachable: Vec::new(),
         parts: Vec::new(),
         stores: Vec::new(),
         kept: Vec::new(),
-        requests: relayed.requests.clone(),
+        requests: round.requests.clone(),
         zones: Vec::new(),
         members: Vec::new(),
     }
@@ -140,8 +148,8 @@
 fn endpoint_updates(
     shared: &Shared,
     plan: &HubPlan,
-    relayed: &Relayed,
-    own: Option<Ipv4Addr>,
+    round: &RoundUpdates,
+    spoke: Option<Ipv4Addr>,
     now: TimeUs,
 ) -> Vec<EndpointUpdate> {
     let is_hub = !plan.is_small && plan.is_hub(shared.settings.ip);
@@ -149,74 +157,84 @@
         let table = shared.peers.table();
         let alive = table.alive(now);
         alive
-            .map(|peer| (peer.is_hub, peer.incarnation, Some(peer.ip) == own))
+            .map(|peer| (peer.is_hub, peer.incarnation, Some(peer.ip) == spoke))
             .collect()
     };
     let endpoints = shared.endpoints.lock();
-    let counted = peers.iter().filter(|(peer_is_hub, _, is_receiver)| {
-        is_hub && !is_receiver && (own.is_some() || !peer_is_hub)
+    let included = peers.iter().filter(|(peer_is_hub, _, is_receiver)| {
+        is_hub && !is_receiver && (spoke.is_some() || !peer_is_hub)
     });
-    let loads: Vec<_> = counted
+    let loads: Vec<_> = included
         .filter_map(|(_, peer, _)| endpoints.load_of(*peer))
         .collect();
-    let news = |row: &EndpointRow| {
+    let update_of = |row: &EndpointRow| {
         let mut load = row.own;
-        for told in &loads {
-            load.add(told.get(&row.short_name).copied().unwrap_or_default());
+        for load_at_peer in &loads {
+            load.add(
+                load_at_peer
+                    .get(&row.short_name)
+                    .copied()
+                    .unwrap_or_default(),
+            );
         }
-        let is_told = own.is_some() && row.reserved_until_us > now;
+        let is_reported = spoke.is_some() && row.reserved_until_us > now;
         EndpointUpdate {
             endpoint: row.short_name,
             load,
-            is_reserved: is_told || row.is_displaced || relayed.reserved.contains(row.instance()),
+            is_reserved: is_reported || row.is_displaced || round.reserved.contains(row.instance()),
         }
     };
-    let says_something = |news: &EndpointUpdate| news.is_reserved || news.load != Load::default();
-    endpoints.iter().map(news).filter(says_something).collect()
+    let is_needed = |update: &EndpointUpdate| update.is_reserved || update.load != Load::default();
+    endpoints.iter().map(update_of).filter(is_needed).collect()
 }
 
 /// Returns what is known of endpoints' limits, whoever heard of it: the newest counts, so that it may be told in a circle.
 fn limit_updates(shared: &Shared, now: TimeUs) -> Vec<LimitUpdate> {
     let updates = shared.endpoints.lock().limit_updates(now);
-    page(updates, MAX_LIMITS, now).collect()
+    current_page(updates, MAX_LIMIT_UPDATES, now).collect()
 }
 
 /// Returns the lives that have said in an answer that they leave, whoever heard it.
-fn leaving(shared: &Shared, now: TimeUs) -> Vec<u32> {
-    let lives = shared.endpoints.lock().leaving_updates(now);
-    page(lives, MAX_LEAVING, now).collect()
+fn leaving_updates(shared: &Shared, now: TimeUs) -> Vec<u32> {
+    let short_names = shared.endpoints.lock().leaving_updates(now);
+    current_page(short_names, MAX_LEAVING_UPDATES, now).collect()
 }
 
 /// Returns a part of `rows` that is small enough for one message; messages take turns.
-fn page<T>(rows: Vec<T>, size: usize, now: TimeUs) -> impl Iterator<Item = T> {
+fn current_page<T>(rows: Vec<T>, size: usize, now: TimeUs) -> impl Iterator<Item = T> {
     let pages = rows.len().div_ceil(size).max(1);
-    let page = usize::try_from(now.get() / PAGE_US).unwrap_or(0) % pages;
+    let page = usize::try_from(now.get() / PAGE_ROTATION_US).unwrap_or(0) % pages;
     rows.into_iter().skip(page * size).take(size)
 }
 
 /// Returns the engines whose memory this daemon follows; for `own` all that are followed.
-fn followed(shared: &Shared, own: Option<Ipv4Addr>, now: TimeUs) -> Vec<u32> {
+fn followed_engines(shared: &Shared, spoke: Option<Ipv4Addr>, now: TimeUs) -> Vec<u32> {
     let endpoints = shared.endpoints.lock();
-    let is_told = |row: &&EndpointRow| match own {
+    let is_reported = |row: &&EndpointRow| match spoke {
         Some(_) => row.followed_until_us > now,
         None => row.followed_until_us > now && shared.follows_engine(row.instance()),
     };
-    let told = endpoints.iter().filter(is_told);
-    told.map(|row| row.short_name).collect()
+    let reported = endpoints.iter().filter(is_reported);
+    reported.map(|row| row.short_name).collect()
 }
 
 /// Returns the endpoints that can't be reached: what this daemon found itself; as a hub of a large fleet
 /// what it has heard from several, and for `own` also what other hubs have.
-fn unreachable(shared: &Shared, plan: &HubPlan, own: Option<Ipv4Addr>, now: TimeUs) -> Vec<u32> {
+fn unreachable_endpoints(
+    shared: &Shared,
+    plan: &HubPlan,
+    spoke: Option<Ipv4Addr>,
+    now: TimeUs,
+) -> Vec<u32> {
     let is_hub = !plan.is_small && plan.is_hub(shared.settings.ip);
     let endpoints = shared.endpoints.lock();
-    let is_told = |row: &&EndpointRow| match (is_hub, own) {
+    let is_reported = |row: &&EndpointRow| match (is_hub, spoke) {
         (true, Some(_)) => row.suspected_until_us > now,
         (true, None) => row.weighed_until_us > now,
         (false, _) => row.unreachable_until_us > now,
     };
-    let told = endpoints.iter().filter(is_told);
-    told.map(|row| row.short_name).collect()
+    let reported = endpoints.iter().filter(is_reported);
+    reported.map(|row| row.short_name).collect()
 }
 
 fn store_updates(shared: &Shared, now: TimeUs) -> Vec<StoreUpdate> {
@@ -224,19 +242,19 @@
 }
 
 /// Adds the daemons that are heard: for other hubs those of this hub, for its own all.
-fn add_members(shared: &Shared, message: &mut GossipMessage, own: Option<Ipv4Addr>, now: TimeUs) {
+fn add_members(shared: &Shared, message: &mut GossipMessage, spoke: Option<Ipv4Addr>, now: TimeUs) {
     let table = shared.peers.table();
     let mut rows: Vec<(Entry, MemberPhase)> = table
         .alive(now)
-        .filter(|peer| own.is_some() || !peer.is_hub)
+        .filter(|peer| spoke.is_some() || !peer.is_hub)
         .map(|peer| (peer.entry(), peer.phase))
         .collect();
-    if own.is_some() {
-        let told = table.recently_gossiped(now);
-        rows.extend(told);
+    if spoke.is_some() {
+        let reported = table.recently_gossiped(now);
+        rows.extend(reported);
     }
     drop(table);
-    for (entry, phase) in page(rows, MAX_MEMBERS, now) {
+    for (entry, phase) in current_page(rows, MAX_MEMBER_UPDATES, now) {
         let known = message.zones.iter().position(|known| *known == entry.zone);
         let zone = known.unwrap_or_else(|| {
             message.zones.push(entry.zone);
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -54,7 +54,7 @@
             row.outlier.sent(now);
         }
         drop(endpoints);
-        shared.peers.sent(placement.unread_tokens);
+        shared.peers.record_sent_call(placement.unread_tokens);
         Self {
             shared: Arc::clone(shared),
             endpoint: placement.endpoint.clone(),
@@ -101,7 +101,7 @@
             });
         }
         drop(endpoints);
-        self.shared.peers.tell_parts(news);
+        self.shared.peers.queue_part_updates(news);
     }
 
     /// Notes how the attempt ended.
--- a/crates/wisteriahitch-relay/src/shell/lease.rs
+++ b/crates/wisteriahitch-relay/src/shell/lease.rs
@@ -13,7 +13,7 @@
 use wisteriahitch_wire::platform::{PlatformError, PlatformErrorKind};
 
 use super::shared::Shared;
-use super::store_updates::note_unreadable;
+use super::store_updates::log_unreadable_object;
 use crate::observe::Event;
 use crate::settings::RelaySettings;
 
@@ -23,23 +23,23 @@
 const LEASE_TERM_US: DurationUs = DurationUs::from_ms(1_100);
 
 /// What must be left of the lease when it is renewed. A slow store answers within 330 ms.
-const RENEW_BEFORE_US: DurationUs = DurationUs::from_ms(700);
+const LEASE_RENEW_BEFORE_US: DurationUs = DurationUs::from_ms(700);
 
 /// Part of the term that isn't used, for the way of an order to its endpoint.
 const LEASE_MARGIN_US: DurationUs = DurationUs::from_ms(250);
 
 /// Time between two reads of a lease that another daemon holds.
-const LEASE_READ_US: DurationUs = DurationUs::from_ms(300);
+const LEASE_READ_INTERVAL_US: DurationUs = DurationUs::from_ms(300);
 
 /// Longest times that a lease in the store is believed to have. All daemons use about the same ones, a
 /// tenth of this and less, and a lease that never ends would end all orders.
-const LONGEST_BELIEVED_US: DurationUs = DurationUs::from_ms(30_000);
+const MAX_STORED_DURATION_US: DurationUs = DurationUs::from_ms(30_000);
 
 /// Name of a holder that can't be read.
-const UNKNOWN_HOLDER: &str = "unknown";
+const UNREADABLE_HOLDER: &str = "unknown";
 
 /// Added to the time that must lie between orders of two holders.
-const HANDOVER_SLACK_MS: u64 = 400;
+const HANDOVER_MARGIN_MS: u64 = 400;
 
 /// Builds the daemon's leases.
 pub(crate) fn lease_table(settings: &RelaySettings, incarnation: Incarnation) -> LeaseTable {
@@ -49,17 +49,17 @@
     };
     let settings = LeaseSettings {
         term_us: LEASE_TERM_US,
-        renew_before_us: RENEW_BEFORE_US,
+        renew_before_us: LEASE_RENEW_BEFORE_US,
         // A new holder waits for so long after a lease that wasn't released.
-        order_timeout_us: order_timeout(settings),
+        order_timeout_us: handover_delay(settings),
         margin_us: LEASE_MARGIN_US,
-        read_us: LEASE_READ_US,
+        read_us: LEASE_READ_INTERVAL_US,
     };
     LeaseTable::new(holder, settings)
 }
 
 /// The table of leases asks a membership who is responsible; here that is told to it directly.
-pub(super) fn lone_member(shared: &Shared) -> Membership {
+pub(super) fn standalone_membership(shared: &Shared) -> Membership {
     let listen = &shared.settings.listen;
     let me = Member {
         daemon: shared.settings.id.clone(),
@@ -85,19 +85,23 @@
 }
 
 /// Makes a call of the store that the leases ask for, and tells them what came of it.
-pub(super) async fn call(shared: Arc<Shared>, members: Arc<Membership>, command: LeaseCommand) {
+pub(super) async fn run_lease_command(
+    shared: Arc<Shared>,
+    members: Arc<Membership>,
+    command: LeaseCommand,
+) {
     let event = match command {
-        LeaseCommand::Read(group) => read(&shared, group).await,
+        LeaseCommand::Read(group) => read_lease(&shared, group).await,
         LeaseCommand::Write {
             group,
             object,
             expected,
-        } => write(&shared, group, object, expected).await,
+        } => write_lease(&shared, group, object, expected).await,
     };
     shared.leases.lock().handle(event, shared.now(), &members);
 }
 
-async fn read(shared: &Shared, group: LeaseGroup) -> LeaseEvent {
+async fn read_lease(shared: &Shared, group: LeaseGroup) -> LeaseEvent {
     let read = shared
         .borders
         .store
@@ -105,7 +109,7 @@
         .await;
     match read {
         Ok(object) => {
-            let object = object.map(|object| parse(shared, &group, object));
+            let object = object.map(|object| decode_lease(shared, &group, object));
             LeaseEvent::Read { group, object }
         }
         Err(error) => {
@@ -124,20 +128,20 @@
 /// taken over like that of a holder which has died, and no sooner. Its fencing number is the object's
 /// revision, which is known all the same. Taken for a failed call, it would end all orders for as
 /// long as it lies there.
-fn parse(shared: &Shared, group: &LeaseGroup, object: StoredObject) -> (LeaseObject, u64) {
-    let order_timeout_us = order_timeout(&shared.settings);
+fn decode_lease(shared: &Shared, group: &LeaseGroup, object: StoredObject) -> (LeaseObject, u64) {
+    let order_timeout_us = handover_delay(&shared.settings);
     let lease = match serde_json::from_value::<LeaseObject>(object.content) {
         Ok(lease) => LeaseObject {
-            term_us: lease.term_us.min(LONGEST_BELIEVED_US),
-            order_timeout_us: lease.order_timeout_us.min(LONGEST_BELIEVED_US),
+            term_us: lease.term_us.min(MAX_STORED_DURATION_US),
+            order_timeout_us: lease.order_timeout_us.min(MAX_STORED_DURATION_US),
             ..lease
         },
         Err(error) => {
             let kind = UnreadableKind::Field;
             let name = group.to_string();
-            note_unreadable(shared, ObjectRole::Leases, &name, kind, error.to_string());
+            log_unreadable_object(shared, ObjectRole::Leases, &name, kind, error.to_string());
             LeaseObject {
-                holder: unknown_holder(),
+                holder: unreadable_holder(),
                 write_number: 0,
                 term_us: LEASE_TERM_US,
                 order_timeout_us,
@@ -147,19 +151,19 @@
     (lease, object.revision.0)
 }
 
-fn unknown_holder() -> Option<LeaseHolder> {
+fn unreadable_holder() -> Option<LeaseHolder> {
     Some(LeaseHolder {
-        daemon: UNKNOWN_HOLDER.parse().ok()?,
+        daemon: UNREADABLE_HOLDER.parse().ok()?,
         incarnation: Incarnation::new(0),
     })
 }
 
 /// Returns the time that must lie between orders of two holders.
-fn order_timeout(settings: &RelaySettings) -> DurationUs {
-    DurationUs::from_ms(settings.rollout.lease_ms + HANDOVER_SLACK_MS)
+fn handover_delay(settings: &RelaySettings) -> DurationUs {
+    DurationUs::from_ms(settings.rollout.lease_ms + HANDOVER_MARGIN_MS)
 }
 
-async fn write(
+async fn write_lease(
     shared: &Shared,
     group: LeaseGroup,
     object: LeaseObject,
@@ -192,13 +196,13 @@
             LeaseEvent::WriteFailed {
                 group,
                 write_number,
-                failure: failure(&error),
+                failure: write_failure(&error),
             }
         }
     }
 }
 
-fn failure(error: &PlatformError) -> WriteFailure {
+fn write_failure(error: &PlatformError) -> WriteFailure {
     match error.kind() {
         PlatformErrorKind::AlreadyExists
         | PlatformErrorKind::Conflict
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -7,7 +7,7 @@
 use wisteriahitch_core::fleet::{LeaseEvent, LeaseGroup, Membership, Rendezvous};
 use wisteriahitch_types::{DurationUs, EndpointInstance, Incarnation, TimeUs};
 
-use super::lease::{call, lone_member};
+use super::lease::{run_lease_command, standalone_membership};
 use super::shared::Shared;
 use crate::border::{OrderOutcome, WeightOrder};
 use crate::decide::endpoint_row::EndpointRow;
@@ -15,61 +15,61 @@
 use crate::observe::Event;
 
 /// Time between two looks while orders are to be given.
-const BUSY_INTERVAL: Duration = Duration::from_millis(50);
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two looks while nothing is to be done.
-const IDLE_INTERVAL: Duration = Duration::from_millis(250);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time for which an engine that this daemon has taken out gets none of its calls: a few looks at what
 /// is due, so that a busy daemon doesn't let go of it in between.
-const OWN_RESERVED_US: DurationUs = DurationUs::from_ms(200);
+const LOCAL_RESERVATION_TTL_US: DurationUs = DurationUs::from_ms(200);
 
 /// Daemons that try to hold the lease: the first by hash, and one that already watches it when the
 /// first falls silent.
-const CANDIDATES: usize = 2;
+const MAX_LEASE_CANDIDATES: usize = 2;
 
 /// Longest wait for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The one group of orders: few daemons and engines, and the bound on loads at once then needs no
 /// agreement of its own.
-const GROUP: LeaseGroup = LeaseGroup::RolloutSlot(0);
+const LEASE_GROUP: LeaseGroup = LeaseGroup::RolloutSlot(0);
 
 /// Gives orders while they are wanted, for as long as the process lives.
-pub(crate) async fn run_orders(shared: Arc<Shared>) {
-    let members = Arc::new(lone_member(&shared));
+pub(crate) async fn run_weight_orders(shared: Arc<Shared>) {
+    let members = Arc::new(standalone_membership(&shared));
     let mut phase = String::new();
     let mut is_late = false;
     loop {
-        let behind = behind(&shared);
+        let outdated = outdated_engines(&shared);
         let has_lease = shared.leases.lock().held().next().is_some();
-        let is_busy = !behind.is_empty() || has_lease;
+        let is_busy = !outdated.is_empty() || has_lease;
         if is_busy {
-            step(&shared, &members, &behind);
-            note_phase(&shared, &mut phase);
+            advance_rollout(&shared, &members, &outdated);
+            log_phase_change(&shared, &mut phase);
         }
-        note_overrun(&shared, &behind, has_lease, &mut is_late);
+        report_overrun(&shared, &outdated, has_lease, &mut is_late);
         let interval = if is_busy {
-            BUSY_INTERVAL
+            BUSY_TICK_INTERVAL
         } else {
-            IDLE_INTERVAL
+            IDLE_TICK_INTERVAL
         };
         tokio::time::sleep(interval).await;
     }
 }
 
 /// Lists the engines whose weights are older than wanted.
-fn behind(shared: &Shared) -> Vec<RolloutRow> {
-    let wanted = shared.site.all_wanted();
+fn outdated_engines(shared: &Shared) -> Vec<RolloutRow> {
+    let wanted = shared.site.all_wanted_versions();
     if wanted.is_empty() {
         return Vec::new();
     }
     let endpoints = shared.endpoints.lock();
-    let stays = |row: &&EndpointRow| {
+    let is_eligible = |row: &&EndpointRow| {
         row.takes_requests() && !row.is_displaced && endpoints.has_known_service(row)
     };
-    let mut behind = Vec::new();
-    for row in endpoints.iter().filter(stays) {
+    let mut outdated = Vec::new();
+    for row in endpoints.iter().filter(is_eligible) {
         for (model, has) in &row.endpoint.weights {
             let Some(versions) = wanted.get(model) else {
                 continue;
@@ -79,7 +79,7 @@
             else {
                 continue;
             };
-            behind.push(RolloutRow {
+            outdated.push(RolloutRow {
                 endpoint: row.instance().clone(),
                 model: model.clone(),
                 has: *has,
@@ -89,11 +89,11 @@
             });
         }
     }
-    behind
+    outdated
 }
 
 /// Returns how many engines there are.
-fn engines(shared: &Shared) -> usize {
+fn engine_count(shared: &Shared) -> usize {
     let endpoints = shared.endpoints.lock();
     endpoints
         .iter()
@@ -101,7 +101,7 @@
         .count()
 }
 
-fn step(shared: &Arc<Shared>, members: &Arc<Membership>, behind: &[RolloutRow]) {
+fn advance_rollout(shared: &Arc<Shared>, members: &Arc<Membership>, outdated: &[RolloutRow]) {
     let now = shared.now();
     let commands = {
         let mut leases = shared.leases.lock();
@@ -109,28 +109,35 @@
         // also while it leaves: each change of hands costs seconds in which no order may be given,
         // and it serves for some more seconds in any case.
         let is_held = leases.held().next().is_some();
-        let is_candidate = candidates(shared, now).contains(&shared.incarnation);
-        let is_mine = !behind.is_empty() && (is_held || is_candidate);
-        let wanted = is_mine.then_some(GROUP);
+        let is_candidate = lease_candidates(shared, now).contains(&shared.incarnation);
+        let is_mine = !outdated.is_empty() && (is_held || is_candidate);
+        let wanted = is_mine.then_some(LEASE_GROUP);
         leases.want(wanted);
         leases.set_rollout_owner(is_mine.then_some(shared.incarnation));
         leases.handle(LeaseEvent::Tick, now, members)
     };
     for command in commands {
-        tokio::spawn(call(Arc::clone(shared), Arc::clone(members), command));
+        tokio::spawn(run_lease_command(
+            Arc::clone(shared),
+            Arc::clone(members),
+            command,
+        ));
     }
     let is_held = shared.leases.lock().held().next().is_some();
     if !is_held {
         shared.rollout.lock().clear();
         return;
     }
-    let steps = shared.rollout.lock().tick(behind, engines(shared), now);
-    reserve_own(shared, now);
+    let steps = shared
+        .rollout
+        .lock()
+        .tick(outdated, engine_count(shared), now);
+    reserve_locally(shared, now);
     if !steps.is_empty() {
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
     for step in steps {
-        tokio::spawn(carry_out(Arc::clone(shared), Arc::clone(members), step));
+        tokio::spawn(execute_step(Arc::clone(shared), Arc::clone(members), step));
     }
 }
 
@@ -139,19 +146,19 @@
 /// The others hear of them by its messages, which it doesn't send to itself. Without this it goes on
 /// sending to engines that load, which refuse: one would notice by refusals of calls that may be sent
 /// once only, all of them at one daemon, while other engines are idle.
-fn reserve_own(shared: &Shared, now: TimeUs) {
+fn reserve_locally(shared: &Shared, now: TimeUs) {
     let reserved: Vec<EndpointInstance> = shared.rollout.lock().reserved().cloned().collect();
     let mut endpoints = shared.endpoints.lock();
     for endpoint in reserved {
         if let Some(short_name) = endpoints.get(&endpoint).map(|row| row.short_name) {
-            endpoints.reserve(short_name, now + OWN_RESERVED_US, now);
+            endpoints.reserve(short_name, now + LOCAL_RESERVATION_TTL_US, now);
         }
     }
 }
 
 /// Returns the daemons that should hold the lease: the first by hash among those that serve and
 /// reach the store.
-fn candidates(shared: &Shared, now: TimeUs) -> Vec<Incarnation> {
+fn lease_candidates(shared: &Shared, now: TimeUs) -> Vec<Incarnation> {
     let table = shared.peers.table();
     let peers = table
         .ready(now)
@@ -162,17 +169,17 @@
         all.push(shared.incarnation);
     }
     let rank = Rendezvous::new("orders", "");
-    rank.top(all, CANDIDATES, |incarnation| {
+    rank.top(all, MAX_LEASE_CANDIDATES, |incarnation| {
         incarnation.get().to_le_bytes().to_vec()
     })
 }
 
-fn note_phase(shared: &Shared, known: &mut String) {
+fn log_phase_change(shared: &Shared, last_logged: &mut String) {
     let status = shared.leases.lock().status();
     let Some(lease) = status.first() else { return };
     let phase = format!("{:?}", lease.phase).to_lowercase();
-    if phase != *known {
-        known.clone_from(&phase);
+    if phase != *last_logged {
+        last_logged.clone_from(&phase);
         shared.log.write(&Event::LeaseChanged {
             phase,
             fence: lease.fence.get(),
@@ -181,12 +188,12 @@
 }
 
 /// Tells once of each rollout that its holder doesn't expect to end in time.
-fn note_overrun(shared: &Shared, behind: &[RolloutRow], is_holder: bool, is_late: &mut bool) {
+fn report_overrun(shared: &Shared, outdated: &[RolloutRow], is_holder: bool, is_late: &mut bool) {
     let overrun = match is_holder {
         true => shared
             .rollout
             .lock()
-            .overrun(behind, engines(shared), shared.now()),
+            .overrun(outdated, engine_count(shared), shared.now()),
         false => None,
     };
     let late_us = overrun.map_or(DurationUs::ZERO, |o| o.needed_us - o.left_us);
@@ -204,9 +211,9 @@
     });
 }
 
-async fn carry_out(shared: Arc<Shared>, members: Arc<Membership>, step: RolloutStep) {
+async fn execute_step(shared: Arc<Shared>, members: Arc<Membership>, step: RolloutStep) {
     match step {
-        RolloutStep::Report(endpoint) => report(&shared, &endpoint).await,
+        RolloutStep::Report(endpoint) => fetch_report(&shared, &endpoint).await,
         RolloutStep::Order {
             endpoint,
             model,
@@ -222,7 +229,7 @@
                 fence,
                 expected_orders,
             };
-            give(&shared, &members, &endpoint, order).await;
+            send_order(&shared, &members, &endpoint, order).await;
         }
     }
 }
@@ -232,7 +239,7 @@
     endpoints.get(endpoint).map(|row| row.endpoint.address)
 }
 
-async fn report(shared: &Shared, endpoint: &EndpointInstance) {
+async fn fetch_report(shared: &Shared, endpoint: &EndpointInstance) {
     let address = address_of(shared, endpoint);
     let report = match address {
         Some(address) => {
@@ -263,7 +270,7 @@
         .reported(endpoint, report.as_ref(), now);
 }
 
-async fn give(
+async fn send_order(
     shared: &Shared,
     members: &Membership,
     endpoint: &EndpointInstance,
@@ -271,7 +278,7 @@
 ) {
     let address = address_of(shared, endpoint);
     // This grant numbers the order; the one that counts is asked for once the connection is open.
-    let grant = shared.leases.lock().try_order(&GROUP, shared.now());
+    let grant = shared.leases.lock().try_order(&LEASE_GROUP, shared.now());
     let (Some(address), Ok(grant)) = (address, grant) else {
         shared.rollout.lock().withheld(endpoint, shared.now());
         return;
@@ -279,16 +286,16 @@
     let order = order(address, grant.fence);
     let permit = || {
         let mut leases = shared.leases.lock();
-        let again = leases.try_order(&GROUP, shared.now()).ok()?;
-        leases.handle(LeaseEvent::OrderDone(GROUP), shared.now(), members);
-        (again.fence >= grant.fence).then(|| Duration::from(again.timeout_us))
+        let fresh_grant = leases.try_order(&LEASE_GROUP, shared.now()).ok()?;
+        leases.handle(LeaseEvent::OrderDone(LEASE_GROUP), shared.now(), members);
+        (fresh_grant.fence >= grant.fence).then(|| Duration::from(fresh_grant.timeout_us))
     };
     let outcome = shared.borders.engines.order(&order, &permit).await;
     let now = shared.now();
     shared
         .leases
         .lock()
-        .handle(LeaseEvent::OrderDone(GROUP), now, members);
+        .handle(LeaseEvent::OrderDone(LEASE_GROUP), now, members);
     shared.rollout.lock().ordered(endpoint, &outcome, now);
     let label = outcome_label(&outcome);
     shared.metrics.orders.with_label_values(&[label]).inc();
@@ -315,10 +322,10 @@
 }
 
 /// Shows the wanted weights, for the dump.
-pub(crate) fn wanted_snapshot(shared: &Shared) -> BTreeMap<String, u64> {
-    let wanted = shared.site.all_wanted();
-    let shown = wanted
+pub(crate) fn wanted_weights_snapshot(shared: &Shared) -> BTreeMap<String, u64> {
+    let wanted = shared.site.all_wanted_versions();
+    let snapshot = wanted
         .iter()
         .filter_map(|(model, versions)| Some((model.to_string(), versions.newest()?.get())));
-    shown.collect()
+    snapshot.collect()
 }
--- a/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
@@ -15,13 +15,13 @@
 
 /// Longest wait of one question for changes. Stores allow a second; shorter ones keep the news
 /// fresh for those who hear it from others.
-const CHANGES_WAIT: Duration = Duration::from_millis(500);
+const CHANGES_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between two looks whether this daemon is to follow the stores itself.
-const ROLE_INTERVAL: Duration = Duration::from_millis(300);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Pause after a store didn't answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Time between two looks for parts to free.
 const FREE_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -34,12 +34,12 @@
         if !shared.peers.follows_stores() {
             // Another daemon's news says how fresh its own is; what was known here goes on with it.
             since = None;
-            tokio::time::sleep(ROLE_INTERVAL).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         let step = match since {
-            None => list(&shared, store).await.map(Some),
-            Some(since) => changes(&shared, store, since).await,
+            None => list_parts(&shared, store).await.map(Some),
+            Some(since) => poll_changes(&shared, store, since).await,
         };
         let is_reachable = step.is_ok();
         if is_reachable != was_reachable {
@@ -55,13 +55,13 @@
             Err(_) => {
                 since = None;
                 shared.part_stores.lock().lost(store);
-                tokio::time::sleep(RETRY_PAUSE.mul_f64(rand::random_range(0.8..1.2))).await;
+                tokio::time::sleep(RETRY_BACKOFF.mul_f64(rand::random_range(0.8..1.2))).await;
             }
         }
     }
 }
 
-async fn list(shared: &Shared, store: SocketAddr) -> Result<u64, String> {
+async fn list_parts(shared: &Shared, store: SocketAddr) -> Result<u64, String> {
     let listing = shared.borders.part_stores.list(store).await;
     let listing = listing.map_err(|error| error.to_string())?;
     let next = listing.next;
@@ -72,25 +72,29 @@
     Ok(next)
 }
 
-async fn changes(shared: &Shared, store: SocketAddr, since: u64) -> Result<Option<u64>, String> {
+async fn poll_changes(
+    shared: &Shared,
+    store: SocketAddr,
+    since: u64,
+) -> Result<Option<u64>, String> {
     let changes = shared
         .borders
         .part_stores
-        .changes(store, since, CHANGES_WAIT)
+        .changes(store, since, CHANGES_POLL_TIMEOUT)
         .await;
     let changes = changes.map_err(|error| error.to_string())?;
     let next = changes.next;
-    let follows = shared
+    let is_continuous = shared
         .part_stores
         .lock()
         .changed(store, changes, shared.now());
-    Ok(follows.then_some(next))
+    Ok(is_continuous.then_some(next))
 }
 
 /// Frees parts of replaced weights, for as long as the process lives.
 ///
 /// One daemon does it. Two that both believe it is theirs free the same parts, which is harmless.
-pub(crate) async fn run_freeing(shared: Arc<Shared>) {
+pub(crate) async fn run_part_freeing(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(FREE_INTERVAL).await;
         let now = shared.now();
@@ -100,9 +104,9 @@
             stores.saw_lowest_weights(&lowest, now);
             stores.to_free(weights_of_scope, may_be_fetched(&shared, now), now)
         };
-        if !orders.is_empty() && is_mine(&shared) {
+        if !orders.is_empty() && is_freeing_daemon(&shared) {
             for order in orders {
-                free(&shared, order).await;
+                free_parts(&shared, order).await;
             }
         }
     }
@@ -111,7 +115,7 @@
 /// Returns whether a call that was sent to an engine with given weights may still fetch parts.
 fn may_be_fetched(shared: &Shared, now: TimeUs) -> impl Fn(&ModelName, WeightNumber) -> bool {
     move |model, weights| {
-        let wanted = shared.site.wanted(model);
+        let wanted = shared.site.wanted_versions(model);
         wanted.is_none_or(|wanted| wanted.may_be_fetched(weights, now))
     }
 }
@@ -130,7 +134,7 @@
     lowest
 }
 
-fn is_mine(shared: &Shared) -> bool {
+fn is_freeing_daemon(shared: &Shared) -> bool {
     let now = shared.now();
     let table = shared.peers.table();
     let followers = table.ready(now).filter(|peer| peer.follows_stores);
@@ -143,7 +147,7 @@
     first.first() == Some(&shared.incarnation) && !shared.drain.is_draining()
 }
 
-async fn free(shared: &Shared, order: FreeOrder) {
+async fn free_parts(shared: &Shared, order: FreeOrder) {
     let control = &shared.borders.part_stores;
     let freed = control.free(order.store, &order.parts, order.epoch).await;
     shared.log.write(&Event::PartsFreed {
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -13,22 +13,24 @@
 
 use super::answer_body::AnswerBody;
 use super::blocked_requests::{BLOCKED_PATH, blocked_list, lift};
-use super::peer_client::{ENGINES_PATH, OBJECTS_PATH, PARTS_PATH, Takeover};
+use super::peer_client::{
+    ENGINE_MEMORY_PATH, EngineMemorySnapshot, PEER_OBJECTS_PATH, PEER_PARTS_PATH,
+};
 use super::server::{Answers, ConnectionLimits};
 use super::shared::Shared;
-use super::watch_state::{WATCHED, kind_name};
+use super::watch_state::{WATCHED_ROLES, kind_name};
 
 /// Answers other daemons and whoever reads metrics.
-pub(crate) struct PeerSide {
+pub(crate) struct PeerHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for PeerSide {
+impl Answers for PeerHandler {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let path = request.uri().path();
         let body = match *request.method() {
             Method::DELETE => lift(&self.shared, path),
-            _ => self.body(path, request.uri().query()),
+            _ => self.response_body(path, request.uri().query()),
         };
         let status = match &body {
             Some(_) => StatusCode::OK,
@@ -47,19 +49,19 @@
     }
 }
 
-impl PeerSide {
-    fn body(&self, path: &str, query: Option<&str>) -> Option<Bytes> {
+impl PeerHandler {
+    fn response_body(&self, path: &str, query: Option<&str>) -> Option<Bytes> {
         let shared = &self.shared;
-        if let Some(kind) = path.strip_prefix(OBJECTS_PATH) {
-            return objects(shared, kind, query);
+        if let Some(kind) = path.strip_prefix(PEER_OBJECTS_PATH) {
+            return object_changes(shared, kind, query);
         }
-        if let Some(store) = path.strip_prefix(PARTS_PATH) {
+        if let Some(store) = path.strip_prefix(PEER_PARTS_PATH) {
             let store: SocketAddr = store.parse().ok()?;
             return json(&shared.part_stores.lock().kept_at(store));
         }
         match path {
-            ENGINES_PATH => json(&takeover(shared)),
-            "/metrics" => Some(metrics(shared).into()),
+            ENGINE_MEMORY_PATH => json(&engine_memory_snapshot(shared)),
+            "/metrics" => Some(metrics_text(shared).into()),
             BLOCKED_PATH => json(&blocked_list(shared)),
             "/v1/dump" => Some(super::daemon::dump(shared).into()),
             _ => None,
@@ -67,9 +69,9 @@
     }
 }
 
-fn takeover(shared: &Shared) -> Takeover {
+fn engine_memory_snapshot(shared: &Shared) -> EngineMemorySnapshot {
     let now = shared.now();
-    Takeover {
+    EngineMemorySnapshot {
         up_ms: now.since(shared.started_at_us).as_ms(),
         engines: shared.endpoints.lock().engine_memory(now),
     }
@@ -79,15 +81,17 @@
     serde_json::to_vec(value).ok().map(Bytes::from)
 }
 
-fn objects(shared: &Shared, kind: &str, query: Option<&str>) -> Option<Bytes> {
-    let role = WATCHED.iter().find(|role| kind_name(**role) == kind)?;
+fn object_changes(shared: &Shared, kind: &str, query: Option<&str>) -> Option<Bytes> {
+    let role = WATCHED_ROLES
+        .iter()
+        .find(|role| kind_name(**role) == kind)?;
     let since = query.and_then(|query| query.strip_prefix("since="));
     let since = since.and_then(|since| since.parse().ok()).unwrap_or(0);
     json(&shared.watches.delta(*role, Revision(since)))
 }
 
-fn metrics(shared: &Shared) -> String {
-    for role in WATCHED {
+fn metrics_text(shared: &Shared) -> String {
+    for role in WATCHED_ROLES {
         let Some(age_ms) = shared.watches.age_ms(role, shared.now()) else {
             continue;
         };
@@ -96,8 +100,8 @@
         gauge.set(DurationUs::from_ms(age_ms).as_secs_f64());
     }
     let endpoints = shared.endpoints.lock();
-    for (life, count) in endpoints.count_by_life() {
-        let gauge = shared.metrics.endpoints.with_label_values(&[life]);
+    for (state, count) in endpoints.count_by_life() {
+        let gauge = shared.metrics.endpoints.with_label_values(&[state]);
         gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
     let (now, metrics) = (shared.now(), &shared.metrics);
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -11,11 +11,11 @@
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 use super::crashes::apply_request_update;
-use super::gossip::{MAX_GOSSIP_BYTES, Relayed, encode};
-use super::peer_client::{ask_parts, catch_up};
-use super::peer_state::add_parts;
+use super::gossip::{MAX_GOSSIP_BYTES, RoundUpdates, encode_message};
+use super::peer_client::{catch_up, fetch_store_parts};
+use super::peer_state::enqueue_parts;
 use super::shared::Shared;
-use super::statements::{take_leaving, take_limits};
+use super::statements::{apply_leaving_updates, apply_limit_updates};
 use crate::decide::gossip_message::{GossipMessage, MemberPhase};
 use crate::decide::hubs::HubCandidate;
 use crate::decide::members::Heard;
@@ -27,18 +27,18 @@
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The same in a large fleet for a daemon whose link isn't wide.
-const NARROW_GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
+const NARROW_LINK_GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Rate from which a link is wide enough for messages to many.
 const WIDE_LINK_MBPS: u16 = 50;
 
 /// How long a told order keeps an endpoint from taking requests, if nothing more is heard.
-const RESERVED_US: DurationUs = DurationUs::from_ms(600);
+const RESERVATION_TTL_US: DurationUs = DurationUs::from_ms(600);
 
 /// How long a told following of an engine's memory counts, if nothing more is heard.
-const FOLLOWED_US: DurationUs = DurationUs::from_ms(800);
+const FOLLOWED_TTL_US: DurationUs = DurationUs::from_ms(800);
 
-fn me(shared: &Shared) -> HubCandidate {
+fn own_candidate(shared: &Shared) -> HubCandidate {
     HubCandidate {
         ip: shared.settings.ip,
         zone: shared.settings.zone.to_string(),
@@ -49,46 +49,51 @@
 /// Sends messages and takes those of the others, for as long as the process lives.
 pub(crate) async fn run_gossip(shared: Arc<Shared>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    let receiver = receive(Arc::clone(&shared), Arc::clone(&socket));
-    tokio::join!(send(shared, socket), receiver);
+    let receiver = receive_loop(Arc::clone(&shared), Arc::clone(&socket));
+    tokio::join!(send_loop(shared, socket), receiver);
 }
 
-async fn send(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
+async fn send_loop(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut last = shared.now();
     loop {
-        let is_small = shared.peers.plan.lock().is_small;
+        let is_small = shared.peers.hub_plan.lock().is_small;
         let interval = match is_small || shared.link_mbps() >= WIDE_LINK_MBPS {
             true => GOSSIP_INTERVAL,
-            false => NARROW_GOSSIP_INTERVAL,
+            false => NARROW_LINK_GOSSIP_INTERVAL,
         };
-        wait_for_turn(&shared, interval).await;
+        wait_until_due(&shared, interval).await;
         let now = shared.now();
-        tick(&shared, last, now);
+        update_membership(&shared, last, now);
         last = now;
-        shared.peers.pace.lock().told(now);
-        tell(&shared, &socket, now);
+        shared.peers.gossip_schedule.lock().told(now);
+        send_round(&shared, &socket, now);
     }
 }
 
 /// Waits until the next message is due: after the interval, or earlier where something can't wait.
-async fn wait_for_turn(shared: &Shared, interval: Duration) {
+async fn wait_until_due(shared: &Shared, interval: Duration) {
     let now = shared.now();
-    let due_us = shared.peers.pace.lock().due_at(interval.into());
+    let due_us = shared.peers.gossip_schedule.lock().due_at(interval.into());
     let due = Instant::now() + Duration::from(due_us.since(now));
-    if tokio::time::timeout_at(due, shared.peers.hurry.notified())
+    if tokio::time::timeout_at(due, shared.peers.wake_sender.notified())
         .await
         .is_err()
     {
-        shared.peers.note_lag(due.elapsed());
+        shared.peers.record_timer_lag(due.elapsed());
     }
-    let gap_us = shared.peers.pace.lock().earliest().since(shared.now());
+    let gap_us = shared
+        .peers
+        .gossip_schedule
+        .lock()
+        .earliest()
+        .since(shared.now());
     if gap_us > DurationUs::ZERO {
         tokio::time::sleep(gap_us.into()).await;
     }
 }
 
-fn tick(shared: &Arc<Shared>, last: TimeUs, now: TimeUs) {
-    let me = me(shared);
+fn update_membership(shared: &Arc<Shared>, last: TimeUs, now: TimeUs) {
+    let me = own_candidate(shared);
     let (silent, plan, count) = {
         let mut table = shared.peers.table();
         let silent = table.tick(last, now);
@@ -105,51 +110,54 @@
         .peers
         .follows_stores
         .store(follows, Ordering::Relaxed);
-    *shared.peers.plan.lock() = plan;
-    share_permits(shared, now);
-    shared.peers.daemons.store(count + 1, Ordering::Relaxed);
+    *shared.peers.hub_plan.lock() = plan;
+    update_permit_shares(shared, now);
+    shared
+        .peers
+        .daemon_count
+        .store(count + 1, Ordering::Relaxed);
     shared.budgets.set_daemons(count + 1);
     // One that follows the store itself soon hears the same from it.
-    let patience = if follows {
+    let delay_us = if follows {
         shared.bounds.catch_up_delay()
     } else {
         DurationUs::ZERO
     };
-    for (role, ip) in shared.watches.behind(patience, now) {
+    for (role, ip) in shared.watches.begin_due_catch_ups(delay_us, now) {
         tokio::spawn(catch_up(Arc::clone(shared), role, ip));
     }
 }
 
 /// Finds out which permits of endpoints whose calls are bounded this daemon holds.
-pub(super) fn share_permits(shared: &Shared, now: TimeUs) {
-    let is_complete = shared.peers.others_listed.is_cancelled();
+pub(super) fn update_permit_shares(shared: &Shared, now: TimeUs) {
+    let is_complete = shared.peers.peers_listed.is_cancelled();
     let me = shared.settings.ip;
-    let mut sighting = shared.peers.table().sighting(me, is_complete, now);
+    let mut observation = shared.peers.table().sighting(me, is_complete, now);
     if shared.phase() == MemberPhase::Draining {
-        sighting.alive.remove(&me);
+        observation.alive.remove(&me);
     }
     let mut shares = shared.permit_shares.lock();
-    shares.look(&sighting, now);
+    shares.look(&observation, now);
     shared.endpoints.lock().set_shares(&shares, now);
 }
 
 /// Sends each target what it doesn't know from elsewhere.
-fn tell(shared: &Shared, socket: &UdpSocket, now: TimeUs) {
-    let me = me(shared);
-    let plan = shared.peers.plan.lock().clone();
+fn send_round(shared: &Shared, socket: &UdpSocket, now: TimeUs) {
+    let me = own_candidate(shared);
+    let plan = shared.peers.hub_plan.lock().clone();
     let targets = shared.peers.table().targets(&me, &plan, now);
-    let near = std::mem::take(&mut *shared.peers.near_parts.lock());
-    let far = std::mem::take(&mut *shared.peers.far_parts.lock());
-    let relayed = Relayed::new(shared, &plan, near, far, now);
-    let mut to_all: Option<Vec<u8>> = None;
+    let local = std::mem::take(&mut *shared.peers.local_parts.lock());
+    let remote = std::mem::take(&mut *shared.peers.remote_parts.lock());
+    let round = RoundUpdates::new(shared, &plan, local, remote, now);
+    let mut shared_message: Option<Vec<u8>> = None;
     for ip in targets {
         let to = SocketAddr::from((ip, shared.settings.listen.peer_port));
         // Hubs tell their own daemons each something else; all others tell everybody the same.
-        let is_own = !plan.is_small && plan.is_hub(me.ip) && !plan.is_hub(ip);
-        let message = match is_own {
-            true => encode(shared, &plan, &relayed, Some(ip), now),
-            false => to_all
-                .get_or_insert_with(|| encode(shared, &plan, &relayed, None, now))
+        let is_spoke = !plan.is_small && plan.is_hub(me.ip) && !plan.is_hub(ip);
+        let message = match is_spoke {
+            true => encode_message(shared, &plan, &round, Some(ip), now),
+            false => shared_message
+                .get_or_insert_with(|| encode_message(shared, &plan, &round, None, now))
                 .clone(),
         };
         // A message that can't be sent is one that is lost; the next one follows soon.
@@ -157,11 +165,11 @@
     }
 }
 
-async fn receive(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
+async fn receive_loop(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_GOSSIP_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
-            Ok((length, from)) => heard(&shared, &buffer[..length], from),
+            Ok((length, from)) => handle_message(&shared, &buffer[..length], from),
             Err(error) => {
                 shared.log.write(&Event::Failure {
                     what: "receiving news of a peer",
@@ -173,7 +181,7 @@
     }
 }
 
-fn heard(shared: &Arc<Shared>, bytes: &[u8], from: SocketAddr) {
+fn handle_message(shared: &Arc<Shared>, bytes: &[u8], from: SocketAddr) {
     let now = shared.now();
     let Ok(message) = postcard::from_bytes::<GossipMessage>(bytes) else {
         shared.log.write(&Event::Failure {
@@ -200,38 +208,39 @@
     };
     let held_up_us = held_up_us.unwrap_or_default();
     let watches = &shared.watches;
-    let is_behind = watches.peer_knows(message.ip, &message.kinds, held_up_us, now);
+    let is_behind = watches.apply_peer_kinds(message.ip, &message.kinds, held_up_us, now);
     if is_behind && !shared.peers.follows_stores() {
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
-    take_load(shared, &message, now);
-    take_leaving(shared, &message.leaving);
-    take_limits(shared, &message.limits, now);
+    apply_load(shared, &message, now);
+    apply_leaving_updates(shared, &message.leaving);
+    apply_limit_updates(shared, &message.limits, now);
     apply_request_update(shared, &message.requests);
     apply_store_updates(shared, &message, now);
-    relay(shared, message);
+    relay_parts(shared, message);
 }
 
-fn take_load(shared: &Shared, message: &GossipMessage, now: TimeUs) {
+fn apply_load(shared: &Shared, message: &GossipMessage, now: TimeUs) {
     let mut endpoints = shared.endpoints.lock();
     let loads: HashMap<_, _> = message
         .endpoints
         .iter()
-        .map(|n| (n.endpoint, n.load))
+        .map(|update| (update.endpoint, update.load))
         .collect();
     endpoints.peer_load(message.incarnation, loads, now);
-    let reserved = message.endpoints.iter().filter(|news| news.is_reserved);
-    let reserved = reserved.map(|news| news.endpoint).collect();
-    let is_new = endpoints.peer_reserved(message.incarnation, reserved, now + RESERVED_US, now);
+    let reserved = message.endpoints.iter().filter(|update| update.is_reserved);
+    let reserved = reserved.map(|update| update.endpoint).collect();
+    let is_new =
+        endpoints.peer_reserved(message.incarnation, reserved, now + RESERVATION_TTL_US, now);
     let unreachable = message.unreachable.iter().copied().collect();
-    let is_verdict = message.is_hub && !shared.peers.plan.lock().is_small;
-    endpoints.peer_unreachable(message.incarnation, unreachable, is_verdict, now);
+    let is_aggregated = message.is_hub && !shared.peers.hub_plan.lock().is_small;
+    endpoints.peer_unreachable(message.incarnation, unreachable, is_aggregated, now);
     for short_name in &message.followed {
-        endpoints.followed(*short_name, now + FOLLOWED_US);
+        endpoints.followed(*short_name, now + FOLLOWED_TTL_US);
     }
     if is_new {
         // A hub tells it on at once: what is sent there until the others know is refused.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
     for part in &message.parts {
         let tokens = u64::from(part.tokens);
@@ -246,31 +255,31 @@
     let unknown = {
         let mut stores = shared.part_stores.lock();
         // A hub hears of the stores from several; other daemons from their hub alone.
-        if !shared.peers.plan.lock().is_hub(shared.settings.ip) {
+        if !shared.peers.hub_plan.lock().is_hub(shared.settings.ip) {
             stores.forget_unreported(&message.stores);
         }
         let unknown = stores.told(&message.stores, now);
         stores.apply_kept_parts(&message.kept);
         unknown
     };
-    let mut asked = shared.peers.asked_stores.lock();
+    let mut pending = shared.peers.pending_store_fetches.lock();
     for store in unknown {
-        if !asked.contains(&store) {
-            asked.push(store);
-            tokio::spawn(ask_parts(Arc::clone(shared), store, message.ip));
+        if !pending.contains(&store) {
+            pending.push(store);
+            tokio::spawn(fetch_store_parts(Arc::clone(shared), store, message.ip));
         }
     }
 }
 
 /// Tells on what a hub has heard.
-fn relay(shared: &Shared, message: GossipMessage) {
+fn relay_parts(shared: &Shared, message: GossipMessage) {
     let is_hub = {
-        let plan = shared.peers.plan.lock();
+        let plan = shared.peers.hub_plan.lock();
         !plan.is_small && plan.is_hub(shared.settings.ip)
     };
     match (is_hub, message.is_hub) {
         (false, _) => {}
-        (true, false) => add_parts(&shared.peers.near_parts, message.parts),
-        (true, true) => add_parts(&shared.peers.far_parts, message.parts),
+        (true, false) => enqueue_parts(&shared.peers.local_parts, message.parts),
+        (true, true) => enqueue_parts(&shared.peers.remote_parts, message.parts),
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -200,7 +200,7 @@
 /// none. A caller that is told "unknown" doesn't come back; so it is asked to.
 fn unknown(shared: &Shared, code: Code) -> Refusal {
     let limits = shared.bounds.staleness_limits(ObjectRole::Configuration);
-    match shared.watches.is_final(&limits, shared.now()) {
+    match shared.watches.is_configuration_final(&limits, shared.now()) {
         true => Refusal::new(code),
         false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US),
     }
--- a/crates/wisteriahitch-relay/src/shell/registration.rs
+++ b/crates/wisteriahitch-relay/src/shell/registration.rs
@@ -12,25 +12,25 @@
 use wisteriahitch_wire::platform::{PlatformError, PlatformErrorKind};
 
 use super::shared::Shared;
-use super::store_updates::{note_skipped, note_unreadable};
+use super::store_updates::{log_skipped_objects, log_unreadable_object};
 use crate::observe::Event;
 
 /// Pause after a call of the store failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Time between two looks at the registrations. Daemons tell each other of themselves; the list
 /// only heals what that missed.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Silence of a registered daemon after which its registration is removed by another one.
-const REMOVE_AFTER_US: DurationUs = DurationUs::from_ms(20_000);
+const MAX_SILENCE_US: DurationUs = DurationUs::from_ms(20_000);
 
 /// Unreadable registrations that are remembered as told of.
-const MAX_TOLD: usize = 1_000;
+const MAX_LOGGED_REGISTRATIONS: usize = 1_000;
 
 /// What a daemon's registration holds.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-struct Registration {
+struct DaemonRegistration {
     ip: Ipv4Addr,
     zone: String,
     link_mbps: u16,
@@ -44,11 +44,11 @@
             what: "registering this daemon",
             detail: error.to_string(),
         });
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_BACKOFF).await;
     }
     // Two daemons that start at once both write first, so that at least one sees the other.
     let mut is_first = true;
-    let mut told = HashSet::new();
+    let mut logged = HashSet::new();
     loop {
         match shared
             .borders
@@ -58,9 +58,9 @@
         {
             Ok(listing) => {
                 is_first = false;
-                note_skipped(&shared, ObjectRole::Members, &listing.skipped);
-                learn(&shared, listing.objects, &mut told).await;
-                shared.peers.others_listed.cancel();
+                log_skipped_objects(&shared, ObjectRole::Members, &listing.skipped);
+                apply_registrations(&shared, listing.objects, &mut logged).await;
+                shared.peers.peers_listed.cancel();
                 tokio::time::sleep(LIST_INTERVAL).await;
             }
             Err(error) => {
@@ -69,19 +69,19 @@
                     detail: error.to_string(),
                 });
                 // Whoever has seen the others once hears of them; the list only heals what that missed.
-                let pause = if is_first {
-                    RETRY_PAUSE * 2
+                let backoff = if is_first {
+                    RETRY_BACKOFF * 2
                 } else {
                     LIST_INTERVAL
                 };
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(backoff).await;
             }
         }
     }
 }
 
-fn read(content: Value) -> Result<Registration, (UnreadableKind, String)> {
-    let registration: Registration = serde_json::from_value(content)
+fn decode(content: Value) -> Result<DaemonRegistration, (UnreadableKind, String)> {
+    let registration: DaemonRegistration = serde_json::from_value(content)
         .map_err(|error| (UnreadableKind::Field, error.to_string()))?;
     let ip = registration.ip;
     // Messages would go there several times a second.
@@ -94,7 +94,7 @@
 async fn register(shared: &Shared) -> Result<(), PlatformError> {
     let store = &shared.borders.store;
     let name = shared.settings.id.as_str();
-    let registration = Registration {
+    let registration = DaemonRegistration {
         ip: shared.settings.ip,
         zone: shared.settings.zone.to_string(),
         link_mbps: shared.link_mbps(),
@@ -119,21 +119,21 @@
 
 /// Takes over who is registered. Registrations that can't be read name nobody, and are told of once
 /// each: `told` keeps their names and revisions, and is emptied before it grows large.
-async fn learn(
+async fn apply_registrations(
     shared: &Shared,
     objects: Vec<StoredObject>,
-    told: &mut HashSet<(String, Revision)>,
+    logged: &mut HashSet<(String, Revision)>,
 ) {
     let now = shared.now();
-    if told.len() > MAX_TOLD {
-        told.clear();
+    if logged.len() > MAX_LOGGED_REGISTRATIONS {
+        logged.clear();
     }
     for object in objects {
-        let registration = match read(object.content) {
+        let registration = match decode(object.content) {
             Ok(registration) => registration,
             Err((kind, detail)) => {
-                if told.insert((object.name.clone(), object.revision)) {
-                    note_unreadable(shared, ObjectRole::Members, &object.name, kind, detail);
+                if logged.insert((object.name.clone(), object.revision)) {
+                    log_unreadable_object(shared, ObjectRole::Members, &object.name, kind, detail);
                 }
                 continue;
             }
@@ -142,8 +142,8 @@
             continue;
         }
         let silence = shared.peers.table().silence(registration.ip, now);
-        let is_told = shared.peers.table().is_told(registration.ip);
-        if !is_told && silence.is_some_and(|silence| silence > REMOVE_AFTER_US) {
+        let is_gossiped = shared.peers.table().is_told(registration.ip);
+        if !is_gossiped && silence.is_some_and(|silence| silence > MAX_SILENCE_US) {
             let role = ObjectRole::Members;
             // Another daemon may have removed it first, or its own may have just come back.
             let _ = shared
@@ -152,11 +152,11 @@
                 .delete(role, &object.name, object.revision)
                 .await;
         } else {
-            let place = Some((registration.zone, registration.link_mbps));
+            let zone_and_link = Some((registration.zone, registration.link_mbps));
             let mut peers = shared.peers.table();
-            peers.know(registration.ip, place, now);
+            peers.know(registration.ip, zone_and_link, now);
             peers.registered(registration.ip, now);
         }
     }
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
 }
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -145,14 +145,14 @@
             .as_ref()
             .filter(|workspace| workspace.is_isolated);
         let (duration_us, memory_duration_us) = shared.durations.of(&self.service);
-        let wanted = prompt.and_then(|prompt| shared.site.wanted(&prompt.model));
+        let wanted = prompt.and_then(|prompt| shared.site.wanted_versions(&prompt.model));
         let request = PlacementRequest {
             service: &self.service,
             engine: self.call.engine.as_ref(),
             prompt,
             wall: wall.map(|workspace| &workspace.id),
             zone: &shared.settings.zone,
-            daemons: shared.peers.daemons(),
+            daemons: shared.peers.daemon_count(),
             duration_us,
             memory_duration_us,
             patience_us,
@@ -265,7 +265,7 @@
         };
         loop {
             let changed = shared.site.wanted_changed();
-            let wanted = shared.site.wanted(model);
+            let wanted = shared.site.wanted_versions(model);
             let by = wanted.and_then(|wanted| wanted.must_begin_by(weights));
             match by {
                 Some(by) => {
--- a/crates/wisteriahitch-relay/src/shell/site_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/site_state.rs
@@ -15,18 +15,18 @@
 /// Holds what operators want.
 pub(crate) struct SiteState {
     config: ArcSwapOption<SiteConfig>,
-    old_weights: OldWeightsLimits,
-    wanted: Mutex<BTreeMap<ModelName, WantedVersions>>,
+    old_weights_limits: OldWeightsLimits,
+    wanted_by_model: Mutex<BTreeMap<ModelName, WantedVersions>>,
     wanted_changed: Notify,
 }
 
 impl SiteState {
     /// Starts without any.
-    pub(crate) fn new(old_weights: OldWeightsLimits) -> Self {
+    pub(crate) fn new(old_weights_limits: OldWeightsLimits) -> Self {
         Self {
             config: ArcSwapOption::default(),
-            old_weights,
-            wanted: Mutex::default(),
+            old_weights_limits,
+            wanted_by_model: Mutex::default(),
             wanted_changed: Notify::new(),
         }
     }
@@ -55,11 +55,16 @@
     /// Notes which weights are wanted, and returns whether that is new.
     ///
     /// `age_us` is how long ago they may have been named at most; it isn't known at the start.
-    pub(crate) fn want(&self, wanted: WantedWeights, age_us: DurationUs, now: TimeUs) -> bool {
-        let mut all = self.wanted.lock();
+    pub(crate) fn record_wanted(
+        &self,
+        wanted: WantedWeights,
+        age_us: DurationUs,
+        now: TimeUs,
+    ) -> bool {
+        let mut all = self.wanted_by_model.lock();
         let versions = all
             .entry(wanted.model)
-            .or_insert_with(|| WantedVersions::new(self.old_weights));
+            .or_insert_with(|| WantedVersions::new(self.old_weights_limits));
         let named_at_us = TimeUs::new(now.get().saturating_sub(age_us.get()));
         let is_new = versions.named(wanted.version, named_at_us);
         drop(all);
@@ -75,12 +80,12 @@
     }
 
     /// Returns the weights that were wanted for a model lately.
-    pub(crate) fn wanted(&self, model: &ModelName) -> Option<WantedVersions> {
-        self.wanted.lock().get(model).cloned()
+    pub(crate) fn wanted_versions(&self, model: &ModelName) -> Option<WantedVersions> {
+        self.wanted_by_model.lock().get(model).cloned()
     }
 
     /// Returns the weights that were wanted lately, by model.
-    pub(crate) fn all_wanted(&self) -> BTreeMap<ModelName, WantedVersions> {
-        self.wanted.lock().clone()
+    pub(crate) fn all_wanted_versions(&self) -> BTreeMap<ModelName, WantedVersions> {
+        self.wanted_by_model.lock().clone()
     }
 }
--- a/crates/wisteriahitch-relay/src/shell/statements.rs
+++ b/crates/wisteriahitch-relay/src/shell/statements.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch_types::{CallRate, EndpointInstance, TimeUs};
 
-use super::peers::share_permits;
+use super::peers::update_permit_shares;
 use super::shared::Shared;
 use crate::border::{AnswerHead, Statement};
 use crate::decide::endpoint_table::{EndpointChange, life_name};
@@ -11,61 +11,64 @@
 
 /// Takes over the statements of one answer to a call that was placed at an endpoint. `is_to_the_call` says that it is that
 /// endpoint's own answer to it.
-pub(super) fn note_statements(
+pub(super) fn record_statements(
     shared: &Shared,
-    placed: &EndpointInstance,
+    called: &EndpointInstance,
     answer: &AnswerHead,
-    is_to_the_call: bool,
+    is_direct_answer: bool,
 ) {
-    let Some(endpoint) = &speaker(shared, placed, answer) else {
+    let Some(endpoint) = &answering_endpoint(shared, called, answer) else {
         return;
     };
-    note_limit(shared, endpoint, answer, is_to_the_call);
-    note_leaving(shared, endpoint, answer);
-    note_rest(shared, endpoint, answer);
+    record_limit_statement(shared, endpoint, answer, is_direct_answer);
+    record_leaving_statement(shared, endpoint, answer);
+    record_rest_statement(shared, endpoint, answer);
 }
 
 /// Returns who has answered: another endpoint than the one that was meant may be at its address. None where that one isn't
 /// known.
-fn speaker(
+fn answering_endpoint(
     shared: &Shared,
-    placed: &EndpointInstance,
+    called: &EndpointInstance,
     answer: &AnswerHead,
 ) -> Option<EndpointInstance> {
     match &answer.endpoint {
-        Some(id) if *id != placed.id => {
+        Some(id) if *id != called.id => {
             let endpoints = shared.endpoints.lock();
             endpoints.by_id(id).map(|row| row.instance().clone())
         }
-        _ => Some(placed.clone()),
+        _ => Some(called.clone()),
     }
 }
 
-fn note_leaving(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
+fn record_leaving_statement(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
     match answer.is_leaving {
         Statement::Value(true) => {}
         Statement::Value(false) | Statement::Absent => return,
-        Statement::Malformed => return note_malformed(shared, endpoint, "leaving"),
+        Statement::Malformed => return count_malformed_statement(shared, endpoint, "leaving"),
     }
-    if note_life_leaves(shared, life_name(endpoint), "answer") {
+    if record_leaving_instance(shared, life_name(endpoint), "answer") {
         // The others may hear it from nobody else: the store may be away.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
 }
 
 /// Takes over which endpoints have said that they leave, as a peer tells.
-pub(super) fn take_leaving(shared: &Shared, lives: &[u32]) {
-    let is_news = |life: &&u32| note_life_leaves(shared, **life, "peer");
+pub(super) fn apply_leaving_updates(shared: &Shared, short_names: &[u32]) {
+    let is_new = |short_name: &&u32| record_leaving_instance(shared, **short_name, "peer");
     // Each is noted, also after the first that is news.
-    if lives.iter().filter(is_news).count() > 0 {
+    if short_names.iter().filter(is_new).count() > 0 {
         // A hub tells it on at once.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
 }
 
 /// Notes that a life of an endpoint leaves, and returns whether that is news.
-fn note_life_leaves(shared: &Shared, life: u32, source: &'static str) -> bool {
-    let (is_news, change) = shared.endpoints.lock().heard_leaving(life, shared.now());
+fn record_leaving_instance(shared: &Shared, short_name: u32, source: &'static str) -> bool {
+    let (is_new, change) = shared
+        .endpoints
+        .lock()
+        .heard_leaving(short_name, shared.now());
     if let Some(EndpointChange::Draining(endpoint)) = &change {
         shared.log.write(&Event::EndpointLeaving {
             endpoint: endpoint.to_string(),
@@ -73,14 +76,14 @@
         });
     }
     shared.note_changes(change.into_iter().collect(), 0);
-    is_news
+    is_new
 }
 
-fn note_rest(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
+fn record_rest_statement(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
     let rest = match answer.rest_us {
         Statement::Value(rest) => rest,
         Statement::Absent => return,
-        Statement::Malformed => return note_malformed(shared, endpoint, "rest"),
+        Statement::Malformed => return count_malformed_statement(shared, endpoint, "rest"),
     };
     let now = shared.now();
     let is_later = shared.endpoints.lock().heard_rest(endpoint, rest, now);
@@ -94,17 +97,17 @@
 
 /// Takes over the limit that an answer names. One that names none ends a limit only if it is the endpoint's own answer to
 /// the call.
-fn note_limit(
+fn record_limit_statement(
     shared: &Shared,
     endpoint: &EndpointInstance,
     answer: &AnswerHead,
-    is_to_the_call: bool,
+    is_direct_answer: bool,
 ) {
     let rate = match answer.limit {
         Statement::Value(rate) => Some(rate),
-        Statement::Absent if is_to_the_call => None,
+        Statement::Absent if is_direct_answer => None,
         Statement::Absent => return,
-        Statement::Malformed => return note_malformed(shared, endpoint, "limit"),
+        Statement::Malformed => return count_malformed_statement(shared, endpoint, "limit"),
     };
     let now = shared.now();
     let outcome = shared.endpoints.lock().heard_limit(endpoint, rate, now);
@@ -112,18 +115,18 @@
         log_limit(shared, endpoint, rate, "answer", 0);
     }
     if outcome.is_changed {
-        share_permits(shared, now);
+        update_permit_shares(shared, now);
         // Until the others know, they send as if there were no limit, or don't use what it leaves.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
 }
 
 /// Takes over what a peer tells of endpoints' limits.
-pub(super) fn take_limits(shared: &Shared, updates: &[LimitUpdate], now: TimeUs) {
+pub(super) fn apply_limit_updates(shared: &Shared, updates: &[LimitUpdate], now: TimeUs) {
     let mut is_changed = false;
     for update in updates {
-        let told = shared.endpoints.lock().told_limit(update, now);
-        let Some((endpoint, outcome)) = told else {
+        let applied = shared.endpoints.lock().told_limit(update, now);
+        let Some((endpoint, outcome)) = applied else {
             continue;
         };
         is_changed |= outcome.is_changed;
@@ -132,9 +135,9 @@
         }
     }
     if is_changed {
-        share_permits(shared, now);
+        update_permit_shares(shared, now);
         // A hub tells it on at once.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
 }
 
@@ -154,7 +157,11 @@
 }
 
 /// Counts a statement that can't be read, and logs the first one of each life of an endpoint.
-fn note_malformed(shared: &Shared, endpoint: &EndpointInstance, statement: &'static str) {
+fn count_malformed_statement(
+    shared: &Shared,
+    endpoint: &EndpointInstance,
+    statement: &'static str,
+) {
     let counter = &shared.metrics.malformed_statements;
     counter.with_label_values(&[statement]).inc();
     if shared.endpoints.lock().heard_malformed(endpoint) {
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -10,7 +10,7 @@
 
 use super::part_store_watch::run_part_store_watch;
 use super::shared::Shared;
-use super::watch_state::{Delta, WatchState, kind_name};
+use super::watch_state::{ObjectDelta, WatchState, kind_name};
 use crate::decide::endpoint_admission::ServiceColdness;
 use crate::decide::endpoint_table::{Absence, REGISTER_AGAIN_US, Registration};
 use crate::decide::evacuated_zones::ZoneChange;
@@ -23,10 +23,10 @@
 const PEER: &str = "peer";
 
 /// Longest text of others in a log line. Who can write an entry could else fill the log with it.
-const MAX_TOLD_CHARS: usize = 200;
+const MAX_LOGGED_CHARS: usize = 200;
 
 /// Says what an absence means now: right after an outage registrations may only have lapsed.
-fn absence(state: &WatchState, now: TimeUs) -> Absence {
+fn absence_cause(state: &WatchState, now: TimeUs) -> Absence {
     let is_recent = |at: TimeUs| now.since(at) < REGISTER_AGAIN_US;
     let is_after_outage = state.recovered_at_us.is_some_and(is_recent);
     match state.failing_since_us.is_some() || is_after_outage {
@@ -44,31 +44,31 @@
 ) {
     let now = shared.now();
     let (absence, age_us) = {
-        let mut state = shared.watches.of(role).lock();
-        if listing.revision < state.changed {
+        let mut state = shared.watches.state_of(role).lock();
+        if listing.revision < state.last_change {
             return;
         }
-        let named = |object: &StoredObject| (object.name.clone(), object.clone());
-        let objects: BTreeMap<String, StoredObject> = listing.objects.iter().map(named).collect();
+        let by_name = |object: &StoredObject| (object.name.clone(), object.clone());
+        let objects: BTreeMap<String, StoredObject> = listing.objects.iter().map(by_name).collect();
         state.objects = objects;
         // What was deleted before isn't told by a listing.
-        state.forgotten = state.forgotten.max(listing.revision);
+        state.deletions_lost_up_to = state.deletions_lost_up_to.max(listing.revision);
         // Even without a difference: the one who told it would else seem to know more for ever.
-        state.changed = listing.revision;
-        state.revision = state.revision.max(listing.revision);
+        state.last_change = listing.revision;
+        state.watch_revision = state.watch_revision.max(listing.revision);
         let was_listed = std::mem::replace(&mut state.is_listed, true);
-        state.behind = None;
+        state.newer_at_peer = None;
         let age_us = if was_listed {
             DurationUs::ZERO
         } else {
             shared.bounds.assumed_initial_age()
         };
-        (absence(&state, now), age_us)
+        (absence_cause(&state, now), age_us)
     };
     match role {
         ObjectRole::Endpoints => {
             let objects = listing.objects.iter();
-            let registrations = objects.filter_map(|object| registration(shared, object));
+            let registrations = objects.filter_map(|object| decode_registration(shared, object));
             let registrations = registrations.collect();
             let changes = shared.endpoints.lock().listed(registrations, absence, now);
             shared.note_changes(changes, listing.revision.0);
@@ -76,7 +76,7 @@
         ObjectRole::Evacuations => apply_evacuations(shared, source),
         _ => {
             for object in &listing.objects {
-                put(shared, role, object, source, age_us);
+                apply_put(shared, role, object, source, age_us);
             }
         }
     }
@@ -93,46 +93,46 @@
     let has_changes = !changes.is_empty();
     for change in changes {
         let absence = {
-            let mut state = shared.watches.of(role).lock();
-            if !is_newer(&state, &change, known_up_to) {
+            let mut state = shared.watches.state_of(role).lock();
+            if !is_new_change(&state, &change, known_up_to) {
                 if let Change::Deleted(name, deleted_at) = change {
-                    state.changed = state.changed.max(deleted_at);
-                    state.note_deleted(name, deleted_at);
+                    state.last_change = state.last_change.max(deleted_at);
+                    state.remember_deletion(name, deleted_at);
                 }
                 continue;
             }
             match &change {
                 Change::Put(object) => {
-                    state.changed = state.changed.max(object.revision);
+                    state.last_change = state.last_change.max(object.revision);
                     state.objects.insert(object.name.clone(), object.clone());
                 }
                 Change::Deleted(name, deleted_at) => {
-                    state.changed = state.changed.max(*deleted_at);
+                    state.last_change = state.last_change.max(*deleted_at);
                     state.objects.remove(name);
-                    state.note_deleted(name.clone(), *deleted_at);
+                    state.remember_deletion(name.clone(), *deleted_at);
                 }
             }
-            absence(&state, shared.now())
+            absence_cause(&state, shared.now())
         };
         match change {
-            Change::Put(object) => put(shared, role, &object, source, DurationUs::ZERO),
+            Change::Put(object) => apply_put(shared, role, &object, source, DurationUs::ZERO),
             Change::Deleted(name, deleted_at) => {
-                deleted(shared, role, &name, absence, deleted_at);
+                apply_deletion(shared, role, &name, absence, deleted_at);
             }
         }
     }
     if has_changes && role == ObjectRole::Evacuations {
         apply_evacuations(shared, source);
     }
-    let mut state = shared.watches.of(role).lock();
-    state.revision = state.revision.max(revision);
-    if state.revision >= state.changed {
-        state.behind = None;
+    let mut state = shared.watches.state_of(role).lock();
+    state.watch_revision = state.watch_revision.max(revision);
+    if state.watch_revision >= state.last_change {
+        state.newer_at_peer = None;
     }
 }
 
 /// Takes over what a peer tells.
-pub(super) fn apply_delta(shared: &Arc<Shared>, role: ObjectRole, delta: Delta) {
+pub(super) fn apply_delta(shared: &Arc<Shared>, role: ObjectRole, delta: ObjectDelta) {
     if delta.is_full {
         let listing = Listing {
             revision: delta.revision,
@@ -143,33 +143,33 @@
         return;
     }
     let missing = {
-        let mut state = shared.watches.of(role).lock();
+        let mut state = shared.watches.state_of(role).lock();
         let names = delta.names.as_ref();
         if names.is_some() {
-            state.forgotten = state.forgotten.max(delta.revision);
+            state.deletions_lost_up_to = state.deletions_lost_up_to.max(delta.revision);
         }
-        names.map_or(Vec::new(), |names| state.missing_from(names))
+        names.map_or(Vec::new(), |names| state.objects_missing_from(names))
     };
     let missing = missing.into_iter().map(|name| (name, delta.revision));
-    let gone = delta.deleted.into_iter().chain(missing);
-    let gone = gone.map(|(name, revision)| Change::Deleted(name, revision));
+    let deletions = delta.deleted.into_iter().chain(missing);
+    let deletions = deletions.map(|(name, revision)| Change::Deleted(name, revision));
     let puts = delta.objects.into_iter().map(Change::Put);
     apply_changes(
         shared,
         role,
-        puts.chain(gone).collect(),
+        puts.chain(deletions).collect(),
         delta.revision,
         PEER,
     );
-    let mut state = shared.watches.of(role).lock();
-    state.changed = state.changed.max(delta.revision);
+    let mut state = shared.watches.state_of(role).lock();
+    state.last_change = state.last_change.max(delta.revision);
 }
 
 /// Returns whether a change says more than what is known, which a peer may have told before.
 ///
 /// Up to `known_up_to` everything is known: an object of an earlier revision that isn't has been removed since, and
 /// a late answer that tells of it would bring it back for good.
-fn is_newer(state: &WatchState, change: &Change, known_up_to: Revision) -> bool {
+fn is_new_change(state: &WatchState, change: &Change, known_up_to: Revision) -> bool {
     match change {
         Change::Put(object) => match state.objects.get(&object.name) {
             Some(known) => object.revision > known.revision,
@@ -183,7 +183,7 @@
     }
 }
 
-fn put(
+fn apply_put(
     shared: &Arc<Shared>,
     role: ObjectRole,
     object: &StoredObject,
@@ -194,22 +194,22 @@
     let now = shared.now();
     match role {
         ObjectRole::Endpoints => {
-            if let Some(registration) = registration(shared, object) {
+            if let Some(registration) = decode_registration(shared, object) {
                 let changes = shared.endpoints.lock().registered(registration, now);
                 shared.note_changes(changes, object.revision.0);
             }
         }
         ObjectRole::Configuration => {
-            let config = readable(shared, role, object, site.configuration(object));
+            let config = decoded_or_logged(shared, role, object, site.configuration(object));
             if let Some(config) = config {
-                adopt(shared, config, object.revision, source);
+                adopt_config(shared, config, object.revision, source);
             }
         }
         ObjectRole::Weights => {
-            let wanted = readable(shared, role, object, site.weights(object));
+            let wanted = decoded_or_logged(shared, role, object, site.weights(object));
             let Some(wanted) = wanted else { return };
             let (model, version) = (wanted.model.to_string(), wanted.version.get());
-            if shared.site.want(wanted, age_us, now) {
+            if shared.site.record_wanted(wanted, age_us, now) {
                 shared.log.write(&Event::WeightsWanted { model, version });
             }
         }
@@ -228,7 +228,7 @@
 fn apply_evacuations(shared: &Shared, source: &str) {
     let role = ObjectRole::Evacuations;
     let names: Vec<String> = {
-        let state = shared.watches.of(role).lock();
+        let state = shared.watches.state_of(role).lock();
         state.objects.keys().cloned().collect()
     };
     let mut zones = BTreeSet::new();
@@ -238,7 +238,7 @@
                 zones.insert(zone);
             }
             Err(error) => {
-                note_unreadable(shared, role, &name, UnreadableKind::Name, error.to_string());
+                log_unreadable_object(shared, role, &name, UnreadableKind::Name, error.to_string());
             }
         }
     }
@@ -258,7 +258,7 @@
     }
 }
 
-fn deleted(
+fn apply_deletion(
     shared: &Arc<Shared>,
     role: ObjectRole,
     name: &str,
@@ -274,7 +274,7 @@
     shared.note_changes(change.into_iter().collect(), revision.0);
 }
 
-fn adopt(shared: &Arc<Shared>, config: SiteConfig, revision: Revision, source: &str) {
+fn adopt_config(shared: &Arc<Shared>, config: SiteConfig, revision: Revision, source: &str) {
     let version = config.version;
     let routes = config.routes.iter().count();
     let engines = config.services.values().filter_map(|service| {
@@ -329,9 +329,9 @@
 
 /// Reads a registration. One that can't be read still tells that the endpoint of its name is no
 /// longer registered as it was; one under a name that no endpoint can have tells nothing.
-fn registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
+fn decode_registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
     let endpoint = shared.borders.site.endpoint(object);
-    match readable(shared, ObjectRole::Endpoints, object, endpoint) {
+    match decoded_or_logged(shared, ObjectRole::Endpoints, object, endpoint) {
         Some(endpoint) => Some(Registration::Good(endpoint)),
         None => {
             let id = object.name.parse().ok()?;
@@ -341,7 +341,7 @@
 }
 
 /// Passes on what could be read, and tells of the rest.
-fn readable<T>(
+fn decoded_or_logged<T>(
     shared: &Shared,
     role: ObjectRole,
     object: &StoredObject,
@@ -350,21 +350,21 @@
     match decoded {
         Ok(value) => Some(value),
         Err(error) => {
-            note_unreadable(shared, role, &object.name, error.kind, error.reason);
+            log_unreadable_object(shared, role, &object.name, error.kind, error.reason);
             None
         }
     }
 }
 
 /// Tells of objects that were passed over in an answer of the store.
-pub(super) fn note_skipped(shared: &Shared, role: ObjectRole, skipped: &[Skipped]) {
+pub(super) fn log_skipped_objects(shared: &Shared, role: ObjectRole, skipped: &[Skipped]) {
     for skipped in skipped {
-        note_unreadable(shared, role, "", skipped.kind, skipped.detail.clone());
+        log_unreadable_object(shared, role, "", skipped.kind, skipped.detail.clone());
     }
 }
 
 /// Counts an object that can't be read, and writes a line of bounded length.
-pub(super) fn note_unreadable(
+pub(super) fn log_unreadable_object(
     shared: &Shared,
     role: ObjectRole,
     name: &str,
@@ -376,8 +376,8 @@
     counter.with_label_values(&labels).inc();
     shared.log.write(&Event::ObjectUnreadable {
         kind: kind_name(role),
-        name: name.chars().take(MAX_TOLD_CHARS).collect(),
+        name: name.chars().take(MAX_LOGGED_CHARS).collect(),
         reason: kind.label(),
-        detail: detail.chars().take(MAX_TOLD_CHARS).collect(),
+        detail: detail.chars().take(MAX_LOGGED_CHARS).collect(),
     });
 }
--- a/crates/wisteriahitch-relay/src/shell/transfers.rs
+++ b/crates/wisteriahitch-relay/src/shell/transfers.rs
@@ -25,7 +25,7 @@
             return Self::default();
         };
         let now = shared.now();
-        let wanted = shared.site.wanted(&prompt.model);
+        let wanted = shared.site.wanted_versions(&prompt.model);
         let newest = wanted.and_then(|wanted| wanted.newest());
         let mut stores = shared.part_stores.lock();
         let mut transfers = Self {
--- a/crates/wisteriahitch-relay/src/shell/watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch.rs
@@ -8,7 +8,7 @@
 use wisteriahitch_wire::platform::{PlatformError, PlatformErrorKind};
 
 use super::shared::Shared;
-use super::store_updates::{STORE, apply_changes, apply_listing, note_skipped};
+use super::store_updates::{STORE, apply_changes, apply_listing, log_skipped_objects};
 use super::watch_state::kind_name;
 use crate::decide::hubs::SMALL_FLEET;
 use crate::decide::staleness::answered_as_of;
@@ -18,43 +18,43 @@
 /// Wait of the first watch after a failure. With the usual wait a daemon would count as cut off
 /// from the store for as long after its return: it would refuse unknown keys, take no lease, and let
 /// its peers ask elsewhere.
-const RETURN_WAIT: Duration = Duration::from_millis(300);
+const RECOVERY_WATCH_WAIT: Duration = Duration::from_millis(300);
 
 /// Pause after an answer with changes of endpoints, before the next ones are asked for. Endpoints change one after the
 /// other, as all of them load new weights, and each change would else return the watch of every daemon that follows
 /// them. They don't ask at the same time, so that some daemon knows of a change long before its own pause is over.
-const GATHER: Duration = Duration::from_millis(250);
+const ENDPOINT_CHANGES_DEBOUNCE: Duration = Duration::from_millis(250);
 
 /// Time between two looks whether this daemon is to ask the store itself.
-const ROLE_INTERVAL: Duration = Duration::from_millis(250);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Follows one kind of objects for as long as the process lives.
 pub(crate) async fn run_watch(shared: Arc<Shared>, role: ObjectRole) {
     let mut failures = 0;
-    let mut is_history_gone = true;
+    let mut needs_listing = true;
     let mut is_first = true;
     loop {
         if relies_on_gossip(&shared, role) {
-            tokio::time::sleep(ROLE_INTERVAL).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        let step = match is_history_gone {
-            true => list(&shared, role).await,
+        let step = match needs_listing {
+            true => list_objects(&shared, role).await,
             false => watch_once(&shared, role).await,
         };
         match step {
-            Ok(gone) => {
+            Ok(is_history_gone) => {
                 failures = 0;
-                is_history_gone = gone;
+                needs_listing = is_history_gone;
                 if std::mem::take(&mut is_first) {
                     wait_for_role(&shared).await;
                 }
             }
             Err(error) => {
-                let pause = pause_after_failure(&shared, role, failures);
+                let backoff = failure_backoff(&shared, role, failures);
                 failures += 1;
-                note_failure(&shared, role, &error);
-                tokio::time::sleep(pause.mul_f64(rand::random_range(0.8..1.2))).await;
+                record_failure(&shared, role, &error);
+                tokio::time::sleep(backoff.mul_f64(rand::random_range(0.8..1.2))).await;
             }
         }
     }
@@ -65,9 +65,9 @@
 /// In a small fleet each follows it. In a large one most don't, and without this wait each of them would ask once for
 /// changes of every kind, also when all start at once.
 async fn wait_for_role(shared: &Shared) {
-    let is_listed = shared.peers.others_are_listed().await;
+    let is_listed = shared.peers.wait_for_peer_list().await;
     if is_listed && shared.peers.table().registered_count() >= SMALL_FLEET {
-        shared.peers.others_are_heard().await;
+        shared.peers.wait_for_gossip().await;
     }
 }
 
@@ -76,7 +76,7 @@
 /// In a large fleet few ask: each change would else cost a call of every daemon, and the store's
 /// rates grow more slowly than fleets do.
 fn relies_on_gossip(shared: &Shared, role: ObjectRole) -> bool {
-    let is_listed = shared.watches.of(role).lock().is_listed;
+    let is_listed = shared.watches.state_of(role).lock().is_listed;
     let me = shared.settings.ip;
     if !is_listed || shared.peers.follows_stores() {
         return false;
@@ -84,26 +84,26 @@
     let now = shared.now();
     let limits = shared.bounds.staleness_limits(role);
     // One that follows the store may be asking it anew at this moment, and will be heard of in time.
-    let is_confirmed = limits.is_final(shared.watches.as_of(role), now);
-    is_confirmed || shared.peers.hears_of_store(me, now)
+    let is_confirmed = limits.is_final(shared.watches.complete_as_of(role), now);
+    is_confirmed || shared.peers.hub_reaches_store(me, now)
 }
 
 /// Returns how long to wait before the store is asked again.
-fn pause_after_failure(shared: &Shared, role: ObjectRole, failures: usize) -> Duration {
-    let is_listed = shared.watches.of(role).lock().is_listed;
-    let hears = is_listed && !shared.peers.follows_stores();
-    retry_pause(failures, hears, shared.peers.daemons()).into()
+fn failure_backoff(shared: &Shared, role: ObjectRole, failures: usize) -> Duration {
+    let is_listed = shared.watches.state_of(role).lock().is_listed;
+    let is_updated_by_peers = is_listed && !shared.peers.follows_stores();
+    retry_pause(failures, is_updated_by_peers, shared.peers.daemon_count()).into()
 }
 
-async fn list(shared: &Arc<Shared>, role: ObjectRole) -> Result<bool, PlatformError> {
+async fn list_objects(shared: &Arc<Shared>, role: ObjectRole) -> Result<bool, PlatformError> {
     let asked_at = shared.now();
     let listing = shared.borders.store.list(role, false).await;
-    count(shared, role, listing.is_ok());
+    count_store_call(shared, role, listing.is_ok());
     let listing = listing?;
-    note_answer(shared, role);
-    note_skipped(shared, role, &listing.skipped);
+    record_answer(shared, role);
+    log_skipped_objects(shared, role, &listing.skipped);
     apply_listing(shared, role, listing, STORE);
-    shared.watches.confirm(role, asked_at);
+    shared.watches.confirm_complete(role, asked_at);
     Ok(false)
 }
 
@@ -113,11 +113,11 @@
     let (after, wait) = next_watch(shared, role, asked_at);
     let watched = tokio::select! {
         watched = shared.borders.store.watch(role, after, wait) => watched,
-        () = confirmation_overdue(shared, role, asked_at) => Err(unconfirmed()),
+        () = confirmation_overdue(shared, role, asked_at) => Err(unconfirmed_error()),
     };
-    count(shared, role, watched.is_ok());
+    count_store_call(shared, role, watched.is_ok());
     let watched = watched?;
-    note_answer(shared, role);
+    record_answer(shared, role);
     match watched {
         Watched::Changes {
             changes,
@@ -126,11 +126,11 @@
         } => {
             let has_changes = !changes.is_empty() || !skipped.is_empty();
             let as_of = answered_as_of(asked_at, wait.into(), has_changes, shared.now());
-            note_skipped(shared, role, &skipped);
+            log_skipped_objects(shared, role, &skipped);
             apply_changes(shared, role, changes, revision, STORE);
-            shared.watches.confirm(role, as_of);
+            shared.watches.confirm_complete(role, as_of);
             if has_changes && role == ObjectRole::Endpoints {
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(ENDPOINT_CHANGES_DEBOUNCE).await;
             }
             Ok(false)
         }
@@ -140,17 +140,17 @@
 
 /// Returns the revision to watch from, and how long the store may keep the watch waiting.
 fn next_watch(shared: &Shared, role: ObjectRole, now: TimeUs) -> (Revision, Duration) {
-    let place = shared.peers.place_in_turn(role, shared.settings.ip, now);
-    let state = shared.watches.of(role).lock();
+    let rank = shared.peers.store_query_rank(role, shared.settings.ip, now);
+    let state = shared.watches.state_of(role).lock();
     // Only an answer shows that the store is back, and a watch is answered when it is over.
     let wait = match state.failing_since_us {
-        Some(_) => RETURN_WAIT,
+        Some(_) => RECOVERY_WATCH_WAIT,
         None => {
             let limits = shared.bounds.staleness_limits(role);
-            limits.wait(place, state.as_of_us, now).into()
+            limits.wait(rank, state.complete_as_of_us, now).into()
         }
     };
-    (state.revision, wait)
+    (state.watch_revision, wait)
 }
 
 /// Waits until it is this daemon's turn to ask anew because nobody confirms any more what is known.
@@ -158,8 +158,8 @@
     let limits = shared.bounds.staleness_limits(role);
     loop {
         let now = shared.now();
-        let place = shared.peers.place_in_turn(role, shared.settings.ip, now);
-        let give_up_at = limits.give_up_at(place, shared.watches.as_of(role), asked_at);
+        let rank = shared.peers.store_query_rank(role, shared.settings.ip, now);
+        let give_up_at = limits.give_up_at(rank, shared.watches.complete_as_of(role), asked_at);
         if give_up_at <= now {
             return;
         }
@@ -167,20 +167,20 @@
     }
 }
 
-fn unconfirmed() -> PlatformError {
+fn unconfirmed_error() -> PlatformError {
     let detail = "the watch says nothing, and nobody confirms what is known";
     PlatformError::new(PlatformErrorKind::AnswerLost, detail)
 }
 
-fn count(shared: &Shared, role: ObjectRole, is_ok: bool) {
+fn count_store_call(shared: &Shared, role: ObjectRole, is_ok: bool) {
     let result = if is_ok { "ok" } else { "failed" };
     let labels = [kind_name(role), result];
     shared.metrics.store_calls.with_label_values(&labels).inc();
 }
 
-fn note_answer(shared: &Shared, role: ObjectRole) {
+fn record_answer(shared: &Shared, role: ObjectRole) {
     let now = shared.now();
-    let mut state = shared.watches.of(role).lock();
+    let mut state = shared.watches.state_of(role).lock();
     let silent_ms = state.silent_ms(now);
     state.answered_at_us = Some(now);
     if state.failing_since_us.take().is_none() {
@@ -196,9 +196,9 @@
     });
 }
 
-fn note_failure(shared: &Shared, role: ObjectRole, error: &PlatformError) {
+fn record_failure(shared: &Shared, role: ObjectRole, error: &PlatformError) {
     let now = shared.now();
-    let mut state = shared.watches.of(role).lock();
+    let mut state = shared.watches.state_of(role).lock();
     if state.failing_since_us.is_some() {
         return;
     }
--- a/crates/wisteriahitch-relay/src/shell/watch_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch_state.rs
@@ -13,7 +13,7 @@
 use crate::settings::Bounds;
 
 /// Kinds of objects that every daemon follows.
-pub(crate) const WATCHED: [ObjectRole; 4] = [
+pub(crate) const WATCHED_ROLES: [ObjectRole; 4] = [
     ObjectRole::Endpoints,
     ObjectRole::Configuration,
     ObjectRole::Weights,
@@ -21,28 +21,28 @@
 ];
 
 /// Deletions that are remembered for peers; one that has missed more is told everything.
-const REMEMBERED_DELETIONS: usize = 1_000;
+const MAX_RECENT_DELETIONS: usize = 1_000;
 
 /// What is known of one kind of objects.
 #[derive(Debug, Default)]
 pub(crate) struct WatchState {
     /// Revision to watch from.
-    pub(super) revision: Revision,
+    pub(super) watch_revision: Revision,
     /// Revision at which something last changed.
-    pub(super) changed: Revision,
+    pub(super) last_change: Revision,
     pub(super) is_listed: bool,
     pub(super) failing_since_us: Option<TimeUs>,
     pub(super) recovered_at_us: Option<TimeUs>,
     pub(super) answered_at_us: Option<TimeUs>,
     /// As of when everything is known, by the store's word to this daemon or to another.
-    pub(super) as_of_us: Option<TimeUs>,
+    pub(super) complete_as_of_us: Option<TimeUs>,
     pub(super) objects: BTreeMap<String, StoredObject>,
     /// Names of deleted objects, the newest last.
-    pub(super) deleted: VecDeque<(Revision, String)>,
+    pub(super) recent_deletions: VecDeque<(Revision, String)>,
     /// Up to this revision deletions may be missing: they were forgotten, or came before a listing.
-    pub(super) forgotten: Revision,
+    pub(super) deletions_lost_up_to: Revision,
     /// Since when a peer has been known to know more.
-    pub(super) behind: Option<(TimeUs, Ipv4Addr)>,
+    pub(super) newer_at_peer: Option<(TimeUs, Ipv4Addr)>,
     /// Whether a peer is being asked. Asked again by each of its messages, one that answers late
     /// would have to answer ever more.
     pub(super) is_catching_up: bool,
@@ -50,44 +50,46 @@
 
 /// The state of all followed kinds, in the order of [`WATCHED`].
 #[derive(Debug, Default)]
-pub(crate) struct WatchStates([Mutex<WatchState>; WATCHED.len()]);
+pub(crate) struct WatchStates([Mutex<WatchState>; WATCHED_ROLES.len()]);
 
 impl WatchStates {
-    pub(super) fn of(&self, role: ObjectRole) -> &Mutex<WatchState> {
-        let index = WATCHED.iter().position(|watched| *watched == role);
+    pub(super) fn state_of(&self, role: ObjectRole) -> &Mutex<WatchState> {
+        let index = WATCHED_ROLES.iter().position(|watched| *watched == role);
         &self.0[index.unwrap_or(0)]
     }
 
     /// Returns whether every kind that `bounds` have daemons follow was listed at least once.
     pub(crate) fn has_listed_all(&self, bounds: &Bounds) -> bool {
-        let mut followed = WATCHED.iter().filter(|role| bounds.is_watched(**role));
-        followed.all(|role| self.of(*role).lock().is_listed)
+        let mut followed = WATCHED_ROLES
+            .iter()
+            .filter(|role| bounds.is_watched(**role));
+        followed.all(|role| self.state_of(*role).lock().is_listed)
     }
 
     /// Returns whether what the configuration doesn't hold may be called unknown.
-    pub(crate) fn is_final(&self, limits: &StalenessLimits, now: TimeUs) -> bool {
-        let state = self.of(ObjectRole::Configuration).lock();
-        let is_newest_known = state.behind.is_none() && !state.is_catching_up;
+    pub(crate) fn is_configuration_final(&self, limits: &StalenessLimits, now: TimeUs) -> bool {
+        let state = self.state_of(ObjectRole::Configuration).lock();
+        let is_newest_known = state.newer_at_peer.is_none() && !state.is_catching_up;
         // While the store turns this daemon away, others may confirm what it knows.
         let is_confirmed = state
             .failing_since_us
-            .is_none_or(|since| state.as_of_us > Some(since));
-        is_newest_known && is_confirmed && limits.is_final(state.as_of_us, now)
+            .is_none_or(|since| state.complete_as_of_us > Some(since));
+        is_newest_known && is_confirmed && limits.is_final(state.complete_as_of_us, now)
     }
 
     /// Notes as of when everything of a kind is known, once what the store told has been taken over.
-    pub(super) fn confirm(&self, role: ObjectRole, as_of: TimeUs) {
-        self.of(role).lock().confirm(as_of);
+    pub(super) fn confirm_complete(&self, role: ObjectRole, as_of: TimeUs) {
+        self.state_of(role).lock().confirm(as_of);
     }
 
     /// Returns as of when everything of a kind is known.
-    pub(crate) fn as_of(&self, role: ObjectRole) -> Option<TimeUs> {
-        self.of(role).lock().as_of_us
+    pub(crate) fn complete_as_of(&self, role: ObjectRole) -> Option<TimeUs> {
+        self.state_of(role).lock().complete_as_of_us
     }
 
     /// Returns the time since then, in milliseconds.
     pub(crate) fn age_ms(&self, role: ObjectRole, now: TimeUs) -> Option<u64> {
-        let as_of = self.as_of(role);
+        let as_of = self.complete_as_of(role);
         as_of.map(|as_of| now.since(as_of).as_ms())
     }
 
@@ -99,20 +101,22 @@
     }
 
     /// Returns what is known of each kind, for the other daemons.
-    pub(crate) fn news(&self, now: TimeUs) -> Vec<KindUpdate> {
-        let news = |state: &Mutex<WatchState>| {
+    pub(crate) fn kind_updates(&self, now: TimeUs) -> Vec<KindUpdate> {
+        let update_of = |state: &Mutex<WatchState>| {
             let state = state.lock();
-            let age_ms = state.as_of_us.map(|as_of| now.since(as_of).as_ms());
+            let age_ms = state
+                .complete_as_of_us
+                .map(|as_of| now.since(as_of).as_ms());
             KindUpdate {
-                revision: state.changed.0,
+                revision: state.last_change.0,
                 age_ms: age_ms.and_then(|age_ms| u32::try_from(age_ms).ok()),
             }
         };
-        self.0.iter().map(news).collect()
+        self.0.iter().map(update_of).collect()
     }
 
     /// Notes what a peer knows, and returns whether that is more. Its message was held up for so long.
-    pub(crate) fn peer_knows(
+    pub(crate) fn apply_peer_kinds(
         &self,
         ip: Ipv4Addr,
         kinds: &[KindUpdate],
@@ -120,13 +124,13 @@
         now: TimeUs,
     ) -> bool {
         let mut is_behind = false;
-        for (state, news) in self.0.iter().zip(kinds) {
+        for (state, update) in self.0.iter().zip(kinds) {
             let mut state = state.lock();
-            let is_free = state.behind.is_none() && !state.is_catching_up;
-            if news.revision <= state.changed.0 {
-                state.confirm_by_peer(news, held_up_us, now);
-            } else if is_free {
-                state.behind = Some((now, ip));
+            let is_idle = state.newer_at_peer.is_none() && !state.is_catching_up;
+            if update.revision <= state.last_change.0 {
+                state.confirm_by_peer(update, held_up_us, now);
+            } else if is_idle {
+                state.newer_at_peer = Some((now, ip));
                 is_behind = true;
             }
         }
@@ -134,46 +138,50 @@
     }
 
     /// Returns the kinds of which a peer has known more for `patience`, and that peer.
-    pub(crate) fn behind(&self, patience: DurationUs, now: TimeUs) -> Vec<(ObjectRole, Ipv4Addr)> {
-        let mut behind = Vec::new();
-        for (role, state) in WATCHED.iter().zip(&self.0) {
+    pub(crate) fn begin_due_catch_ups(
+        &self,
+        delay_us: DurationUs,
+        now: TimeUs,
+    ) -> Vec<(ObjectRole, Ipv4Addr)> {
+        let mut due = Vec::new();
+        for (role, state) in WATCHED_ROLES.iter().zip(&self.0) {
             let mut state = state.lock();
-            let is_due = |(since, _): &mut (TimeUs, Ipv4Addr)| now.since(*since) >= patience;
-            if let Some((_, ip)) = state.behind.take_if(is_due) {
+            let is_due = |(since, _): &mut (TimeUs, Ipv4Addr)| now.since(*since) >= delay_us;
+            if let Some((_, ip)) = state.newer_at_peer.take_if(is_due) {
                 state.is_catching_up = true;
-                behind.push((*role, ip));
+                due.push((*role, ip));
             }
         }
-        behind
+        due
     }
 
     /// Notes that a peer has answered, or won't.
-    pub(crate) fn caught_up(&self, role: ObjectRole) {
-        self.of(role).lock().is_catching_up = false;
+    pub(crate) fn finish_catch_up(&self, role: ObjectRole) {
+        self.state_of(role).lock().is_catching_up = false;
     }
 
     /// Returns the revision of the last known change of a kind.
     pub(crate) fn changed_revision(&self, role: ObjectRole) -> Revision {
-        self.of(role).lock().changed
+        self.state_of(role).lock().last_change
     }
 
     /// Returns what has changed of a kind since a revision, for a peer.
-    pub(crate) fn delta(&self, role: ObjectRole, since: Revision) -> Delta {
-        let state = self.of(role).lock();
+    pub(crate) fn delta(&self, role: ObjectRole, since: Revision) -> ObjectDelta {
+        let state = self.state_of(role).lock();
         let is_full = since == Revision::default();
-        let misses_deletions = !is_full && since < state.forgotten;
+        let misses_deletions = !is_full && since < state.deletions_lost_up_to;
         let is_new = |object: &&StoredObject| is_full || object.revision > since;
-        let gone = state
-            .deleted
+        let deletions = state
+            .recent_deletions
             .iter()
             .filter(|(revision, _)| !is_full && *revision > since);
         let names = || state.objects.keys().cloned().collect();
-        Delta {
-            revision: state.changed,
+        ObjectDelta {
+            revision: state.last_change,
             is_full,
             names: misses_deletions.then(names),
             objects: state.objects.values().filter(is_new).cloned().collect(),
-            deleted: gone
+            deleted: deletions
                 .map(|(revision, name)| (name.clone(), *revision))
                 .collect(),
         }
@@ -182,7 +190,7 @@
 
 /// What one daemon tells another of a kind of objects.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Delta {
+pub(crate) struct ObjectDelta {
     /// Revision up to which it tells.
     pub(crate) revision: Revision,
     /// Whether it holds all objects instead of the changes.
@@ -198,11 +206,11 @@
 
 impl WatchState {
     fn confirm(&mut self, as_of: TimeUs) {
-        self.as_of_us = self.as_of_us.max(Some(as_of));
+        self.complete_as_of_us = self.complete_as_of_us.max(Some(as_of));
     }
 
-    fn confirm_by_peer(&mut self, news: &KindUpdate, held_up_us: DurationUs, now: TimeUs) {
-        let Some(age_ms) = news.age_ms else { return };
+    fn confirm_by_peer(&mut self, update: &KindUpdate, held_up_us: DurationUs, now: TimeUs) {
+        let Some(age_ms) = update.age_ms else { return };
         let age_us = DurationUs::from_ms(u64::from(age_ms)) + held_up_us;
         self.confirm(TimeUs::new(now.get().saturating_sub(age_us.get())));
     }
@@ -213,21 +221,21 @@
     }
 
     /// Remembers a deletion for peers, also of an object that was never known here: they may know it.
-    pub(super) fn note_deleted(&mut self, name: String, revision: Revision) {
+    pub(super) fn remember_deletion(&mut self, name: String, revision: Revision) {
         let deletion = (revision, name);
-        if self.deleted.contains(&deletion) {
+        if self.recent_deletions.contains(&deletion) {
             return;
         }
-        self.deleted.push_back(deletion);
-        let is_full = self.deleted.len() > REMEMBERED_DELETIONS;
-        let oldest = is_full.then(|| self.deleted.pop_front()).flatten();
+        self.recent_deletions.push_back(deletion);
+        let is_full = self.recent_deletions.len() > MAX_RECENT_DELETIONS;
+        let oldest = is_full.then(|| self.recent_deletions.pop_front()).flatten();
         if let Some((revision, _)) = oldest {
-            self.forgotten = self.forgotten.max(revision);
+            self.deletions_lost_up_to = self.deletions_lost_up_to.max(revision);
         }
     }
 
     /// Returns the names of known objects that are not among all those there are.
-    pub(super) fn missing_from(&self, names: &BTreeSet<String>) -> Vec<String> {
+    pub(super) fn objects_missing_from(&self, names: &BTreeSet<String>) -> Vec<String> {
         let known = self.objects.keys();
         known
             .filter(|name| !names.contains(*name))
