--- a/crates/wisteriahitch-relay/src/clock.rs
+++ b/crates/wisteriahitch-relay/src/clock.rs
@@ -1,29 +1,29 @@
-//! The clock that the decisions see.
+//! The clock that all decisions use.
 
 use nix::sys::time::TimeValLike;
 use nix::time::{ClockId, clock_gettime};
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Tells the time since the VM started, the time that it was suspended included.
+/// Measures the time since the VM booted, including the time during which it was suspended.
 ///
-/// The usual steady clock stands still while a VM is suspended. A lease or a permission that was
-/// checked against it would look fresh after the VM wakes, although others have long taken over;
-/// one would notice by orders of two holders. This clock goes on.
+/// A monotonic clock stops while a VM is suspended. A lease or permit checked against it would
+/// still look valid after the VM resumes, although other daemons took over long ago, and two lease
+/// holders would give orders. This clock (`CLOCK_BOOTTIME`) keeps running.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
 impl BootClock {
-    /// Returns the time now.
+    /// Returns the current time.
     pub fn now(self) -> TimeUs {
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
             Ok(time) => TimeUs::new(u64::try_from(time.num_microseconds()).unwrap_or(0)),
-            // The kernel has had this clock for longer than any that the daemon runs on; a time
-            // of zero lets every lease count as expired, which is the safe side.
+            // Every kernel that the daemon supports has this clock. Time zero is the safe fallback,
+            // because every lease then counts as expired.
             Err(_) => TimeUs::ZERO,
         }
     }
 
-    /// Returns the span since `earlier`.
+    /// Returns the time elapsed since `earlier`.
     pub fn since(self, earlier: TimeUs) -> DurationUs {
         self.now().since(earlier)
     }
--- a/crates/wisteriahitch-relay/src/lib.rs
+++ b/crates/wisteriahitch-relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! Passes opaque calls and streams of callers to endpoints that a platform lists.
+//! Routes callers' opaque calls and streams to endpoints that a platform registers.
 //!
-//! The crate holds the decisions (`decide`), which do no input or output, and the shell (`shell`)
-//! that carries them out. What a site's wire looks like is behind the traits of `border`, so that
-//! an adapter can be put there. `docs/design/platform.md` follows a call through the modules.
+//! `decide` makes the decisions and does no input or output. `shell` carries them out over the
+//! network. The traits of `border` hide the wire formats of a site, so that an adapter can be
+//! plugged in. `docs/design/platform.md` follows a call through the modules.
 
 mod border;
 mod clock;
--- a/crates/wisteriahitch-relay/src/settings/bounds.rs
+++ b/crates/wisteriahitch-relay/src/settings/bounds.rs
@@ -1,8 +1,8 @@
-//! What a deployment promises or demands in time, and the limits that decisions take from it.
+//! Time bounds of a deployment, and the limits that decisions derive from them.
 //!
-//! Deployments differ: one allows eight seconds until replaced weights are out of use, another
-//! fifteen. A limit that was right at one breaks a promise at the next, or gives up seconds that are
-//! allowed. So each limit that stands for such a bound is derived here, with its margin named.
+//! Bounds differ between deployments: one allows eight seconds until replaced weights are out of
+//! use, another fifteen. A fixed limit would break the bound of one deployment or waste allowed
+//! time in another. This module derives every limit that depends on a bound, with a named margin.
 //! `docs/SETTINGS.md` lists bounds, limits and margins.
 
 use std::time::Duration;
@@ -14,79 +14,84 @@
 use super::SettingsError;
 use crate::decide::staleness::StalenessLimits;
 
-/// Part of the bound on replaced weights that isn't used: the news of newer ones takes up to 0.6 s
-/// to reach every daemon, a call waits up to a second at its engine before it begins, and estimates
-/// of that wait are off by as much again under full load.
+/// Margin kept from the bound on replaced weights when calls are sent to engines with old weights.
+/// An update about newer weights takes up to 0.6 s to reach every daemon, a call waits up to 1 s at
+/// its engine before it starts, and estimates of that wait are off by as much again under full
+/// load.
 const OLD_WEIGHTS_SEND_MARGIN_MS: f64 = 2_000.0;
 
-/// Part of the bound on replaced weights that is left when a call which still waits at its engine is
-/// taken back: 0.6 s for the news of newer ones, and 0.2 s for the way to the engine.
+/// Margin kept from the bound on replaced weights when a call that still waits at its engine is
+/// withdrawn: 0.6 s for the update about newer weights, and 0.2 s for the request to the engine.
 const OLD_WEIGHTS_START_MARGIN_MS: f64 = 800.0;
 
-/// Largest share of the bound that this margin takes: less than that of the other one, so that a
-/// call which was sent in time has a chance to begin.
+/// Maximum share of the bound that [`OLD_WEIGHTS_START_MARGIN_MS`] takes. It is smaller than
+/// [`MAX_SEND_MARGIN_SHARE`], so that a call that was sent in time has a chance to start.
 const MAX_START_MARGIN_SHARE: f64 = 0.4;
 
-/// Share of a bound below which its margin stays, so that a tight bound leaves something to use.
+/// Maximum share of the bound that [`OLD_WEIGHTS_SEND_MARGIN_MS`] takes, so that a tight bound
+/// leaves time to use.
 const MAX_SEND_MARGIN_SHARE: f64 = 0.5;
 
-/// Share of the time for which a leaving endpoint goes on serving in which it still gets calls as
-/// the last one of its service. Half leaves the rest to the news that it leaves and to the calls.
+/// Share of the endpoint drain time during which a leaving endpoint still gets calls as the last
+/// one of its service. The other half is for the update that it leaves and for running calls.
 const DRAIN_FALLBACK_SHARE: f64 = 0.5;
 
-/// Share of the time for a configuration to be in force after which a daemon that has heard of a
-/// newer object, and not got it from the store, asks a peer: an eighth leaves time for a peer that
-/// doesn't answer and for the next one.
+/// Share of the configuration bound after which a daemon that knows of a newer object, but hasn't
+/// received it from the store, asks a peer. An eighth leaves time for a peer that doesn't answer
+/// and for the next one.
 const CATCH_UP_DELAY_SHARE: f64 = 0.125;
 
-/// Share of the store's history for which a watch may wait. A watch that returned without news
-/// continues from there; with three of them in the history one may be lost.
+/// Share of the store's history for which a watch may wait. A watch that returns without changes
+/// continues from its revision. Three watches fit into the history, so one may be lost.
 const WATCH_WAIT_SHARE: f64 = 0.3;
 
-/// Longest wait of a watch. Each return is a call that is paid for; each second of waiting is one in
-/// which a daemon that hears of no other one doesn't know whether its watch is alive.
+/// Longest wait of a watch. Each return costs a paid call. During the wait, a daemon that receives
+/// no gossip doesn't know whether its watch is still alive.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(6_000);
 
-/// Share of the time in which a change is to be known after which the daemon that confirms for all what is
-/// known has it confirmed again. The other half is for noticing that an answer doesn't come (0.7 s), for
-/// asking anew, and for telling the others (0.6 s through the hubs of a large fleet).
+/// Share of the propagation time (within which a change must be known to every daemon) after which
+/// the daemon that confirms freshness for all others asks the store again. The other half is for
+/// detecting a missing answer (0.7 s), for asking again, and for informing the other daemons (0.6 s
+/// through the hubs of a large fleet).
 const CONFIRM_INTERVAL_SHARE: f64 = 0.5;
 
-/// Shortest time between two such confirmations: a tight bound would else cost more calls of the store
-/// than everything besides.
+/// Minimum time between two such confirmations. With a tight bound they would otherwise cost more
+/// store calls than everything else.
 const MIN_CONFIRM_INTERVAL_US: DurationUs = DurationUs::from_ms(300);
 
-/// Share of the time in which a change is to be known up to which what is known counts as the newest. The
-/// rest is for the call itself.
+/// Share of the propagation time up to which known objects count as the newest, so that callers may
+/// be told that anything else doesn't exist. The rest is for the call itself.
 const MAX_FINAL_AGE_SHARE: f64 = 0.9;
 
-/// Share of the bound on replaced weights in which the news of them is to be known; the rest is for
-/// loading them.
+/// Share of the bound on replaced weights within which the update about new weights must be known.
+/// The rest is for loading them.
 const WEIGHTS_PROPAGATION_SHARE: f64 = 0.25;
 
-/// Bounds of a deployment. None has a default: a daemon that guessed one would break the promise
-/// that it stands for and nobody would notice before a failure.
+/// Time bounds of a deployment, as read from the settings.
+///
+/// None has a default: a wrong guess would break the promise that the bound stands for, and nobody
+/// would notice before a failure.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct BoundSettings {
-    /// Time after newer weights were named within which calls may begin on older ones.
+    /// Time after newer weights were announced within which calls may still start on older ones.
     pub old_weights_ms: Option<f64>,
-    /// Time after weights were named within which all engines are to have them.
+    /// Time after weights were announced within which all engines must have loaded them.
     pub all_weights_ms: Option<f64>,
-    /// Time for which an endpoint that leaves goes on serving.
+    /// Time for which an endpoint that is leaving keeps serving.
     pub endpoint_drain_ms: Option<f64>,
-    /// Time after its acceptance within which a configuration is to be in force.
+    /// Time after acceptance within which a configuration must be in force.
     pub configuration_ms: Option<f64>,
-    /// Time for which a process must have run undisturbed before it is held to the other bounds.
+    /// Time for which a process must have run undisturbed before the other bounds apply to it.
     pub contact_ms: Option<f64>,
-    /// Time for which the store remembers changes.
+    /// Time for which the store keeps its history of changes.
     pub store_history_s: Option<f64>,
-    /// Time after its acceptance within which the evacuation of a zone is to be in force. Absent where operators
-    /// evacuate none.
+    /// Time after acceptance within which the evacuation of a zone must be in force. `None` if
+    /// operators evacuate no zones.
     pub evacuation_ms: Option<f64>,
 }
 
-/// Bounds that were checked.
+/// Validated time bounds, from which the limits are derived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     old_weights_ms: f64,
@@ -98,22 +103,22 @@
     evacuation_ms: Option<f64>,
 }
 
-/// Values that a bound may have.
+/// Allowed range of a bound.
 struct Range {
     min: f64,
     max: f64,
     description: &'static str,
 }
 
-/// Bounds in milliseconds. Below the least one messages between daemons alone take as long; the
-/// largest one is an hour, by which nothing that bounds are for still matters.
+/// Allowed range of bounds in milliseconds. Below the minimum, messages between daemons alone take
+/// as long. The maximum is one hour; nothing that a bound protects still matters by then.
 const MILLISECONDS: Range = Range {
     min: 100.0,
     max: 3_600_000.0,
     description: "100 to 3600000",
 };
 
-/// The same in seconds.
+/// Allowed range of bounds in seconds; the same range as [`MILLISECONDS`].
 const SECONDS: Range = Range {
     min: 0.1,
     max: 3_600.0,
@@ -136,11 +141,11 @@
 }
 
 impl BoundSettings {
-    /// Returns the bounds if all are there and make sense.
+    /// Validates the bounds.
     ///
     /// # Errors
     ///
-    /// Names the key that is absent or out of range.
+    /// Returns the key of the first bound that is absent or out of range.
     pub fn checked(&self) -> Result<Bounds, SettingsError> {
         let bounds = Bounds {
             old_weights_ms: MILLISECONDS.check("bounds.old_weights_ms", self.old_weights_ms)?,
@@ -161,62 +166,66 @@
 }
 
 impl Bounds {
-    /// Returns how long after newer weights were named calls are sent to engines with older ones.
+    /// Returns the time after newer weights were announced during which calls are still sent to
+    /// engines with older ones.
     pub fn old_weights_send_deadline(&self) -> DurationUs {
         let margin_ms = OLD_WEIGHTS_SEND_MARGIN_MS.min(self.old_weights_ms * MAX_SEND_MARGIN_SHARE);
         ms(self.old_weights_ms - margin_ms)
     }
 
-    /// Returns how long after newer weights were named a call must have begun at an engine with older
-    /// ones.
+    /// Returns the time after newer weights were announced by which a call must have started at an
+    /// engine with older ones.
     pub fn old_weights_start_deadline(&self) -> DurationUs {
         let margin_ms =
             OLD_WEIGHTS_START_MARGIN_MS.min(self.old_weights_ms * MAX_START_MARGIN_SHARE);
         ms(self.old_weights_ms - margin_ms)
     }
 
-    /// Returns how long after weights were named all engines are to have them.
+    /// Returns the time after weights were announced by which all engines must have loaded them.
     pub fn rollout_deadline(&self) -> DurationUs {
         ms(self.all_weights_ms)
     }
 
-    /// Returns how long ago what a process reads at its start is taken to have been written.
+    /// Returns the age that objects read at the start of a process are assumed to have.
     ///
-    /// A process that starts doesn't know. Taken for new, weights that were named long before would
-    /// leave old ones in use for as long again after each restart. What is left of the time for old
-    /// weights is the time for which a process that has just started isn't held to the bound.
+    /// A starting process doesn't know when an object was written. If it assumed that weights were
+    /// just announced, old weights would stay in use for the whole bound again after each restart.
+    /// With this age, the rest of the send deadline equals the contact time, during which the bound
+    /// doesn't yet apply to a process that has just started.
     pub fn assumed_initial_age(&self) -> DurationUs {
         self.old_weights_send_deadline() - ms(self.contact_ms)
     }
 
-    /// Returns how long an endpoint that has left without a word still gets calls where its service
-    /// has no other one.
+    /// Returns the time for which an endpoint that left without notice still gets calls if its
+    /// service has no other one.
     pub fn drain_fallback(&self) -> DurationUs {
         ms(self.endpoint_drain_ms * DRAIN_FALLBACK_SHARE)
     }
 
-    /// Returns how long a daemon that knows less than a peer waits for the store to tell it.
+    /// Returns how long a daemon waits for the store before it asks a peer that knows newer
+    /// objects.
     pub fn catch_up_delay(&self) -> DurationUs {
         ms(self.configuration_ms * CATCH_UP_DELAY_SHARE)
     }
 
-    /// Returns for how long the store may keep a watch waiting.
+    /// Returns the longest time that the store may keep a watch open.
     pub fn watch_wait(&self) -> Duration {
         Duration::from_secs_f64(self.store_history_s * WATCH_WAIT_SHARE).min(MAX_WATCH_WAIT)
     }
 
-    /// Returns whether daemons follow a kind of object; one that no operator writes costs no call.
+    /// Returns whether daemons watch objects of a role. Evacuations aren't watched if no operator
+    /// writes them, which saves the calls.
     pub fn is_watched(&self, role: ObjectRole) -> bool {
         role != ObjectRole::Evacuations || self.evacuation_ms.is_some()
     }
 
-    /// Returns how old what is known of a kind of object may become.
+    /// Returns how old the known objects of a role may become before they must be confirmed.
     pub fn staleness_limits(&self, role: ObjectRole) -> StalenessLimits {
         let propagation_ms = match role {
             ObjectRole::Endpoints => self.endpoint_drain_ms,
             ObjectRole::Weights => self.old_weights_ms * WEIGHTS_PROPAGATION_SHARE,
             ObjectRole::Evacuations => self.evacuation_ms.unwrap_or(self.configuration_ms),
-            // Who may give orders, which daemons there are and what is blocked isn't followed by watches.
+            // Members, leases and blocked requests are not watched.
             ObjectRole::Configuration
             | ObjectRole::Members
             | ObjectRole::Leases
--- a/crates/wisteriahitch-relay/src/settings/mod.rs
+++ b/crates/wisteriahitch-relay/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! Settings of a daemon that passes opaque calls, as TOML.
+//! Settings of a daemon, read from TOML.
 //!
-//! `docs/SETTINGS.md` lists the keys. Unknown keys are ignored, since a platform that fills in the
-//! file may add some; a known key with a faulty value stops the start.
+//! `docs/SETTINGS.md` lists the keys. Unknown keys are ignored, because a platform that generates
+//! the file may add some. An invalid value of a known key stops the start.
 
 mod bounds;
 
@@ -17,36 +17,36 @@
 
 pub use bounds::{BoundSettings, Bounds};
 
-/// Reports settings that can't be used.
+/// Why settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The settings file can't be read.
     #[error("the settings file {path} can't be read: {source}")]
     Unreadable {
-        /// Path.
+        /// Path of the file.
         path: String,
-        /// Cause.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// The text isn't TOML, lacks a key or holds a faulty value.
+    /// The text isn't valid TOML, lacks a key or has a value of the wrong type.
     #[error("the settings are faulty: {0}")]
     Faulty(#[from] toml::de::Error),
-    /// A value that has no default is absent.
+    /// A required value without a default is absent.
     #[error("the setting {key} is absent; allowed is {allowed}")]
     Absent {
-        /// Key.
+        /// Full name of the key.
         key: &'static str,
-        /// Range in words.
+        /// Description of the allowed range.
         allowed: &'static str,
     },
     /// A value is out of range.
     #[error("the setting {key} is {value}; allowed is {allowed}")]
     OutOfRange {
-        /// Key.
+        /// Full name of the key.
         key: &'static str,
-        /// Value.
+        /// Value that was found.
         value: f64,
-        /// Range in words.
+        /// Description of the allowed range.
         allowed: &'static str,
     },
 }
@@ -54,44 +54,44 @@
 /// All settings of a daemon.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RelaySettings {
-    /// Name of this daemon.
+    /// Id of this daemon.
     pub id: DaemonId,
-    /// Address of its VM.
+    /// IP address of the daemon's VM.
     pub ip: Ipv4Addr,
-    /// Availability zone that it is in.
+    /// Availability zone of the daemon's VM.
     pub zone: AvailabilityZone,
-    /// Region of each availability zone. Empty where no call is bound to a region.
+    /// Region of each availability zone. Empty if no call is restricted to a region.
     #[serde(default)]
     pub regions: BTreeMap<AvailabilityZone, Region>,
-    /// Addresses that it listens on.
+    /// Addresses to listen on.
     pub listen: ListenSettings,
     /// Addresses of VMs that may run other daemons.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Bounds on what it may use.
+    /// Resources available to the daemon.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// The platform's store.
+    /// Object store of the platform.
     pub store: StoreSettings,
-    /// Bounds of the deployment.
+    /// Time bounds of the deployment.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// Endpoints right after their start.
+    /// Load limits of endpoints right after their start.
     #[serde(default)]
     pub cold: ColdSettings,
-    /// Retries.
+    /// Retry budget.
     #[serde(default)]
     pub retry: RetrySettings,
-    /// New weights.
+    /// Rollout of new weights.
     #[serde(default)]
     pub rollout: RolloutSettings,
-    /// Leaving.
+    /// Shutdown.
     #[serde(default)]
     pub drain: DrainSettings,
-    /// Entry addresses.
+    /// Entry addresses given to callers.
     #[serde(default)]
     pub entries: EntrySettings,
-    /// Log.
+    /// Log volume.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -99,58 +99,59 @@
 /// Addresses that a daemon listens on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Calls of callers.
     pub callers: SocketAddr,
-    /// For the question whether it is ready.
+    /// Readiness probe.
     pub ready: SocketAddr,
-    /// For the question where to connect.
+    /// Requests for entry addresses.
     pub entries: SocketAddr,
-    /// For other daemons, at seeds; not needed where there are none.
+    /// Address that other daemons list as a seed; not needed without seeds.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// For whoever reads metrics, beside the peers' port, where they stand too.
+    /// Additional address for metrics, which the peer port serves too.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// For other daemons, both TCP and UDP; the same on every VM.
+    /// Port for other daemons, TCP and UDP; the same on every VM.
     pub peer_port: u16,
 }
 
-/// Bounds on what a daemon may use.
+/// Resources available to a daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// Memory of the process.
+    /// Memory of the process, in MB.
     pub memory_mb: f64,
-    /// Part of a core that the daemon has.
+    /// CPU cores available to the daemon; may be a fraction.
     pub cores: f64,
-    /// Rate of the VM's link.
+    /// Bandwidth of the VM's link, in Mbit/s.
     pub link_mbps: f64,
-    /// Share of the memory that bodies of requests may take while they wait.
+    /// Share of the memory that may buffer request bodies.
     pub body_share: f64,
 }
 
-/// The platform's store.
+/// Object store of the platform.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreSettings {
-    /// Address.
+    /// Address of the store's API.
     pub address: SocketAddr,
 }
 
-/// Span in which the platform's rule counts what a cold endpoint gets.
+/// Time span over which the platform's limit on cold endpoints counts calls.
 const COLD_RATE_SPAN_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// What all daemons together may send to an endpoint right after its start. Without both values there is no bound.
+/// Limit on the calls that all daemons together send to an endpoint right after its start.
+/// Unlimited unless both values are set.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ColdSettings {
-    /// Multiple of the rate that the endpoint's service states.
+    /// Multiple of the rate that the endpoint's service states for cold endpoints.
     pub rate_ratio: Option<f64>,
-    /// Calls beyond that in any second.
+    /// Calls allowed in addition to that rate, in any second.
     pub burst_calls: Option<f64>,
 }
 
 impl ColdSettings {
-    /// Returns the bound, if the deployment has one.
+    /// Returns the limit, or `None` if the deployment has none.
     pub fn bound(&self) -> Option<RateBound> {
         Some(RateBound {
             rate_ratio: self.rate_ratio?,
@@ -160,53 +161,54 @@
     }
 }
 
-/// Retries, over all daemons.
+/// Retry budget of all daemons together.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct RetrySettings {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries beyond that in one window, of all daemons together.
+    /// Additional retries per window, for all daemons together.
     pub slack: f64,
 }
 
-/// New weights.
+/// Rollout of new weights.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct RolloutSettings {
-    /// Share of the engines that are emptied and load at once; more at once each take longer.
+    /// Share of the engines that may drain and load weights at the same time. The more load at
+    /// once, the longer each one takes.
     pub parallel_share: f64,
-    /// Engines that may do so however few there are.
+    /// Number of engines that may load at the same time regardless of the share.
     pub parallel_min: usize,
-    /// Time that must lie between orders of two holders.
+    /// Minimum time between orders of two different lease holders, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// Leaving.
+/// Shutdown.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct DrainSettings {
-    /// Time from the signal to leave until the process is killed.
+    /// Time between the termination signal and the kill of the process, in seconds.
     pub grace_s: f64,
 }
 
-/// Entry addresses.
+/// Entry addresses given to callers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct EntrySettings {
-    /// How long callers may keep an answer.
+    /// Time for which callers may cache an answer, in seconds.
     pub ttl_s: f64,
-    /// Most that an answer may say.
+    /// Maximum value for `ttl_s`, in seconds.
     pub ttl_max_s: f64,
 }
 
-/// Log.
+/// Log volume.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct LogSettings {
-    /// Bytes a second above which lines are counted instead of written.
+    /// Bytes per second above which lines are counted instead of written.
     pub bytes_per_s: u32,
-    /// Calls that ended well, a second, above which they are counted instead of written.
+    /// Successful calls per second above which they are counted instead of written.
     pub successes_per_s: u32,
 }
 
@@ -265,7 +267,7 @@
 }
 
 impl RelaySettings {
-    /// Reads a settings file; keys that nothing knows are told to `ignored`.
+    /// Reads a settings file and passes the names of unknown keys to `ignored`.
     ///
     /// # Errors
     ///
@@ -278,7 +280,7 @@
         Self::parse(&text, ignored)
     }
 
-    /// Reads settings; keys that nothing knows are told to `ignored`.
+    /// Parses settings and passes the names of unknown keys to `ignored`.
     ///
     /// # Errors
     ///
@@ -291,21 +293,21 @@
         Ok(settings)
     }
 
-    /// Returns how long callers may keep an answer with entry addresses.
+    /// Returns the time for which callers may cache an answer with entry addresses.
     pub fn entry_ttl(&self) -> Duration {
         Duration::from_secs_f64(self.entries.ttl_s.min(self.entries.ttl_max_s))
     }
 
-    /// Returns how many bytes of requests' bodies may be held at once.
+    /// Returns the maximum number of bytes of request bodies that may be buffered at once.
     pub fn body_bytes(&self) -> usize {
         (self.limits.memory_mb * 1_000_000.0 * self.limits.body_share) as usize
     }
 
-    /// Returns the bounds of the deployment.
+    /// Returns the validated bounds of the deployment.
     ///
     /// # Errors
     ///
-    /// Names the key that is absent or out of range.
+    /// Returns the key of the first bound that is absent or out of range.
     pub fn bounds(&self) -> Result<Bounds, SettingsError> {
         self.bounds.checked()
     }
--- a/crates/wisteriahitch-relay/src/site/configuration.rs
+++ b/crates/wisteriahitch-relay/src/site/configuration.rs
@@ -1,4 +1,4 @@
-//! A site's configuration as the platform holds it, decoded.
+//! The site's configuration, decoded from the platform's store.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,108 +13,108 @@
 use super::RouteTable;
 use crate::decide::overload::UrgencyLevels;
 
-/// What all engines of a service have in common.
+/// Properties that all engines of a service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that the accelerator's memory holds.
+    /// Capacity of the accelerator's memory, in tokens.
     pub memory_tokens: TokenCount,
-    /// Size of one token in that memory.
+    /// Size of one token in the accelerator's memory.
     pub token_bytes: ByteCount,
-    /// Rate of the link between engines and stores, in bits a microsecond.
+    /// Bandwidth of the link between engines and part stores, in Mbit/s.
     pub link_mbps: f64,
-    /// Models.
+    /// Models that the engines can serve.
     pub models: Vec<ModelName>,
 }
 
-/// A store VM that keeps parts of prompts.
+/// A store VM that caches parts of prompts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartStore {
-    /// Address.
+    /// Address of the store's API.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone that the store runs in.
     pub zone: AvailabilityZone,
-    /// Tokens that it has room for.
+    /// Maximum number of tokens that the store can hold.
     pub capacity_tokens: TokenCount,
-    /// Rate of its link, in bits a microsecond.
+    /// Bandwidth of the store's link, in Mbit/s.
     pub link_mbps: f64,
-    /// Wait before each transfer.
+    /// Latency before the first byte of each transfer.
     pub first_byte_delay: Duration,
-    /// Whether it frees nothing on its own.
+    /// Whether the store evicts nothing on its own, so that daemons must free parts.
     pub is_managed: bool,
 }
 
-/// One service of the configuration.
+/// A service of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// What its endpoints are, if they are model engines.
+    /// Properties of the service's endpoints if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// The store that it is, if it is one; a store has no endpoints.
+    /// The part store that this service is, if it is one. A store has no endpoints.
     pub store: Option<PartStore>,
-    /// What its endpoints bear right after their start, if that is less than later.
+    /// Limits on the load of freshly started endpoints, if they bear less than warm ones.
     pub cold: Option<ColdStartSpec>,
 }
 
-/// What an endpoint bears right after its start.
+/// Load that an endpoint bears right after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStartSpec {
-    /// How long it is cold.
+    /// Time after the start during which an endpoint counts as cold.
     pub start_us: DurationUs,
-    /// Calls a second that it bears meanwhile.
+    /// Calls per second that a cold endpoint bears.
     pub calls_per_s: f64,
 }
 
 /// A customer of the site.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Workspace {
-    /// Name, which endpoints are told.
+    /// Identifier, which endpoints receive with each call.
     pub id: WorkspaceId,
-    /// Rank of its calls, which goes before the route's.
+    /// Priority of the workspace's calls; overrides the route's priority.
     pub priority: Option<u8>,
-    /// Whether it shares no cached part with any other.
+    /// Whether the workspace shares no cached parts with other workspaces.
     pub is_isolated: bool,
-    /// Regions in which its calls may run; empty where all may.
+    /// Regions in which the workspace's calls may run; empty if all are allowed.
     pub permitted_regions: Vec<Region>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerLimits {
-    /// Size of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Size of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Maximum time to receive a request's head.
     pub header_timeout: Duration,
-    /// Time for which a connection may wait for a request.
+    /// Maximum time that a connection may stay open without a request.
     pub idle_timeout: Duration,
 }
 
-/// One version of a site's configuration.
+/// One version of the site's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteConfig {
-    /// Version; a higher one replaces a lower one.
+    /// Version number; a higher version replaces a lower one.
     pub version: ConfigVersion,
-    /// Routes.
+    /// Routes of all hosts.
     pub routes: RouteTable,
-    /// Ranks of the routes of each service.
+    /// Urgency levels of each service, derived from its routes.
     pub urgency: UrgencyLevels,
     /// Services by name.
     pub services: HashMap<ServiceName, Service>,
-    /// Workspaces by their callers' keys; without it callers need no key.
+    /// Workspaces by API key. `None` if callers need no key.
     pub workspaces_by_key: Option<HashMap<String, Arc<Workspace>>>,
-    /// Bounds on callers.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
-/// The weight version that a model is to run.
+/// The weight version that the operator wants a model to run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WantedWeights {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version.
+    /// Version of its weights.
     pub version: WeightNumber,
 }
--- a/crates/wisteriahitch-relay/src/site/endpoint.rs
+++ b/crates/wisteriahitch-relay/src/site/endpoint.rs
@@ -1,4 +1,4 @@
-//! One life of an endpoint.
+//! A registered instance of an endpoint.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,29 +8,29 @@
 };
 use wisteriahitch_wire::object_store::Revision;
 
-/// One life of an endpoint, as it registered itself.
+/// One instance of an endpoint, as described by its registration.
 ///
-/// One that has restarted is another life, with the same address and, where the platform tells
-/// starts, the same id.
+/// A restarted endpoint is a new instance at the same address. It keeps its id if the platform
+/// reports start times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Which life of which endpoint it is.
+    /// Id and start of the instance.
     pub instance: EndpointInstance,
-    /// Revision of the store at which it registered so. It only grows, and so tells which of two
+    /// Store revision of the registration. Revisions only grow, so the higher one of two
     /// registrations is the newer one.
     pub revision: Revision,
-    /// Service that it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Address.
+    /// Address that calls are sent to.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone that the endpoint runs in.
     pub zone: AvailabilityZone,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it announced that it is shutting down.
     pub is_draining: bool,
-    /// How much longer it said to stay cold.
+    /// Time for which it stays cold after its registration, as it reported.
     pub remaining_cold_us: DurationUs,
-    /// Weights that it said it has.
+    /// Versions of the weights that it reported, by model.
     pub weights: BTreeMap<ModelName, WeightNumber>,
 }
--- a/crates/wisteriahitch-relay/src/site/fingerprint.rs
+++ b/crates/wisteriahitch-relay/src/site/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What stays the same of a request from repeat to repeat.
+//! A hash that identifies repeats of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{KeyHash, ParseIdError, WorkspaceId};
 
-/// Separates fingerprints from other hashes over the same bytes.
+/// Domain separation from other hashes over the same bytes.
 const CONTEXT: &str = "wisteriahitch request fingerprint v1";
 
-/// Names a request by what its endpoint acts on: workspace, path and body.
+/// Identifies a request by what its endpoint acts on: workspace, path and body.
 ///
-/// Each repeat has another id and another deadline, and may declare other parts of its prompt, so that nothing in
-/// its headers says that it is the same one. A call without a workspace, on a public route or where keys aren't
-/// used, has the path and the body alone: an endpoint isn't told more of its caller. The host and what
-/// follows the path as a query don't count.
+/// Each repeat of a request has its own id and deadline and may declare other parts of its prompt,
+/// so its headers don't show that it is the same request. A call without a workspace (on a public
+/// route, or where keys aren't used) is identified by path and body alone, because its endpoint
+/// learns nothing else about the caller. The host and the query string are not hashed.
 ///
-/// Two requests share one by chance once in 2^64 pairs; that somebody makes such a pair on purpose harms only
-/// requests of the own workspace, whose name is hashed too.
+/// Two different requests collide with a probability of 2^-64. A collision made on purpose only
+/// harms requests of the attacker's own workspace, because the workspace id is hashed too.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(u64);
 
 impl RequestFingerprint {
-    /// Hashes a request.
+    /// Computes the fingerprint of a request.
     pub fn of(workspace: Option<&WorkspaceId>, path: &str, body: &[u8]) -> Self {
         let workspace = workspace.map_or("", WorkspaceId::as_str);
         let key = KeyHash::derive(CONTEXT, &[workspace.as_bytes(), path.as_bytes(), body]);
--- a/crates/wisteriahitch-relay/src/site/mod.rs
+++ b/crates/wisteriahitch-relay/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! What a site looks like to the daemon: routes, services, workspaces and endpoints.
+//! The daemon's model of a site: routes, services, workspaces and endpoints.
 
 mod configuration;
 mod endpoint;
--- a/crates/wisteriahitch-relay/src/site/prompt.rs
+++ b/crates/wisteriahitch-relay/src/site/prompt.rs
@@ -1,31 +1,32 @@
-//! What a caller declares of its prompt.
+//! What a caller declares about its prompt.
 
 use wisteriahitch_types::{ModelName, TokenCount};
 
-/// One part of a prompt, which other prompts may share.
+/// A prefix part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Id; equal parts of two prompts have the same one.
+    /// Identifier; equal parts of different prompts have the same id.
     pub id: u64,
-    /// Size.
+    /// Size of the part.
     pub tokens: TokenCount,
 }
 
-/// The shape of a prompt, as far as decisions need it.
+/// The size and parts of a prompt, which placement uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PromptShape {
-    /// Model that it is for.
+    /// Model that the prompt is for.
     pub model: ModelName,
     /// Size of the whole prompt.
     pub prompt_tokens: TokenCount,
-    /// Most tokens of the answer.
+    /// Maximum size of the answer.
     pub output_tokens: TokenCount,
-    /// Parts in order; the last one belongs to this request or its session alone.
+    /// Parts in order. The last one belongs to this request or its session alone.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptShape {
-    /// Returns how many tokens a call with it occupies in an engine's memory at most.
+    /// Returns the maximum number of tokens that a call with this prompt occupies in an engine's
+    /// memory.
     pub fn memory_tokens(&self) -> u64 {
         self.prompt_tokens.get() + self.output_tokens.get()
     }
--- a/crates/wisteriahitch-relay/src/site/region.rs
+++ b/crates/wisteriahitch-relay/src/site/region.rs
@@ -1,26 +1,26 @@
-//! In which regions calls may run.
+//! Regions of availability zones, and the zones that a call may use.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use wisteriahitch_types::{AvailabilityZone, Region};
 
-/// The region that each availability zone of the site is in.
+/// The region of each availability zone of the site.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RegionMap(BTreeMap<AvailabilityZone, Region>);
 
 impl RegionMap {
-    /// Takes over the regions of the zones.
+    /// Creates a map from zones to regions.
     pub fn new(regions: BTreeMap<AvailabilityZone, Region>) -> Self {
         Self(regions)
     }
 
-    /// Returns the region of a zone, if it is known.
+    /// Returns the region of a zone, or `None` if it isn't configured.
     pub fn region(&self, zone: &AvailabilityZone) -> Option<&Region> {
         self.0.get(zone)
     }
 }
 
-/// The zones in which a call may run, and to whose stores parts of its prompt may be saved.
+/// The zones in which a call may run and whose stores may hold parts of its prompt.
 ///
 /// ```
 /// use std::collections::BTreeMap;
@@ -33,11 +33,15 @@
 /// # Ok::<(), wisteriahitch_types::ParseIdError>(())
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AllowedZones(Option<BTreeSet<AvailabilityZone>>);
+pub struct AllowedZones(
+    /// `None` allows every zone, also those whose region isn't known.
+    Option<BTreeSet<AvailabilityZone>>,
+);
 
 impl AllowedZones {
-    /// Derives them from the regions that a call's route and workspace allow. One that names none allows all; where
-    /// both name some, both bind. A zone whose region isn't known is in none of them.
+    /// Returns the zones that both the route's and the workspace's permitted regions contain. An
+    /// empty list permits all regions. If either list is non-empty, zones without a known region
+    /// are excluded.
     pub fn of(route: &[Region], workspace: &[Region], map: &RegionMap) -> Self {
         if route.is_empty() && workspace.is_empty() {
             return Self(None);
@@ -51,7 +55,7 @@
         Self(Some(zones.map(|(zone, _)| zone.clone()).collect()))
     }
 
-    /// Returns whether a zone is one of them.
+    /// Returns whether a zone is allowed.
     pub fn contains(&self, zone: &AvailabilityZone) -> bool {
         self.0.as_ref().is_none_or(|zones| zones.contains(zone))
     }
--- a/crates/wisteriahitch-relay/src/site/route.rs
+++ b/crates/wisteriahitch-relay/src/site/route.rs
@@ -1,23 +1,24 @@
-//! Routes: which service serves a path, and what may be done with its calls.
+//! Routes: which service handles a path, and whether its calls may be repeated.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use wisteriahitch_types::{DurationUs, Region, RouteName, ServiceName};
 
-/// Says what may be done with a call that failed.
+/// How often a call may run, which decides what can be retried after a failure.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum CallKind {
-    /// It may run more than once.
+    /// The call may run any number of times.
     Idempotent,
-    /// It may run at most once.
+    /// The call may run at most once.
     Once,
-    /// Its answer is a stream of events; it may run at most once unless it can be resumed.
+    /// The answer is a stream of events. The call may run at most once unless the stream can be
+    /// resumed.
     Stream,
 }
 
 impl CallKind {
-    /// Returns the word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub const fn label(self) -> &'static str {
         match self {
             CallKind::Idempotent => "idempotent",
@@ -27,39 +28,40 @@
     }
 }
 
-/// One route of the configuration.
+/// A route of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: RouteName,
-    /// Host that callers ask for.
+    /// Host that callers request, without a port.
     pub host: String,
-    /// Start of the paths that it serves; begins and ends with a slash.
+    /// Prefix of the paths that the route handles; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its calls.
+    /// How often its calls may run.
     pub kind: CallKind,
-    /// Longest time that a call may take.
+    /// Maximum duration of a call.
     pub timeout_us: DurationUs,
-    /// Time within which the answer, or a stream's first event, should be there.
+    /// Target latency until the answer, or the first event of a stream.
     pub latency_slo_us: DurationUs,
-    /// Longest pause between two events of a stream that is still good.
+    /// Longest acceptable gap between two events of a stream.
     pub max_event_gap_us: DurationUs,
-    /// Services with their weights; never empty.
+    /// Services with their relative weights; never empty.
     pub targets: Vec<(ServiceName, u32)>,
-    /// Most endpoints to which one call may be sent.
+    /// Maximum number of endpoints that one call may be sent to.
     pub max_attempts: u32,
-    /// Rank of its calls; 0 goes first.
+    /// Priority of its calls; 0 is the most urgent.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_public: bool,
-    /// Whether a stream may go on at another endpoint after its last event.
+    /// Whether a broken stream may resume at another endpoint after the last event that was
+    /// received.
     pub is_resumable: bool,
-    /// Regions in which its calls may run; empty where all may.
+    /// Regions in which its calls may run; empty if all are allowed.
     pub permitted_regions: Vec<Region>,
 }
 
 impl Route {
-    /// Returns whether a call may be sent again after an endpoint may have run it.
+    /// Returns whether a call may be sent again although an endpoint may already have run it.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             CallKind::Idempotent => true,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Returns the service whose share of the weights `draw` falls into.
+    /// Picks a service in proportion to the weights, given a uniformly random number.
     pub fn pick_service(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self
             .targets
@@ -89,15 +91,15 @@
     }
 }
 
-/// Finds routes by host and path.
+/// Looks up routes by host and path.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
-    /// Routes of each host, the longest prefix first.
+    /// Routes of each host, longest prefix first.
     by_host: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Builds the table.
+    /// Builds the table from the routes of a configuration.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -110,7 +112,8 @@
         Self { by_host }
     }
 
-    /// Returns the route with the longest prefix of `path` at `host`, whose port doesn't count.
+    /// Returns the route of `host` with the longest prefix of `path`. The port of `host` is
+    /// ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.by_host.get(name)?;
@@ -119,7 +122,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Lists all routes.
+    /// Iterates over all routes in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.by_host.values().flatten()
     }
