--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon: every role in one process.
+//! The daemon process: starts all servers and background tasks and shuts them down.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -49,28 +49,30 @@
 use crate::settings::{Bounds, RelaySettings};
 use crate::site::RegionMap;
 
-/// Time between two rounds of housekeeping: gathered log lines, idle connections, lapsed endpoints.
+/// Time between two rounds of housekeeping: flushing aggregated log lines, closing idle connections
+/// and expiring endpoints.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least time for which an endpoint's limit holds, if nobody hears of it again: one that takes calls at all says something
-/// within ten seconds of being asked, as the rate that it is asked at is no lower.
+/// Minimum time for which an endpoint's rate limit stays valid without a new report. An endpoint
+/// that accepts calls at all reports within ten seconds, because it is called at least that often.
 const MIN_LIMIT_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// One life of a daemon process.
+/// A single run of a daemon process.
 ///
-/// It keeps nothing that must last: what must lies in the platform's store, and the rest is learnt
-/// again at the next start.
+/// It stores nothing durable itself. Durable data lives in the platform's store, and everything
+/// else is learned again after the next start.
 pub struct Daemon {
     shared: Arc<Shared>,
     settings_path: PathBuf,
 }
 
 impl Daemon {
-    /// Builds a daemon that knows nothing yet.
+    /// Builds a daemon without any state.
     ///
     /// # Errors
     ///
-    /// Fails when the metrics can't be registered or a bound of the deployment makes no sense.
+    /// Fails if the metrics can't be registered or a bound of the deployment is absent or out of
+    /// range.
     pub fn new(
         settings: RelaySettings,
         settings_path: PathBuf,
@@ -133,11 +135,11 @@
         })
     }
 
-    /// Serves until the process has been told to leave and has finished its calls.
+    /// Serves until the process receives a termination signal and its calls have finished.
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be listened on.
+    /// Fails if a listening address can't be bound.
     pub async fn run(self) -> anyhow::Result<()> {
         let shared = self.shared;
         let now = shared.now();
@@ -180,7 +182,8 @@
     let listen = &shared.settings.listen;
     let peer_address = SocketAddr::from((shared.settings.ip, listen.peer_port));
     let socket = UdpSocket::bind(peer_address).await;
-    let socket = socket.with_context(|| format!("peers can't be heard on {peer_address}"))?;
+    let socket =
+        socket.with_context(|| format!("the gossip socket can't be bound to {peer_address}"))?;
     tokio::spawn(run_gossip(Arc::clone(shared), socket));
     let callers = Arc::new(CallerSide {
         shared: Arc::clone(shared),
@@ -191,7 +194,7 @@
     let peers = Arc::new(PeerHandler {
         shared: Arc::clone(shared),
     });
-    // Only callers' connections are closed when the daemon leaves: the others go on asking it.
+    // Only callers' connections are closed during shutdown. The other servers keep answering.
     let never_cancelled = CancellationToken::new();
     let leaving = shared.drain.started.clone();
     tokio::spawn(serve(
@@ -267,8 +270,8 @@
     }
 }
 
-/// Reads the settings again when it is told to. What is in force stays in force until the next
-/// start; a faulty file is told of at once instead of then.
+/// Validates the settings file again on SIGHUP and logs the result. The running settings don't
+/// change until the next start, but an invalid file is reported now instead of then.
 async fn run_settings_reloads(shared: Arc<Shared>, path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
@@ -284,13 +287,14 @@
     }
 }
 
-/// Returns how long an endpoint's limit holds here, if nobody hears of it again. It differs between daemons, so that one
-/// of them asks the endpoint again and tells the others, before they all send as if there were no limit.
+/// Returns how long an endpoint's rate limit stays valid without a new report. The time is random
+/// per daemon, so that one daemon calls the endpoint again and informs the others before all of
+/// them send as if there were no limit.
 fn limit_ttl() -> DurationUs {
     MIN_LIMIT_TTL_US + DurationUs::new(rand::random_range(0..MIN_LIMIT_TTL_US.get()))
 }
 
-/// Shows the whole state as JSON.
+/// Returns the state of the daemon as JSON.
 pub(crate) fn dump(shared: &Shared) -> String {
     let now = shared.now();
     let endpoints = shared.endpoints.lock();
--- a/crates/wisteriahitch-relay/src/shell/entries.rs
+++ b/crates/wisteriahitch-relay/src/shell/entries.rs
@@ -1,4 +1,4 @@
-//! Where callers connect, and whether this daemon is ready.
+//! Answers readiness probes and requests for the addresses that callers may connect to.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::decide::members::Entry;
 use crate::site::RegionMap;
 
-/// Up to so many daemons are all named in an answer.
+/// Maximum number of daemons that are all listed in an answer.
 const MAX_FULL_LIST: usize = 12;
 
-/// Daemons that are named of a larger fleet: enough for a caller to find one that lives after many
-/// have died at once.
+/// Number of daemons listed in an answer of a larger fleet: enough for a caller to find a live one
+/// after many have died at once.
 const SAMPLE_SIZE: usize = 10;
 
-/// Answers the questions of callers that want to connect, and of the platform.
+/// Serves entry addresses to callers and readiness probes to the platform.
 pub(crate) struct EntryHandler {
     pub(crate) shared: Arc<Shared>,
 }
@@ -73,12 +73,12 @@
     response
 }
 
-/// Returns the daemons that are alive and stay, in an order of chance.
+/// Returns the addresses of the live daemons that aren't shutting down, in random order.
 ///
-/// Callers keep an answer for a while and choose among its addresses alike. In a small fleet they are
-/// told of all. In a larger one each answer names some, drawn by what each can carry, so that a VM
-/// with a tenth of a core isn't given as many callers as one with half. This daemon names itself
-/// where it knows nobody, since no address at all helps nobody.
+/// Callers cache an answer for a while and pick uniformly among its addresses. In a small fleet the
+/// answer lists all daemons. In a larger one it lists a random sample weighted by capacity, so that
+/// a VM with a tenth of a core doesn't get as many callers as one with half a core. This daemon
+/// lists itself if it knows no other one, because an empty answer helps no caller.
 fn entry_addresses(shared: &Shared, region: Option<&Region>) -> Vec<SocketAddr> {
     let port = shared.settings.listen.callers.port();
     let mut entries = shared.peers.table().entries(shared.now());
@@ -104,8 +104,8 @@
     addresses
 }
 
-/// Returns those in the caller's region, or all where there are none: calls of some routes may not leave it, and the way
-/// to another one is long.
+/// Returns the entries in the caller's region, or all if there are none. Calls of some routes must
+/// not leave the region, and the latency to another region is high.
 fn in_region(entries: Vec<Entry>, region: Option<&Region>, map: &RegionMap) -> Vec<Entry> {
     let Some(region) = region else {
         return entries;
@@ -121,7 +121,7 @@
     }
 }
 
-/// Draws some entries, each with a chance in proportion to its capacity.
+/// Samples [`SAMPLE_SIZE`] entries with probability proportional to their capacity.
 fn sample_by_capacity(entries: Vec<Entry>, rng: &mut impl Rng) -> Vec<Entry> {
     let mut scored: Vec<(f64, Entry)> = entries
         .into_iter()
--- a/crates/wisteriahitch-relay/src/shell/gossip.rs
+++ b/crates/wisteriahitch-relay/src/shell/gossip.rs
@@ -1,4 +1,7 @@
-//! What a daemon tells another one.
+//! Builds the gossip messages that a daemon sends.
+//!
+//! In a small fleet every daemon sends to every other one. In a large fleet each daemon sends to
+//! its hub, and hubs send to each other and to their spokes, the daemons that they serve.
 
 use std::net::Ipv4Addr;
 
@@ -14,29 +17,29 @@
 use crate::decide::hubs::HubPlan;
 use crate::decide::members::Entry;
 
-/// Largest message: the load of some hundred endpoints and the news of a tenth of a second. A network
-/// breaks it into a few packets, and one lost packet loses one message.
+/// Maximum size of a message: the load of a few hundred endpoints and the updates of a tenth of a
+/// second. The network splits it into a few packets, and losing one packet loses one message.
 pub(super) const MAX_GOSSIP_BYTES: usize = 8 * 1024;
 
-/// Most parts in a message; of more, the newest go first.
+/// Maximum number of cached-part updates in a message. If there are more, the newest are sent.
 const MAX_PART_UPDATES: usize = 60;
 
-/// Most news of part stores in a message; the rest goes with the next one.
+/// Maximum number of part store updates in a message. The rest is sent with the next one.
 const MAX_STORED_PART_UPDATES: usize = 80;
 
-/// Most daemons in a message; messages of a larger fleet take turns.
+/// Maximum number of daemons in a message. Messages of a larger fleet send pages in rotation.
 const MAX_MEMBER_UPDATES: usize = 60;
 
-/// Most limits of endpoints in a message; more take turns.
+/// Maximum number of endpoint limits in a message. More are sent in rotating pages.
 const MAX_LIMIT_UPDATES: usize = 100;
 
-/// Most leaving endpoints in a message; more take turns.
+/// Maximum number of leaving endpoints in a message. More are sent in rotating pages.
 const MAX_LEAVING_UPDATES: usize = 100;
 
-/// Time for which messages hold the same part of what takes turns, in microseconds: two messages of a narrow link.
+/// Time for which messages send the same page, in microseconds: two messages over a narrow link.
 const PAGE_ROTATION_US: u64 = 200_000;
 
-/// What goes to several targets of one round.
+/// Updates that are sent to several targets of one gossip round.
 pub(super) struct RoundUpdates {
     local_parts: Vec<PartUpdate>,
     remote_parts: Vec<PartUpdate>,
@@ -48,7 +51,8 @@
 }
 
 impl RoundUpdates {
-    /// Gathers it.
+    /// Collects the updates of a round. `local_parts` come from this daemon and its spokes,
+    /// `remote_parts` from other hubs.
     pub(super) fn new(
         shared: &Shared,
         plan: &HubPlan,
@@ -57,7 +61,7 @@
         now: TimeUs,
     ) -> Self {
         let number = shared.peers.next_round_number();
-        // In a small fleet everybody asks the stores.
+        // In a small fleet every daemon polls the stores itself.
         let updates = shared
             .part_stores
             .lock()
@@ -75,7 +79,8 @@
     }
 }
 
-/// Encodes the message for `own`, one of this hub's daemons, or else for everybody else.
+/// Encodes the message for `spoke`, a daemon that this hub serves, or for all other targets if
+/// `None`.
 pub(super) fn encode_message(
     shared: &Shared,
     plan: &HubPlan,
@@ -95,7 +100,8 @@
     message.parts.drain(..surplus);
     if !plan.is_small && message.is_hub {
         message.stores = store_updates(shared, now);
-        // Hubs that only hear of the stores tell their own daemons alone.
+        // Hubs that don't watch the stores themselves relay updates about them only to their
+        // spokes.
         if spoke.is_some() || shared.peers.follows_stores() {
             message.kept.clone_from(&round.stored_parts);
         }
@@ -141,10 +147,10 @@
     }
 }
 
-/// Returns the work that the receiver doesn't know from elsewhere.
+/// Returns the load of endpoints that the receiver doesn't learn from another daemon.
 ///
-/// One of this hub's daemons hears of everybody's but its own; other hubs hear of this daemon's and
-/// of its daemons'; in a small fleet, and from one that is no hub, everybody hears of its own.
+/// A spoke gets the load of all daemons but itself. Other hubs get the load of this daemon and its
+/// spokes. In a small fleet, or if this daemon is no hub, all receivers get its own load alone.
 fn endpoint_updates(
     shared: &Shared,
     plan: &HubPlan,
@@ -188,26 +194,29 @@
     endpoints.iter().map(update_of).filter(is_needed).collect()
 }
 
-/// Returns what is known of endpoints' limits, whoever heard of it: the newest counts, so that it may be told in a circle.
+/// Returns the known limits of endpoints, from any source. Only the newest report of a limit
+/// counts, so updates may travel in circles.
 fn limit_updates(shared: &Shared, now: TimeUs) -> Vec<LimitUpdate> {
     let updates = shared.endpoints.lock().limit_updates(now);
     current_page(updates, MAX_LIMIT_UPDATES, now).collect()
 }
 
-/// Returns the lives that have said in an answer that they leave, whoever heard it.
+/// Returns the short names of endpoints that announced in an answer that they are leaving,
+/// whichever daemon received it.
 fn leaving_updates(shared: &Shared, now: TimeUs) -> Vec<u32> {
     let short_names = shared.endpoints.lock().leaving_updates(now);
     current_page(short_names, MAX_LEAVING_UPDATES, now).collect()
 }
 
-/// Returns a part of `rows` that is small enough for one message; messages take turns.
+/// Returns the page of `rows` for the current message. Pages rotate every [`PAGE_ROTATION_US`].
 fn current_page<T>(rows: Vec<T>, size: usize, now: TimeUs) -> impl Iterator<Item = T> {
     let pages = rows.len().div_ceil(size).max(1);
     let page = usize::try_from(now.get() / PAGE_ROTATION_US).unwrap_or(0) % pages;
     rows.into_iter().skip(page * size).take(size)
 }
 
-/// Returns the engines whose memory this daemon follows; for `own` all that are followed.
+/// Returns the engines whose memory this daemon follows. For a spoke, returns all engines that any
+/// daemon follows.
 fn followed_engines(shared: &Shared, spoke: Option<Ipv4Addr>, now: TimeUs) -> Vec<u32> {
     let endpoints = shared.endpoints.lock();
     let is_reported = |row: &&EndpointRow| match spoke {
@@ -218,8 +227,9 @@
     reported.map(|row| row.short_name).collect()
 }
 
-/// Returns the endpoints that can't be reached: what this daemon found itself; as a hub of a large fleet
-/// what it has heard from several, and for `own` also what other hubs have.
+/// Returns the endpoints that can't be reached. A daemon reports what it found itself. A hub of a
+/// large fleet reports to other hubs what several daemons confirmed, and to a spoke also what other
+/// hubs reported.
 fn unreachable_endpoints(
     shared: &Shared,
     plan: &HubPlan,
@@ -241,7 +251,7 @@
     shared.part_stores.lock().store_updates(now)
 }
 
-/// Adds the daemons that are heard: for other hubs those of this hub, for its own all.
+/// Adds the live daemons: those that this hub serves for other hubs, all known ones for a spoke.
 fn add_members(shared: &Shared, message: &mut GossipMessage, spoke: Option<Ipv4Addr>, now: TimeUs) {
     let table = shared.peers.table();
     let mut rows: Vec<(Entry, MemberPhase)> = table
--- a/crates/wisteriahitch-relay/src/shell/mod.rs
+++ b/crates/wisteriahitch-relay/src/shell/mod.rs
@@ -1,4 +1,4 @@
-//! The shell: carries the decisions out over the network.
+//! Carries the decisions of `decide` out over the network.
 
 mod answer_body;
 mod attempt;
--- a/crates/wisteriahitch-relay/src/shell/peer_client.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_client.rs
@@ -1,4 +1,5 @@
-//! Questions to other daemons, by HTTP: for what gossip is too small or has not brought.
+//! HTTP requests to other daemons, for data that is too large for gossip or that gossip didn't
+//! deliver.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -18,24 +19,24 @@
 use crate::decide::parts::EngineMemory;
 use crate::observe::Event;
 
-/// Longest wait for a peer's objects.
+/// Timeout for connecting to a peer and for its response, each.
 const PEER_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Largest answer of a peer.
+/// Maximum size of a peer's response.
 const MAX_PEER_RESPONSE_BYTES: ByteCount = ByteCount::new(8 * 1024 * 1024);
 
-/// Start of the paths of peers' objects.
+/// Prefix of the paths under which peers serve the objects of a role.
 pub(super) const PEER_OBJECTS_PATH: &str = "/v1/objects/";
 
-/// Start of the paths of what peers know of part stores.
+/// Prefix of the paths under which peers serve the contents of part stores.
 pub(super) const PEER_PARTS_PATH: &str = "/v1/parts/";
 
-/// Path of what peers believe that engines keep.
+/// Path under which peers serve what they know of the engines' caches.
 pub(super) const ENGINE_MEMORY_PATH: &str = "/v1/engine-memory";
 
-/// Asks a peer for all that a part store keeps.
+/// Fetches the complete contents of a part store from a peer.
 pub(super) async fn fetch_store_parts(shared: Arc<Shared>, store: SocketAddr, ip: Ipv4Addr) {
-    /// Life of the store, and keys of its parts with their sizes.
+    /// Epoch of the store, and the keys of its parts with their sizes in tokens.
     type StoreParts = Option<(u64, Vec<(u64, u64)>)>;
 
     let path = format!("{PEER_PARTS_PATH}{store}");
@@ -49,7 +50,7 @@
         }
         Ok(None) => {}
         Err(detail) => shared.log.write(&Event::Failure {
-            what: "asking a peer for the parts of a store",
+            what: "fetching the contents of a part store from a peer",
             detail: format!("{ip}: {detail}"),
         }),
     }
@@ -60,7 +61,7 @@
         .retain(|asked| *asked != store);
 }
 
-/// Takes over from a peer what it knows more of a kind of objects.
+/// Fetches from a peer the objects of a role that are newer than the known ones.
 pub(super) async fn catch_up(shared: Arc<Shared>, role: ObjectRole, ip: Ipv4Addr) {
     fetch_changes(&shared, role, ip).await;
     shared.watches.finish_catch_up(role);
@@ -82,21 +83,21 @@
             }
         }
         Err(detail) => shared.log.write(&Event::Failure {
-            what: "asking a peer for objects",
+            what: "fetching objects from a peer",
             detail: format!("{ip}: {detail}"),
         }),
     }
 }
 
-/// What a daemon tells one that has just started of the engines.
+/// What a daemon sends to a newly started one about the engines' caches.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct EngineMemorySnapshot {
-    /// Time since the sender's start.
+    /// Uptime of the sender, in milliseconds.
     pub(super) up_ms: u64,
     pub(super) engines: Vec<EngineMemory>,
 }
 
-/// Asks a daemon what it knows of the engines.
+/// Fetches from a peer what it knows of the engines' caches.
 pub(super) async fn fetch_engine_memory_snapshot(
     shared: &Shared,
     ip: Ipv4Addr,
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers to other daemons, to operators, and to whoever reads metrics.
+//! HTTP server for other daemons, operators and metrics scrapers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use super::shared::Shared;
 use super::watch_state::{WATCHED_ROLES, kind_name};
 
-/// Answers other daemons and whoever reads metrics.
+/// Serves requests of other daemons, operators and metrics scrapers.
 pub(crate) struct PeerHandler {
     pub(crate) shared: Arc<Shared>,
 }
--- a/crates/wisteriahitch-relay/src/shell/peer_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_state.rs
@@ -1,4 +1,4 @@
-//! What a daemon keeps of its peers.
+//! State that a daemon keeps about its peers and its gossip.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -17,23 +17,25 @@
 use crate::decide::hubs::HubPlan;
 use crate::decide::members::{PeerRow, PeerTable};
 
-/// Longest wait after the start for the list of the other daemons; the store answers within a second.
+/// Maximum wait after the start for the list of the other daemons. The store answers within a
+/// second.
 const PEER_LIST_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Time in which daemons that are known are heard: they tell something at least every 0.2 s, and what
-/// hubs tell on takes three steps.
+/// Time in which gossip of all known daemons arrives: each sends at least every 0.2 s, and updates
+/// relayed by hubs take three hops.
 const GOSSIP_SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// Most parts that wait to be told. Parts that are never told cost a prompt that is read again.
+/// Maximum number of part updates that wait for the next message. A dropped update costs processing
+/// a prompt again.
 const MAX_QUEUED_PARTS: usize = 400;
 
-/// Lateness of a timer, in milliseconds, at which a daemon counts as half as strong as it is.
+/// Delay of a timer, in milliseconds, at which a daemon reports half of its capacity.
 const HALF_CAPACITY_LAG_MS: f64 = 60.0;
 
-/// Weight of the newest lateness in its moving mean.
+/// Weight of the newest sample in the moving average of the timer delay.
 const LAG_EWMA_WEIGHT: f64 = 0.2;
 
-/// What a daemon keeps of its peers.
+/// State that a daemon keeps about its peers and its gossip.
 #[derive(Default)]
 pub(crate) struct PeerState {
     table: Mutex<PeerTable>,
@@ -42,32 +44,33 @@
     pub(super) daemon_count: AtomicUsize,
     /// Cancelled once the registered daemons are known.
     pub(super) peers_listed: CancellationToken,
-    /// Parts that were read for this daemon, or told by daemons whose hub it is.
+    /// Updates of cached parts from this daemon, or from the daemons that it serves as a hub.
     pub(super) local_parts: Mutex<Vec<PartUpdate>>,
-    /// Parts that other hubs have told.
+    /// Updates of cached parts from other hubs.
     pub(super) remote_parts: Mutex<Vec<PartUpdate>>,
-    /// Part stores whose contents are being asked for.
+    /// Part stores whose contents are being fetched from a peer.
     pub(super) pending_store_fetches: Mutex<Vec<SocketAddr>>,
     next_message: AtomicU64,
     next_round: AtomicU64,
     lag_ms: Mutex<f64>,
-    /// Sends a message at once.
+    /// Wakes the gossip sender to send a message without waiting for the interval.
     pub(crate) wake_sender: Notify,
     pub(super) gossip_schedule: Mutex<GossipPace>,
 }
 
 impl PeerState {
-    /// Locks the table of peers for one step.
+    /// Locks the table of peers. The lock must not be held across an await.
     pub(crate) fn table(&self) -> MutexGuard<'_, PeerTable> {
         self.table.lock()
     }
 
-    /// Returns whether this daemon follows the stores itself instead of hearing of them.
+    /// Returns whether this daemon watches the platform's store and the part stores itself instead
+    /// of learning their contents by gossip.
     pub(crate) fn follows_stores(&self) -> bool {
         self.follows_stores.load(Ordering::Relaxed)
     }
 
-    /// Waits for the list of the other daemons, and returns whether it came in time.
+    /// Waits for the list of the other daemons, and returns whether it arrived in time.
     pub(super) async fn wait_for_peer_list(&self) -> bool {
         let listed = self.peers_listed.cancelled();
         tokio::time::timeout(PEER_LIST_TIMEOUT, listed)
@@ -75,42 +78,43 @@
             .is_ok()
     }
 
-    /// Waits until daemons that are known would have been heard.
+    /// Waits until gossip of all known daemons should have arrived.
     pub(super) async fn wait_for_gossip(&self) {
         tokio::time::sleep(GOSSIP_SETTLE_TIME).await;
     }
 
-    /// Returns how many daemons there seem to be, this one included.
+    /// Returns the estimated number of daemons, this one included.
     pub(crate) fn daemon_count(&self) -> usize {
         self.daemon_count.load(Ordering::Relaxed).max(1)
     }
 
-    /// Returns whether a daemon that the store answers is heard, so that this one need not ask.
+    /// Returns whether gossip shows a hub that reaches the store, so that this daemon needn't ask
+    /// it.
     pub(crate) fn hub_reaches_store(&self, me: Ipv4Addr, now: TimeUs) -> bool {
         let table = self.table.lock();
         let is_hub = self.hub_plan.lock().is_hub(me);
-        // Hubs believe only those who ask the store: two that believed each other would go on for
-        // ever after the store has gone.
+        // A hub only trusts hubs that watch the store themselves. Two hubs that trusted each other
+        // would report the store as reachable forever after it has failed.
         let is_trusted = |peer: &PeerRow| peer.is_hub && (!is_hub || peer.follows_stores);
         table
             .alive(now)
             .any(|peer| is_trusted(peer) && peer.is_store_reachable)
     }
 
-    /// Returns how many daemons ask the store for a kind of object before this one does.
+    /// Returns how many daemons ask the store for objects of a role before this one does.
     pub(super) fn store_query_rank(&self, role: ObjectRole, me: Ipv4Addr, now: TimeUs) -> usize {
         let table = self.table.lock();
         table.place_in_turn(kind_name(role), me, self.follows_stores(), now)
     }
 
-    /// Notes a call that was sent, which the others may have to hear of at once.
+    /// Records a call that was sent, and wakes the sender if the others must learn of it at once.
     pub(crate) fn record_sent_call(&self, unread_tokens: u64) {
         if self.gossip_schedule.lock().sent(unread_tokens) {
             self.wake_sender.notify_one();
         }
     }
 
-    /// Tells parts that were read with the next messages.
+    /// Queues updates of cached parts for the next messages.
     pub(crate) fn queue_part_updates(&self, updates: Vec<PartUpdate>) {
         enqueue_parts(&self.local_parts, updates);
     }
@@ -120,15 +124,15 @@
         self.next_message.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Begins a round of messages, and returns its number.
+    /// Starts a gossip round and returns its number.
     pub(super) fn next_round_number(&self) -> u64 {
         self.next_round.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Returns how strong this daemon is, in thousandths of a core: less where its timers fire late.
+    /// Returns this daemon's capacity in thousandths of a core, reduced if its timers fire late.
     ///
-    /// A VM that has turned slow looks healthy to itself and to others; callers that are sent to it
-    /// wait. Its own lateness shows it first.
+    /// A VM that has become slow looks healthy to itself and to others, but callers that are sent
+    /// to it wait. The delay of its own timers shows this first.
     pub(super) fn capacity(&self, cores: f64) -> u16 {
         let responsiveness = 1.0 / (1.0 + *self.lag_ms.lock() / HALF_CAPACITY_LAG_MS);
         (cores * 1_000.0 * responsiveness).clamp(1.0, f64::from(u16::MAX)) as u16
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip among daemons: datagrams several times a second.
+//! Gossip among daemons: UDP messages sent several times per second.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,20 +22,23 @@
 use crate::decide::parts::PartKey;
 use crate::observe::Event;
 
-/// Time between two messages. Placement rests on what the others have sent meanwhile; one costs a
-/// system call for each daemon that is told.
+/// Time between two messages. Placement depends on the load that other daemons have sent meanwhile.
+/// Each message costs a system call per target.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same in a large fleet for a daemon whose link isn't wide.
+/// Time between two messages in a large fleet if the daemon's link is narrower than
+/// [`WIDE_LINK_MBPS`].
 const NARROW_LINK_GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Rate from which a link is wide enough for messages to many.
+/// Minimum bandwidth of a link that allows sending to many targets at the shorter interval, in
+/// Mbit/s.
 const WIDE_LINK_MBPS: u16 = 50;
 
-/// How long a told order keeps an endpoint from taking requests, if nothing more is heard.
+/// Time for which a reported reservation keeps an endpoint from taking requests, unless it is
+/// reported again.
 const RESERVATION_TTL_US: DurationUs = DurationUs::from_ms(600);
 
-/// How long a told following of an engine's memory counts, if nothing more is heard.
+/// Time for which an engine's memory counts as followed by a peer, unless it is reported again.
 const FOLLOWED_TTL_US: DurationUs = DurationUs::from_ms(800);
 
 fn own_candidate(shared: &Shared) -> HubCandidate {
@@ -46,7 +49,7 @@
     }
 }
 
-/// Sends messages and takes those of the others, for as long as the process lives.
+/// Sends and receives gossip, for as long as the process runs.
 pub(crate) async fn run_gossip(shared: Arc<Shared>, socket: UdpSocket) {
     let socket = Arc::new(socket);
     let receiver = receive_loop(Arc::clone(&shared), Arc::clone(&socket));
@@ -70,7 +73,7 @@
     }
 }
 
-/// Waits until the next message is due: after the interval, or earlier where something can't wait.
+/// Waits until the next message is due: after the interval, or earlier for an urgent update.
 async fn wait_until_due(shared: &Shared, interval: Duration) {
     let now = shared.now();
     let due_us = shared.peers.gossip_schedule.lock().due_at(interval.into());
@@ -117,7 +120,7 @@
         .daemon_count
         .store(count + 1, Ordering::Relaxed);
     shared.budgets.set_daemons(count + 1);
-    // One that follows the store itself soon hears the same from it.
+    // A daemon that watches the store itself soon receives the same objects from it.
     let delay_us = if follows {
         shared.bounds.catch_up_delay()
     } else {
@@ -128,7 +131,7 @@
     }
 }
 
-/// Finds out which permits of endpoints whose calls are bounded this daemon holds.
+/// Recomputes which permits of rate-limited endpoints belong to this daemon.
 pub(super) fn update_permit_shares(shared: &Shared, now: TimeUs) {
     let is_complete = shared.peers.peers_listed.is_cancelled();
     let me = shared.settings.ip;
@@ -141,7 +144,7 @@
     shared.endpoints.lock().set_shares(&shares, now);
 }
 
-/// Sends each target what it doesn't know from elsewhere.
+/// Sends each target the updates that it doesn't receive from another daemon.
 fn send_round(shared: &Shared, socket: &UdpSocket, now: TimeUs) {
     let me = own_candidate(shared);
     let plan = shared.peers.hub_plan.lock().clone();
@@ -152,7 +155,7 @@
     let mut shared_message: Option<Vec<u8>> = None;
     for ip in targets {
         let to = SocketAddr::from((ip, shared.settings.listen.peer_port));
-        // Hubs tell their own daemons each something else; all others tell everybody the same.
+        // Each spoke of a hub gets its own message. All other targets get the same one.
         let is_spoke = !plan.is_small && plan.is_hub(me.ip) && !plan.is_hub(ip);
         let message = match is_spoke {
             true => encode_message(shared, &plan, &round, Some(ip), now),
@@ -160,7 +163,7 @@
                 .get_or_insert_with(|| encode_message(shared, &plan, &round, None, now))
                 .clone(),
         };
-        // A message that can't be sent is one that is lost; the next one follows soon.
+        // A message that can't be sent counts as lost. The next one follows soon.
         let _ = socket.try_send_to(&message, to);
     }
 }
@@ -172,7 +175,7 @@
             Ok((length, from)) => handle_message(&shared, &buffer[..length], from),
             Err(error) => {
                 shared.log.write(&Event::Failure {
-                    what: "receiving news of a peer",
+                    what: "receiving gossip",
                     detail: error.to_string(),
                 });
                 tokio::time::sleep(GOSSIP_INTERVAL).await;
@@ -185,12 +188,13 @@
     let now = shared.now();
     let Ok(message) = postcard::from_bytes::<GossipMessage>(bytes) else {
         shared.log.write(&Event::Failure {
-            what: "reading news of a peer",
-            detail: format!("{} bytes from {from}", bytes.len()),
+            what: "decoding gossip",
+            detail: format!("invalid message of {} bytes from {from}", bytes.len()),
         });
         return;
     };
-    // What it says of itself is told on, and messages are sent where it says it is.
+    // The sender's address must match its message, because others relay the message's data and send
+    // to the address in it.
     if message.ip == shared.settings.ip || from.ip() != message.ip {
         return;
     }
@@ -239,7 +243,8 @@
         endpoints.followed(*short_name, now + FOLLOWED_TTL_US);
     }
     if is_new {
-        // A hub tells it on at once: what is sent there until the others know is refused.
+        // A hub relays this at once, because calls sent to a reserved endpoint are refused until
+        // the other daemons know of the reservation.
         shared.peers.wake_sender.notify_one();
     }
     for part in &message.parts {
@@ -254,7 +259,8 @@
     }
     let unknown = {
         let mut stores = shared.part_stores.lock();
-        // A hub hears of the stores from several; other daemons from their hub alone.
+        // A hub receives updates about the stores from several hubs, other daemons only from their
+        // own.
         if !shared.peers.hub_plan.lock().is_hub(shared.settings.ip) {
             stores.forget_unreported(&message.stores);
         }
@@ -271,7 +277,7 @@
     }
 }
 
-/// Tells on what a hub has heard.
+/// Queues the cached parts of a received message for this hub's next messages.
 fn relay_parts(shared: &Shared, message: GossipMessage) {
     let is_hub = {
         let plan = shared.peers.hub_plan.lock();
--- a/crates/wisteriahitch-relay/src/shell/registration.rs
+++ b/crates/wisteriahitch-relay/src/shell/registration.rs
@@ -1,4 +1,4 @@
-//! How daemons find each other: each registers in the platform's store once.
+//! Discovery of other daemons: each daemon registers itself in the platform's store at its start.
 
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
@@ -15,20 +15,21 @@
 use super::store_updates::{log_skipped_objects, log_unreadable_object};
 use crate::observe::Event;
 
-/// Pause after a call of the store failed.
+/// Base wait after a failed store call.
 const RETRY_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the registrations. Daemons tell each other of themselves; the list
-/// only heals what that missed.
+/// Time between two reads of the registrations. Daemons discover each other by gossip; the list
+/// only repairs what gossip missed.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Silence of a registered daemon after which its registration is removed by another one.
+/// Time since the last message of a registered daemon after which another one removes its
+/// registration.
 const MAX_SILENCE_US: DurationUs = DurationUs::from_ms(20_000);
 
-/// Unreadable registrations that are remembered as told of.
+/// Maximum number of unreadable registrations that are remembered as already logged.
 const MAX_LOGGED_REGISTRATIONS: usize = 1_000;
 
-/// What a daemon's registration holds.
+/// Content of a daemon's registration.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct DaemonRegistration {
     ip: Ipv4Addr,
@@ -37,7 +38,7 @@
     incarnation: Incarnation,
 }
 
-/// Registers this daemon and learns of the others, for as long as the process lives.
+/// Registers this daemon and discovers the others, for as long as the process runs.
 pub(crate) async fn run_registration(shared: Arc<Shared>) {
     while let Err(error) = register(&shared).await {
         shared.log.write(&Event::Failure {
@@ -46,7 +47,8 @@
         });
         tokio::time::sleep(RETRY_BACKOFF).await;
     }
-    // Two daemons that start at once both write first, so that at least one sees the other.
+    // Two daemons that start at the same time both write before they list, so at least one sees the
+    // other.
     let mut is_first = true;
     let mut logged = HashSet::new();
     loop {
@@ -68,7 +70,8 @@
                     what: "listing the daemons",
                     detail: error.to_string(),
                 });
-                // Whoever has seen the others once hears of them; the list only heals what that missed.
+                // Once the other daemons were listed, gossip finds new ones. The list only repairs
+                // what gossip missed.
                 let backoff = if is_first {
                     RETRY_BACKOFF * 2
                 } else {
@@ -84,9 +87,12 @@
     let registration: DaemonRegistration = serde_json::from_value(content)
         .map_err(|error| (UnreadableKind::Field, error.to_string()))?;
     let ip = registration.ip;
-    // Messages would go there several times a second.
+    // Gossip would be sent to this address several times per second.
     match ip.is_unspecified() || ip.is_multicast() || ip.is_broadcast() {
-        true => Err((UnreadableKind::Value, format!("no VM has the address {ip}"))),
+        true => Err((
+            UnreadableKind::Value,
+            format!("the address {ip} is unspecified, multicast or broadcast"),
+        )),
         false => Ok(registration),
     }
 }
@@ -117,8 +123,10 @@
     replaced.map(|_| ())
 }
 
-/// Takes over who is registered. Registrations that can't be read name nobody, and are told of once
-/// each: `told` keeps their names and revisions, and is emptied before it grows large.
+/// Adds the registered daemons to the known peers, and removes registrations of silent ones.
+///
+/// Unreadable registrations are skipped and logged once each: `logged` contains their names and
+/// revisions, and is cleared before it grows large.
 async fn apply_registrations(
     shared: &Shared,
     objects: Vec<StoredObject>,
@@ -145,7 +153,8 @@
         let is_gossiped = shared.peers.table().is_told(registration.ip);
         if !is_gossiped && silence.is_some_and(|silence| silence > MAX_SILENCE_US) {
             let role = ObjectRole::Members;
-            // Another daemon may have removed it first, or its own may have just come back.
+            // The result is ignored: another daemon may have removed it first, or the silent daemon
+            // may have just registered again.
             let _ = shared
                 .borders
                 .store
