--- a/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
@@ -1,9 +1,10 @@
-//! Knowing what engines keep: from what they tell themselves, and from daemons that were there before.
+//! Tracks which prompt parts engines have cached, from the engines and from other daemons.
 //!
-//! What an engine keeps is otherwise guessed from the calls that were sent to it. The guess is wrong
-//! both ways when the engine is busy, and a daemon that has just started has none: prompts are read
-//! again that an engine still keeps. So one daemon for each engine follows what the engine tells of
-//! its memory and passes it on, and a daemon that starts takes over what another one knows.
+//! Without this, a daemon estimates an engine's cache from the calls that it sent there. The
+//! estimate is wrong in both directions when the engine is busy, and a daemon that has just started
+//! has none, so prompts are processed again although an engine still has them cached. Therefore one
+//! daemon per engine polls the changes of its cache and publishes them, and a starting daemon
+//! fetches what another one knows.
 
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,27 +20,29 @@
 use crate::decide::endpoint_row::EndpointLife;
 use crate::observe::Event;
 
-/// Time between two looks which engines are this daemon's to follow.
+/// Time between two checks of which engines this daemon must poll.
 const OWNERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait of one question; engines allow a second.
+/// Maximum wait of one poll for changes. Engines allow one second.
 const CHANGES_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Least time between two questions to one engine. A busy one always has changes to tell.
+/// Minimum time between two polls of an engine. A busy engine always has changes and answers at
+/// once.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same for an engine that names a limit or has asked for rest, which may count questions too: one in the span in which
-/// the platform's rule counts.
+/// Minimum time between two polls of an engine that has a rate limit or asked for rest, because the
+/// engine may count polls as calls: one poll in the time span over which the platform's limit
+/// counts.
 const THROTTLED_POLL_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Pause after an engine didn't answer.
+/// Wait after a failed poll.
 const RETRY_BACKOFF: Duration = Duration::from_millis(700);
 
-/// How long an answer counts, for the way of the next one.
+/// Time for which the events of a poll stay valid, which covers the next poll.
 const POLL_RESULT_TTL_US: DurationUs = DurationUs::from_ms(1_200);
 
-/// Pauses before each question to another daemon after the start. If all have started together, those
-/// that gather news have heard of the engines' memories by the later ones.
+/// Delays before each attempt to fetch engine memory after the start. If all daemons start
+/// together, the hubs have received the engines' caches by the later attempts.
 const FETCH_DELAYS: [Duration; 5] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
@@ -48,10 +51,10 @@
     Duration::from_millis(1_500),
 ];
 
-/// Time since its start from which a daemon knows what can be known, so that no other one is asked.
+/// Uptime after which a daemon is considered fully informed, so that no other one is asked.
 const WARMED_UP_AFTER_MS: u64 = 4_000;
 
-/// Follows the engines that are this daemon's, for as long as the process lives.
+/// Polls the engines assigned to this daemon, for as long as the process runs.
 pub(crate) async fn run_engine_memory_watch(shared: Arc<Shared>) {
     wait_for_peers(&shared).await;
     loop {
@@ -65,22 +68,24 @@
     }
 }
 
-/// Waits until the other daemons would have been heard.
+/// Waits until gossip of the other daemons should have arrived.
 ///
-/// A daemon that hears no other one takes all engines for its own. Where all daemons of a large fleet start at
-/// once, each engine would be asked by each of them for all that it has ever told, and the answers take
-/// the time of calls: one would notice by calls that are late for seconds after the start. Waiting, 76
-/// daemons that had all lost power had a day worth 0.730 in place of 0.617 (one run each).
+/// A daemon that knows no other one considers itself responsible for all engines. If all daemons of
+/// a large fleet start at once, each of them would ask every engine for its whole history, and
+/// answering takes time away from calls, which are then late for seconds after the start. With this
+/// wait, a fleet of 76 daemons that all lost power scored 0.730 instead of 0.617 over the day (one
+/// run each).
 async fn wait_for_peers(shared: &Shared) {
-    // Without the store they can't be known, and whoever is there is followed by nobody else.
+    // Without the store the other daemons can't be known, and then no other daemon polls the
+    // reachable engines.
     shared.peers.wait_for_peer_list().await;
     shared.peers.wait_for_gossip().await;
 }
 
-/// Returns the engines that this daemon is the first to follow by hash, among those that gather news.
+/// Returns the engines for which this daemon ranks first by hash among the ready hubs.
 fn owned_engines(shared: &Shared) -> Vec<(EndpointInstance, SocketAddr)> {
-    let collectors = collectors(shared);
-    if !collectors.contains(&shared.incarnation) {
+    let ready_hubs = ready_hubs(shared);
+    if !ready_hubs.contains(&shared.incarnation) {
         return Vec::new();
     }
     let endpoints = shared.endpoints.lock();
@@ -88,33 +93,34 @@
         row.life == EndpointLife::Ready && !row.is_displaced && !row.endpoint.weights.is_empty()
     });
     engines
-        .filter(|row| is_owner(shared, &collectors, row.instance()))
+        .filter(|row| is_owner(shared, &ready_hubs, row.instance()))
         .map(|row| (row.instance().clone(), row.endpoint.address))
         .collect()
 }
 
-/// Returns the daemons that gather news for others: all of a small fleet, else its hubs.
-fn collectors(shared: &Shared) -> Vec<Incarnation> {
+/// Returns the ready daemons that collect updates for the others: the hubs of a large fleet, or all
+/// daemons of a small one.
+fn ready_hubs(shared: &Shared) -> Vec<Incarnation> {
     let now = shared.now();
     let plan = shared.peers.hub_plan.lock().clone();
     let table = shared.peers.table();
     let peers = table.ready(now).filter(|peer| plan.is_hub(peer.ip));
-    let mut collectors: Vec<Incarnation> = peers.map(|peer| peer.incarnation).collect();
+    let mut ready_hubs: Vec<Incarnation> = peers.map(|peer| peer.incarnation).collect();
     if plan.is_hub(shared.settings.ip) && !shared.drain.is_draining() {
-        collectors.push(shared.incarnation);
+        ready_hubs.push(shared.incarnation);
     }
-    collectors
+    ready_hubs
 }
 
-fn is_owner(shared: &Shared, collectors: &[Incarnation], instance: &EndpointInstance) -> bool {
+fn is_owner(shared: &Shared, ready_hubs: &[Incarnation], instance: &EndpointInstance) -> bool {
     let rank = Rendezvous::new("engine", &instance.to_string());
-    let first = rank.top(collectors.iter().copied(), 1, |incarnation| {
+    let first = rank.top(ready_hubs.iter().copied(), 1, |incarnation| {
         incarnation.get().to_le_bytes().to_vec()
     });
     first.first() == Some(&shared.incarnation)
 }
 
-/// Follows one engine for as long as it is this daemon's.
+/// Polls one engine for as long as this daemon is responsible for it.
 async fn follow_engine(shared: Arc<Shared>, instance: EndpointInstance, address: SocketAddr) {
     let mut since = 0;
     let mut epoch = None;
@@ -124,14 +130,15 @@
             Ok(changes) => changes,
             Err(error) => {
                 shared.log.write(&Event::Failure {
-                    what: "following an engine's memory",
+                    what: "polling an engine's memory changes",
                     detail: format!("{instance}: {error}"),
                 });
                 tokio::time::sleep(RETRY_BACKOFF).await;
                 continue;
             }
         };
-        // Another process answers: its registration comes soon, with another instance.
+        // A different process answers at this address. Its registration with a new instance follows
+        // soon.
         if epoch.is_some_and(|known| known != changes.epoch) {
             break;
         }
@@ -159,14 +166,14 @@
 
 fn is_owned(shared: &Shared, instance: &EndpointInstance) -> bool {
     let is_there = shared.endpoints.lock().get(instance).is_some();
-    is_there && is_owner(shared, &collectors(shared), instance)
+    is_there && is_owner(shared, &ready_hubs(shared), instance)
 }
 
-/// Takes over what other daemons know of engines, after the start.
+/// Fetches the known contents of the engines' caches from other daemons after the start.
 ///
-/// A daemon that starts knows neither what engines keep nor how long their queues are. The queues it
-/// hears of within a tenth of a second; what engines keep it would learn by having prompts read again.
-/// No step of the start waits for this.
+/// A starting daemon knows neither the caches nor the queues of the engines. Gossip about the
+/// queues arrives within a tenth of a second, but the caches could otherwise only be learned by
+/// having prompts processed again. No step of the start waits for this.
 pub(crate) async fn fetch_engine_memories(shared: Arc<Shared>) {
     let mut asked = HashSet::new();
     for delay in FETCH_DELAYS {
@@ -184,14 +191,14 @@
                 }
             }
             Err(detail) => shared.log.write(&Event::Failure {
-                what: "asking a peer for the engines' memories",
+                what: "fetching engine memory from a peer",
                 detail: format!("{ip}: {detail}"),
             }),
         }
     }
 }
 
-/// Returns a daemon that serves and wasn't asked yet, one that gathers news if there is one.
+/// Returns a random ready daemon that wasn't asked yet; hubs are preferred.
 fn pick_peer(shared: &Shared, asked: &HashSet<Ipv4Addr>) -> Option<Ipv4Addr> {
     let now = shared.now();
     let table = shared.peers.table();
--- a/crates/wisteriahitch-relay/src/shell/lease.rs
+++ b/crates/wisteriahitch-relay/src/shell/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which orders are given, as an object of the platform's store.
+//! The lease that permits a daemon to give orders, stored as an object of the platform's store.
 
 use std::sync::Arc;
 
@@ -17,31 +17,31 @@
 use crate::observe::Event;
 use crate::settings::RelaySettings;
 
-/// How long the lease lasts. A holder that dies is replaced after this time and the time that must
-/// lie between orders of two holders; both have to fit into the eight seconds in which requests
-/// may still begin on old weights.
+/// Duration of the lease. After the holder dies, a new one must wait for this time plus the
+/// handover delay. Both must fit into the eight seconds in which requests may still start on old
+/// weights.
 const LEASE_TERM_US: DurationUs = DurationUs::from_ms(1_100);
 
-/// What must be left of the lease when it is renewed. A slow store answers within 330 ms.
+/// Remaining time at which the lease is renewed. A slow store answers within 330 ms.
 const LEASE_RENEW_BEFORE_US: DurationUs = DurationUs::from_ms(700);
 
-/// Part of the term that isn't used, for the way of an order to its endpoint.
+/// Part of the term that isn't used, reserved for the transfer of an order to its endpoint.
 const LEASE_MARGIN_US: DurationUs = DurationUs::from_ms(250);
 
 /// Time between two reads of a lease that another daemon holds.
 const LEASE_READ_INTERVAL_US: DurationUs = DurationUs::from_ms(300);
 
-/// Longest times that a lease in the store is believed to have. All daemons use about the same ones, a
-/// tenth of this and less, and a lease that never ends would end all orders.
+/// Upper bound for the durations in a stored lease. All daemons use similar durations of at most a
+/// tenth of this, and a lease that never expires would stop all orders.
 const MAX_STORED_DURATION_US: DurationUs = DurationUs::from_ms(30_000);
 
-/// Name of a holder that can't be read.
+/// Name of the holder that stands for an unreadable lease.
 const UNREADABLE_HOLDER: &str = "unknown";
 
-/// Added to the time that must lie between orders of two holders.
+/// Margin added to the minimum time between orders of two holders.
 const HANDOVER_MARGIN_MS: u64 = 400;
 
-/// Builds the daemon's leases.
+/// Creates the daemon's lease table.
 pub(crate) fn lease_table(settings: &RelaySettings, incarnation: Incarnation) -> LeaseTable {
     let holder = LeaseHolder {
         daemon: settings.id.clone(),
@@ -50,7 +50,7 @@
     let settings = LeaseSettings {
         term_us: LEASE_TERM_US,
         renew_before_us: LEASE_RENEW_BEFORE_US,
-        // A new holder waits for so long after a lease that wasn't released.
+        // A new holder waits for this time if the previous lease wasn't released.
         order_timeout_us: handover_delay(settings),
         margin_us: LEASE_MARGIN_US,
         read_us: LEASE_READ_INTERVAL_US,
@@ -58,7 +58,8 @@
     LeaseTable::new(holder, settings)
 }
 
-/// The table of leases asks a membership who is responsible; here that is told to it directly.
+/// Returns a membership that consists of this daemon alone. The lease table asks a membership which
+/// daemon is responsible, but here the responsible daemon is set directly.
 pub(super) fn standalone_membership(shared: &Shared) -> Membership {
     let listen = &shared.settings.listen;
     let me = Member {
@@ -84,7 +85,8 @@
     )
 }
 
-/// Makes a call of the store that the leases ask for, and tells them what came of it.
+/// Performs the store operation that a lease command asks for, and reports the result to the
+/// leases.
 pub(super) async fn run_lease_command(
     shared: Arc<Shared>,
     members: Arc<Membership>,
@@ -122,12 +124,12 @@
     }
 }
 
-/// Reads a lease.
+/// Decodes a stored lease and returns it with its fencing number.
 ///
-/// One that can't be read is taken for that of a holder nobody knows, with the usual times: it is
-/// taken over like that of a holder which has died, and no sooner. Its fencing number is the object's
-/// revision, which is known all the same. Taken for a failed call, it would end all orders for as
-/// long as it lies there.
+/// An unreadable lease is treated as held by an unknown daemon with the default durations, so it is
+/// acquired like the lease of a dead holder, and no sooner. Its fencing number is the object's
+/// revision, which is known anyway. Treating it as a failed read would stop all orders for as long
+/// as the object exists.
 fn decode_lease(shared: &Shared, group: &LeaseGroup, object: StoredObject) -> (LeaseObject, u64) {
     let order_timeout_us = handover_delay(&shared.settings);
     let lease = match serde_json::from_value::<LeaseObject>(object.content) {
@@ -158,7 +160,7 @@
     })
 }
 
-/// Returns the time that must lie between orders of two holders.
+/// Returns the minimum time between orders of two lease holders.
 fn handover_delay(settings: &RelaySettings) -> DurationUs {
     DurationUs::from_ms(settings.rollout.lease_ms + HANDOVER_MARGIN_MS)
 }
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -1,4 +1,4 @@
-//! Giving orders for new weights, under a lease.
+//! Orders engines to load new weights, while holding the lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,28 +14,28 @@
 use crate::decide::rollout::{RolloutRow, RolloutStep};
 use crate::observe::Event;
 
-/// Time between two looks while orders are to be given.
+/// Time between two steps of a rollout in progress.
 const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks while nothing is to be done.
+/// Time between two checks for outdated engines.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which an engine that this daemon has taken out gets none of its calls: a few looks at what
-/// is due, so that a busy daemon doesn't let go of it in between.
+/// Time for which an engine that this daemon has reserved gets none of its calls. It spans a few
+/// ticks, so that a busy daemon doesn't release the engine between two of them.
 const LOCAL_RESERVATION_TTL_US: DurationUs = DurationUs::from_ms(200);
 
-/// Daemons that try to hold the lease: the first by hash, and one that already watches it when the
-/// first falls silent.
+/// Number of daemons that try to acquire the lease: the first by hash, and a second one that
+/// already watches the lease in case the first fails.
 const MAX_LEASE_CANDIDATES: usize = 2;
 
-/// Longest wait for an engine's report.
+/// Maximum wait for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The one group of orders: few daemons and engines, and the bound on loads at once then needs no
-/// agreement of its own.
+/// The only lease group. There are few daemons and engines, and with a single holder the limit on
+/// concurrent weight loads needs no coordination.
 const LEASE_GROUP: LeaseGroup = LeaseGroup::RolloutSlot(0);
 
-/// Gives orders while they are wanted, for as long as the process lives.
+/// Runs rollouts of new weights, for as long as the process runs.
 pub(crate) async fn run_weight_orders(shared: Arc<Shared>) {
     let members = Arc::new(standalone_membership(&shared));
     let mut phase = String::new();
@@ -58,7 +58,7 @@
     }
 }
 
-/// Lists the engines whose weights are older than wanted.
+/// Returns the engines whose weights are older than wanted.
 fn outdated_engines(shared: &Shared) -> Vec<RolloutRow> {
     let wanted = shared.site.all_wanted_versions();
     if wanted.is_empty() {
@@ -92,7 +92,7 @@
     outdated
 }
 
-/// Returns how many engines there are.
+/// Returns the number of engines.
 fn engine_count(shared: &Shared) -> usize {
     let endpoints = shared.endpoints.lock();
     endpoints
@@ -105,9 +105,9 @@
     let now = shared.now();
     let commands = {
         let mut leases = shared.leases.lock();
-        // A holder keeps the lease as long as there is work, whoever would be the first now, and
-        // also while it leaves: each change of hands costs seconds in which no order may be given,
-        // and it serves for some more seconds in any case.
+        // A holder keeps the lease as long as there is work, even if another daemon ranks first by
+        // hash now, and also while it shuts down. Each handover costs seconds in which no order may
+        // be given, and the daemon serves for a few more seconds in any case.
         let is_held = leases.held().next().is_some();
         let is_candidate = lease_candidates(shared, now).contains(&shared.incarnation);
         let is_mine = !outdated.is_empty() && (is_held || is_candidate);
@@ -141,11 +141,11 @@
     }
 }
 
-/// Keeps this daemon's own calls from the engines that it has taken out.
+/// Excludes the engines that this daemon has reserved from its own calls.
 ///
-/// The others hear of them by its messages, which it doesn't send to itself. Without this it goes on
-/// sending to engines that load, which refuse: one would notice by refusals of calls that may be sent
-/// once only, all of them at one daemon, while other engines are idle.
+/// The other daemons learn of them by gossip, which a daemon doesn't send to itself. Without this,
+/// it keeps sending to engines that are loading weights and that refuse: calls that may be sent
+/// only once fail, all of them at one daemon, while other engines are idle.
 fn reserve_locally(shared: &Shared, now: TimeUs) {
     let reserved: Vec<EndpointInstance> = shared.rollout.lock().reserved().cloned().collect();
     let mut endpoints = shared.endpoints.lock();
@@ -156,8 +156,8 @@
     }
 }
 
-/// Returns the daemons that should hold the lease: the first by hash among those that serve and
-/// reach the store.
+/// Returns the daemons that should acquire the lease: the first by hash among those that are ready
+/// and reach the store.
 fn lease_candidates(shared: &Shared, now: TimeUs) -> Vec<Incarnation> {
     let table = shared.peers.table();
     let peers = table
@@ -187,7 +187,7 @@
     }
 }
 
-/// Tells once of each rollout that its holder doesn't expect to end in time.
+/// Logs once per rollout that the holder doesn't expect it to finish in time.
 fn report_overrun(shared: &Shared, outdated: &[RolloutRow], is_holder: bool, is_late: &mut bool) {
     let overrun = match is_holder {
         true => shared
@@ -251,8 +251,8 @@
                     detail: format!("{endpoint}: {error}"),
                 });
             }
-            // Another life's report counts its own orders. By its numbers an order that was decided
-            // for this one could be carried out there, or never.
+            // The report of another instance counts that instance's own orders. With its numbers,
+            // an order meant for this instance could be executed there, or never.
             report.ok().filter(|report| report.is_of(endpoint))
         }
         None => None,
@@ -277,7 +277,8 @@
     order: impl FnOnce(std::net::SocketAddr, wisteriahitch_types::FenceNumber) -> WeightOrder,
 ) {
     let address = address_of(shared, endpoint);
-    // This grant numbers the order; the one that counts is asked for once the connection is open.
+    // The fence of this grant goes into the order. The grant that counts is requested again once
+    // the connection is open.
     let grant = shared.leases.lock().try_order(&LEASE_GROUP, shared.now());
     let (Some(address), Ok(grant)) = (address, grant) else {
         shared.rollout.lock().withheld(endpoint, shared.now());
@@ -321,7 +322,7 @@
     }
 }
 
-/// Shows the wanted weights, for the dump.
+/// Returns the newest wanted weight version of each model, for the state dump.
 pub(crate) fn wanted_weights_snapshot(shared: &Shared) -> BTreeMap<String, u64> {
     let wanted = shared.site.all_wanted_versions();
     let snapshot = wanted
--- a/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
@@ -1,4 +1,4 @@
-//! Following what the stores of prompt parts keep, and freeing what nobody uses any more.
+//! Tracks the contents of the part stores and frees parts that are no longer used.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,26 +13,27 @@
 use crate::decide::parts::weights_of_scope;
 use crate::observe::Event;
 
-/// Longest wait of one question for changes. Stores allow a second; shorter ones keep the news
-/// fresh for those who hear it from others.
+/// Maximum wait of one poll for changes. Stores allow one second; a shorter wait keeps the contents
+/// fresh for daemons that receive them by gossip.
 const CHANGES_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks whether this daemon is to follow the stores itself.
+/// Time between two checks of whether this daemon must poll the stores itself.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Pause after a store didn't answer.
+/// Mean wait after a failed poll.
 const RETRY_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Time between two looks for parts to free.
+/// Time between two searches for parts to free.
 const FREE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Follows one store until the configuration no longer names it.
+/// Tracks one store until the configuration no longer contains it.
 pub(crate) async fn run_part_store_watch(shared: Arc<Shared>, store: SocketAddr) {
     let mut since = None;
     let mut was_reachable = true;
     while shared.part_stores.lock().is_configured(store) {
         if !shared.peers.follows_stores() {
-            // Another daemon's news says how fresh its own is; what was known here goes on with it.
+            // Another daemon polls the store now, and its updates carry their own age. They
+            // continue from the contents that are known here.
             since = None;
             tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
@@ -91,9 +92,10 @@
     Ok(is_continuous.then_some(next))
 }
 
-/// Frees parts of replaced weights, for as long as the process lives.
+/// Frees parts of replaced weights, for as long as the process runs.
 ///
-/// One daemon does it. Two that both believe it is theirs free the same parts, which is harmless.
+/// One daemon does this. If two both consider themselves responsible, they free the same parts,
+/// which is harmless.
 pub(crate) async fn run_part_freeing(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(FREE_INTERVAL).await;
@@ -112,7 +114,8 @@
     }
 }
 
-/// Returns whether a call that was sent to an engine with given weights may still fetch parts.
+/// Returns a predicate: whether a call that was sent to an engine with the given weights may still
+/// fetch parts.
 fn may_be_fetched(shared: &Shared, now: TimeUs) -> impl Fn(&ModelName, WeightNumber) -> bool {
     move |model, weights| {
         let wanted = shared.site.wanted_versions(model);
@@ -120,8 +123,8 @@
     }
 }
 
-/// Returns the lowest weights that any engine has; one that is about to leave counts too, and so
-/// does one whose registration has lapsed: if it comes back, its weights are no older.
+/// Returns the oldest weight version of each model that any engine has. Engines that are leaving
+/// count, and so do those whose registration has lapsed: if one returns, its weights are no older.
 fn lowest_weights(shared: &Shared) -> BTreeMap<ModelName, WeightNumber> {
     let mut lowest = BTreeMap::new();
     let endpoints = shared.endpoints.lock();
--- a/crates/wisteriahitch-relay/src/shell/site_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/site_state.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the weights that are wanted.
+//! The configuration in force and the wanted weights.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::decide::wanted_weights::{OldWeightsLimits, WantedVersions};
 use crate::site::{SiteConfig, WantedWeights};
 
-/// Holds what operators want.
+/// What operators have configured: the configuration in force and the wanted weight versions.
 pub(crate) struct SiteState {
     config: ArcSwapOption<SiteConfig>,
     old_weights_limits: OldWeightsLimits,
@@ -21,7 +21,7 @@
 }
 
 impl SiteState {
-    /// Starts without any.
+    /// Starts without a configuration and without wanted weights.
     pub(crate) fn new(old_weights_limits: OldWeightsLimits) -> Self {
         Self {
             config: ArcSwapOption::default(),
@@ -31,15 +31,16 @@
         }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in force, or `None` before the first one is adopted.
     pub(crate) fn config(&self) -> Option<Arc<SiteConfig>> {
         self.config.load_full()
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one, and returns whether it
+    /// is.
     ///
-    /// A stale listing or a peer that lags could bring an older one back; callers would then lose
-    /// routes and keys that were just added.
+    /// A stale listing or a lagging peer could otherwise bring back an older configuration, and
+    /// callers would lose routes and keys that were just added.
     pub(crate) fn adopt(&self, config: SiteConfig) -> bool {
         let is_newer = self
             .config
@@ -52,9 +53,10 @@
         is_newer
     }
 
-    /// Notes which weights are wanted, and returns whether that is new.
+    /// Records the wanted weights of a model, and returns whether the version is new.
     ///
-    /// `age_us` is how long ago they may have been named at most; it isn't known at the start.
+    /// `age_us` is the maximum time since the version was announced; the real age is unknown at the
+    /// start.
     pub(crate) fn record_wanted(
         &self,
         wanted: WantedWeights,
@@ -74,17 +76,18 @@
         is_new
     }
 
-    /// Waits for other weights to be wanted; what is named after this was called isn't missed.
+    /// Returns a future that completes when other weights become wanted. Changes after this call
+    /// aren't missed.
     pub(crate) fn wanted_changed(&self) -> Notified<'_> {
         self.wanted_changed.notified()
     }
 
-    /// Returns the weights that were wanted for a model lately.
+    /// Returns the recently wanted weight versions of a model.
     pub(crate) fn wanted_versions(&self, model: &ModelName) -> Option<WantedVersions> {
         self.wanted_by_model.lock().get(model).cloned()
     }
 
-    /// Returns the weights that were wanted lately, by model.
+    /// Returns the recently wanted weight versions of all models.
     pub(crate) fn all_wanted_versions(&self) -> BTreeMap<ModelName, WantedVersions> {
         self.wanted_by_model.lock().clone()
     }
--- a/crates/wisteriahitch-relay/src/shell/statements.rs
+++ b/crates/wisteriahitch-relay/src/shell/statements.rs
@@ -1,4 +1,5 @@
-//! Taking over what endpoints say of themselves in the heads of their answers.
+//! Processes what endpoints report about themselves in the headers of their answers: rate limit,
+//! shutdown and rest.
 
 use wisteriahitch_types::{CallRate, EndpointInstance, TimeUs};
 
@@ -9,8 +10,8 @@
 use crate::decide::gossip_message::LimitUpdate;
 use crate::observe::Event;
 
-/// Takes over the statements of one answer to a call that was placed at an endpoint. `is_to_the_call` says that it is that
-/// endpoint's own answer to it.
+/// Records the statements in an answer to a call that was sent to the endpoint `called`.
+/// `is_direct_answer` is whether that endpoint itself answered the call.
 pub(super) fn record_statements(
     shared: &Shared,
     called: &EndpointInstance,
@@ -25,8 +26,8 @@
     record_rest_statement(shared, endpoint, answer);
 }
 
-/// Returns who has answered: another endpoint than the one that was meant may be at its address. None where that one isn't
-/// known.
+/// Returns the endpoint that answered, which may differ from the called one if another process has
+/// taken its address. Returns `None` if that endpoint isn't known.
 fn answering_endpoint(
     shared: &Shared,
     called: &EndpointInstance,
@@ -48,22 +49,23 @@
         Statement::Malformed => return count_malformed_statement(shared, endpoint, "leaving"),
     }
     if record_leaving_instance(shared, life_name(endpoint), "answer") {
-        // The others may hear it from nobody else: the store may be away.
+        // The other daemons may have no other source, because the store may be unreachable.
         shared.peers.wake_sender.notify_one();
     }
 }
 
-/// Takes over which endpoints have said that they leave, as a peer tells.
+/// Applies a peer's list of endpoints that announced that they are leaving, by short name.
 pub(super) fn apply_leaving_updates(shared: &Shared, short_names: &[u32]) {
     let is_new = |short_name: &&u32| record_leaving_instance(shared, **short_name, "peer");
-    // Each is noted, also after the first that is news.
+    // `count` visits every element, so that each endpoint is recorded, also after the first new
+    // one.
     if short_names.iter().filter(is_new).count() > 0 {
-        // A hub tells it on at once.
+        // A hub relays this at once.
         shared.peers.wake_sender.notify_one();
     }
 }
 
-/// Notes that a life of an endpoint leaves, and returns whether that is news.
+/// Records that an endpoint is leaving, and returns whether this wasn't known before.
 fn record_leaving_instance(shared: &Shared, short_name: u32, source: &'static str) -> bool {
     let (is_new, change) = shared
         .endpoints
@@ -95,8 +97,8 @@
     }
 }
 
-/// Takes over the limit that an answer names. One that names none ends a limit only if it is the endpoint's own answer to
-/// the call.
+/// Records the rate limit in an answer. An answer without one ends a known limit only if it is the
+/// endpoint's own answer to the call.
 fn record_limit_statement(
     shared: &Shared,
     endpoint: &EndpointInstance,
@@ -116,12 +118,13 @@
     }
     if outcome.is_changed {
         update_permit_shares(shared, now);
-        // Until the others know, they send as if there were no limit, or don't use what it leaves.
+        // Until the other daemons know, they send as if there were no limit, or don't use the rate
+        // that it allows.
         shared.peers.wake_sender.notify_one();
     }
 }
 
-/// Takes over what a peer tells of endpoints' limits.
+/// Applies the rate limits of endpoints that a peer reports.
 pub(super) fn apply_limit_updates(shared: &Shared, updates: &[LimitUpdate], now: TimeUs) {
     let mut is_changed = false;
     for update in updates {
@@ -136,7 +139,7 @@
     }
     if is_changed {
         update_permit_shares(shared, now);
-        // A hub tells it on at once.
+        // A hub relays this at once.
         shared.peers.wake_sender.notify_one();
     }
 }
@@ -156,7 +159,7 @@
     });
 }
 
-/// Counts a statement that can't be read, and logs the first one of each life of an endpoint.
+/// Counts a malformed statement, and logs the first one of each endpoint instance.
 fn count_malformed_statement(
     shared: &Shared,
     endpoint: &EndpointInstance,
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -1,4 +1,4 @@
-//! Taking over what the store, or another daemon, tells of objects.
+//! Applies listings and changes of the store's objects, received from the store or from a peer.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,14 +18,15 @@
 use crate::observe::Event;
 use crate::site::SiteConfig;
 
-/// Where news comes from, for the log.
+/// Source of an update, as it appears in the log.
 pub(super) const STORE: &str = "store";
 const PEER: &str = "peer";
 
-/// Longest text of others in a log line. Who can write an entry could else fill the log with it.
+/// Maximum length of foreign text in a log line. Without it, anyone who can write an object could
+/// fill the log.
 const MAX_LOGGED_CHARS: usize = 200;
 
-/// Says what an absence means now: right after an outage registrations may only have lapsed.
+/// Returns why an object is absent now: right after an outage, registrations may only have lapsed.
 fn absence_cause(state: &WatchState, now: TimeUs) -> Absence {
     let is_recent = |at: TimeUs| now.since(at) < REGISTER_AGAIN_US;
     let is_after_outage = state.recovered_at_us.is_some_and(is_recent);
@@ -35,7 +36,7 @@
     }
 }
 
-/// Takes over a whole listing, from the store or from a peer that knows more.
+/// Applies a complete listing, from the store or from a peer with newer objects.
 pub(super) fn apply_listing(
     shared: &Arc<Shared>,
     role: ObjectRole,
@@ -51,9 +52,10 @@
         let by_name = |object: &StoredObject| (object.name.clone(), object.clone());
         let objects: BTreeMap<String, StoredObject> = listing.objects.iter().map(by_name).collect();
         state.objects = objects;
-        // What was deleted before isn't told by a listing.
+        // A listing doesn't contain earlier deletions.
         state.deletions_lost_up_to = state.deletions_lost_up_to.max(listing.revision);
-        // Even without a difference: the one who told it would else seem to know more for ever.
+        // This must be set even if the listing equals the known objects. Otherwise its sender would
+        // seem to have newer objects forever.
         state.last_change = listing.revision;
         state.watch_revision = state.watch_revision.max(listing.revision);
         let was_listed = std::mem::replace(&mut state.is_listed, true);
@@ -131,7 +133,7 @@
     }
 }
 
-/// Takes over what a peer tells.
+/// Applies changes that were fetched from a peer.
 pub(super) fn apply_delta(shared: &Arc<Shared>, role: ObjectRole, delta: ObjectDelta) {
     if delta.is_full {
         let listing = Listing {
@@ -165,17 +167,18 @@
     state.last_change = state.last_change.max(delta.revision);
 }
 
-/// Returns whether a change says more than what is known, which a peer may have told before.
+/// Returns whether a change is newer than the known objects, which may already include it from a
+/// peer.
 ///
-/// Up to `known_up_to` everything is known: an object of an earlier revision that isn't has been removed since, and
-/// a late answer that tells of it would bring it back for good.
+/// All changes up to `known_up_to` are known. An unknown object with an earlier revision was
+/// deleted since, and applying a late answer that contains it would restore it for good.
 fn is_new_change(state: &WatchState, change: &Change, known_up_to: Revision) -> bool {
     match change {
         Change::Put(object) => match state.objects.get(&object.name) {
             Some(known) => object.revision > known.revision,
             None => object.revision > known_up_to,
         },
-        // One that was created again since is still there, whichever news comes last.
+        // An object that was created again after its deletion stays, whichever change arrives last.
         Change::Deleted(name, revision) => {
             let known = state.objects.get(name);
             known.is_some_and(|known| known.revision <= *revision)
@@ -213,7 +216,7 @@
                 shared.log.write(&Event::WeightsWanted { model, version });
             }
         }
-        // Evacuations are taken over all together.
+        // Evacuations are applied all together; the other roles aren't watched.
         ObjectRole::Members
         | ObjectRole::Leases
         | ObjectRole::BlockedRequests
@@ -221,10 +224,10 @@
     }
 }
 
-/// Puts in force what is known of evacuations.
+/// Applies the set of evacuated zones that is known now.
 ///
-/// That an entry is there is all that it says, so that one whose content can't be read is in force like any other.
-/// One under a name that no zone can have says nothing.
+/// Only the existence of an entry matters, so an entry with unreadable content is in force like any
+/// other. An entry whose name isn't a valid zone is ignored.
 fn apply_evacuations(shared: &Shared, source: &str) {
     let role = ObjectRole::Evacuations;
     let names: Vec<String> = {
@@ -311,7 +314,8 @@
     });
 }
 
-/// Derives what cold endpoints of each service may get, where service and deployment both bound it.
+/// Returns the limits for cold endpoints of each service. Both the service and the deployment must
+/// define one.
 fn cold_limits(shared: &Shared, config: &SiteConfig) -> HashMap<ServiceName, ServiceColdness> {
     let Some(bound) = shared.settings.cold.bound() else {
         return HashMap::new();
@@ -327,8 +331,8 @@
     limits.collect()
 }
 
-/// Reads a registration. One that can't be read still tells that the endpoint of its name is no
-/// longer registered as it was; one under a name that no endpoint can have tells nothing.
+/// Decodes an endpoint's registration. An unreadable one still shows that the endpoint's previous
+/// registration is no longer valid. Returns `None` if the name isn't a valid endpoint id.
 fn decode_registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
     let endpoint = shared.borders.site.endpoint(object);
     match decoded_or_logged(shared, ObjectRole::Endpoints, object, endpoint) {
@@ -340,7 +344,7 @@
     }
 }
 
-/// Passes on what could be read, and tells of the rest.
+/// Returns the decoded value, or logs the error and returns `None`.
 fn decoded_or_logged<T>(
     shared: &Shared,
     role: ObjectRole,
@@ -356,14 +360,14 @@
     }
 }
 
-/// Tells of objects that were passed over in an answer of the store.
+/// Logs objects that were skipped in an answer of the store.
 pub(super) fn log_skipped_objects(shared: &Shared, role: ObjectRole, skipped: &[Skipped]) {
     for skipped in skipped {
         log_unreadable_object(shared, role, "", skipped.kind, skipped.detail.clone());
     }
 }
 
-/// Counts an object that can't be read, and writes a line of bounded length.
+/// Counts an unreadable object, and logs it with texts of bounded length.
 pub(super) fn log_unreadable_object(
     shared: &Shared,
     role: ObjectRole,
--- a/crates/wisteriahitch-relay/src/shell/watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch.rs
@@ -1,4 +1,4 @@
-//! Following the store's objects.
+//! Watches the objects of the platform's store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,20 +15,21 @@
 use crate::decide::store_retry::retry_pause;
 use crate::observe::Event;
 
-/// Wait of the first watch after a failure. With the usual wait a daemon would count as cut off
-/// from the store for as long after its return: it would refuse unknown keys, take no lease, and let
-/// its peers ask elsewhere.
+/// Wait of the first watch after a failure. With the usual wait, a daemon would count as
+/// disconnected from the store for that long after the store is back. It would refuse unknown keys,
+/// acquire no lease and make its peers ask elsewhere.
 const RECOVERY_WATCH_WAIT: Duration = Duration::from_millis(300);
 
-/// Pause after an answer with changes of endpoints, before the next ones are asked for. Endpoints change one after the
-/// other, as all of them load new weights, and each change would else return the watch of every daemon that follows
-/// them. They don't ask at the same time, so that some daemon knows of a change long before its own pause is over.
+/// Pause after an answer with endpoint changes before the next watch starts. When endpoints load
+/// new weights they change one after the other, and each change would otherwise end the watch of
+/// every daemon that watches endpoints. The daemons don't ask at the same time, so some daemon
+/// learns of a change long before its own pause ends.
 const ENDPOINT_CHANGES_DEBOUNCE: Duration = Duration::from_millis(250);
 
-/// Time between two looks whether this daemon is to ask the store itself.
+/// Time between two checks of whether this daemon must ask the store itself.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Follows one kind of objects for as long as the process lives.
+/// Watches the objects of one role, for as long as the process runs.
 pub(crate) async fn run_watch(shared: Arc<Shared>, role: ObjectRole) {
     let mut failures = 0;
     let mut needs_listing = true;
@@ -60,10 +61,10 @@
     }
 }
 
-/// Waits until it is known whether another daemon follows the store for this one.
+/// Waits until it is known whether another daemon watches the store for this one.
 ///
-/// In a small fleet each follows it. In a large one most don't, and without this wait each of them would ask once for
-/// changes of every kind, also when all start at once.
+/// In a small fleet every daemon watches it. In a large fleet most don't, and without this wait
+/// each of them would ask once for changes of every role, also when all start at the same time.
 async fn wait_for_role(shared: &Shared) {
     let is_listed = shared.peers.wait_for_peer_list().await;
     if is_listed && shared.peers.table().registered_count() >= SMALL_FLEET {
@@ -71,10 +72,11 @@
     }
 }
 
-/// Returns whether this daemon hears of the kind from others and need not ask the store.
+/// Returns whether gossip keeps the objects of a role up to date, so that this daemon needn't ask
+/// the store.
 ///
-/// In a large fleet few ask: each change would else cost a call of every daemon, and the store's
-/// rates grow more slowly than fleets do.
+/// In a large fleet only a few daemons ask. Otherwise each change would cost a call by every
+/// daemon, and the store's rate limits grow more slowly than fleets do.
 fn relies_on_gossip(shared: &Shared, role: ObjectRole) -> bool {
     let is_listed = shared.watches.state_of(role).lock().is_listed;
     let me = shared.settings.ip;
@@ -83,12 +85,13 @@
     }
     let now = shared.now();
     let limits = shared.bounds.staleness_limits(role);
-    // One that follows the store may be asking it anew at this moment, and will be heard of in time.
+    // A daemon that watches the store may be asking again right now. Its confirmation will arrive
+    // in time.
     let is_confirmed = limits.is_final(shared.watches.complete_as_of(role), now);
     is_confirmed || shared.peers.hub_reaches_store(me, now)
 }
 
-/// Returns how long to wait before the store is asked again.
+/// Returns how long to wait after a failure before the store is asked again.
 fn failure_backoff(shared: &Shared, role: ObjectRole, failures: usize) -> Duration {
     let is_listed = shared.watches.state_of(role).lock().is_listed;
     let is_updated_by_peers = is_listed && !shared.peers.follows_stores();
@@ -107,7 +110,7 @@
     Ok(false)
 }
 
-/// Waits for changes once, and returns whether the history is gone.
+/// Waits for changes once, and returns whether the store's history no longer covers the revision.
 async fn watch_once(shared: &Arc<Shared>, role: ObjectRole) -> Result<bool, PlatformError> {
     let asked_at = shared.now();
     let (after, wait) = next_watch(shared, role, asked_at);
@@ -138,11 +141,12 @@
     }
 }
 
-/// Returns the revision to watch from, and how long the store may keep the watch waiting.
+/// Returns the revision to watch from, and how long the store may keep the watch open.
 fn next_watch(shared: &Shared, role: ObjectRole, now: TimeUs) -> (Revision, Duration) {
     let rank = shared.peers.store_query_rank(role, shared.settings.ip, now);
     let state = shared.watches.state_of(role).lock();
-    // Only an answer shows that the store is back, and a watch is answered when it is over.
+    // Only an answer shows that the store is back, and a watch without changes is answered only at
+    // its end.
     let wait = match state.failing_since_us {
         Some(_) => RECOVERY_WATCH_WAIT,
         None => {
@@ -153,7 +157,7 @@
     (state.watch_revision, wait)
 }
 
-/// Waits until it is this daemon's turn to ask anew because nobody confirms any more what is known.
+/// Waits until it is this daemon's turn to ask again because no daemon confirms the known objects.
 async fn confirmation_overdue(shared: &Shared, role: ObjectRole, asked_at: TimeUs) {
     let limits = shared.bounds.staleness_limits(role);
     loop {
@@ -168,7 +172,7 @@
 }
 
 fn unconfirmed_error() -> PlatformError {
-    let detail = "the watch says nothing, and nobody confirms what is known";
+    let detail = "the watch returned nothing, and nobody confirms the known objects";
     PlatformError::new(PlatformErrorKind::AnswerLost, detail)
 }
 
--- a/crates/wisteriahitch-relay/src/shell/watch_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch_state.rs
@@ -1,4 +1,4 @@
-//! What is known of the store's objects, and how fresh that is.
+//! The known objects of the platform's store, and how fresh they are.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -12,7 +12,7 @@
 use crate::decide::staleness::StalenessLimits;
 use crate::settings::Bounds;
 
-/// Kinds of objects that every daemon follows.
+/// Roles of the objects that daemons watch.
 pub(crate) const WATCHED_ROLES: [ObjectRole; 4] = [
     ObjectRole::Endpoints,
     ObjectRole::Configuration,
@@ -20,35 +20,37 @@
     ObjectRole::Evacuations,
 ];
 
-/// Deletions that are remembered for peers; one that has missed more is told everything.
+/// Maximum number of remembered deletions. A peer that has missed more gets the names of all
+/// objects.
 const MAX_RECENT_DELETIONS: usize = 1_000;
 
-/// What is known of one kind of objects.
+/// Known objects of one role.
 #[derive(Debug, Default)]
 pub(crate) struct WatchState {
-    /// Revision to watch from.
+    /// Revision to continue the watch from.
     pub(super) watch_revision: Revision,
-    /// Revision at which something last changed.
+    /// Revision of the last known change.
     pub(super) last_change: Revision,
     pub(super) is_listed: bool,
     pub(super) failing_since_us: Option<TimeUs>,
     pub(super) recovered_at_us: Option<TimeUs>,
     pub(super) answered_at_us: Option<TimeUs>,
-    /// As of when everything is known, by the store's word to this daemon or to another.
+    /// Time as of which all objects are known, confirmed by the store to this daemon or to a peer.
     pub(super) complete_as_of_us: Option<TimeUs>,
     pub(super) objects: BTreeMap<String, StoredObject>,
-    /// Names of deleted objects, the newest last.
+    /// Recently deleted objects, newest last.
     pub(super) recent_deletions: VecDeque<(Revision, String)>,
-    /// Up to this revision deletions may be missing: they were forgotten, or came before a listing.
+    /// Deletions up to this revision may be missing, because they were pruned or preceded a
+    /// listing.
     pub(super) deletions_lost_up_to: Revision,
-    /// Since when a peer has been known to know more.
+    /// Since when a peer has had newer objects, and its address.
     pub(super) newer_at_peer: Option<(TimeUs, Ipv4Addr)>,
-    /// Whether a peer is being asked. Asked again by each of its messages, one that answers late
-    /// would have to answer ever more.
+    /// Whether objects are being fetched from a peer. A slow peer would otherwise get another
+    /// request for each of its messages.
     pub(super) is_catching_up: bool,
 }
 
-/// The state of all followed kinds, in the order of [`WATCHED`].
+/// Known objects of all watched roles, in the order of [`WATCHED_ROLES`].
 #[derive(Debug, Default)]
 pub(crate) struct WatchStates([Mutex<WatchState>; WATCHED_ROLES.len()]);
 
@@ -58,7 +60,7 @@
         &self.0[index.unwrap_or(0)]
     }
 
-    /// Returns whether every kind that `bounds` have daemons follow was listed at least once.
+    /// Returns whether all objects of each watched role were listed at least once.
     pub(crate) fn has_listed_all(&self, bounds: &Bounds) -> bool {
         let mut followed = WATCHED_ROLES
             .iter()
@@ -66,41 +68,43 @@
         followed.all(|role| self.state_of(*role).lock().is_listed)
     }
 
-    /// Returns whether what the configuration doesn't hold may be called unknown.
+    /// Returns whether a route or key that the configuration lacks may be reported as unknown to
+    /// callers.
     pub(crate) fn is_configuration_final(&self, limits: &StalenessLimits, now: TimeUs) -> bool {
         let state = self.state_of(ObjectRole::Configuration).lock();
         let is_newest_known = state.newer_at_peer.is_none() && !state.is_catching_up;
-        // While the store turns this daemon away, others may confirm what it knows.
+        // While the store refuses this daemon, others may confirm the objects.
         let is_confirmed = state
             .failing_since_us
             .is_none_or(|since| state.complete_as_of_us > Some(since));
         is_newest_known && is_confirmed && limits.is_final(state.complete_as_of_us, now)
     }
 
-    /// Notes as of when everything of a kind is known, once what the store told has been taken over.
+    /// Records that all objects of a role as of `as_of` are known. Must be called after applying
+    /// them.
     pub(super) fn confirm_complete(&self, role: ObjectRole, as_of: TimeUs) {
         self.state_of(role).lock().confirm(as_of);
     }
 
-    /// Returns as of when everything of a kind is known.
+    /// Returns the time as of which all objects of a role are known.
     pub(crate) fn complete_as_of(&self, role: ObjectRole) -> Option<TimeUs> {
         self.state_of(role).lock().complete_as_of_us
     }
 
-    /// Returns the time since then, in milliseconds.
+    /// Returns the age of the known objects of a role, in milliseconds.
     pub(crate) fn age_ms(&self, role: ObjectRole, now: TimeUs) -> Option<u64> {
         let as_of = self.complete_as_of(role);
         as_of.map(|as_of| now.since(as_of).as_ms())
     }
 
-    /// Returns whether the store answers.
+    /// Returns whether no watch is failing.
     pub(crate) fn is_store_reachable(&self) -> bool {
         self.0
             .iter()
             .all(|state| state.lock().failing_since_us.is_none())
     }
 
-    /// Returns what is known of each kind, for the other daemons.
+    /// Returns the revision and age of each role's objects, for gossip.
     pub(crate) fn kind_updates(&self, now: TimeUs) -> Vec<KindUpdate> {
         let update_of = |state: &Mutex<WatchState>| {
             let state = state.lock();
@@ -115,7 +119,8 @@
         self.0.iter().map(update_of).collect()
     }
 
-    /// Notes what a peer knows, and returns whether that is more. Its message was held up for so long.
+    /// Applies a peer's revisions and ages, and returns whether the peer has newer objects of a
+    /// role for which no catch-up is pending. `held_up_us` is how long its message was delayed.
     pub(crate) fn apply_peer_kinds(
         &self,
         ip: Ipv4Addr,
@@ -137,7 +142,8 @@
         is_behind
     }
 
-    /// Returns the kinds of which a peer has known more for `patience`, and that peer.
+    /// Returns the roles of which a peer has had newer objects for at least `delay_us`, with that
+    /// peer, and marks them as being caught up.
     pub(crate) fn begin_due_catch_ups(
         &self,
         delay_us: DurationUs,
@@ -155,17 +161,19 @@
         due
     }
 
-    /// Notes that a peer has answered, or won't.
+    /// Marks a catch-up as finished, whether or not the peer answered.
     pub(crate) fn finish_catch_up(&self, role: ObjectRole) {
         self.state_of(role).lock().is_catching_up = false;
     }
 
-    /// Returns the revision of the last known change of a kind.
+    /// Returns the revision of the last known change of a role.
     pub(crate) fn changed_revision(&self, role: ObjectRole) -> Revision {
         self.state_of(role).lock().last_change
     }
 
-    /// Returns what has changed of a kind since a revision, for a peer.
+    /// Returns the changes of a role since a revision, for a peer. At revision 0, returns all
+    /// objects. If some deletions since the revision are unknown, includes the names of all
+    /// existing objects.
     pub(crate) fn delta(&self, role: ObjectRole, since: Revision) -> ObjectDelta {
         let state = self.state_of(role).lock();
         let is_full = since == Revision::default();
@@ -188,19 +196,19 @@
     }
 }
 
-/// What one daemon tells another of a kind of objects.
+/// Changes of one role's objects that a daemon sends to a peer.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ObjectDelta {
-    /// Revision up to which it tells.
+    /// Revision up to which the changes are complete.
     pub(crate) revision: Revision,
-    /// Whether it holds all objects instead of the changes.
+    /// Whether `objects` contains all objects instead of the changes.
     pub(super) is_full: bool,
     pub(super) objects: Vec<StoredObject>,
-    /// Names of deleted objects, and when they were.
+    /// Names of deleted objects, with the revisions of their deletion.
     pub(super) deleted: Vec<(String, Revision)>,
-    /// Names of all objects, where not all deletions are known. What a listing doesn't hold may have been
-    /// there before it: told as a change like any other, nothing would be said of it, and a daemon
-    /// that knows it would keep it for good.
+    /// Names of all existing objects, if some deletions are unknown to the sender. A listing
+    /// doesn't show which objects existed before it. With changes alone, a receiver that knows such
+    /// a deleted object would keep it for good.
     pub(super) names: Option<BTreeSet<String>>,
 }
 
@@ -220,7 +228,8 @@
         self.answered_at_us.map(|at| now.since(at).as_ms())
     }
 
-    /// Remembers a deletion for peers, also of an object that was never known here: they may know it.
+    /// Remembers a deletion for peers, even of an object that was never known here, because peers
+    /// may know it.
     pub(super) fn remember_deletion(&mut self, name: String, revision: Revision) {
         let deletion = (revision, name);
         if self.recent_deletions.contains(&deletion) {
@@ -234,7 +243,7 @@
         }
     }
 
-    /// Returns the names of known objects that are not among all those there are.
+    /// Returns the names of the known objects that `names`, the set of all existing objects, lacks.
     pub(super) fn objects_missing_from(&self, names: &BTreeSet<String>) -> Vec<String> {
         let known = self.objects.keys();
         known
@@ -244,7 +253,7 @@
     }
 }
 
-/// Returns the word for logs, metrics and paths between daemons.
+/// Returns the name of a role in logs, metrics and paths between daemons.
 pub(crate) const fn kind_name(role: ObjectRole) -> &'static str {
     match role {
         ObjectRole::Endpoints => "endpoints",
