--- a/crates/wisteriahitch-relay/tests/all/main.rs
+++ b/crates/wisteriahitch-relay/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the decisions, without input or output.
+//! Tests of the decisions and settings, which do no network input or output.
 
-#![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod cold_limit;
 mod crash_evidence;
--- a/crates/wisteriahitch-relay/tests/all/regions.rs
+++ b/crates/wisteriahitch-relay/tests/all/regions.rs
@@ -1,4 +1,4 @@
-//! Zones in which a call may run.
+//! Tests of the zones in which calls may run and parts may be saved.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
     names.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-/// Guards against a call that runs where its route or its workspace doesn't allow it.
+/// Guards against a call that runs in a region that its route or its workspace doesn't permit.
 #[test]
-fn route_and_workspace_both_bind() {
+fn calls_run_only_where_route_and_workspace_permit() {
     struct Case {
         route: &'static [&'static str],
         workspace: &'static [&'static str],
-        /// Of zones a and b in north, c in south, and d, whose region nobody knows.
+        /// Allowed zones out of a and b in north, c in south, and d without a known region.
         allowed: &'static [&'static str],
     }
     let cases = [
@@ -55,17 +55,17 @@
     let map = RegionMap::new(BTreeMap::from(zones));
     for case in cases {
         let allowed = AllowedZones::of(&regions(case.route), &regions(case.workspace), &map);
-        let named = ["a", "b", "c", "d"].into_iter();
-        let found: Vec<&str> = named
+        let all = ["a", "b", "c", "d"].into_iter();
+        let found: Vec<&str> = all
             .filter(|zone| allowed.contains(&zone.parse().unwrap()))
             .collect();
         assert_eq!(found, case.allowed, "{:?} {:?}", case.route, case.workspace);
     }
 }
 
-/// Guards against parts of a prompt that are saved at a store outside the regions of its call.
+/// Guards against saving parts of a prompt to a store outside the permitted regions of its call.
 #[test]
-fn parts_are_saved_in_allowed_zones_alone() {
+fn parts_are_saved_only_in_allowed_zones() {
     use wisteriahitch_relay::{PartKey, PartListing, PartStores};
     use wisteriahitch_types::TokenCount;
 
@@ -84,9 +84,9 @@
     let map = RegionMap::new(BTreeMap::from(zones));
     let allowed = AllowedZones::of(&regions(&["south"]), &[], &map);
     let mut stores = PartStores::default();
-    for started in stores.configured([store(1, "a"), store(2, "b")].into_iter()) {
+    for added in stores.configured([store(1, "a"), store(2, "b")].into_iter()) {
         stores.listed(
-            started,
+            added,
             PartListing {
                 epoch: 1,
                 ..PartListing::default()
--- a/crates/wisteriahitch-relay/tests/all/routes.rs
+++ b/crates/wisteriahitch-relay/tests/all/routes.rs
@@ -1,9 +1,10 @@
-//! Which route serves a path.
+//! Tests of how routes are looked up, how they split calls, and what they allow to be repeated.
 
 use wisteriahitch_relay::{CallKind, Route, RouteTable};
 
 use crate::fixture::route;
 
+/// Guards against calls that are sent to the services of another host or of a shorter prefix.
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
     struct Case {
@@ -11,15 +12,15 @@
         path: &'static str,
         expected: Option<&'static str>,
     }
-    let named = |name: &str, host: &str, prefix: &str| Route {
+    let with_prefix = |name: &str, host: &str, prefix: &str| Route {
         host: host.to_owned(),
         path_prefix: prefix.to_owned(),
         ..route(name, 0, 100)
     };
     let table = RouteTable::new([
-        named("short", "one.example", "/a/"),
-        named("long", "one.example", "/a/b/"),
-        named("other", "two.example", "/a/b/c/"),
+        with_prefix("short", "one.example", "/a/"),
+        with_prefix("long", "one.example", "/a/b/"),
+        with_prefix("other", "two.example", "/a/b/c/"),
     ]);
     let cases = [
         Case {
@@ -77,18 +78,21 @@
     }
 }
 
+/// Guards against a traffic split that differs from the weights of its targets.
 #[test]
-fn calls_are_divided_by_weight() {
-    let divided = Route {
+fn calls_are_split_by_weight() {
+    let split = Route {
         targets: vec![("old".parse().unwrap(), 90), ("new".parse().unwrap(), 10)],
         ..route("split", 0, 100)
     };
-    let new = (0..1_000).filter(|random| divided.pick_service(*random).unwrap().as_str() == "new");
-    assert_eq!(new.count(), 100);
+    let new_calls =
+        (0..1_000).filter(|random| split.pick_service(*random).unwrap().as_str() == "new");
+    assert_eq!(new_calls.count(), 100);
 }
 
+/// Guards against repeating a call that may run at most once.
 #[test]
-fn the_kind_says_what_may_be_repeated() {
+fn only_idempotent_calls_and_resumable_streams_may_be_repeated() {
     struct Case {
         kind: CallKind,
         is_resumable: bool,
--- a/crates/wisteriahitch-relay/tests/all/settings.rs
+++ b/crates/wisteriahitch-relay/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are read, ignored or refused.
+//! Tests of how settings are parsed and validated, and of the limits derived from them.
 
 use expect_test::{Expect, expect};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::fixture::ms;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 id = "entry-1"
 ip = "10.0.0.1"
 zone = "a"
@@ -29,24 +29,27 @@
 address = "10.0.0.9:8007"
 "#;
 
+/// Guards against a start that fails because an optional setting is absent.
 #[test]
-fn what_isn_t_said_has_a_default() {
-    let settings = RelaySettings::parse(GOOD, |key| panic!("{key}")).unwrap();
+fn absent_settings_have_defaults() {
+    let settings = RelaySettings::parse(VALID, |key| panic!("{key}")).unwrap();
     assert_eq!(settings.rollout.lease_ms, 3_000);
     assert_eq!(settings.entry_ttl().as_millis(), 1_200);
     assert!(settings.seeds.is_empty());
 }
 
+/// Guards against a start that fails because the platform's settings file has an unknown key.
 #[test]
-fn unknown_keys_are_told_and_ignored() {
+fn unknown_keys_are_reported_and_ignored() {
     let mut ignored = Vec::new();
-    let text = format!("{GOOD}colour = 1\n[weather]\nrain = true\n");
+    let text = format!("{VALID}colour = 1\n[weather]\nrain = true\n");
     RelaySettings::parse(&text, |key| ignored.push(key)).unwrap();
     assert_eq!(ignored, ["store.colour", "weather"]);
 }
 
+/// Guards against running with an invalid value, and against errors that don't name the key.
 #[test]
-fn a_faulty_known_key_is_refused_with_its_name() {
+fn an_invalid_value_is_rejected_with_its_key() {
     struct Case {
         line: &'static str,
         expected: Expect,
@@ -66,71 +69,72 @@
         },
     ];
     for case in cases {
-        let text = format!("{GOOD}{}\n", case.line);
+        let text = format!("{VALID}{}\n", case.line);
         let error = RelaySettings::parse(&text, |_| {}).unwrap_err();
         case.expected.assert_eq(&error.to_string());
     }
-    let text = GOOD.replace("peer_port = 7700", "peer_port = 70000");
+    let text = VALID.replace("peer_port = 7700", "peer_port = 70000");
     let error = RelaySettings::parse(&text, |_| {}).unwrap_err().to_string();
     assert!(error.contains("peer_port"), "{error}");
 }
 
-/// Symptom: a daemon guessed a bound that its deployment doesn't have. Sequence: the platform's file
-/// lacks one, or holds seconds where milliseconds are due. Cause: the value had a default.
+/// Guards against a daemon that runs with a bound that its deployment doesn't have. The settings file
+/// of the platform lacks the bound, or gives it in seconds instead of milliseconds, and the value had
+/// a default.
 #[test]
-fn a_bound_that_is_absent_or_absurd_stops_the_start() {
+fn an_absent_or_implausible_bound_is_rejected() {
     struct Case {
-        from: &'static str,
-        to: &'static str,
+        original: &'static str,
+        replacement: &'static str,
         expected: Expect,
     }
     let cases = [
         Case {
-            from: "contact_ms = 3000\n",
-            to: "",
+            original: "contact_ms = 3000\n",
+            replacement: "",
             expected: expect!["the setting bounds.contact_ms is absent; allowed is 100 to 3600000"],
         },
         Case {
-            from: "old_weights_ms = 8000",
-            to: "old_weights_ms = 8",
+            original: "old_weights_ms = 8000",
+            replacement: "old_weights_ms = 8",
             expected: expect!["the setting bounds.old_weights_ms is 8; allowed is 100 to 3600000"],
         },
         Case {
-            from: "endpoint_drain_ms = 2000",
-            to: "endpoint_drain_ms = -1",
+            original: "endpoint_drain_ms = 2000",
+            replacement: "endpoint_drain_ms = -1",
             expected: expect![
                 "the setting bounds.endpoint_drain_ms is -1; allowed is 100 to 3600000"
             ],
         },
     ];
     for case in cases {
-        let text = GOOD.replace(case.from, case.to);
+        let text = VALID.replace(case.original, case.replacement);
         let error = RelaySettings::parse(&text, |_| {}).unwrap_err();
         case.expected.assert_eq(&error.to_string());
     }
 }
 
-/// Each limit follows its bound, down to bounds that leave little to use.
+/// Guards against a limit that ignores its bound, also where a tight bound leaves little time to use.
 #[test]
-fn limits_follow_the_bounds_of_the_deployment() {
-    /// Bounds times this.
+fn limits_are_derived_from_the_bounds() {
     struct Case {
+        /// Factor by which the bounds of [`bounds`] are scaled.
         factor: f64,
-        old_weights_until: DurationUs,
-        all_weights_within: DurationUs,
-        first_age: DurationUs,
+        old_weights_send_deadline: DurationUs,
+        rollout_deadline: DurationUs,
+        assumed_initial_age: DurationUs,
         drain_fallback: DurationUs,
         catch_up_delay: DurationUs,
         watch_wait: Duration,
-        /// For the configuration: confirmed again at, final up to.
+        /// Confirmation age and maximum final age of the configuration.
         staleness: (DurationUs, DurationUs),
     }
     let cases = [
         Case {
             factor: 0.25,
-            old_weights_until: ms(1_000),
-            all_weights_within: ms(2_750),
-            first_age: ms(250),
+            old_weights_send_deadline: ms(1_000),
+            rollout_deadline: ms(2_750),
+            assumed_initial_age: ms(250),
             drain_fallback: ms(250),
             catch_up_delay: DurationUs::new(62_500),
             watch_wait: Duration::from_millis(1_500),
@@ -138,9 +142,9 @@
         },
         Case {
             factor: 0.5,
-            old_weights_until: ms(2_000),
-            all_weights_within: ms(5_500),
-            first_age: ms(500),
+            old_weights_send_deadline: ms(2_000),
+            rollout_deadline: ms(5_500),
+            assumed_initial_age: ms(500),
             drain_fallback: ms(500),
             catch_up_delay: ms(125),
             watch_wait: Duration::from_millis(3_000),
@@ -148,9 +152,9 @@
         },
         Case {
             factor: 1.0,
-            old_weights_until: ms(6_000),
-            all_weights_within: ms(11_000),
-            first_age: ms(3_000),
+            old_weights_send_deadline: ms(6_000),
+            rollout_deadline: ms(11_000),
+            assumed_initial_age: ms(3_000),
             drain_fallback: ms(1_000),
             catch_up_delay: ms(250),
             watch_wait: Duration::from_millis(6_000),
@@ -158,9 +162,9 @@
         },
         Case {
             factor: 2.0,
-            old_weights_until: ms(14_000),
-            all_weights_within: ms(22_000),
-            first_age: ms(8_000),
+            old_weights_send_deadline: ms(14_000),
+            rollout_deadline: ms(22_000),
+            assumed_initial_age: ms(8_000),
             drain_fallback: ms(2_000),
             catch_up_delay: ms(500),
             watch_wait: Duration::from_millis(6_000),
@@ -172,15 +176,15 @@
         let factor = case.factor;
         assert_eq!(
             bounds.old_weights_send_deadline(),
-            case.old_weights_until,
+            case.old_weights_send_deadline,
             "{factor}"
         );
+        assert_eq!(bounds.rollout_deadline(), case.rollout_deadline, "{factor}");
         assert_eq!(
-            bounds.rollout_deadline(),
-            case.all_weights_within,
+            bounds.assumed_initial_age(),
+            case.assumed_initial_age,
             "{factor}"
         );
-        assert_eq!(bounds.assumed_initial_age(), case.first_age, "{factor}");
         assert_eq!(bounds.drain_fallback(), case.drain_fallback, "{factor}");
         assert_eq!(bounds.catch_up_delay(), case.catch_up_delay, "{factor}");
         assert_eq!(bounds.watch_wait(), case.watch_wait, "{factor}");
