--- a/crates/wisteriahitch-relay/src/shell/gossip.rs
+++ b/crates/wisteriahitch-relay/src/shell/gossip.rs
@@ -41,12 +41,19 @@
 
 /// Updates that are sent to several targets of one gossip round.
 pub(super) struct RoundUpdates {
+    /// Parts cached by engines, from this daemon and its spokes.
     local_parts: Vec<PartUpdate>,
+    /// Parts cached by engines, from other hubs.
     remote_parts: Vec<PartUpdate>,
+    /// Changes of the contents of part stores.
     stored_parts: Vec<KeptPartUpdate>,
+    /// Engines that this daemon has reserved for loading weights.
     reserved: Vec<EndpointInstance>,
+    /// Suspect and blocked requests.
     requests: RequestUpdate,
+    /// Rate limits of endpoints.
     limits: Vec<LimitUpdate>,
+    /// Short names of endpoints that announced that they are leaving.
     leaving: Vec<u32>,
 }
 
@@ -110,6 +117,7 @@
     message.encoded(MAX_GOSSIP_BYTES)
 }
 
+/// Returns a message with the fields that are the same for all receivers.
 fn base_message(
     shared: &Shared,
     plan: &HubPlan,
--- a/crates/wisteriahitch-relay/src/shell/lease.rs
+++ b/crates/wisteriahitch-relay/src/shell/lease.rs
@@ -204,6 +204,7 @@
     }
 }
 
+/// Returns what an error of the store says about the effect of the failed write.
 fn write_failure(error: &PlatformError) -> WriteFailure {
     match error.kind() {
         PlatformErrorKind::AlreadyExists
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -101,6 +101,7 @@
         .count()
 }
 
+/// Advances leases and rollout by one step, and spawns the operations that follow from it.
 fn advance_rollout(shared: &Arc<Shared>, members: &Arc<Membership>, outdated: &[RolloutRow]) {
     let now = shared.now();
     let commands = {
@@ -174,6 +175,7 @@
     })
 }
 
+/// Logs the phase of the lease whenever it changes.
 fn log_phase_change(shared: &Shared, last_logged: &mut String) {
     let status = shared.leases.lock().status();
     let Some(lease) = status.first() else { return };
@@ -239,6 +241,7 @@
     endpoints.get(endpoint).map(|row| row.endpoint.address)
 }
 
+/// Fetches an engine's report and passes it to the rollout.
 async fn fetch_report(shared: &Shared, endpoint: &EndpointInstance) {
     let address = address_of(shared, endpoint);
     let report = match address {
@@ -270,6 +273,7 @@
         .reported(endpoint, report.as_ref(), now);
 }
 
+/// Sends an order to an engine if the lease permits it, and records the outcome.
 async fn send_order(
     shared: &Shared,
     members: &Membership,
--- a/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
@@ -62,6 +62,7 @@
     }
 }
 
+/// Lists a store's contents and returns the position to poll changes from.
 async fn list_parts(shared: &Shared, store: SocketAddr) -> Result<u64, String> {
     let listing = shared.borders.part_stores.list(store).await;
     let listing = listing.map_err(|error| error.to_string())?;
@@ -73,6 +74,7 @@
     Ok(next)
 }
 
+/// Waits for changes once. Returns the next position, or `None` if the store must be listed again.
 async fn poll_changes(
     shared: &Shared,
     store: SocketAddr,
@@ -137,6 +139,7 @@
     lowest
 }
 
+/// Returns whether this daemon ranks first by hash among the ready ones that poll the stores.
 fn is_freeing_daemon(shared: &Shared) -> bool {
     let now = shared.now();
     let table = shared.peers.table();
--- a/crates/wisteriahitch-relay/src/shell/peer_client.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_client.rs
@@ -105,6 +105,7 @@
     get_json(shared, ip, ENGINE_MEMORY_PATH).await
 }
 
+/// Sends a GET request to a peer and decodes its JSON response.
 async fn get_json<T: DeserializeOwned>(
     shared: &Shared,
     ip: Ipv4Addr,
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -50,6 +50,7 @@
 }
 
 impl PeerHandler {
+    /// Returns the body for a path, or `None` if the path is unknown.
     fn response_body(&self, path: &str, query: Option<&str>) -> Option<Bytes> {
         let shared = &self.shared;
         if let Some(kind) = path.strip_prefix(PEER_OBJECTS_PATH) {
--- a/crates/wisteriahitch-relay/src/shell/peer_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_state.rs
@@ -39,8 +39,11 @@
 #[derive(Default)]
 pub(crate) struct PeerState {
     table: Mutex<PeerTable>,
+    /// The hubs of the fleet, as of the last gossip round.
     pub(super) hub_plan: Mutex<HubPlan>,
+    /// Whether this daemon watches the stores itself.
     pub(super) follows_stores: AtomicBool,
+    /// Estimated number of daemons, this one included; 0 before the first gossip round.
     pub(super) daemon_count: AtomicUsize,
     /// Cancelled once the registered daemons are known.
     pub(super) peers_listed: CancellationToken,
@@ -52,9 +55,11 @@
     pub(super) pending_store_fetches: Mutex<Vec<SocketAddr>>,
     next_message: AtomicU64,
     next_round: AtomicU64,
+    /// Moving average of the timer delay, in milliseconds.
     lag_ms: Mutex<f64>,
     /// Wakes the gossip sender to send a message without waiting for the interval.
     pub(crate) wake_sender: Notify,
+    /// Decides when the next message is due.
     pub(super) gossip_schedule: Mutex<GossipPace>,
 }
 
@@ -138,12 +143,14 @@
         (cores * 1_000.0 * responsiveness).clamp(1.0, f64::from(u16::MAX)) as u16
     }
 
+    /// Adds a sample to the moving average of the timer delay.
     pub(super) fn record_timer_lag(&self, lag: Duration) {
         let mut mean_ms = self.lag_ms.lock();
         *mean_ms += (lag.as_secs_f64() * 1_000.0 - *mean_ms) * LAG_EWMA_WEIGHT;
     }
 }
 
+/// Appends updates to a queue and drops the oldest ones beyond [`MAX_QUEUED_PARTS`].
 pub(super) fn enqueue_parts(queue: &Mutex<Vec<PartUpdate>>, updates: Vec<PartUpdate>) {
     let mut queue = queue.lock();
     queue.extend(updates);
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -41,6 +41,7 @@
 /// Time for which an engine's memory counts as followed by a peer, unless it is reported again.
 const FOLLOWED_TTL_US: DurationUs = DurationUs::from_ms(800);
 
+/// Returns this daemon as a candidate for a hub.
 fn own_candidate(shared: &Shared) -> HubCandidate {
     HubCandidate {
         ip: shared.settings.ip,
@@ -95,6 +96,7 @@
     }
 }
 
+/// Detects silent peers, recomputes the hubs and starts due catch-ups.
 fn update_membership(shared: &Arc<Shared>, last: TimeUs, now: TimeUs) {
     let me = own_candidate(shared);
     let (silent, plan, count) = {
@@ -155,7 +157,8 @@
     let mut shared_message: Option<Vec<u8>> = None;
     for ip in targets {
         let to = SocketAddr::from((ip, shared.settings.listen.peer_port));
-        // Each spoke of a hub gets its own message. All other targets get the same one.
+        // A hub encodes one message per spoke, the daemons that it serves. All other targets get the
+        // same message.
         let is_spoke = !plan.is_small && plan.is_hub(me.ip) && !plan.is_hub(ip);
         let message = match is_spoke {
             true => encode_message(shared, &plan, &round, Some(ip), now),
@@ -184,6 +187,7 @@
     }
 }
 
+/// Decodes a received message and applies its updates.
 fn handle_message(shared: &Arc<Shared>, bytes: &[u8], from: SocketAddr) {
     let now = shared.now();
     let Ok(message) = postcard::from_bytes::<GossipMessage>(bytes) else {
@@ -224,6 +228,7 @@
     relay_parts(shared, message);
 }
 
+/// Applies the endpoint updates of a message: load, reservations, reachability and cached parts.
 fn apply_load(shared: &Shared, message: &GossipMessage, now: TimeUs) {
     let mut endpoints = shared.endpoints.lock();
     let loads: HashMap<_, _> = message
@@ -253,6 +258,7 @@
     }
 }
 
+/// Applies a hub's updates about part stores, and fetches the contents of unknown ones from it.
 fn apply_store_updates(shared: &Arc<Shared>, message: &GossipMessage, now: TimeUs) {
     if !message.is_hub || shared.peers.follows_stores() {
         return;
--- a/crates/wisteriahitch-relay/src/shell/site_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/site_state.rs
@@ -15,8 +15,11 @@
 /// What operators have configured: the configuration in force and the wanted weight versions.
 pub(crate) struct SiteState {
     config: ArcSwapOption<SiteConfig>,
+    /// How long replaced weights may be used.
     old_weights_limits: OldWeightsLimits,
+    /// Recently wanted weight versions by model.
     wanted_by_model: Mutex<BTreeMap<ModelName, WantedVersions>>,
+    /// Notified when other weights become wanted.
     wanted_changed: Notify,
 }
 
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -84,6 +84,7 @@
     }
 }
 
+/// Applies changes that complete the known objects up to `revision`, from the store or from a peer.
 pub(super) fn apply_changes(
     shared: &Arc<Shared>,
     role: ObjectRole,
@@ -97,9 +98,9 @@
         let absence = {
             let mut state = shared.watches.state_of(role).lock();
             if !is_new_change(&state, &change, known_up_to) {
-                if let Change::Deleted(name, deleted_at) = change {
-                    state.last_change = state.last_change.max(deleted_at);
-                    state.remember_deletion(name, deleted_at);
+                if let Change::Deleted(name, deletion_revision) = change {
+                    state.last_change = state.last_change.max(deletion_revision);
+                    state.remember_deletion(name, deletion_revision);
                 }
                 continue;
             }
@@ -108,18 +109,18 @@
                     state.last_change = state.last_change.max(object.revision);
                     state.objects.insert(object.name.clone(), object.clone());
                 }
-                Change::Deleted(name, deleted_at) => {
-                    state.last_change = state.last_change.max(*deleted_at);
+                Change::Deleted(name, deletion_revision) => {
+                    state.last_change = state.last_change.max(*deletion_revision);
                     state.objects.remove(name);
-                    state.remember_deletion(name.clone(), *deleted_at);
+                    state.remember_deletion(name.clone(), *deletion_revision);
                 }
             }
             absence_cause(&state, shared.now())
         };
         match change {
             Change::Put(object) => apply_put(shared, role, &object, source, DurationUs::ZERO),
-            Change::Deleted(name, deleted_at) => {
-                apply_deletion(shared, role, &name, absence, deleted_at);
+            Change::Deleted(name, deletion_revision) => {
+                apply_deletion(shared, role, &name, absence, deletion_revision);
             }
         }
     }
@@ -186,6 +187,7 @@
     }
 }
 
+/// Applies a new or changed object. `age_us` is the maximum time since it was written.
 fn apply_put(
     shared: &Arc<Shared>,
     role: ObjectRole,
@@ -261,6 +263,7 @@
     }
 }
 
+/// Applies the deletion of an object. Only deleted endpoints have an effect.
 fn apply_deletion(
     shared: &Arc<Shared>,
     role: ObjectRole,
@@ -277,6 +280,7 @@
     shared.note_changes(change.into_iter().collect(), revision.0);
 }
 
+/// Puts a configuration in force if it is newer, and starts watches of its new part stores.
 fn adopt_config(shared: &Arc<Shared>, config: SiteConfig, revision: Revision, source: &str) {
     let version = config.version;
     let routes = config.routes.iter().count();
--- a/crates/wisteriahitch-relay/src/shell/watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch.rs
@@ -98,6 +98,7 @@
     retry_pause(failures, is_updated_by_peers, shared.peers.daemon_count()).into()
 }
 
+/// Lists all objects of a role. Returns `false`: the history covers the listing's revision.
 async fn list_objects(shared: &Arc<Shared>, role: ObjectRole) -> Result<bool, PlatformError> {
     let asked_at = shared.now();
     let listing = shared.borders.store.list(role, false).await;
@@ -182,6 +183,7 @@
     shared.metrics.store_calls.with_label_values(&labels).inc();
 }
 
+/// Records that the store answered, and logs its recovery after a failure.
 fn record_answer(shared: &Shared, role: ObjectRole) {
     let now = shared.now();
     let mut state = shared.watches.state_of(role).lock();
@@ -200,6 +202,7 @@
     });
 }
 
+/// Records that the store didn't answer, and logs the first failure in a row.
 fn record_failure(shared: &Shared, role: ObjectRole, error: &PlatformError) {
     let now = shared.now();
     let mut state = shared.watches.state_of(role).lock();
--- a/crates/wisteriahitch-relay/src/shell/watch_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch_state.rs
@@ -31,12 +31,17 @@
     pub(super) watch_revision: Revision,
     /// Revision of the last known change.
     pub(super) last_change: Revision,
+    /// Whether a complete listing was applied, from the store or from a peer.
     pub(super) is_listed: bool,
+    /// When the store stopped answering this daemon; `None` while it answers.
     pub(super) failing_since_us: Option<TimeUs>,
+    /// When the store last answered again after a failure.
     pub(super) recovered_at_us: Option<TimeUs>,
+    /// When the store last answered this daemon.
     pub(super) answered_at_us: Option<TimeUs>,
     /// Time as of which all objects are known, confirmed by the store to this daemon or to a peer.
     pub(super) complete_as_of_us: Option<TimeUs>,
+    /// Known objects by name.
     pub(super) objects: BTreeMap<String, StoredObject>,
     /// Recently deleted objects, newest last.
     pub(super) recent_deletions: VecDeque<(Revision, String)>,
@@ -55,6 +60,7 @@
 pub(crate) struct WatchStates([Mutex<WatchState>; WATCHED_ROLES.len()]);
 
 impl WatchStates {
+    /// Returns the state of a watched role.
     pub(super) fn state_of(&self, role: ObjectRole) -> &Mutex<WatchState> {
         let index = WATCHED_ROLES.iter().position(|watched| *watched == role);
         &self.0[index.unwrap_or(0)]
@@ -62,10 +68,10 @@
 
     /// Returns whether all objects of each watched role were listed at least once.
     pub(crate) fn has_listed_all(&self, bounds: &Bounds) -> bool {
-        let mut followed = WATCHED_ROLES
+        let mut watched = WATCHED_ROLES
             .iter()
             .filter(|role| bounds.is_watched(**role));
-        followed.all(|role| self.state_of(*role).lock().is_listed)
+        watched.all(|role| self.state_of(*role).lock().is_listed)
     }
 
     /// Returns whether a route or key that the configuration lacks may be reported as unknown to
