--- a/crates/wisteriahitch-relay/src/shell/daemon.rs
+++ b/crates/wisteriahitch-relay/src/shell/daemon.rs
@@ -23,11 +23,11 @@
 use super::drain::Drain;
 use super::durations::Durations;
 use super::engine_memory_watch::{fetch_engine_memories, run_engine_memory_watch};
-use super::entries::EntryHandler;
+use super::entries::EntryHttpHandler;
 use super::lease::lease_table;
 use super::orders::{run_weight_orders, wanted_weights_snapshot};
 use super::part_store_watch::run_part_freeing;
-use super::peer_server::PeerHandler;
+use super::peer_server::PeerHttpHandler;
 use super::peer_state::PeerState;
 use super::peers::run_gossip;
 use super::pipeline::CallerSide;
@@ -188,10 +188,10 @@
     let callers = Arc::new(CallerSide {
         shared: Arc::clone(shared),
     });
-    let entries = Arc::new(EntryHandler {
+    let entries = Arc::new(EntryHttpHandler {
         shared: Arc::clone(shared),
     });
-    let peers = Arc::new(PeerHandler {
+    let peers = Arc::new(PeerHttpHandler {
         shared: Arc::clone(shared),
     });
     // Only callers' connections are closed during shutdown. The other servers keep answering.
--- a/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
@@ -102,7 +102,7 @@
 /// daemons of a small one.
 fn ready_hubs(shared: &Shared) -> Vec<Incarnation> {
     let now = shared.now();
-    let plan = shared.peers.hub_plan.lock().clone();
+    let plan = shared.peers.current_hub_plan.lock().clone();
     let table = shared.peers.table();
     let peers = table.ready(now).filter(|peer| plan.is_hub(peer.ip));
     let mut ready_hubs: Vec<Incarnation> = peers.map(|peer| peer.incarnation).collect();
--- a/crates/wisteriahitch-relay/src/shell/entries.rs
+++ b/crates/wisteriahitch-relay/src/shell/entries.rs
@@ -26,11 +26,11 @@
 const SAMPLE_SIZE: usize = 10;
 
 /// Serves entry addresses to callers and readiness probes to the platform.
-pub(crate) struct EntryHandler {
+pub(crate) struct EntryHttpHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for EntryHandler {
+impl Answers for EntryHttpHandler {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let shared = &self.shared;
         let calls = &shared.borders.calls;
--- a/crates/wisteriahitch-relay/src/shell/peer_server.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_server.rs
@@ -21,11 +21,11 @@
 use super::watch_state::{WATCHED_ROLES, kind_name};
 
 /// Serves requests of other daemons, operators and metrics scrapers.
-pub(crate) struct PeerHandler {
+pub(crate) struct PeerHttpHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl Answers for PeerHandler {
+impl Answers for PeerHttpHandler {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let path = request.uri().path();
         let body = match *request.method() {
@@ -49,7 +49,7 @@
     }
 }
 
-impl PeerHandler {
+impl PeerHttpHandler {
     /// Returns the body for a path, or `None` if the path is unknown.
     fn response_body(&self, path: &str, query: Option<&str>) -> Option<Bytes> {
         let shared = &self.shared;
--- a/crates/wisteriahitch-relay/src/shell/peer_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/peer_state.rs
@@ -40,7 +40,7 @@
 pub(crate) struct PeerState {
     table: Mutex<PeerTable>,
     /// The hubs of the fleet, as of the last gossip round.
-    pub(super) hub_plan: Mutex<HubPlan>,
+    pub(super) current_hub_plan: Mutex<HubPlan>,
     /// Whether this daemon watches the stores itself.
     pub(super) follows_stores: AtomicBool,
     /// Estimated number of daemons, this one included; 0 before the first gossip round.
@@ -97,7 +97,7 @@
     /// it.
     pub(crate) fn hub_reaches_store(&self, me: Ipv4Addr, now: TimeUs) -> bool {
         let table = self.table.lock();
-        let is_hub = self.hub_plan.lock().is_hub(me);
+        let is_hub = self.current_hub_plan.lock().is_hub(me);
         // A hub only trusts hubs that watch the store themselves. Two hubs that trusted each other
         // would report the store as reachable forever after it has failed.
         let is_trusted = |peer: &PeerRow| peer.is_hub && (!is_hub || peer.follows_stores);
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -60,7 +60,7 @@
 async fn send_loop(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut last = shared.now();
     loop {
-        let is_small = shared.peers.hub_plan.lock().is_small;
+        let is_small = shared.peers.current_hub_plan.lock().is_small;
         let interval = match is_small || shared.link_mbps() >= WIDE_LINK_MBPS {
             true => GOSSIP_INTERVAL,
             false => NARROW_LINK_GOSSIP_INTERVAL,
@@ -115,7 +115,7 @@
         .peers
         .follows_stores
         .store(follows, Ordering::Relaxed);
-    *shared.peers.hub_plan.lock() = plan;
+    *shared.peers.current_hub_plan.lock() = plan;
     update_permit_shares(shared, now);
     shared
         .peers
@@ -149,7 +149,7 @@
 /// Sends each target the updates that it doesn't receive from another daemon.
 fn send_round(shared: &Shared, socket: &UdpSocket, now: TimeUs) {
     let me = own_candidate(shared);
-    let plan = shared.peers.hub_plan.lock().clone();
+    let plan = shared.peers.current_hub_plan.lock().clone();
     let targets = shared.peers.table().targets(&me, &plan, now);
     let local = std::mem::take(&mut *shared.peers.local_parts.lock());
     let remote = std::mem::take(&mut *shared.peers.remote_parts.lock());
@@ -242,7 +242,7 @@
     let is_new =
         endpoints.peer_reserved(message.incarnation, reserved, now + RESERVATION_TTL_US, now);
     let unreachable = message.unreachable.iter().copied().collect();
-    let is_aggregated = message.is_hub && !shared.peers.hub_plan.lock().is_small;
+    let is_aggregated = message.is_hub && !shared.peers.current_hub_plan.lock().is_small;
     endpoints.peer_unreachable(message.incarnation, unreachable, is_aggregated, now);
     for short_name in &message.followed {
         endpoints.followed(*short_name, now + FOLLOWED_TTL_US);
@@ -267,7 +267,12 @@
         let mut stores = shared.part_stores.lock();
         // A hub receives updates about the stores from several hubs, other daemons only from their
         // own.
-        if !shared.peers.hub_plan.lock().is_hub(shared.settings.ip) {
+        if !shared
+            .peers
+            .current_hub_plan
+            .lock()
+            .is_hub(shared.settings.ip)
+        {
             stores.forget_unreported(&message.stores);
         }
         let unknown = stores.told(&message.stores, now);
@@ -286,7 +291,7 @@
 /// Queues the cached parts of a received message for this hub's next messages.
 fn relay_parts(shared: &Shared, message: GossipMessage) {
     let is_hub = {
-        let plan = shared.peers.hub_plan.lock();
+        let plan = shared.peers.current_hub_plan.lock();
         !plan.is_small && plan.is_hub(shared.settings.ip)
     };
     match (is_hub, message.is_hub) {
