--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -92,7 +92,7 @@
     outdated
 }
 
-/// Returns the number of engines.
+/// Returns the number of engines, that is, of endpoints with weights.
 fn engine_count(shared: &Shared) -> usize {
     let endpoints = shared.endpoints.lock();
     endpoints
