--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -5,7 +5,7 @@
 
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_relay::{
-    AbsenceCause, AllowedZones, Endpoint, EndpointTable, EngineTraits, GossipSchedule, Load,
+    AbsenceCause, AllowedZones, Endpoint, EndpointTable, EngineSpec, GossipSchedule, Load,
     PartChanges, PartEvent, PartKey, PartKeyHasher, PartListing, PartStore, PartStores, Placement,
     PlacementRequest, PromptShape, Refusal, StoredPart, place,
 };
@@ -27,7 +27,7 @@
     pub(super) service: ServiceName,
     pub(super) model: ModelName,
     pub(super) zone: AvailabilityZone,
-    pub(super) engine: EngineTraits,
+    pub(super) engine: EngineSpec,
 }
 
 /// What one daemon tells the others.
--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -210,7 +210,7 @@
             return Vec::new();
         };
         if endpoint.revision > row.endpoint.revision {
-            let until_us = now + endpoint.cold_left_us;
+            let until_us = now + endpoint.remaining_cold_us;
             row.cold
                 .apply_change(limit.map(|cold| &cold.limit), now, |cold| {
                     cold.set_reported_until(until_us);
@@ -445,7 +445,7 @@
         let id = endpoint.instance.id.clone();
         self.by_short_name.insert(short_name, id.clone());
         let row = EndpointRow {
-            cold: ColdState::cold_until(now + endpoint.cold_left_us),
+            cold: ColdState::cold_until(now + endpoint.remaining_cold_us),
             endpoint,
             state,
             is_displaced: false,
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -19,7 +19,7 @@
 use super::part_stores::{OTHER_ZONE_FACTOR, StoreFetch, transfer_ms};
 use super::parts::{PartKey, cache_scope, part_keys};
 use super::placement_request::{EngineCall, READ_TOKENS_PER_MS};
-use crate::site::EngineTraits;
+use crate::site::EngineSpec;
 
 /// Maximum number of engines that are compared as sources of one part. They are picked at random
 /// for each call, so that calls do not all fetch a popular part from the same engine.
@@ -191,7 +191,7 @@
     holder: &EndpointRow,
     reader: &EndpointRow,
     tokens: u64,
-    engine: &EngineTraits,
+    engine: &EngineSpec,
 ) -> StoreFetch {
     let factor = match holder.endpoint.zone == reader.endpoint.zone {
         true => 1.0,
--- a/crates/wisteriahitch-relay/src/decide/part_store_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_store_row.rs
@@ -55,7 +55,7 @@
     pub(super) fn has_capacity(&self, tokens: u64) -> bool {
         let pending_tokens: u64 = self.pending_saves.values().map(|(tokens, _)| tokens).sum();
         let used = self.stored_tokens + self.partial_tokens + pending_tokens + tokens;
-        used as f64 <= self.spec.room_tokens.as_f64() * MAX_FILL_RATIO
+        used as f64 <= self.spec.capacity_tokens.as_f64() * MAX_FILL_RATIO
     }
 
     /// Adds a stored part. Returns whether it is new.
--- a/crates/wisteriahitch-relay/src/decide/part_stores.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_stores.rs
@@ -19,7 +19,7 @@
 use super::part_store_row::{STORE_UPDATE_TTL_US, StoreRow, StoredPartEntry};
 use super::parts::{PartKey, PartKeyHasher};
 use crate::border::{PartChanges, PartListing, StoredPart};
-use crate::site::{AllowedZones, EngineTraits, PartStore};
+use crate::site::{AllowedZones, EngineSpec, PartStore};
 
 /// Timeout of a fetch, from the sending of its request. An engine discards a fetch that takes
 /// longer.
@@ -285,7 +285,7 @@
         &self,
         key: PartKey,
         tokens: u64,
-        engine: &EngineTraits,
+        engine: &EngineSpec,
         zone: &AvailabilityZone,
         now: TimeUs,
     ) -> Option<StoreFetch> {
@@ -300,7 +300,7 @@
             } else {
                 OTHER_ZONE_FACTOR
             };
-            let first_ms = row.spec.first_byte.as_secs_f64() * 1_000.0;
+            let first_ms = row.spec.first_byte_delay.as_secs_f64() * 1_000.0;
             StoreFetch {
                 source: row.spec.address,
                 nominal_ms: first_ms + factor * transfer_ms(tokens, engine.token_bytes, rate),
@@ -334,7 +334,7 @@
         let rank = Rendezvous::new("part", &key.0.to_string());
         let score = |row: &&mut StoreRow| {
             let address = row.spec.address.to_string();
-            rank.weighted_score(address.as_bytes(), row.spec.room_tokens.as_f64())
+            rank.weighted_score(address.as_bytes(), row.spec.capacity_tokens.as_f64())
         };
         let row = self
             .rows
--- a/crates/wisteriahitch-relay/src/decide/placement_request.rs
+++ b/crates/wisteriahitch-relay/src/decide/placement_request.rs
@@ -8,7 +8,7 @@
 use super::endpoint_row::EndpointRow;
 use super::part_stores::PartStores;
 use super::wanted_weights::WantedVersions;
-use crate::site::{AllowedZones, EngineTraits, PromptShape};
+use crate::site::{AllowedZones, EngineSpec, PromptShape};
 
 /// Prompt tokens that an engine reads per millisecond while it also serves other calls. Engines of
 /// the known deployments read 61 when they do nothing else.
@@ -27,7 +27,7 @@
     /// Service that the call is for.
     pub service: &'a ServiceName,
     /// Properties of the service's engines, if it has engines.
-    pub engine: Option<&'a EngineTraits>,
+    pub engine: Option<&'a EngineSpec>,
     /// Prompt, if the call carries one.
     pub prompt: Option<&'a PromptShape>,
     /// Workspace of the call, if it is isolated and shares cached parts with no other.
@@ -76,7 +76,7 @@
 pub(super) struct EngineCall<'a> {
     pub(super) request: &'a PlacementRequest<'a>,
     pub(super) prompt: &'a PromptShape,
-    pub(super) engine: &'a EngineTraits,
+    pub(super) engine: &'a EngineSpec,
     pub(super) stores: &'a PartStores,
     pub(super) now: TimeUs,
     /// Ranks the endpoints for the prompt.
--- a/crates/wisteriahitch-relay/src/shell/attempt.rs
+++ b/crates/wisteriahitch-relay/src/shell/attempt.rs
@@ -13,12 +13,12 @@
 
 use super::in_flight::{AttemptOutcome, InFlightAttempt};
 use super::shared::Shared;
-use super::statements::note_statements;
+use super::statements::record_statements;
 use super::transfers::PartTransfers;
 use crate::border::{AnswerHead, CallHead, OutgoingCall};
 use crate::decide::placement::Placement;
 use crate::observe::Event;
-use crate::site::{AllowedZones, EngineTraits, RequestFingerprint};
+use crate::site::{AllowedZones, EngineSpec, RequestFingerprint};
 
 /// Maximum time to connect to an endpoint. A connection normally takes a few milliseconds. A lost
 /// SYN packet is sent again only after a second; another endpoint can be reached sooner.
@@ -57,7 +57,7 @@
     /// Whether the call may run more than once.
     pub(crate) may_repeat: bool,
     /// Properties of the engines of its service, if the service has engines.
-    pub(crate) engine: Option<EngineTraits>,
+    pub(crate) engine: Option<EngineSpec>,
     /// Zones in which the call may run and in whose stores parts of its prompt may be saved.
     pub(crate) allowed_zones: AllowedZones,
 }
@@ -196,7 +196,7 @@
             FailureKind::Misdirected | FailureKind::InvalidAnswer
         )
     });
-    note_statements(shared, &placement.endpoint, &answer, is_for_this_call);
+    record_statements(shared, &placement.endpoint, &answer, is_for_this_call);
     match checked {
         Ok(()) => Ok(OpenedAnswer {
             parts,
@@ -465,7 +465,7 @@
     };
     if change.is_some() {
         // Other daemons would otherwise learn it only from a refused call of their own.
-        shared.peers.hurry.notify_one();
+        shared.peers.wake_sender.notify_one();
     }
     shared.record_endpoint_changes(change.into_iter().collect(), 0);
 }
--- a/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
+++ b/crates/wisteriahitch-relay/src/shell/blocked_requests.rs
@@ -17,7 +17,7 @@
 use wisteriahitch_wire::platform::{PlatformError, PlatformErrorKind};
 
 use super::shared::Shared;
-use super::store_updates::{note_skipped, note_unreadable};
+use super::store_updates::{log_skipped_objects, log_unreadable_object};
 use crate::observe::Event;
 use crate::site::RequestFingerprint;
 
@@ -135,7 +135,7 @@
         source: source.label(),
     });
     shared.blocked_requests.request_blocked.notify_waiters();
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
     if source == BlockSource::Own {
         shared.blocked_requests.add(StoreChange::Write(request));
     }
@@ -171,7 +171,7 @@
     for request in expired {
         // All daemons expire the block at about the same time; only one of them removes it from the
         // store.
-        let is_first = shared.peers.place_in_turn(ROLE, shared.settings.ip, now) == 0;
+        let is_first = shared.peers.store_query_rank(ROLE, shared.settings.ip, now) == 0;
         let reason = match is_first {
             true => UnblockReason::Absent,
             false => UnblockReason::Peer,
@@ -210,7 +210,7 @@
         }
         tokio::time::sleep(STORE_RETRY_INTERVAL).await;
     };
-    note_skipped(shared, ROLE, &listing.skipped);
+    log_skipped_objects(shared, ROLE, &listing.skipped);
     for object in listing.objects {
         let Some(request) = parse_name(shared, &object) else {
             continue;
@@ -226,7 +226,7 @@
         Ok(request) => Some(request),
         Err(error) => {
             let detail = error.to_string();
-            note_unreadable(shared, ROLE, &object.name, UnreadableKind::Name, detail);
+            log_unreadable_object(shared, ROLE, &object.name, UnreadableKind::Name, detail);
             None
         }
     }
@@ -282,6 +282,6 @@
         return None;
     }
     record_unblocked(shared, request, UnblockReason::Lifted);
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
     Some(Bytes::new())
 }
--- a/crates/wisteriahitch-relay/src/shell/crashes.rs
+++ b/crates/wisteriahitch-relay/src/shell/crashes.rs
@@ -178,7 +178,7 @@
             record_blocked(shared, *request, BlockSource::Own);
         }
     }
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
 }
 
 /// Applies another daemon's report of requests under which endpoints crash.
--- a/crates/wisteriahitch-relay/src/shell/entries.rs
+++ b/crates/wisteriahitch-relay/src/shell/entries.rs
@@ -1,4 +1,4 @@
-//! Where callers connect, and whether this daemon is ready.
+//! RequestHandler readiness probes and requests for the addresses that callers may connect to.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,36 +18,36 @@
 use crate::decide::members::EntryPoint;
 use crate::site::RegionMap;
 
-/// Up to so many daemons are all named in an answer.
-const ALL_NAMED: usize = 12;
+/// Maximum number of daemons that are all listed in an answer.
+const MAX_FULL_LIST: usize = 12;
 
-/// Daemons that are named of a larger fleet: enough for a caller to find one that lives after many
-/// have died at once.
-const DRAWN: usize = 10;
+/// Number of daemons listed in an answer of a larger fleet: enough for a caller to find a live one
+/// after many have died at once.
+const SAMPLE_SIZE: usize = 10;
 
-/// Answers the questions of callers that want to connect, and of the platform.
-pub(crate) struct EntrySide {
+/// Serves entry addresses to callers and readiness probes to the platform.
+pub(crate) struct EntryHttpHandler {
     pub(crate) shared: Arc<Shared>,
 }
 
-impl RequestHandler for EntrySide {
+impl RequestHandler for EntryHttpHandler {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let shared = &self.shared;
         let calls = &shared.borders.calls;
         let path = request.uri().path();
         let response = if path == calls.ready_path() {
-            ready(shared)
+            readiness(shared)
         } else if path == calls.entries_path() {
             {
                 let region = request
                     .uri()
                     .query()
                     .and_then(|query| calls.caller_region(query));
-                let entries = entries(shared, region.as_ref());
+                let entries = entry_addresses(shared, region.as_ref());
                 calls.encode_entries(&entries, shared.settings.entry_ttl())
             }
         } else {
-            status(StatusCode::NOT_FOUND)
+            empty_response(StatusCode::NOT_FOUND)
         };
         response.map(AnswerBody::full)
     }
@@ -60,26 +60,26 @@
     }
 }
 
-fn ready(shared: &Shared) -> Response<Bytes> {
+fn readiness(shared: &Shared) -> Response<Bytes> {
     match shared.phase() {
-        MemberPhase::Ready => status(StatusCode::OK),
-        _ => status(StatusCode::SERVICE_UNAVAILABLE),
+        MemberPhase::Ready => empty_response(StatusCode::OK),
+        _ => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-fn status(status: StatusCode) -> Response<Bytes> {
+fn empty_response(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
 }
 
-/// Returns the daemons that are alive and stay, in an order of chance.
+/// Returns the addresses of the live daemons that aren't shutting down, in random order.
 ///
-/// Callers keep an answer for a while and choose among its addresses alike. In a small fleet they are
-/// told of all. In a larger one each answer names some, drawn by what each can carry, so that a VM
-/// with a tenth of a core isn't given as many callers as one with half. This daemon names itself
-/// where it knows nobody, since no address at all helps nobody.
-fn entries(shared: &Shared, region: Option<&Region>) -> Vec<SocketAddr> {
+/// Callers cache an answer for a while and pick uniformly among its addresses. In a small fleet the
+/// answer lists all daemons. In a larger one it lists a random sample weighted by capacity, so that
+/// a VM with a tenth of a core doesn't get as many callers as one with half a core. This daemon
+/// lists itself if it knows no other one, because an empty answer helps no caller.
+fn entry_addresses(shared: &Shared, region: Option<&Region>) -> Vec<SocketAddr> {
     let port = shared.settings.listen.callers.port();
     let mut entries = shared.peers.table().entries(shared.now());
     if shared.phase() == MemberPhase::Ready || entries.is_empty() {
@@ -92,11 +92,11 @@
     }
     let entries = in_region(entries, region, &shared.regions);
     let mut rng = rand::rng();
-    let named: Vec<EntryPoint> = match entries.len() > ALL_NAMED {
-        true => draw(entries, &mut rng),
+    let listed: Vec<EntryPoint> = match entries.len() > MAX_FULL_LIST {
+        true => sample_by_capacity(entries, &mut rng),
         false => entries,
     };
-    let mut addresses: Vec<SocketAddr> = named
+    let mut addresses: Vec<SocketAddr> = listed
         .iter()
         .map(|entry| SocketAddr::from((entry.ip, port)))
         .collect();
@@ -104,8 +104,8 @@
     addresses
 }
 
-/// Returns those in the caller's region, or all where there are none: calls of some routes may not leave it, and the way
-/// to another one is long.
+/// Returns the entries in the caller's region, or all if there are none. Calls of some routes must
+/// not leave the region, and the latency to another region is high.
 fn in_region(
     entries: Vec<EntryPoint>,
     region: Option<&Region>,
@@ -114,19 +114,20 @@
     let Some(region) = region else {
         return entries;
     };
-    let is_near = |entry: &EntryPoint| {
+    let is_in_region = |entry: &EntryPoint| {
         let zone = entry.zone.parse();
         zone.is_ok_and(|zone| map.region(&zone) == Some(region))
     };
-    let (near, others): (Vec<EntryPoint>, Vec<EntryPoint>) = entries.into_iter().partition(is_near);
-    match near.is_empty() {
+    let (local, others): (Vec<EntryPoint>, Vec<EntryPoint>) =
+        entries.into_iter().partition(is_in_region);
+    match local.is_empty() {
         true => others,
-        false => near,
+        false => local,
     }
 }
 
-/// Draws some entries, each with a chance in proportion to its capacity.
-fn draw(entries: Vec<EntryPoint>, rng: &mut impl Rng) -> Vec<EntryPoint> {
+/// Samples [`SAMPLE_SIZE`] entries with probability proportional to their capacity.
+fn sample_by_capacity(entries: Vec<EntryPoint>, rng: &mut impl Rng) -> Vec<EntryPoint> {
     let mut scored: Vec<(f64, EntryPoint)> = entries
         .into_iter()
         .map(|entry| {
@@ -135,6 +136,6 @@
         })
         .collect();
     scored.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-    scored.truncate(DRAWN);
+    scored.truncate(SAMPLE_SIZE);
     scored.into_iter().map(|(_, entry)| entry).collect()
 }
--- a/crates/wisteriahitch-relay/src/shell/in_flight.rs
+++ b/crates/wisteriahitch-relay/src/shell/in_flight.rs
@@ -55,7 +55,7 @@
             row.outlier.record_sent(now);
         }
         drop(endpoints);
-        shared.peers.sent(placement.unread_tokens);
+        shared.peers.record_sent_call(placement.unread_tokens);
         Self {
             shared: Arc::clone(shared),
             endpoint: placement.endpoint.clone(),
@@ -106,7 +106,7 @@
             });
         }
         drop(endpoints);
-        self.shared.peers.tell_parts(updates);
+        self.shared.peers.queue_part_updates(updates);
     }
 
     /// Records the outcome of the attempt for outlier detection.
--- a/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/part_store_watch.rs
@@ -1,4 +1,4 @@
-//! Following what the stores of prompt parts keep, and freeing what nobody uses any more.
+//! Tracks the contents of the part stores and frees parts that are no longer used.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,33 +13,34 @@
 use crate::decide::parts::weights_of_scope;
 use crate::observe::Event;
 
-/// Longest wait of one question for changes. Stores allow a second; shorter ones keep the news
-/// fresh for those who hear it from others.
-const CHANGES_WAIT: Duration = Duration::from_millis(500);
+/// Maximum wait of one poll for changes. Stores allow one second; a shorter wait keeps the contents
+/// fresh for daemons that receive them by gossip.
+const CHANGES_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks whether this daemon is to follow the stores itself.
-const ROLE_INTERVAL: Duration = Duration::from_millis(300);
+/// Time between two checks of whether this daemon must poll the stores itself.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Pause after a store didn't answer.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Mean wait after a failed poll.
+const RETRY_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Time between two looks for parts to free.
+/// Time between two searches for parts to free.
 const FREE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Follows one store until the configuration no longer names it.
+/// Tracks one store until the configuration no longer contains it.
 pub(crate) async fn run_part_store_watch(shared: Arc<Shared>, store: SocketAddr) {
     let mut since = None;
     let mut was_reachable = true;
     while shared.part_stores.lock().is_configured(store) {
         if !shared.peers.follows_stores() {
-            // Another daemon's news says how fresh its own is; what was known here goes on with it.
+            // Another daemon polls the store now, and its updates carry their own age. They
+            // continue from the contents that are known here.
             since = None;
-            tokio::time::sleep(ROLE_INTERVAL).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         let step = match since {
-            None => list(&shared, store).await.map(Some),
-            Some(since) => changes(&shared, store, since).await,
+            None => list_parts(&shared, store).await.map(Some),
+            Some(since) => poll_changes(&shared, store, since).await,
         };
         let is_reachable = step.is_ok();
         if is_reachable != was_reachable {
@@ -55,13 +56,14 @@
             Err(_) => {
                 since = None;
                 shared.part_stores.lock().record_unreachable(store);
-                tokio::time::sleep(RETRY_PAUSE.mul_f64(rand::random_range(0.8..1.2))).await;
+                tokio::time::sleep(RETRY_BACKOFF.mul_f64(rand::random_range(0.8..1.2))).await;
             }
         }
     }
 }
 
-async fn list(shared: &Shared, store: SocketAddr) -> Result<u64, String> {
+/// Lists a store's contents and returns the position to poll changes from.
+async fn list_parts(shared: &Shared, store: SocketAddr) -> Result<u64, String> {
     let listing = shared.borders.part_stores.list(store).await;
     let listing = listing.map_err(|error| error.to_string())?;
     let next = listing.next;
@@ -72,25 +74,31 @@
     Ok(next)
 }
 
-async fn changes(shared: &Shared, store: SocketAddr, since: u64) -> Result<Option<u64>, String> {
+/// Waits for changes once. Returns the next position, or `None` if the store must be listed again.
+async fn poll_changes(
+    shared: &Shared,
+    store: SocketAddr,
+    since: u64,
+) -> Result<Option<u64>, String> {
     let changes = shared
         .borders
         .part_stores
-        .changes(store, since, CHANGES_WAIT)
+        .changes(store, since, CHANGES_POLL_TIMEOUT)
         .await;
     let changes = changes.map_err(|error| error.to_string())?;
     let next = changes.next;
-    let follows = shared
+    let is_continuous = shared
         .part_stores
         .lock()
         .apply_changes(store, changes, shared.now());
-    Ok(follows.then_some(next))
+    Ok(is_continuous.then_some(next))
 }
 
-/// Frees parts of replaced weights, for as long as the process lives.
+/// Frees parts of replaced weights, for as long as the process runs.
 ///
-/// One daemon does it. Two that both believe it is theirs free the same parts, which is harmless.
-pub(crate) async fn run_freeing(shared: Arc<Shared>) {
+/// One daemon does this. If two both consider themselves responsible, they free the same parts,
+/// which is harmless.
+pub(crate) async fn run_part_freeing(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(FREE_INTERVAL).await;
         let now = shared.now();
@@ -100,24 +108,25 @@
             stores.record_lowest_weights(&lowest, now);
             stores.parts_to_free(weights_of_scope, may_be_fetched(&shared, now), now)
         };
-        if !orders.is_empty() && is_mine(&shared) {
+        if !orders.is_empty() && is_freeing_daemon(&shared) {
             for order in orders {
-                free(&shared, order).await;
+                free_parts(&shared, order).await;
             }
         }
     }
 }
 
-/// Returns whether a call that was sent to an engine with given weights may still fetch parts.
+/// Returns a predicate: whether a call that was sent to an engine with the given weights may still
+/// fetch parts.
 fn may_be_fetched(shared: &Shared, now: TimeUs) -> impl Fn(&ModelName, WeightNumber) -> bool {
     move |model, weights| {
-        let wanted = shared.site.wanted(model);
+        let wanted = shared.site.wanted_versions(model);
         wanted.is_none_or(|wanted| wanted.may_fetch_parts(weights, now))
     }
 }
 
-/// Returns the lowest weights that any engine has; one that is about to leave counts too, and so
-/// does one whose registration has lapsed: if it comes back, its weights are no older.
+/// Returns the oldest weight version of each model that any engine has. Engines that are leaving
+/// count, and so do those whose registration has lapsed: if one returns, its weights are no older.
 fn lowest_weights(shared: &Shared) -> BTreeMap<ModelName, WeightNumber> {
     let mut lowest = BTreeMap::new();
     let endpoints = shared.endpoints.lock();
@@ -130,7 +139,8 @@
     lowest
 }
 
-fn is_mine(shared: &Shared) -> bool {
+/// Returns whether this daemon ranks first by hash among the ready ones that poll the stores.
+fn is_freeing_daemon(shared: &Shared) -> bool {
     let now = shared.now();
     let table = shared.peers.table();
     let followers = table.ready(now).filter(|peer| peer.follows_stores);
@@ -143,7 +153,7 @@
     first.first() == Some(&shared.incarnation) && !shared.drain.is_draining()
 }
 
-async fn free(shared: &Shared, order: FreeOrder) {
+async fn free_parts(shared: &Shared, order: FreeOrder) {
     let control = &shared.borders.part_stores;
     let freed = control.free(order.store, &order.parts, order.epoch).await;
     shared.log.write(&Event::PartsFreed {
--- a/crates/wisteriahitch-relay/src/shell/pipeline.rs
+++ b/crates/wisteriahitch-relay/src/shell/pipeline.rs
@@ -123,7 +123,7 @@
     let id = workspace.as_ref().map(|workspace| workspace.id.clone());
     let fingerprint = RequestFingerprint::of(id.as_ref(), parts.uri.path(), &body.bytes);
     check_blocked(shared, fingerprint, trace)?;
-    let service = route.target(rand::random()).cloned();
+    let service = route.pick_service(rand::random()).cloned();
     let service = service.ok_or(Refusal::new(Code::NoEndpoint))?;
     shared.budgets.record_request(&service);
     let workspace_priority = workspace.as_ref().and_then(|workspace| workspace.priority);
@@ -132,7 +132,7 @@
     let longest_queue_us = match route.kind {
         CallKind::Stream => config
             .urgency
-            .max_queue(&service, priority, route.target_us),
+            .max_queue(&service, priority, route.latency_slo_us),
         _ => DurationUs::MAX,
     };
     let mut routed = RoutedCall {
@@ -203,8 +203,8 @@
 /// If nobody has confirmed for a while that the configuration is current, a newer one may contain
 /// the route or key. Callers don't retry after "unknown", so in that case they are asked to retry.
 fn unknown_refusal(shared: &Shared, code: Code) -> Refusal {
-    let limits = shared.bounds.staleness(ObjectRole::Configuration);
-    match shared.watches.is_final(&limits, shared.now()) {
+    let limits = shared.bounds.staleness_limits(ObjectRole::Configuration);
+    match shared.watches.is_configuration_final(&limits, shared.now()) {
         true => Refusal::new(code),
         false => Refusal::new(Code::NotReady).retry_after(NOT_READY_RETRY_US),
     }
--- a/crates/wisteriahitch-relay/src/shell/registration.rs
+++ b/crates/wisteriahitch-relay/src/shell/registration.rs
@@ -1,4 +1,4 @@
-//! How daemons find each other: each registers in the platform's store once.
+//! Discovery of other daemons: each daemon registers itself in the platform's store at its start.
 
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
@@ -12,43 +12,45 @@
 use wisteriahitch_wire::platform::{PlatformError, PlatformErrorKind};
 
 use super::shared::Shared;
-use super::store_updates::{note_skipped, note_unreadable};
+use super::store_updates::{log_skipped_objects, log_unreadable_object};
 use crate::observe::Event;
 
-/// Pause after a call of the store failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Base wait after a failed store call.
+const RETRY_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the registrations. Daemons tell each other of themselves; the list
-/// only heals what that missed.
+/// Time between two reads of the registrations. Daemons discover each other by gossip; the list
+/// only repairs what gossip missed.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Silence of a registered daemon after which its registration is removed by another one.
-const REMOVE_AFTER_US: DurationUs = DurationUs::from_ms(20_000);
+/// Time since the last message of a registered daemon after which another one removes its
+/// registration.
+const MAX_SILENCE_US: DurationUs = DurationUs::from_ms(20_000);
 
-/// Unreadable registrations that are remembered as told of.
-const MAX_TOLD: usize = 1_000;
+/// Maximum number of unreadable registrations that are remembered as already logged.
+const MAX_LOGGED_REGISTRATIONS: usize = 1_000;
 
-/// What a daemon's registration holds.
+/// Content of a daemon's registration.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-struct Registration {
+struct DaemonRegistration {
     ip: Ipv4Addr,
     zone: String,
     link_mbps: u16,
     incarnation: Incarnation,
 }
 
-/// Registers this daemon and learns of the others, for as long as the process lives.
+/// Registers this daemon and discovers the others, for as long as the process runs.
 pub(crate) async fn run_registration(shared: Arc<Shared>) {
     while let Err(error) = register(&shared).await {
         shared.log.write(&Event::Failure {
             what: "registering this daemon",
             detail: error.to_string(),
         });
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_BACKOFF).await;
     }
-    // Two daemons that start at once both write first, so that at least one sees the other.
+    // Two daemons that start at the same time both write before they list, so at least one sees the
+    // other.
     let mut is_first = true;
-    let mut told = HashSet::new();
+    let mut logged = HashSet::new();
     loop {
         match shared
             .borders
@@ -58,9 +60,9 @@
         {
             Ok(listing) => {
                 is_first = false;
-                note_skipped(&shared, ObjectRole::Members, &listing.skipped);
-                learn(&shared, listing.objects, &mut told).await;
-                shared.peers.others_listed.cancel();
+                log_skipped_objects(&shared, ObjectRole::Members, &listing.skipped);
+                apply_registrations(&shared, listing.objects, &mut logged).await;
+                shared.peers.peers_listed.cancel();
                 tokio::time::sleep(LIST_INTERVAL).await;
             }
             Err(error) => {
@@ -68,25 +70,29 @@
                     what: "listing the daemons",
                     detail: error.to_string(),
                 });
-                // Whoever has seen the others once hears of them; the list only heals what that missed.
-                let pause = if is_first {
-                    RETRY_PAUSE * 2
+                // Once the other daemons were listed, gossip finds new ones. The list only repairs
+                // what gossip missed.
+                let backoff = if is_first {
+                    RETRY_BACKOFF * 2
                 } else {
                     LIST_INTERVAL
                 };
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(backoff).await;
             }
         }
     }
 }
 
-fn read(content: Value) -> Result<Registration, (UnreadableKind, String)> {
-    let registration: Registration = serde_json::from_value(content)
+fn decode(content: Value) -> Result<DaemonRegistration, (UnreadableKind, String)> {
+    let registration: DaemonRegistration = serde_json::from_value(content)
         .map_err(|error| (UnreadableKind::Field, error.to_string()))?;
     let ip = registration.ip;
-    // Messages would go there several times a second.
+    // Gossip would be sent to this address several times per second.
     match ip.is_unspecified() || ip.is_multicast() || ip.is_broadcast() {
-        true => Err((UnreadableKind::Value, format!("no VM has the address {ip}"))),
+        true => Err((
+            UnreadableKind::Value,
+            format!("the address {ip} is unspecified, multicast or broadcast"),
+        )),
         false => Ok(registration),
     }
 }
@@ -94,7 +100,7 @@
 async fn register(shared: &Shared) -> Result<(), PlatformError> {
     let store = &shared.borders.store;
     let name = shared.settings.id.as_str();
-    let registration = Registration {
+    let registration = DaemonRegistration {
         ip: shared.settings.ip,
         zone: shared.settings.zone.to_string(),
         link_mbps: shared.link_mbps(),
@@ -117,23 +123,25 @@
     replaced.map(|_| ())
 }
 
-/// Takes over who is registered. Registrations that can't be read name nobody, and are told of once
-/// each: `told` keeps their names and revisions, and is emptied before it grows large.
-async fn learn(
+/// Adds the registered daemons to the known peers, and removes registrations of silent ones.
+///
+/// Unreadable registrations are skipped and logged once each: `logged` contains their names and
+/// revisions, and is cleared before it grows large.
+async fn apply_registrations(
     shared: &Shared,
     objects: Vec<StoredObject>,
-    told: &mut HashSet<(String, Revision)>,
+    logged: &mut HashSet<(String, Revision)>,
 ) {
     let now = shared.now();
-    if told.len() > MAX_TOLD {
-        told.clear();
+    if logged.len() > MAX_LOGGED_REGISTRATIONS {
+        logged.clear();
     }
     for object in objects {
-        let registration = match read(object.content) {
+        let registration = match decode(object.content) {
             Ok(registration) => registration,
             Err((kind, detail)) => {
-                if told.insert((object.name.clone(), object.revision)) {
-                    note_unreadable(shared, ObjectRole::Members, &object.name, kind, detail);
+                if logged.insert((object.name.clone(), object.revision)) {
+                    log_unreadable_object(shared, ObjectRole::Members, &object.name, kind, detail);
                 }
                 continue;
             }
@@ -142,21 +150,22 @@
             continue;
         }
         let silence = shared.peers.table().silence(registration.ip, now);
-        let is_told = shared.peers.table().is_known_indirectly(registration.ip);
-        if !is_told && silence.is_some_and(|silence| silence > REMOVE_AFTER_US) {
+        let is_gossiped = shared.peers.table().is_known_indirectly(registration.ip);
+        if !is_gossiped && silence.is_some_and(|silence| silence > MAX_SILENCE_US) {
             let role = ObjectRole::Members;
-            // Another daemon may have removed it first, or its own may have just come back.
+            // The result is ignored: another daemon may have removed it first, or the silent daemon
+            // may have just registered again.
             let _ = shared
                 .borders
                 .store
                 .delete(role, &object.name, object.revision)
                 .await;
         } else {
-            let place = Some((registration.zone, registration.link_mbps));
+            let zone_and_link = Some((registration.zone, registration.link_mbps));
             let mut peers = shared.peers.table();
-            peers.record_address(registration.ip, place, now);
+            peers.record_address(registration.ip, zone_and_link, now);
             peers.record_registration(registration.ip, now);
         }
     }
-    shared.peers.hurry.notify_one();
+    shared.peers.wake_sender.notify_one();
 }
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -44,8 +44,8 @@
 /// Returns the gap between events after which callers give up a stream: the longest of two seconds,
 /// four times the target and eight times the longest acceptable gap.
 fn stream_patience(route: &Route) -> DurationUs {
-    let targets = route.target_us.get().saturating_mul(4);
-    let gaps = route.max_gap_us.get().saturating_mul(8);
+    let targets = route.latency_slo_us.get().saturating_mul(4);
+    let gaps = route.max_event_gap_us.get().saturating_mul(8);
     DurationUs::new(targets.max(gaps)).max(DurationUs::from_ms(2_000))
 }
 
@@ -150,14 +150,14 @@
             .as_ref()
             .filter(|workspace| workspace.is_isolated);
         let (duration_us, memory_duration_us) = shared.durations.estimate(&self.service);
-        let wanted = prompt.and_then(|prompt| shared.site.wanted(&prompt.model));
+        let wanted = prompt.and_then(|prompt| shared.site.wanted_versions(&prompt.model));
         let request = PlacementRequest {
             service: &self.service,
             engine: self.call.engine.as_ref(),
             prompt,
             isolated_workspace: isolated_workspace.map(|workspace| &workspace.id),
             zone: &shared.settings.zone,
-            daemons: shared.peers.daemons(),
+            daemons: shared.peers.daemon_count(),
             duration_us,
             memory_duration_us,
             max_first_event_us,
@@ -264,7 +264,7 @@
         }
         let now = Instant::now();
         let left = call_deadline.saturating_duration_since(now);
-        let target = Duration::from(self.route.target_us).mul_f64(FIRST_ATTEMPT_TARGET_FACTOR);
+        let target = Duration::from(self.route.latency_slo_us).mul_f64(FIRST_ATTEMPT_TARGET_FACTOR);
         let wait = Duration::from(placement.expected_us) + target;
         call_deadline.min(now + wait.max(left.mul_f64(MIN_ATTEMPT_SHARE)))
     }
@@ -285,7 +285,7 @@
         };
         loop {
             let changed = shared.site.wanted_changed();
-            let wanted = shared.site.wanted(model);
+            let wanted = shared.site.wanted_versions(model);
             let begin_by = wanted.and_then(|wanted| wanted.start_deadline(weights));
             match begin_by {
                 Some(begin_by) => {
--- a/crates/wisteriahitch-relay/src/shell/statements.rs
+++ b/crates/wisteriahitch-relay/src/shell/statements.rs
@@ -1,71 +1,76 @@
-//! Taking over what endpoints say of themselves in the heads of their answers.
+//! Processes what endpoints report about themselves in the headers of their answers: rate limit,
+//! shutdown and rest.
 
 use wisteriahitch_types::{CallRate, EndpointInstance, TimeUs};
 
-use super::peers::share_permits;
+use super::peers::update_permit_shares;
 use super::shared::Shared;
 use crate::border::{AnswerHead, Statement};
 use crate::decide::endpoint_table::{EndpointChange, instance_short_name};
 use crate::decide::gossip_message::LimitUpdate;
 use crate::observe::Event;
 
-/// Takes over the statements of one answer to a call that was placed at an endpoint. `is_to_the_call` says that it is that
-/// endpoint's own answer to it.
-pub(super) fn note_statements(
+/// Records the statements in an answer to a call that was sent to the endpoint `called`.
+/// `is_direct_answer` is whether that endpoint itself answered the call.
+pub(super) fn record_statements(
     shared: &Shared,
-    placed: &EndpointInstance,
+    called: &EndpointInstance,
     answer: &AnswerHead,
-    is_to_the_call: bool,
+    is_direct_answer: bool,
 ) {
-    let Some(endpoint) = &speaker(shared, placed, answer) else {
+    let Some(endpoint) = &answering_endpoint(shared, called, answer) else {
         return;
     };
-    note_limit(shared, endpoint, answer, is_to_the_call);
-    note_leaving(shared, endpoint, answer);
-    note_rest(shared, endpoint, answer);
+    record_limit_statement(shared, endpoint, answer, is_direct_answer);
+    record_leaving_statement(shared, endpoint, answer);
+    record_rest_statement(shared, endpoint, answer);
 }
 
-/// Returns who has answered: another endpoint than the one that was meant may be at its address. None where that one isn't
-/// known.
-fn speaker(
+/// Returns the endpoint that answered, which may differ from the called one if another process has
+/// taken its address. Returns `None` if that endpoint isn't known.
+fn answering_endpoint(
     shared: &Shared,
-    placed: &EndpointInstance,
+    called: &EndpointInstance,
     answer: &AnswerHead,
 ) -> Option<EndpointInstance> {
     match &answer.endpoint {
-        Some(id) if *id != placed.id => {
+        Some(id) if *id != called.id => {
             let endpoints = shared.endpoints.lock();
             endpoints.by_id(id).map(|row| row.instance().clone())
         }
-        _ => Some(placed.clone()),
+        _ => Some(called.clone()),
     }
 }
 
-fn note_leaving(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
+fn record_leaving_statement(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
     match answer.is_leaving {
         Statement::Value(true) => {}
         Statement::Value(false) | Statement::Absent => return,
-        Statement::Malformed => return note_malformed(shared, endpoint, "leaving"),
+        Statement::Malformed => return count_malformed_statement(shared, endpoint, "leaving"),
     }
-    if note_life_leaves(shared, instance_short_name(endpoint), "answer") {
-        // The others may hear it from nobody else: the store may be away.
-        shared.peers.hurry.notify_one();
+    if record_leaving_instance(shared, instance_short_name(endpoint), "answer") {
+        // The other daemons may have no other source, because the store may be unreachable.
+        shared.peers.wake_sender.notify_one();
     }
 }
 
-/// Takes over which endpoints have said that they leave, as a peer tells.
-pub(super) fn take_leaving(shared: &Shared, lives: &[u32]) {
-    let is_news = |life: &&u32| note_life_leaves(shared, **life, "peer");
-    // Each is noted, also after the first that is news.
-    if lives.iter().filter(is_news).count() > 0 {
-        // A hub tells it on at once.
-        shared.peers.hurry.notify_one();
+/// Applies a peer's list of endpoints that announced that they are leaving, by short name.
+pub(super) fn apply_leaving_updates(shared: &Shared, short_names: &[u32]) {
+    let is_new = |short_name: &&u32| record_leaving_instance(shared, **short_name, "peer");
+    // `count` visits every element, so that each endpoint is recorded, also after the first new
+    // one.
+    if short_names.iter().filter(is_new).count() > 0 {
+        // A hub relays this at once.
+        shared.peers.wake_sender.notify_one();
     }
 }
 
-/// Notes that a life of an endpoint leaves, and returns whether that is news.
-fn note_life_leaves(shared: &Shared, life: u32, source: &'static str) -> bool {
-    let (is_news, change) = shared.endpoints.lock().record_leaving(life, shared.now());
+/// Records that an endpoint is leaving, and returns whether this wasn't known before.
+fn record_leaving_instance(shared: &Shared, short_name: u32, source: &'static str) -> bool {
+    let (is_new, change) = shared
+        .endpoints
+        .lock()
+        .record_leaving(short_name, shared.now());
     if let Some(EndpointChange::Draining(endpoint)) = &change {
         shared.log.write(&Event::EndpointLeaving {
             endpoint: endpoint.to_string(),
@@ -73,14 +78,14 @@
         });
     }
     shared.record_endpoint_changes(change.into_iter().collect(), 0);
-    is_news
+    is_new
 }
 
-fn note_rest(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
+fn record_rest_statement(shared: &Shared, endpoint: &EndpointInstance, answer: &AnswerHead) {
     let rest = match answer.rest_us {
         Statement::Value(rest) => rest,
         Statement::Absent => return,
-        Statement::Malformed => return note_malformed(shared, endpoint, "rest"),
+        Statement::Malformed => return count_malformed_statement(shared, endpoint, "rest"),
     };
     let now = shared.now();
     let is_later = shared.endpoints.lock().record_rest(endpoint, rest, now);
@@ -92,19 +97,19 @@
     }
 }
 
-/// Takes over the limit that an answer names. One that names none ends a limit only if it is the endpoint's own answer to
-/// the call.
-fn note_limit(
+/// Records the rate limit in an answer. An answer without one ends a known limit only if it is the
+/// endpoint's own answer to the call.
+fn record_limit_statement(
     shared: &Shared,
     endpoint: &EndpointInstance,
     answer: &AnswerHead,
-    is_to_the_call: bool,
+    is_direct_answer: bool,
 ) {
     let rate = match answer.limit {
         Statement::Value(rate) => Some(rate),
-        Statement::Absent if is_to_the_call => None,
+        Statement::Absent if is_direct_answer => None,
         Statement::Absent => return,
-        Statement::Malformed => return note_malformed(shared, endpoint, "limit"),
+        Statement::Malformed => return count_malformed_statement(shared, endpoint, "limit"),
     };
     let now = shared.now();
     let outcome = shared.endpoints.lock().record_limit(endpoint, rate, now);
@@ -112,18 +117,19 @@
         log_limit(shared, endpoint, rate, "answer", 0);
     }
     if outcome.is_changed {
-        share_permits(shared, now);
-        // Until the others know, they send as if there were no limit, or don't use what it leaves.
-        shared.peers.hurry.notify_one();
+        update_permit_shares(shared, now);
+        // Until the other daemons know, they send as if there were no limit, or don't use the rate
+        // that it allows.
+        shared.peers.wake_sender.notify_one();
     }
 }
 
-/// Takes over what a peer tells of endpoints' limits.
-pub(super) fn take_limits(shared: &Shared, updates: &[LimitUpdate], now: TimeUs) {
+/// Applies the rate limits of endpoints that a peer reports.
+pub(super) fn apply_limit_updates(shared: &Shared, updates: &[LimitUpdate], now: TimeUs) {
     let mut is_changed = false;
     for update in updates {
-        let told = shared.endpoints.lock().apply_limit_update(update, now);
-        let Some((endpoint, outcome)) = told else {
+        let applied = shared.endpoints.lock().apply_limit_update(update, now);
+        let Some((endpoint, outcome)) = applied else {
             continue;
         };
         is_changed |= outcome.is_changed;
@@ -132,9 +138,9 @@
         }
     }
     if is_changed {
-        share_permits(shared, now);
-        // A hub tells it on at once.
-        shared.peers.hurry.notify_one();
+        update_permit_shares(shared, now);
+        // A hub relays this at once.
+        shared.peers.wake_sender.notify_one();
     }
 }
 
@@ -153,8 +159,12 @@
     });
 }
 
-/// Counts a statement that can't be read, and logs the first one of each life of an endpoint.
-fn note_malformed(shared: &Shared, endpoint: &EndpointInstance, statement: &'static str) {
+/// Counts a malformed statement, and logs the first one of each endpoint instance.
+fn count_malformed_statement(
+    shared: &Shared,
+    endpoint: &EndpointInstance,
+    statement: &'static str,
+) {
     let counter = &shared.metrics.malformed_statements;
     counter.with_label_values(&[statement]).inc();
     if shared.endpoints.lock().record_malformed(endpoint) {
--- a/crates/wisteriahitch-relay/src/shell/store_updates.rs
+++ b/crates/wisteriahitch-relay/src/shell/store_updates.rs
@@ -1,4 +1,4 @@
-//! Taking over what the store, or another daemon, tells of objects.
+//! Applies listings and changes of the store's objects, received from the store or from a peer.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 use super::part_store_watch::run_part_store_watch;
 use super::shared::Shared;
-use super::watch_state::{Delta, WatchState, kind_name};
+use super::watch_state::{ObjectDelta, WatchState, kind_name};
 use crate::decide::endpoint_admission::ServiceColdLimit;
 use crate::decide::endpoint_table::{AbsenceCause, REREGISTRATION_TIMEOUT_US, Registration};
 use crate::decide::evacuated_zones::ZoneChange;
@@ -18,15 +18,16 @@
 use crate::observe::Event;
 use crate::site::SiteConfig;
 
-/// Where news comes from, for the log.
+/// Source of an update, as it appears in the log.
 pub(super) const STORE: &str = "store";
 const PEER: &str = "peer";
 
-/// Longest text of others in a log line. Who can write an entry could else fill the log with it.
-const MAX_TOLD_CHARS: usize = 200;
+/// Maximum length of foreign text in a log line. Without it, anyone who can write an object could
+/// fill the log.
+const MAX_LOGGED_CHARS: usize = 200;
 
-/// Says what an absence means now: right after an outage registrations may only have lapsed.
-fn absence(state: &WatchState, now: TimeUs) -> AbsenceCause {
+/// Returns why an object is absent now: right after an outage, registrations may only have lapsed.
+fn absence_cause(state: &WatchState, now: TimeUs) -> AbsenceCause {
     let is_recent = |at: TimeUs| now.since(at) < REREGISTRATION_TIMEOUT_US;
     let is_after_outage = state.recovered_at_us.is_some_and(is_recent);
     match state.failing_since_us.is_some() || is_after_outage {
@@ -35,7 +36,7 @@
     }
 }
 
-/// Takes over a whole listing, from the store or from a peer that knows more.
+/// Applies a complete listing, from the store or from a peer with newer objects.
 pub(super) fn apply_listing(
     shared: &Arc<Shared>,
     role: ObjectRole,
@@ -44,31 +45,32 @@
 ) {
     let now = shared.now();
     let (absence, age_us) = {
-        let mut state = shared.watches.of(role).lock();
-        if listing.revision < state.changed {
+        let mut state = shared.watches.state_of(role).lock();
+        if listing.revision < state.last_change {
             return;
         }
-        let named = |object: &StoredObject| (object.name.clone(), object.clone());
-        let objects: BTreeMap<String, StoredObject> = listing.objects.iter().map(named).collect();
+        let by_name = |object: &StoredObject| (object.name.clone(), object.clone());
+        let objects: BTreeMap<String, StoredObject> = listing.objects.iter().map(by_name).collect();
         state.objects = objects;
-        // What was deleted before isn't told by a listing.
-        state.forgotten = state.forgotten.max(listing.revision);
-        // Even without a difference: the one who told it would else seem to know more for ever.
-        state.changed = listing.revision;
-        state.revision = state.revision.max(listing.revision);
+        // A listing doesn't contain earlier deletions.
+        state.deletions_lost_up_to = state.deletions_lost_up_to.max(listing.revision);
+        // This must be set even if the listing equals the known objects. Otherwise its sender would
+        // seem to have newer objects forever.
+        state.last_change = listing.revision;
+        state.watch_revision = state.watch_revision.max(listing.revision);
         let was_listed = std::mem::replace(&mut state.is_listed, true);
-        state.behind = None;
+        state.newer_at_peer = None;
         let age_us = if was_listed {
             DurationUs::ZERO
         } else {
-            shared.bounds.first_age()
+            shared.bounds.assumed_initial_age()
         };
-        (absence(&state, now), age_us)
+        (absence_cause(&state, now), age_us)
     };
     match role {
         ObjectRole::Endpoints => {
             let objects = listing.objects.iter();
-            let registrations = objects.filter_map(|object| registration(shared, object));
+            let registrations = objects.filter_map(|object| decode_registration(shared, object));
             let registrations = registrations.collect();
             let changes = shared
                 .endpoints
@@ -79,12 +81,13 @@
         ObjectRole::Evacuations => apply_evacuations(shared, source),
         _ => {
             for object in &listing.objects {
-                put(shared, role, object, source, age_us);
+                apply_put(shared, role, object, source, age_us);
             }
         }
     }
 }
 
+/// Applies changes that complete the known objects up to `revision`, from the store or from a peer.
 pub(super) fn apply_changes(
     shared: &Arc<Shared>,
     role: ObjectRole,
@@ -96,46 +99,46 @@
     let has_changes = !changes.is_empty();
     for change in changes {
         let absence = {
-            let mut state = shared.watches.of(role).lock();
-            if !is_newer(&state, &change, known_up_to) {
-                if let Change::Deleted(name, deleted_at) = change {
-                    state.changed = state.changed.max(deleted_at);
-                    state.note_deleted(name, deleted_at);
+            let mut state = shared.watches.state_of(role).lock();
+            if !is_new_change(&state, &change, known_up_to) {
+                if let Change::Deleted(name, deletion_revision) = change {
+                    state.last_change = state.last_change.max(deletion_revision);
+                    state.remember_deletion(name, deletion_revision);
                 }
                 continue;
             }
             match &change {
                 Change::Put(object) => {
-                    state.changed = state.changed.max(object.revision);
+                    state.last_change = state.last_change.max(object.revision);
                     state.objects.insert(object.name.clone(), object.clone());
                 }
-                Change::Deleted(name, deleted_at) => {
-                    state.changed = state.changed.max(*deleted_at);
+                Change::Deleted(name, deletion_revision) => {
+                    state.last_change = state.last_change.max(*deletion_revision);
                     state.objects.remove(name);
-                    state.note_deleted(name.clone(), *deleted_at);
+                    state.remember_deletion(name.clone(), *deletion_revision);
                 }
             }
-            absence(&state, shared.now())
+            absence_cause(&state, shared.now())
         };
         match change {
-            Change::Put(object) => put(shared, role, &object, source, DurationUs::ZERO),
-            Change::Deleted(name, deleted_at) => {
-                deleted(shared, role, &name, absence, deleted_at);
+            Change::Put(object) => apply_put(shared, role, &object, source, DurationUs::ZERO),
+            Change::Deleted(name, deletion_revision) => {
+                apply_deletion(shared, role, &name, absence, deletion_revision);
             }
         }
     }
     if has_changes && role == ObjectRole::Evacuations {
         apply_evacuations(shared, source);
     }
-    let mut state = shared.watches.of(role).lock();
-    state.revision = state.revision.max(revision);
-    if state.revision >= state.changed {
-        state.behind = None;
+    let mut state = shared.watches.state_of(role).lock();
+    state.watch_revision = state.watch_revision.max(revision);
+    if state.watch_revision >= state.last_change {
+        state.newer_at_peer = None;
     }
 }
 
-/// Takes over what a peer tells.
-pub(super) fn apply_delta(shared: &Arc<Shared>, role: ObjectRole, delta: Delta) {
+/// Applies changes that were fetched from a peer.
+pub(super) fn apply_delta(shared: &Arc<Shared>, role: ObjectRole, delta: ObjectDelta) {
     if delta.is_full {
         let listing = Listing {
             revision: delta.revision,
@@ -146,39 +149,40 @@
         return;
     }
     let missing = {
-        let mut state = shared.watches.of(role).lock();
+        let mut state = shared.watches.state_of(role).lock();
         let names = delta.names.as_ref();
         if names.is_some() {
-            state.forgotten = state.forgotten.max(delta.revision);
+            state.deletions_lost_up_to = state.deletions_lost_up_to.max(delta.revision);
         }
-        names.map_or(Vec::new(), |names| state.missing_from(names))
+        names.map_or(Vec::new(), |names| state.objects_missing_from(names))
     };
     let missing = missing.into_iter().map(|name| (name, delta.revision));
-    let gone = delta.deleted.into_iter().chain(missing);
-    let gone = gone.map(|(name, revision)| Change::Deleted(name, revision));
+    let deletions = delta.deleted.into_iter().chain(missing);
+    let deletions = deletions.map(|(name, revision)| Change::Deleted(name, revision));
     let puts = delta.objects.into_iter().map(Change::Put);
     apply_changes(
         shared,
         role,
-        puts.chain(gone).collect(),
+        puts.chain(deletions).collect(),
         delta.revision,
         PEER,
     );
-    let mut state = shared.watches.of(role).lock();
-    state.changed = state.changed.max(delta.revision);
+    let mut state = shared.watches.state_of(role).lock();
+    state.last_change = state.last_change.max(delta.revision);
 }
 
-/// Returns whether a change says more than what is known, which a peer may have told before.
+/// Returns whether a change is newer than the known objects, which may already include it from a
+/// peer.
 ///
-/// Up to `known_up_to` everything is known: an object of an earlier revision that isn't has been removed since, and
-/// a late answer that tells of it would bring it back for good.
-fn is_newer(state: &WatchState, change: &Change, known_up_to: Revision) -> bool {
+/// All changes up to `known_up_to` are known. An unknown object with an earlier revision was
+/// deleted since, and applying a late answer that contains it would restore it for good.
+fn is_new_change(state: &WatchState, change: &Change, known_up_to: Revision) -> bool {
     match change {
         Change::Put(object) => match state.objects.get(&object.name) {
             Some(known) => object.revision > known.revision,
             None => object.revision > known_up_to,
         },
-        // One that was created again since is still there, whichever news comes last.
+        // An object that was created again after its deletion stays, whichever change arrives last.
         Change::Deleted(name, revision) => {
             let known = state.objects.get(name);
             known.is_some_and(|known| known.revision <= *revision)
@@ -186,7 +190,8 @@
     }
 }
 
-fn put(
+/// Applies a new or changed object. `age_us` is the maximum time since it was written.
+fn apply_put(
     shared: &Arc<Shared>,
     role: ObjectRole,
     object: &StoredObject,
@@ -197,7 +202,7 @@
     let now = shared.now();
     match role {
         ObjectRole::Endpoints => {
-            if let Some(registration) = registration(shared, object) {
+            if let Some(registration) = decode_registration(shared, object) {
                 let changes = shared
                     .endpoints
                     .lock()
@@ -206,20 +211,20 @@
             }
         }
         ObjectRole::Configuration => {
-            let config = readable(shared, role, object, site.decode_configuration(object));
+            let config = decoded_or_logged(shared, role, object, site.decode_configuration(object));
             if let Some(config) = config {
-                adopt(shared, config, object.revision, source);
+                adopt_config(shared, config, object.revision, source);
             }
         }
         ObjectRole::Weights => {
-            let wanted = readable(shared, role, object, site.decode_weights(object));
+            let wanted = decoded_or_logged(shared, role, object, site.decode_weights(object));
             let Some(wanted) = wanted else { return };
             let (model, version) = (wanted.model.to_string(), wanted.version.get());
-            if shared.site.want(wanted, age_us, now) {
+            if shared.site.record_wanted(wanted, age_us, now) {
                 shared.log.write(&Event::WeightsWanted { model, version });
             }
         }
-        // Evacuations are taken over all together.
+        // Evacuations are applied all together; the other roles aren't watched.
         ObjectRole::Members
         | ObjectRole::Leases
         | ObjectRole::BlockedRequests
@@ -227,14 +232,14 @@
     }
 }
 
-/// Puts in force what is known of evacuations.
+/// Applies the set of evacuated zones that is known now.
 ///
-/// That an entry is there is all that it says, so that one whose content can't be read is in force like any other.
-/// One under a name that no zone can have says nothing.
+/// Only the existence of an entry matters, so an entry with unreadable content is in force like any
+/// other. An entry whose name isn't a valid zone is ignored.
 fn apply_evacuations(shared: &Shared, source: &str) {
     let role = ObjectRole::Evacuations;
     let names: Vec<String> = {
-        let state = shared.watches.of(role).lock();
+        let state = shared.watches.state_of(role).lock();
         state.objects.keys().cloned().collect()
     };
     let mut zones = BTreeSet::new();
@@ -244,7 +249,7 @@
                 zones.insert(zone);
             }
             Err(error) => {
-                note_unreadable(shared, role, &name, UnreadableKind::Name, error.to_string());
+                log_unreadable_object(shared, role, &name, UnreadableKind::Name, error.to_string());
             }
         }
     }
@@ -267,7 +272,8 @@
     }
 }
 
-fn deleted(
+/// Applies the deletion of an object. Only deleted endpoints have an effect.
+fn apply_deletion(
     shared: &Arc<Shared>,
     role: ObjectRole,
     name: &str,
@@ -283,7 +289,8 @@
     shared.record_endpoint_changes(change.into_iter().collect(), revision.0);
 }
 
-fn adopt(shared: &Arc<Shared>, config: SiteConfig, revision: Revision, source: &str) {
+/// Puts a configuration in force if it is newer, and starts watches of its new part stores.
+fn adopt_config(shared: &Arc<Shared>, config: SiteConfig, revision: Revision, source: &str) {
     let version = config.version;
     let routes = config.routes.iter().count();
     let engines = config.services.values().filter_map(|service| {
@@ -320,7 +327,8 @@
     });
 }
 
-/// Derives what cold endpoints of each service may get, where service and deployment both bound it.
+/// Returns the limits for cold endpoints of each service. Both the service and the deployment must
+/// define one.
 fn cold_limits(shared: &Shared, config: &SiteConfig) -> HashMap<ServiceName, ServiceColdLimit> {
     let Some(bound) = shared.settings.cold.bound() else {
         return HashMap::new();
@@ -336,11 +344,11 @@
     limits.collect()
 }
 
-/// Reads a registration. One that can't be read still tells that the endpoint of its name is no
-/// longer registered as it was; one under a name that no endpoint can have tells nothing.
-fn registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
+/// Decodes an endpoint's registration. An unreadable one still shows that the endpoint's previous
+/// registration is no longer valid. Returns `None` if the name isn't a valid endpoint id.
+fn decode_registration(shared: &Shared, object: &StoredObject) -> Option<Registration> {
     let endpoint = shared.borders.site.decode_endpoint(object);
-    match readable(shared, ObjectRole::Endpoints, object, endpoint) {
+    match decoded_or_logged(shared, ObjectRole::Endpoints, object, endpoint) {
         Some(endpoint) => Some(Registration::Valid(endpoint)),
         None => {
             let id = object.name.parse().ok()?;
@@ -349,8 +357,8 @@
     }
 }
 
-/// Passes on what could be read, and tells of the rest.
-fn readable<T>(
+/// Returns the decoded value, or logs the error and returns `None`.
+fn decoded_or_logged<T>(
     shared: &Shared,
     role: ObjectRole,
     object: &StoredObject,
@@ -359,21 +367,21 @@
     match decoded {
         Ok(value) => Some(value),
         Err(error) => {
-            note_unreadable(shared, role, &object.name, error.kind, error.reason);
+            log_unreadable_object(shared, role, &object.name, error.kind, error.reason);
             None
         }
     }
 }
 
-/// Tells of objects that were passed over in an answer of the store.
-pub(super) fn note_skipped(shared: &Shared, role: ObjectRole, skipped: &[Skipped]) {
+/// Logs objects that were skipped in an answer of the store.
+pub(super) fn log_skipped_objects(shared: &Shared, role: ObjectRole, skipped: &[Skipped]) {
     for skipped in skipped {
-        note_unreadable(shared, role, "", skipped.kind, skipped.detail.clone());
+        log_unreadable_object(shared, role, "", skipped.kind, skipped.detail.clone());
     }
 }
 
-/// Counts an object that can't be read, and writes a line of bounded length.
-pub(super) fn note_unreadable(
+/// Counts an unreadable object, and logs it with texts of bounded length.
+pub(super) fn log_unreadable_object(
     shared: &Shared,
     role: ObjectRole,
     name: &str,
@@ -385,8 +393,8 @@
     counter.with_label_values(&labels).inc();
     shared.log.write(&Event::ObjectUnreadable {
         kind: kind_name(role),
-        name: name.chars().take(MAX_TOLD_CHARS).collect(),
+        name: name.chars().take(MAX_LOGGED_CHARS).collect(),
         reason: kind.label(),
-        detail: detail.chars().take(MAX_TOLD_CHARS).collect(),
+        detail: detail.chars().take(MAX_LOGGED_CHARS).collect(),
     });
 }
--- a/crates/wisteriahitch-relay/src/shell/watch_state.rs
+++ b/crates/wisteriahitch-relay/src/shell/watch_state.rs
@@ -1,4 +1,4 @@
-//! What is known of the store's objects, and how fresh that is.
+//! The known objects of the platform's store, and how fresh they are.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -12,107 +12,122 @@
 use crate::decide::staleness::StalenessLimits;
 use crate::settings::Bounds;
 
-/// Kinds of objects that every daemon follows.
-pub(crate) const WATCHED: [ObjectRole; 4] = [
+/// Roles of the objects that daemons watch.
+pub(crate) const WATCHED_ROLES: [ObjectRole; 4] = [
     ObjectRole::Endpoints,
     ObjectRole::Configuration,
     ObjectRole::Weights,
     ObjectRole::Evacuations,
 ];
 
-/// Deletions that are remembered for peers; one that has missed more is told everything.
-const REMEMBERED_DELETIONS: usize = 1_000;
+/// Maximum number of remembered deletions. A peer that has missed more gets the names of all
+/// objects.
+const MAX_RECENT_DELETIONS: usize = 1_000;
 
-/// What is known of one kind of objects.
+/// Known objects of one role.
 #[derive(Debug, Default)]
 pub(crate) struct WatchState {
-    /// Revision to watch from.
-    pub(super) revision: Revision,
-    /// Revision at which something last changed.
-    pub(super) changed: Revision,
+    /// Revision to continue the watch from.
+    pub(super) watch_revision: Revision,
+    /// Revision of the last known change.
+    pub(super) last_change: Revision,
+    /// Whether a complete listing was applied, from the store or from a peer.
     pub(super) is_listed: bool,
+    /// When the store stopped answering this daemon; `None` while it answers.
     pub(super) failing_since_us: Option<TimeUs>,
+    /// When the store last answered again after a failure.
     pub(super) recovered_at_us: Option<TimeUs>,
+    /// When the store last answered this daemon.
     pub(super) answered_at_us: Option<TimeUs>,
-    /// As of when everything is known, by the store's word to this daemon or to another.
-    pub(super) as_of_us: Option<TimeUs>,
+    /// Time as of which all objects are known, confirmed by the store to this daemon or to a peer.
+    pub(super) complete_as_of_us: Option<TimeUs>,
+    /// Known objects by name.
     pub(super) objects: BTreeMap<String, StoredObject>,
-    /// Names of deleted objects, the newest last.
-    pub(super) deleted: VecDeque<(Revision, String)>,
-    /// Up to this revision deletions may be missing: they were forgotten, or came before a listing.
-    pub(super) forgotten: Revision,
-    /// Since when a peer has been known to know more.
-    pub(super) behind: Option<(TimeUs, Ipv4Addr)>,
-    /// Whether a peer is being asked. Asked again by each of its messages, one that answers late
-    /// would have to answer ever more.
+    /// Recently deleted objects, newest last.
+    pub(super) recent_deletions: VecDeque<(Revision, String)>,
+    /// Deletions up to this revision may be missing, because they were pruned or preceded a
+    /// listing.
+    pub(super) deletions_lost_up_to: Revision,
+    /// Since when a peer has had newer objects, and its address.
+    pub(super) newer_at_peer: Option<(TimeUs, Ipv4Addr)>,
+    /// Whether objects are being fetched from a peer. A slow peer would otherwise get another
+    /// request for each of its messages.
     pub(super) is_catching_up: bool,
 }
 
-/// The state of all followed kinds, in the order of [`WATCHED`].
+/// Known objects of all watched roles, in the order of [`WATCHED_ROLES`].
 #[derive(Debug, Default)]
-pub(crate) struct WatchStates([Mutex<WatchState>; WATCHED.len()]);
+pub(crate) struct WatchStates([Mutex<WatchState>; WATCHED_ROLES.len()]);
 
 impl WatchStates {
-    pub(super) fn of(&self, role: ObjectRole) -> &Mutex<WatchState> {
-        let index = WATCHED.iter().position(|watched| *watched == role);
+    /// Returns the state of a watched role.
+    pub(super) fn state_of(&self, role: ObjectRole) -> &Mutex<WatchState> {
+        let index = WATCHED_ROLES.iter().position(|watched| *watched == role);
         &self.0[index.unwrap_or(0)]
     }
 
-    /// Returns whether every kind that `bounds` have daemons follow was listed at least once.
+    /// Returns whether all objects of each watched role were listed at least once.
     pub(crate) fn has_listed_all(&self, bounds: &Bounds) -> bool {
-        let mut followed = WATCHED.iter().filter(|role| bounds.follows(**role));
-        followed.all(|role| self.of(*role).lock().is_listed)
+        let mut watched = WATCHED_ROLES
+            .iter()
+            .filter(|role| bounds.is_watched(**role));
+        watched.all(|role| self.state_of(*role).lock().is_listed)
     }
 
-    /// Returns whether what the configuration doesn't hold may be called unknown.
-    pub(crate) fn is_final(&self, limits: &StalenessLimits, now: TimeUs) -> bool {
-        let state = self.of(ObjectRole::Configuration).lock();
-        let is_newest_known = state.behind.is_none() && !state.is_catching_up;
-        // While the store turns this daemon away, others may confirm what it knows.
+    /// Returns whether a route or key that the configuration lacks may be reported as unknown to
+    /// callers.
+    pub(crate) fn is_configuration_final(&self, limits: &StalenessLimits, now: TimeUs) -> bool {
+        let state = self.state_of(ObjectRole::Configuration).lock();
+        let is_newest_known = state.newer_at_peer.is_none() && !state.is_catching_up;
+        // While the store refuses this daemon, others may confirm the objects.
         let is_confirmed = state
             .failing_since_us
-            .is_none_or(|since| state.as_of_us > Some(since));
-        is_newest_known && is_confirmed && limits.is_final(state.as_of_us, now)
+            .is_none_or(|since| state.complete_as_of_us > Some(since));
+        is_newest_known && is_confirmed && limits.is_final(state.complete_as_of_us, now)
     }
 
-    /// Notes as of when everything of a kind is known, once what the store told has been taken over.
-    pub(super) fn confirm(&self, role: ObjectRole, as_of: TimeUs) {
-        self.of(role).lock().confirm(as_of);
+    /// Records that all objects of a role as of `as_of` are known. Must be called after applying
+    /// them.
+    pub(super) fn confirm_complete(&self, role: ObjectRole, as_of: TimeUs) {
+        self.state_of(role).lock().confirm(as_of);
     }
 
-    /// Returns as of when everything of a kind is known.
-    pub(crate) fn as_of(&self, role: ObjectRole) -> Option<TimeUs> {
-        self.of(role).lock().as_of_us
+    /// Returns the time as of which all objects of a role are known.
+    pub(crate) fn complete_as_of(&self, role: ObjectRole) -> Option<TimeUs> {
+        self.state_of(role).lock().complete_as_of_us
     }
 
-    /// Returns the time since then, in milliseconds.
+    /// Returns the age of the known objects of a role, in milliseconds.
     pub(crate) fn age_ms(&self, role: ObjectRole, now: TimeUs) -> Option<u64> {
-        let as_of = self.as_of(role);
+        let as_of = self.complete_as_of(role);
         as_of.map(|as_of| now.since(as_of).as_ms())
     }
 
-    /// Returns whether the store answers.
+    /// Returns whether no watch is failing.
     pub(crate) fn is_store_reachable(&self) -> bool {
         self.0
             .iter()
             .all(|state| state.lock().failing_since_us.is_none())
     }
 
-    /// Returns what is known of each kind, for the other daemons.
-    pub(crate) fn news(&self, now: TimeUs) -> Vec<KindUpdate> {
-        let news = |state: &Mutex<WatchState>| {
+    /// Returns the revision and age of each role's objects, for gossip.
+    pub(crate) fn kind_updates(&self, now: TimeUs) -> Vec<KindUpdate> {
+        let update_of = |state: &Mutex<WatchState>| {
             let state = state.lock();
-            let age_ms = state.as_of_us.map(|as_of| now.since(as_of).as_ms());
+            let age_ms = state
+                .complete_as_of_us
+                .map(|as_of| now.since(as_of).as_ms());
             KindUpdate {
-                revision: state.changed.0,
+                revision: state.last_change.0,
                 age_ms: age_ms.and_then(|age_ms| u32::try_from(age_ms).ok()),
             }
         };
-        self.0.iter().map(news).collect()
+        self.0.iter().map(update_of).collect()
     }
 
-    /// Notes what a peer knows, and returns whether that is more. Its message was held up for so long.
-    pub(crate) fn peer_knows(
+    /// Applies a peer's revisions and ages, and returns whether the peer has newer objects of a
+    /// role for which no catch-up is pending. `held_up_us` is how long its message was delayed.
+    pub(crate) fn apply_peer_kinds(
         &self,
         ip: Ipv4Addr,
         kinds: &[KindUpdate],
@@ -120,89 +135,96 @@
         now: TimeUs,
     ) -> bool {
         let mut is_behind = false;
-        for (state, news) in self.0.iter().zip(kinds) {
+        for (state, update) in self.0.iter().zip(kinds) {
             let mut state = state.lock();
-            let is_free = state.behind.is_none() && !state.is_catching_up;
-            if news.revision <= state.changed.0 {
-                state.confirm_by_peer(news, held_up_us, now);
-            } else if is_free {
-                state.behind = Some((now, ip));
+            let is_idle = state.newer_at_peer.is_none() && !state.is_catching_up;
+            if update.revision <= state.last_change.0 {
+                state.confirm_by_peer(update, held_up_us, now);
+            } else if is_idle {
+                state.newer_at_peer = Some((now, ip));
                 is_behind = true;
             }
         }
         is_behind
     }
 
-    /// Returns the kinds of which a peer has known more for `patience`, and that peer.
-    pub(crate) fn behind(&self, patience: DurationUs, now: TimeUs) -> Vec<(ObjectRole, Ipv4Addr)> {
-        let mut behind = Vec::new();
-        for (role, state) in WATCHED.iter().zip(&self.0) {
+    /// Returns the roles of which a peer has had newer objects for at least `delay_us`, with that
+    /// peer, and marks them as being caught up.
+    pub(crate) fn begin_due_catch_ups(
+        &self,
+        delay_us: DurationUs,
+        now: TimeUs,
+    ) -> Vec<(ObjectRole, Ipv4Addr)> {
+        let mut due = Vec::new();
+        for (role, state) in WATCHED_ROLES.iter().zip(&self.0) {
             let mut state = state.lock();
-            let is_due = |(since, _): &mut (TimeUs, Ipv4Addr)| now.since(*since) >= patience;
-            if let Some((_, ip)) = state.behind.take_if(is_due) {
+            let is_due = |(since, _): &mut (TimeUs, Ipv4Addr)| now.since(*since) >= delay_us;
+            if let Some((_, ip)) = state.newer_at_peer.take_if(is_due) {
                 state.is_catching_up = true;
-                behind.push((*role, ip));
+                due.push((*role, ip));
             }
         }
-        behind
+        due
     }
 
-    /// Notes that a peer has answered, or won't.
-    pub(crate) fn caught_up(&self, role: ObjectRole) {
-        self.of(role).lock().is_catching_up = false;
+    /// Marks a catch-up as finished, whether or not the peer answered.
+    pub(crate) fn finish_catch_up(&self, role: ObjectRole) {
+        self.state_of(role).lock().is_catching_up = false;
     }
 
-    /// Returns the revision of the last known change of a kind.
+    /// Returns the revision of the last known change of a role.
     pub(crate) fn changed_revision(&self, role: ObjectRole) -> Revision {
-        self.of(role).lock().changed
+        self.state_of(role).lock().last_change
     }
 
-    /// Returns what has changed of a kind since a revision, for a peer.
-    pub(crate) fn delta(&self, role: ObjectRole, since: Revision) -> Delta {
-        let state = self.of(role).lock();
+    /// Returns the changes of a role since a revision, for a peer. At revision 0, returns all
+    /// objects. If some deletions since the revision are unknown, includes the names of all
+    /// existing objects.
+    pub(crate) fn delta(&self, role: ObjectRole, since: Revision) -> ObjectDelta {
+        let state = self.state_of(role).lock();
         let is_full = since == Revision::default();
-        let misses_deletions = !is_full && since < state.forgotten;
+        let misses_deletions = !is_full && since < state.deletions_lost_up_to;
         let is_new = |object: &&StoredObject| is_full || object.revision > since;
-        let gone = state
-            .deleted
+        let deletions = state
+            .recent_deletions
             .iter()
             .filter(|(revision, _)| !is_full && *revision > since);
         let names = || state.objects.keys().cloned().collect();
-        Delta {
-            revision: state.changed,
+        ObjectDelta {
+            revision: state.last_change,
             is_full,
             names: misses_deletions.then(names),
             objects: state.objects.values().filter(is_new).cloned().collect(),
-            deleted: gone
+            deleted: deletions
                 .map(|(revision, name)| (name.clone(), *revision))
                 .collect(),
         }
     }
 }
 
-/// What one daemon tells another of a kind of objects.
+/// Changes of one role's objects that a daemon sends to a peer.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Delta {
-    /// Revision up to which it tells.
+pub(crate) struct ObjectDelta {
+    /// Revision up to which the changes are complete.
     pub(crate) revision: Revision,
-    /// Whether it holds all objects instead of the changes.
+    /// Whether `objects` contains all objects instead of the changes.
     pub(super) is_full: bool,
     pub(super) objects: Vec<StoredObject>,
-    /// Names of deleted objects, and when they were.
+    /// Names of deleted objects, with the revisions of their deletion.
     pub(super) deleted: Vec<(String, Revision)>,
-    /// Names of all objects, where not all deletions are known. What a listing doesn't hold may have been
-    /// there before it: told as a change like any other, nothing would be said of it, and a daemon
-    /// that knows it would keep it for good.
+    /// Names of all existing objects, if some deletions are unknown to the sender. A listing
+    /// doesn't show which objects existed before it. With changes alone, a receiver that knows such
+    /// a deleted object would keep it for good.
     pub(super) names: Option<BTreeSet<String>>,
 }
 
 impl WatchState {
     fn confirm(&mut self, as_of: TimeUs) {
-        self.as_of_us = self.as_of_us.max(Some(as_of));
+        self.complete_as_of_us = self.complete_as_of_us.max(Some(as_of));
     }
 
-    fn confirm_by_peer(&mut self, news: &KindUpdate, held_up_us: DurationUs, now: TimeUs) {
-        let Some(age_ms) = news.age_ms else { return };
+    fn confirm_by_peer(&mut self, update: &KindUpdate, held_up_us: DurationUs, now: TimeUs) {
+        let Some(age_ms) = update.age_ms else { return };
         let age_us = DurationUs::from_ms(u64::from(age_ms)) + held_up_us;
         self.confirm(TimeUs::new(now.get().saturating_sub(age_us.get())));
     }
@@ -212,22 +234,23 @@
         self.answered_at_us.map(|at| now.since(at).as_ms())
     }
 
-    /// Remembers a deletion for peers, also of an object that was never known here: they may know it.
-    pub(super) fn note_deleted(&mut self, name: String, revision: Revision) {
+    /// Remembers a deletion for peers, even of an object that was never known here, because peers
+    /// may know it.
+    pub(super) fn remember_deletion(&mut self, name: String, revision: Revision) {
         let deletion = (revision, name);
-        if self.deleted.contains(&deletion) {
+        if self.recent_deletions.contains(&deletion) {
             return;
         }
-        self.deleted.push_back(deletion);
-        let is_full = self.deleted.len() > REMEMBERED_DELETIONS;
-        let oldest = is_full.then(|| self.deleted.pop_front()).flatten();
+        self.recent_deletions.push_back(deletion);
+        let is_full = self.recent_deletions.len() > MAX_RECENT_DELETIONS;
+        let oldest = is_full.then(|| self.recent_deletions.pop_front()).flatten();
         if let Some((revision, _)) = oldest {
-            self.forgotten = self.forgotten.max(revision);
+            self.deletions_lost_up_to = self.deletions_lost_up_to.max(revision);
         }
     }
 
-    /// Returns the names of known objects that are not among all those there are.
-    pub(super) fn missing_from(&self, names: &BTreeSet<String>) -> Vec<String> {
+    /// Returns the names of the known objects that `names`, the set of all existing objects, lacks.
+    pub(super) fn objects_missing_from(&self, names: &BTreeSet<String>) -> Vec<String> {
         let known = self.objects.keys();
         known
             .filter(|name| !names.contains(*name))
@@ -236,7 +259,7 @@
     }
 }
 
-/// Returns the word for logs, metrics and paths between daemons.
+/// Returns the name of a role in logs, metrics and paths between daemons.
 pub(crate) const fn kind_name(role: ObjectRole) -> &'static str {
     match role {
         ObjectRole::Endpoints => "endpoints",
--- a/crates/wisteriahitch-relay/src/site/mod.rs
+++ b/crates/wisteriahitch-relay/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! What a site looks like to the daemon: routes, services, workspaces and endpoints.
+//! The daemon's model of a site: routes, services, workspaces and endpoints.
 
 mod configuration;
 mod endpoint;
@@ -8,7 +8,7 @@
 mod route;
 
 pub use configuration::{
-    CallerLimits, ColdTraits, EngineTraits, PartStore, Service, SiteConfig, WantedWeights,
+    CallerLimits, ColdStartSpec, EngineSpec, PartStore, Service, SiteConfig, WantedWeights,
     Workspace,
 };
 pub use endpoint::Endpoint;
--- a/crates/wisteriahitch-relay/tests/all/staleness.rs
+++ b/crates/wisteriahitch-relay/tests/all/staleness.rs
@@ -404,7 +404,7 @@
             evacuation_ms: None,
         };
         let bounds = bounds.checked().unwrap();
-        let limits = bounds.staleness(ObjectRole::Configuration);
+        let limits = bounds.staleness_limits(ObjectRole::Configuration);
         Fleet::new(limits, self.gossip_delay, self.followers)
     }
 }
