--- a/crates/wisteriahitch-core/src/fleet/configuration/config_event.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_event.rs
@@ -1,4 +1,4 @@
-//! What the replica of the configuration is told and what it asks its shell to do.
+//! Input events, output commands and peer answers of the configuration replica.
 
 use serde::Serialize;
 use wisteriahitch_config::{Section, SectionHash};
@@ -6,88 +6,90 @@
 
 use super::{HeadChange, HeadObject};
 
-/// Tells the replica what has happened.
+/// Input of [`ConfigReplica::handle`](super::ConfigReplica::handle).
 #[derive(Clone, Debug)]
 pub enum ConfigEvent {
-    /// The daemon has started and knows nothing.
+    /// The daemon has started with an empty replica.
     Restart,
     /// Time has passed.
     Tick,
-    /// The store gave the head, or said that there is none.
+    /// The store returned the head; `None` if it holds no head.
     StoreHead(Option<HeadObject>),
-    /// The store can't be read now.
+    /// The store cannot be read now.
     StoreFailed,
-    /// The head in the store doesn't parse.
+    /// The head in the store cannot be parsed.
     StoreHeadCorrupt,
-    /// A section was read; the replica checks it against its hash.
+    /// A section was read from the store; the replica verifies its hash.
     SectionRead {
-        /// Hash under which it was asked for.
+        /// Hash that was requested.
         hash: SectionHash,
-        /// Text that came.
+        /// Text of the section.
         text: String,
     },
-    /// A section can't be read from the store now, or isn't there.
+    /// A section is missing in the store or cannot be read now.
     SectionFailed(SectionHash),
-    /// A peer answered a pull of its head; nothing if it holds none above ours.
+    /// A peer answered a request for its head.
     PeerHead {
         /// Peer.
         from: Incarnation,
-        /// Head that it holds whole.
+        /// Head of the highest version whose sections the peer has completely; `None` if this
+        /// daemon already has that version.
         head: Option<HeadObject>,
     },
-    /// A peer answered a pull of sections; those it hasn't are left out.
+    /// A peer answered a request for sections; sections that it does not have are missing.
     PeerSections {
         /// Peer.
         from: Incarnation,
-        /// Sections that came.
+        /// Received sections.
         sections: Vec<Section>,
     },
-    /// A peer can't be asked.
+    /// A peer could not be reached.
     PeerFailed(Incarnation),
-    /// A peer was heard to hold a version.
+    /// A peer reported the version that it has in force.
     PeerVersion {
         /// Peer.
         from: Incarnation,
-        /// Version in force there.
+        /// Version that the peer has in force.
         version: ConfigVersion,
     },
     /// A peer answered a push.
     PushAnswered {
         /// Peer.
         to: Incarnation,
-        /// Answer.
+        /// The peer's answer.
         answer: PushAnswer,
     },
-    /// The shell could not build the configuration from its sections.
+    /// The configuration of this version could not be built from its sections.
     Rejected(ConfigVersion),
 }
 
-/// Says whether a pushed version is held.
+/// Answer to a pushed version.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct PushAnswer {
-    /// Highest version that is held whole; the push is acknowledged if it isn't lower.
+    /// Highest version that the peer has completely. The push is acknowledged if this is not lower
+    /// than the pushed version.
     pub held_version: ConfigVersion,
-    /// Sections of the pushed version that are missing.
+    /// Sections of the pushed version that the peer still needs.
     pub missing: Vec<SectionHash>,
 }
 
-/// Holds what a peer that asked is given.
+/// Answer to a peer's request for the head or for sections.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PullAnswer {
-    /// Highest version that is held whole.
+    /// Highest version whose sections are all stored here.
     pub version: ConfigVersion,
-    /// Head, if it is above the asker's version.
+    /// Head of that version; `None` if it is not higher than the version the peer has.
     pub head: Option<HeadObject>,
-    /// Sections that were wanted and are held.
+    /// Requested sections that are stored here.
     pub sections: Vec<Section>,
 }
 
-/// Asks the shell to do something.
+/// Action that the caller of [`ConfigReplica::handle`](super::ConfigReplica::handle) must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigCommand {
     /// Read the head from the store.
     ReadHead,
-    /// Start or stop to watch the head in the store.
+    /// Start (`true`) or stop (`false`) watching the head in the store.
     WatchHead(bool),
     /// Read a section from the store.
     ReadSection(SectionHash),
@@ -95,37 +97,37 @@
     PullHead {
         /// Peer.
         peer: Incarnation,
-        /// Version held here.
+        /// Version stored here; only a higher one is requested.
         after: ConfigVersion,
     },
     /// Ask a peer for sections.
     PullSections {
         /// Peer.
         peer: Incarnation,
-        /// Sections that are missing.
+        /// Hashes of the requested sections.
         wanted: Vec<SectionHash>,
     },
-    /// Hand a version to a peer.
+    /// Send a version to a peer.
     Push {
         /// Peer.
         peer: Incarnation,
-        /// What changed in the head.
+        /// Change of the head.
         change: HeadChange,
-        /// Sections that changed.
+        /// Changed sections, as far as they fit into the message.
         sections: Vec<Section>,
     },
     /// Build the configuration from its sections and put it in force.
     Apply {
-        /// Head.
+        /// Head of the version.
         head: HeadObject,
-        /// Every section of it.
+        /// All sections of the version.
         sections: Vec<Section>,
     },
-    /// Log and show a finding.
+    /// Log a finding and show it to operators.
     Report {
-        /// Numbered code.
+        /// Code of the finding.
         code: Code,
-        /// Version that it is about.
+        /// Version that the finding is about.
         version: ConfigVersion,
     },
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/config_replica.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_replica.rs
@@ -13,10 +13,10 @@
 };
 use crate::fleet::Membership;
 
-/// Holds the configuration of one daemon and keeps it from ever going back.
+/// Configuration replica of one daemon, whose version in force never decreases.
 ///
-/// A version is put in force only if it is higher than every one before, and only after peers in
-/// other availability zones hold it or a bounded wait for them is over.
+/// A version is put in force only if it is higher than all previous ones, and only after peers in
+/// other availability zones have stored it or a bounded wait for them has expired.
 pub struct ConfigReplica {
     pub(super) settings: ConfigSettings,
     pub(super) table: ConfigTable,
@@ -29,7 +29,7 @@
 }
 
 impl ConfigReplica {
-    /// Starts with nothing; the first event is [`ConfigEvent::Restart`].
+    /// Creates an empty replica; the first event must be [`ConfigEvent::Restart`].
     pub fn new(settings: ConfigSettings) -> Self {
         Self {
             settings,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Processes an event at time `now` and returns the actions to perform.
     pub fn handle(
         &mut self,
         event: ConfigEvent,
@@ -74,7 +74,8 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Takes a version that a peer pushes, and says whether it is held now.
+    /// Processes a version pushed by a peer and returns whether it is stored completely, with the
+    /// actions to perform.
     pub fn answer_push(
         &mut self,
         from: Incarnation,
@@ -102,7 +103,8 @@
         (answer, std::mem::take(&mut self.commands))
     }
 
-    /// Gives a peer the head, if it is above `after`, and the `wanted` sections that are held.
+    /// Returns the stored head, if its version is higher than `after`, and the stored ones of the
+    /// `wanted` sections.
     pub fn answer_pull(&self, after: ConfigVersion, wanted: &[SectionHash]) -> PullAnswer {
         let head = self.table.held.clone();
         PullAnswer {
@@ -112,32 +114,33 @@
         }
     }
 
-    /// Returns the version in force, if there is one.
+    /// Returns the version in force, or `None` if there is none.
     pub fn in_force(&self) -> Option<ConfigVersion> {
         self.table.in_force
     }
 
-    /// Returns the highest head that is held whole.
+    /// Returns the head of the highest version whose sections are all stored.
     pub fn held(&self) -> Option<&HeadObject> {
         self.table.held.as_ref()
     }
 
-    /// Returns the state.
+    /// Returns the current state.
     pub fn phase(&self) -> ConfigPhase {
         self.phase.state().into()
     }
 
-    /// Returns what is held, for the dump.
+    /// Returns the stored data, for the operators' state dump.
     pub fn table(&self) -> &ConfigTable {
         &self.table
     }
 
-    /// Returns whether this daemon is to watch the head.
+    /// Returns whether this daemon watches the head in the store.
     pub fn is_watching(&self) -> bool {
         self.is_watching
     }
 
-    /// Returns how many others are known to hold the highest version, which an operator is told.
+    /// Returns how many other daemons are known to have stored the highest version; reported to
+    /// operators.
     pub fn holders(&self, members: &Membership) -> Holders {
         let replication = self.table.replication.as_ref();
         replication.map_or(Holders::default(), |r| r.holders(members))
@@ -148,7 +151,8 @@
         if let Some(head) = head {
             self.learn(head, None);
         }
-        // The store's word ends the gathering: when it was read, nobody held a higher version.
+        // The store's answer ends the startup sync: when the head was read, no daemon had a higher
+        // version.
         self.table.gathering = None;
     }
 
@@ -183,7 +187,8 @@
         self.commands.push(ConfigCommand::PullHead { peer, after });
     }
 
-    /// Goes as far as it can: read what is missing, hold, hand on, put in force.
+    /// Performs all steps that are possible now: request missing sections, store a complete
+    /// version, replicate it and put it in force.
     pub(super) fn advance(&mut self, now: TimeUs, members: &Membership) {
         if self.table.gathering.is_some() {
             return;
--- a/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
@@ -1,4 +1,4 @@
-//! What a daemon holds of the configuration.
+//! Stored configuration data of a daemon, and the settings of its replication.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,31 +9,32 @@
 use super::HeadObject;
 use super::replication::Replication;
 
-/// Holds the times and bounds of the configuration's way through the fleet.
+/// Times and limits of configuration replication.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigSettings {
-    /// Daemons of each availability zone that watch the head.
+    /// Number of daemons in each availability zone that watch the head in the store.
     pub watchers_per_zone: usize,
-    /// Peers that a new version is handed to.
+    /// Number of peers that a new version is pushed to.
     pub push_fanout: usize,
-    /// Other availability zones that must hold a version before it is put in force.
+    /// Number of other availability zones that must have stored a version before it is put in
+    /// force.
     pub wanted_zones: usize,
-    /// Longest wait for that; then the version is put in force all the same.
+    /// Maximum wait for these zones; after it the version is put in force without them.
     pub replicate_wait_us: DurationUs,
-    /// Peers that a starting daemon asks, spread over the zones.
+    /// Maximum number of peers that a starting daemon asks for their head.
     pub start_peers: usize,
-    /// Wait of a starting daemon for peers to be found and asked while the store is away, and the
-    /// time between two such starts as long as nobody holds a configuration.
+    /// How long a starting daemon waits for peers to be discovered and to answer while the store is
+    /// unavailable. Also the time between two startup syncs while no configuration is found.
     pub start_wait_us: DurationUs,
-    /// Longest further wait for a peer that is known to have a higher version in force.
+    /// Additional wait for a peer that is known to have a higher version in force.
     pub start_ahead_wait_us: DurationUs,
-    /// Time between two tries to read what is missing.
+    /// Time between two attempts to read missing data, and between two pushes of a version.
     pub retry_us: DurationUs,
-    /// Silence of the peers after which a daemon reads the head itself.
+    /// Time without messages from peers or the store after which a daemon reads the head itself.
     pub silence_us: DurationUs,
-    /// Sections that are asked for at once.
+    /// Maximum number of sections in one request.
     pub max_asked_sections: usize,
-    /// Bytes of sections that are sent along with a push; the rest is pulled.
+    /// Maximum bytes of sections sent with a push; peers request the rest.
     pub max_push_bytes: usize,
 }
 
@@ -55,19 +56,19 @@
     }
 }
 
-/// Holds the versions that a daemon has in force, holds whole, or is reading.
+/// Versions that a daemon has in force, has stored completely, or is reading.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ConfigTable {
-    /// Highest version that is held whole.
+    /// Head of the highest version whose sections are all stored.
     pub(super) held: Option<HeadObject>,
-    /// Version held before, which a push to peers starts from.
+    /// Head stored before that one; a push sends the difference to it.
     #[serde(skip)]
     pub(super) held_before: Option<HeadObject>,
     /// Version in force.
     pub(super) in_force: Option<ConfigVersion>,
-    /// Version that was in force before it.
+    /// Version that was in force before `in_force`; restored if the latter is rejected.
     pub(super) in_force_before: Option<ConfigVersion>,
-    /// Version that couldn't be put in force.
+    /// Last version that could not be put in force.
     pub(super) rejected: Option<ConfigVersion>,
     /// Version whose sections are being read.
     pub(super) candidate: Option<Candidate>,
@@ -77,18 +78,18 @@
     pub(super) sections: BTreeMap<SectionHash, Section>,
 }
 
-/// Holds a version whose sections are being read.
+/// A version whose sections are being read.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Candidate {
     pub(super) head: HeadObject,
     pub(super) missing: BTreeSet<SectionHash>,
-    /// Peer that told of it, if one did.
+    /// Peer that sent the head; `None` if it came from the store.
     pub(super) source: Option<Incarnation>,
     pub(super) tried_at_us: Option<TimeUs>,
     pub(super) tries: u32,
 }
 
-/// Holds what a starting daemon still waits for.
+/// Progress of a starting daemon's search for the highest version.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Gathering {
     pub(super) since_us: TimeUs,
@@ -96,21 +97,21 @@
 }
 
 impl ConfigTable {
-    /// Returns the highest version that is held whole, or 0.
+    /// Returns the highest version that is stored completely, or 0.
     pub(super) fn held_version(&self) -> ConfigVersion {
         self.held
             .as_ref()
             .map_or(ConfigVersion::new(0), |h| h.version)
     }
 
-    /// Returns the highest version that is known here, whole or not.
+    /// Returns the highest version that is stored or being read, or 0.
     pub(super) fn known_version(&self) -> ConfigVersion {
         let candidate = self.candidate.as_ref();
         let candidate = candidate.map_or(ConfigVersion::new(0), |c| c.head.version);
         self.held_version().max(candidate)
     }
 
-    /// Starts to read a version, unless one as high is known; returns whether it did.
+    /// Starts reading a version if it is higher than every known one; returns whether it was.
     pub(super) fn try_learn(&mut self, head: HeadObject, source: Option<Incarnation>) -> bool {
         if head.version <= self.known_version() {
             return false;
@@ -130,7 +131,7 @@
         true
     }
 
-    /// Keeps a section that the version being read needs.
+    /// Stores a section if the version being read needs it.
     pub(super) fn keep(&mut self, section: Section) {
         let Some(candidate) = &mut self.candidate else {
             return;
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Lets the next sections be asked for at once, of the same source: what came was only as
-    /// much as fits in a message.
+    /// Allows the next request for sections immediately and from the same source: an answer
+    /// contains only as many sections as fit into a message.
     pub(super) fn continue_reading(&mut self) {
         if let Some(candidate) = &mut self.candidate {
             candidate.tried_at_us = None;
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Makes the version being read the one that is held, once nothing of it is missing.
+    /// Makes the version being read the stored one once no section is missing; returns that
+    /// version.
     pub(super) fn try_hold(&mut self) -> Option<ConfigVersion> {
         let candidate = self.candidate.take_if(|c| c.missing.is_empty())?;
         let version = candidate.head.version;
@@ -158,7 +160,7 @@
         Some(version)
     }
 
-    /// Returns the sections of these names that are held.
+    /// Returns the stored sections with these hashes.
     pub(super) fn find<'a>(
         &self,
         hashes: impl IntoIterator<Item = &'a SectionHash>,
--- a/crates/wisteriahitch-core/src/fleet/configuration/handing_on.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/handing_on.rs
@@ -1,4 +1,4 @@
-//! Handing a version to peers, and putting it in force after that.
+//! Replication of a stored version to peers, after which it is put in force.
 
 use wisteriahitch_types::{ConfigVersion, Incarnation, TimeUs};
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns whether peers that don't hold the version are to be asked once more.
+    /// Returns whether the version is to be pushed again to peers that have not stored it.
     pub(super) fn is_push_due(&self, now: TimeUs) -> bool {
         let replication = self.table.replication.as_ref();
         self.phase() == ConfigPhase::Replicating
@@ -80,7 +80,7 @@
         }
         let waited_us = now.since(replication.started_at_us);
         let is_enough = replication.is_enough(members, self.settings.wanted_zones);
-        // Peers that can't be reached mustn't keep an accepted version out of force for good.
+        // Unreachable peers must not keep an accepted version out of force forever.
         if is_enough || waited_us >= self.settings.replicate_wait_us {
             self.dispatch(PhaseEvent::Replicated);
             self.dispatch(PhaseEvent::Apply);
--- a/crates/wisteriahitch-core/src/fleet/configuration/head_change.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/head_change.rs
@@ -1,4 +1,4 @@
-//! What one version changed in the head.
+//! Difference between two versions of the head.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 
 use super::{HeadObject, HistoryEntry};
 
-/// Takes a head from one version to a later one.
+/// Difference that turns a head into a later version.
 ///
-/// A whole head of 3,200 workspaces is hundreds of kilobytes; peers that hold the version before
-/// need only what changed.
+/// A whole head of 3,200 workspaces takes hundreds of kilobytes; peers that have the previous
+/// version need only the changes.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct HeadChange {
-    /// Version that it starts from.
+    /// Version that the change applies to; 0 if the change contains a whole head.
     pub base: ConfigVersion,
-    /// Version that it leads to.
+    /// Version of the resulting head.
     pub version: ConfigVersion,
-    /// Sections that are set, or removed where there is no hash.
+    /// Changed sections; `None` removes a section.
     pub sections: BTreeMap<SectionName, Option<SectionHash>>,
-    /// Acceptances since the base, the newest first.
+    /// History entries since the base, newest first.
     pub history: Vec<HistoryEntry>,
-    /// Digest of the head that must come out.
+    /// Expected digest of the resulting head.
     pub digest: SectionHash,
 }
 
 impl HeadChange {
-    /// Compares two heads; `base` must be the older one.
+    /// Returns the difference between two heads; `base` must be the older one.
     pub fn between(base: &HeadObject, next: &HeadObject) -> Self {
         let set = next
             .sections
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Returns the later head, unless `held` isn't the one that the change starts from.
+    /// Returns the later head, or `None` if `held` is not the base of the change or the digest
+    /// differs.
     ///
-    /// A change that starts from version 0 holds the whole head and fits whatever is held.
+    /// A change from version 0 contains the whole head and applies to any `held` head.
     pub fn try_apply(&self, held: Option<&HeadObject>) -> Option<HeadObject> {
         let is_whole = self.base == ConfigVersion::new(0);
         let base = match held.filter(|_| !is_whole) {
@@ -72,8 +73,9 @@
         }
         next.history.splice(0..0, self.history.iter().cloned());
         next.history.truncate(HeadObject::MAX_HISTORY);
-        // Two heads of one version can't differ as long as the platform keeps its word. A wrong
-        // one would show as rules that decide differently on two daemons; so it is compared.
+        // Heads of the same version are identical as long as the platform's conditional update is
+        // correct. A wrong head would make two daemons apply different rules, so its digest is
+        // verified.
         (next.digest() == self.digest).then_some(next)
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/head_object.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/head_object.rs
@@ -1,4 +1,4 @@
-//! The head: the one object whose conditional update accepts a configuration.
+//! The head: the object whose conditional update accepts a configuration.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use wisteriahitch_config::{SectionHash, SectionName};
 use wisteriahitch_types::{ConfigVersion, SubmissionId};
 
-/// Names the sections of an accepted configuration.
+/// Version, section hashes and recent history of an accepted configuration.
 ///
 /// ```
 /// use wisteriahitch_config::{Section, SectionName};
@@ -21,33 +21,34 @@
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct HeadObject {
-    /// Version; the first accepted one is 1.
+    /// Version; the first accepted configuration has version 1.
     pub version: ConfigVersion,
-    /// Hash of every section.
+    /// Hash of each section.
     pub sections: BTreeMap<SectionName, SectionHash>,
-    /// The last acceptances, the newest first; it settles a submission whose answer was lost.
+    /// Last accepted submissions, newest first. They settle a submission whose answer was lost.
     pub history: Vec<HistoryEntry>,
 }
 
-/// Holds one acceptance.
+/// An accepted submission.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// Version that was accepted.
+    /// Version that the submission created.
     pub version: ConfigVersion,
-    /// Submission that it came with.
+    /// Id of the submission.
     pub submission: SubmissionId,
-    /// When it was accepted, in milliseconds since 1970 by the accepting daemon's clock; for
-    /// people alone.
+    /// Time of acceptance in milliseconds since 1970 on the accepting daemon's clock. Only for
+    /// display.
     pub accepted_at_unix_ms: u64,
 }
 
 impl HeadObject {
-    /// Acceptances that are remembered.
+    /// Maximum number of history entries.
     ///
-    /// At 7,000 changes a day this is an hour, and takes some 25 KB of the object.
+    /// At 7,000 changes a day this covers an hour and takes some 25 KB of the object.
     pub const MAX_HISTORY: usize = 300;
 
-    /// Returns the next version: sections given are set, those without a hash are removed.
+    /// Returns the head of the next version. Sections with a hash are set, sections without one are
+    /// removed.
     pub fn with_changes(
         &self,
         changes: impl IntoIterator<Item = (SectionName, Option<SectionHash>)>,
@@ -72,20 +73,20 @@
         next
     }
 
-    /// Returns the acceptance of a submission, if it is remembered.
+    /// Returns the history entry of a submission, or `None` if the history does not contain it.
     pub fn find_submission(&self, submission: &SubmissionId) -> Option<&HistoryEntry> {
         self.history
             .iter()
             .find(|entry| entry.submission == *submission)
     }
 
-    /// Returns whether the history reaches back to the acceptance that followed `version`.
+    /// Returns whether the history still contains the entry that followed `version`.
     pub fn remembers_since(&self, version: ConfigVersion) -> bool {
         let oldest = self.history.last().map(|entry| entry.version);
         oldest.is_none_or(|oldest| oldest <= version.next())
     }
 
-    /// Returns a hash of the whole head, by which two daemons compare theirs.
+    /// Returns a hash of the whole head, by which daemons compare their heads.
     pub fn digest(&self) -> SectionHash {
         let mut bytes = Vec::new();
         let mut add = |part: &[u8]| {
--- a/crates/wisteriahitch-core/src/fleet/configuration/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that is in force, how it gets to every daemon, and how it is accepted
+//! Configuration replication to all daemons, and acceptance of submitted configurations
 //! (`docs/design/configuration-acceptance.md`).
 
 mod config_event;
--- a/crates/wisteriahitch-core/src/fleet/configuration/phase.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/phase.rs
@@ -1,4 +1,4 @@
-//! Life of the configuration at one daemon: states and events by the names of the model
+//! State machine of the configuration at one daemon. States and events have the names of the model
 //! `specs/configuration_spread.pml`.
 
 #![allow(
@@ -10,40 +10,41 @@
 use serde::Serialize;
 use statig::prelude::*;
 
-/// Moves one daemon's configuration from nothing to in force, and on to higher versions.
+/// State machine that takes one daemon's configuration from empty to in force, and on to higher
+/// versions.
 #[derive(Debug, Default)]
 pub(super) struct PhaseMachine;
 
-/// Names the state of the configuration at one daemon.
+/// State of the configuration at one daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigPhase {
-    /// Nothing is in force and nothing known.
+    /// No version is known or in force.
     Empty,
-    /// A version is known, and its sections are being read.
+    /// A version is known and its sections are being read.
     Learning,
-    /// A version is held whole and handed to peers before it is put in force.
+    /// A version is stored completely and is being pushed to peers before it is put in force.
     Replicating,
     /// A version is in force and no higher one is known.
     Applied,
 }
 
-/// Moves the configuration's life on.
+/// Events of the state machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum PhaseEvent {
-    /// The daemon has started: everything held before is gone.
+    /// The daemon has started without any stored data.
     Restart,
-    /// A higher version is known, whole or with sections missing.
+    /// A higher version is known. `is_whole` tells whether all its sections are stored.
     Learn { is_whole: bool },
-    /// Enough peers hold the version, or waiting for them has taken too long.
+    /// Enough peers have stored the version, or the wait for them has timed out.
     Replicated,
     /// The version is to be put in force.
     Apply,
-    /// The version can't be put in force; the last good one stays.
+    /// The version cannot be put in force; the previous one stays in force.
     Reject,
 }
 
-/// Holds what the states look at and what they ask for.
+/// Input and output flags of the state machine.
 #[derive(Debug, Default)]
 pub(super) struct PhaseTurn {
     pub(super) has_version_in_force: bool,
@@ -70,9 +71,9 @@
         }
     }
 
-    /// Applying at once would let the configuration revert: the daemon applies version 5, dies in
-    /// an outage of the platform and starts again among peers that hold only 4. Callers would see
-    /// older rules in force again. So peers hold a version before it is in force anywhere.
+    /// Waits until peers have stored the version. Otherwise the configuration could revert: a
+    /// daemon applies version 5, crashes during an outage of the platform and restarts among peers
+    /// that have only version 4, so callers see older rules in force again.
     #[state(superstate = "known", entry_action = "replicate")]
     fn replicating(context: &mut PhaseTurn, event: &PhaseEvent) -> Outcome<State> {
         match event {
--- a/crates/wisteriahitch-core/src/fleet/configuration/reading.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/reading.rs
@@ -1,4 +1,4 @@
-//! Reading the sections of a version that is known but not whole.
+//! Reads the missing sections of a known version.
 
 use wisteriahitch_config::{Section, SectionHash};
 use wisteriahitch_types::{Incarnation, TimeUs};
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Reads missing sections from a peer that has them, or else from the store, by turns.
+    /// Requests missing sections, alternately from a peer that has them and from the store.
     pub(super) fn read_missing(&mut self, now: TimeUs, members: &Membership) {
         let retry_us = self.settings.retry_us;
         let Some(candidate) = &mut self.table.candidate else {
--- a/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
@@ -1,4 +1,4 @@
-//! How far a version has come before it is put in force.
+//! Progress of a version's replication before it is put in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +7,16 @@
 
 use crate::fleet::{Member, Membership, Rendezvous};
 
-/// Says how many daemons hold a version, and in how many availability zones.
+/// Numbers of daemons and availability zones that have stored a version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Holders {
-    /// Daemons besides this one that are known to hold it.
+    /// Number of other daemons known to have stored the version.
     pub daemons: usize,
-    /// Availability zones, besides this daemon's own, that they are in.
+    /// Number of availability zones of these daemons, without this daemon's own zone.
     pub other_zones: usize,
 }
 
-/// Follows the handing on of one version.
+/// Replication progress of one version.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Replication {
     pub(super) version: ConfigVersion,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Chooses peers to push to: first one in each of a few other zones, then any.
+    /// Selects the peers to push to: first one in each zone without a holder, then any others.
     pub(super) fn choose_targets(&mut self, members: &Membership, fanout: usize) {
         let me = members.me();
         let subject = format!("{}/{}", self.version, me.incarnation);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Returns whether so many zones hold it that it outlives this daemon, as far as zones and
-    /// peers are there at all.
+    /// Returns whether enough zones have stored the version for it to survive this daemon. Requires
+    /// no more zones and daemons than there are.
     pub(super) fn is_enough(&self, members: &Membership, wanted_zones: usize) -> bool {
         let own = &members.me().availability_zone;
         let peers: Vec<&Member> = members.peers().collect();
--- a/crates/wisteriahitch-core/src/fleet/configuration/starting.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/starting.rs
@@ -1,4 +1,4 @@
-//! What a replica asks for at its start and when peers fall silent.
+//! Requests of a replica at its start and when peers are silent.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,8 @@
         self.gather(now, members);
     }
 
-    /// Asks the store and peers of every zone, before anything is put in force.
+    /// Requests the head from the store and from peers of all zones, before any version is put in
+    /// force.
     pub(super) fn gather(&mut self, now: TimeUs, members: &Membership) {
         self.asked_at_us = now;
         self.commands.push(ConfigCommand::ReadHead);
@@ -30,7 +31,8 @@
         self.ask_found_peers(members);
     }
 
-    /// Asks peers that membership has found since; a daemon that starts knows none at first.
+    /// Requests the head from peers discovered since the last call; a starting daemon knows none at
+    /// first.
     pub(super) fn ask_found_peers(&mut self, members: &Membership) {
         let Some(gathering) = &mut self.table.gathering else {
             return;
@@ -64,8 +66,8 @@
         if is_idle && is_empty && is_start_due {
             self.gather(now, members);
         } else if is_idle && is_silent {
-            // The peers that should tell of new versions may be cut off themselves; without this
-            // the daemon would go on with old rules as long as nobody tells it.
+            // The watchers that should push new versions may be cut off themselves. Without this
+            // read the daemon would keep old rules in force until a peer contacts it.
             self.asked_at_us = now;
             self.heard_at_us = now;
             self.commands.push(ConfigCommand::ReadHead);
@@ -94,9 +96,9 @@
         }
     }
 
-    /// Goes on without the store once peers had time to be found and to answer. Taking the first
-    /// answer would put an older version in force while a peer that holds a higher one isn't
-    /// known yet, or while its answer was lost.
+    /// Ends the startup sync without the store once peers had time to be discovered and to answer.
+    /// Taking the first answer would put an older version in force if a peer with a higher version
+    /// is not known yet or its answer was lost.
     pub(super) fn end_gathering(&mut self, now: TimeUs, members: &Membership) {
         let Some(gathering) = &self.table.gathering else {
             return;
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission.rs
@@ -1,4 +1,4 @@
-//! One operator's submission, from its sections to a told outcome.
+//! Submission of a changed configuration by an operator.
 
 use std::collections::BTreeMap;
 
@@ -12,30 +12,30 @@
 use super::submission_table::SubmissionTable;
 use super::{SubmissionCommand, SubmissionEvent, SubmissionOutcome};
 
-/// Names the state of a submission.
+/// State of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubmissionStep {
-    /// Nothing has been asked yet.
+    /// The submission has not started.
     Fresh,
-    /// Section objects are being written.
+    /// Section objects are being written to the store.
     Writing,
     /// The head is being read.
     Reading,
-    /// The whole configuration is being checked.
+    /// The resulting configuration is being checked.
     Checking,
     /// The head is being updated.
     Updating,
-    /// It is accepted, and peers are counted that hold it.
+    /// The submission is accepted and is being pushed to peers.
     Spreading,
-    /// The outcome is told.
+    /// The outcome has been reported.
     Done,
 }
 
 /// Accepts a set of changed sections by one conditional update of the head.
 ///
-/// An answer that was lost is settled by the history in the head; the same id may be submitted
-/// any number of times and is accepted at most once.
+/// If the answer to the update is lost, the history in the head tells whether it took effect. The
+/// same id may be submitted any number of times and is accepted at most once.
 ///
 /// ```
 /// use wisteriahitch_core::fleet::{Submission, SubmissionCommand, SubmissionEvent};
@@ -51,10 +51,10 @@
 }
 
 impl Submission {
-    /// Submits `changes`: sections to set, or to remove where there is no hash.
+    /// Creates a submission of `changes`: sections to set, or to remove if they have no hash.
     ///
-    /// With `expected` it is accepted only on top of that version; without, on top of whichever
-    /// is in the head then. The time is for people alone.
+    /// With `expected` it is accepted only on top of that version, without it on top of any
+    /// version. `submitted_at_unix_ms` is stored only for display.
     pub fn new(
         id: SubmissionId,
         changes: impl IntoIterator<Item = (SectionName, Option<SectionHash>)>,
@@ -77,18 +77,18 @@
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Processes an event and returns the actions to perform.
     pub fn handle(&mut self, event: &SubmissionEvent) -> Vec<SubmissionCommand> {
         self.machine.handle_with_context(event, &mut self.table);
         std::mem::take(&mut self.table.commands)
     }
 
-    /// Returns the state.
+    /// Returns the current state.
     pub fn step(&self) -> SubmissionStep {
         self.machine.state().into()
     }
 
-    /// Returns the outcome, once there is one.
+    /// Returns the outcome, or `None` while the submission is in progress.
     pub fn outcome(&self) -> Option<SubmissionOutcome> {
         self.table.outcome
     }
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_event.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_event.rs
@@ -1,4 +1,4 @@
-//! What a submission is told, asks for and ends with.
+//! Input events, output commands and outcomes of a submission.
 
 use serde::Serialize;
 use wisteriahitch_config::SectionHash;
@@ -6,99 +6,99 @@
 
 use super::{HeadObject, Holders};
 
-/// Tells a submission what has happened.
+/// Input of [`Submission::handle`](super::Submission::handle).
 #[derive(Clone, Debug)]
 pub enum SubmissionEvent {
     /// The submission starts.
     Start,
-    /// A section is in the store, written now or before.
+    /// A section is in the store, whether written now or earlier.
     SectionWritten(SectionHash),
-    /// A section could not be written, or its answer was lost.
+    /// Writing a section failed, or its answer was lost.
     SectionFailed(SectionHash),
     /// The head was read.
     HeadRead {
-        /// Head, or nothing before the first acceptance.
+        /// Head; `None` before the first accepted submission.
         head: Option<HeadObject>,
-        /// The object's version in the platform, or 0.
+        /// Version of the head's object in the platform; 0 if there is none.
         object_version: u64,
     },
-    /// The head can't be read.
+    /// The head cannot be read.
     HeadUnavailable,
-    /// The whole configuration that would come out was checked.
+    /// The resulting configuration was checked.
     Checked {
-        /// Whether it may be accepted.
+        /// Whether the configuration passed the checks.
         is_good: bool,
     },
     /// The update of the head took effect.
     Updated,
-    /// The head had another version; the update had no effect.
+    /// The update had no effect because the head has another version.
     Conflict,
-    /// The update was sent and no answer came.
+    /// The update was sent but its answer was lost.
     UpdateLost,
-    /// The update certainly had no effect, because the platform can't be reached.
+    /// The update had no effect because the platform cannot be reached.
     UpdateUnavailable,
-    /// The platform refused the update because the head is too large.
+    /// The platform rejected the update because the head is too large.
     TooLarge,
-    /// Peers were counted that hold the accepted version.
+    /// Number of peers that have stored the accepted version.
     Spread {
-        /// Who holds it.
+        /// Daemons and zones that have stored it.
         holders: Holders,
-        /// Whether these are enough, or waiting has taken too long.
+        /// Whether these are enough or the wait has timed out.
         is_final: bool,
     },
 }
 
-/// Asks the shell to do something.
+/// Action that the caller of [`Submission::handle`](super::Submission::handle) must perform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SubmissionCommand {
-    /// Create a section's object; one that exists already is as good.
+    /// Create a section's object; success if it already exists.
     WriteSection(SectionHash),
     /// Read the head and its object version.
     ReadHead,
-    /// Check the whole configuration of this head.
+    /// Check the whole configuration that this head describes.
     Check(HeadObject),
-    /// Write the head, if the object still has the expected version (0: doesn't exist yet).
+    /// Write the head if its object still has the expected version.
     UpdateHead {
         /// Head to write.
         head: HeadObject,
-        /// Object version that it must still have.
+        /// Expected version of the object; 0 if it must not exist yet.
         expected: u64,
     },
-    /// Hand the accepted version to peers and count who holds it.
+    /// Push the accepted version to peers and count those that have stored it.
     Spread(HeadObject),
-    /// Tell the operator.
+    /// Report the outcome to the operator.
     Finish(SubmissionOutcome),
 }
 
-/// Says how a submission has ended.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum SubmissionOutcome {
-    /// It is accepted.
+    /// The submission is accepted.
     Accepted {
-        /// Version that it has.
+        /// Version that it created.
         version: ConfigVersion,
-        /// Who was known to hold it when this was said.
+        /// Daemons and zones known to have stored it when the outcome was reported.
         holders: Holders,
     },
-    /// Another submission won; this one had no effect.
+    /// Another submission was accepted first; this one had no effect.
     Conflict {
-        /// Version that won.
+        /// Version of the head that was found instead of the expected one.
         winner: ConfigVersion,
     },
-    /// The whole configuration fails the checks; the submission had no effect.
+    /// The resulting configuration fails the checks; the submission had no effect.
     Refused,
-    /// The platform can't be reached; the submission had no effect.
+    /// The platform cannot be reached; the submission had no effect.
     Unavailable,
-    /// Whether it was accepted can't be told now; asking again with the same id settles it.
+    /// Whether it was accepted is unknown; submitting again with the same id settles it.
     Unknown,
-    /// The head is larger than the platform takes; the submission had no effect.
+    /// The head is larger than the platform accepts; the submission had no effect.
     TooLarge,
 }
 
 impl SubmissionOutcome {
-    /// Returns the numbered code of an outcome that isn't an acceptance; a refusal's codes come
-    /// with the findings of the check.
+    /// Returns the error code of the outcome. `None` for an acceptance, and for a refusal, whose
+    /// codes are part of the check's findings.
     pub const fn code(self) -> Option<Code> {
         match self {
             SubmissionOutcome::Accepted { .. } | SubmissionOutcome::Refused => None,
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_machine.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_machine.rs
@@ -1,9 +1,9 @@
-//! Life of a submission, as a state machine over [`SubmissionTable`].
+//! State machine of a submission, over [`SubmissionTable`].
 //!
-//! The model `specs/configuration_history.pml` knows what an operator can tell apart, and none of
-//! the calls between: `Ready` is a submission that hasn't started, `Sent` is every step from there
-//! to the outcome, and also an outcome that is unknown, which the operator asks for again under
-//! the same id. `Accepted` and `NotAccepted` are the outcomes told.
+//! The model `specs/configuration_history.pml` has only what an operator can observe and none of
+//! the individual calls. Its state `Ready` is a submission that has not started. `Sent` covers all
+//! steps until the outcome, and also an unknown outcome, which the operator resolves by submitting
+//! again with the same id. `Accepted` and `NotAccepted` are the reported outcomes.
 
 #![allow(
     missing_docs,
@@ -16,7 +16,7 @@
 use super::submission_table::SubmissionTable;
 use super::{Holders, SubmissionCommand, SubmissionEvent, SubmissionOutcome, SubmissionStep};
 
-/// Moves a submission from its sections to an outcome.
+/// State machine that takes a submission from its sections to an outcome.
 #[derive(Debug, Default)]
 pub(super) struct SubmissionMachine;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The sections go first: a head must never name an object that isn't there.
+    /// Writes the sections before the head, because a head must never refer to a missing object.
     #[state]
     fn writing(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
@@ -85,7 +85,7 @@
     fn updating(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
             SubmissionEvent::Updated => Self::spread(context),
-            // The head has moved on, perhaps by an update of ours whose answer was lost.
+            // The head has another version, perhaps because of an own update whose answer was lost.
             SubmissionEvent::Conflict => Self::read_again(context),
             SubmissionEvent::UpdateLost => {
                 context.has_lost_update = true;
@@ -136,7 +136,7 @@
         Transition(State::reading())
     }
 
-    /// Decides by the head that was read: accepted before, lost to another one, or to be written.
+    /// Selects the next step by the head that was read: already accepted, conflict, or update.
     fn decide(context: &mut SubmissionTable) -> Outcome<State> {
         if context.find_acceptance() {
             return Self::spread(context);
@@ -160,7 +160,8 @@
         Transition(State::reading())
     }
 
-    /// Ends without the platform: once an update was lost, it may yet take effect.
+    /// Finishes because the platform is unavailable. A lost update may still take effect, so the
+    /// outcome is then unknown.
     fn give_up(context: &mut SubmissionTable) -> Outcome<State> {
         let outcome = match context.has_lost_update {
             true => SubmissionOutcome::Unknown,
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_table.rs
@@ -1,4 +1,4 @@
-//! What a submission knows.
+//! Data of a submission.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 
 use super::{HeadObject, SubmissionCommand, SubmissionOutcome};
 
-/// Tries at the store over the whole life of a submission.
+/// Number of failed or conflicting store calls after which a submission gives up.
 const MAX_TRIES: u32 = 8;
 
-/// Holds a submission's changes and what it has learnt of the head.
+/// Changes of a submission and the state of the head as last read.
 #[derive(Debug, Default)]
 pub(super) struct SubmissionTable {
     pub(super) id: Option<SubmissionId>,
@@ -45,7 +45,8 @@
         self.first_read.get_or_insert(self.head.version);
     }
 
-    /// Returns whether the history names this submission, and takes its version over.
+    /// Returns whether the history contains this submission, and if so records the accepted
+    /// version.
     pub(super) fn find_acceptance(&mut self) -> bool {
         let id = self.id.as_ref();
         let Some(entry) = id.and_then(|id| self.head.find_submission(id)) else {
@@ -56,17 +57,18 @@
         true
     }
 
-    /// Returns the version that won, where the operator named another one to build on.
+    /// Returns the version of the head if the operator expected another one and no entry of this
+    /// submission can be missing from the history.
     pub(super) fn find_winner(&self) -> Option<ConfigVersion> {
-        // While a lost update may still arrive, the head that it was made against must be left
-        // behind before "no effect" is true; a moved head makes the late update fail.
+        // A lost update can still arrive. "No effect" is true only after the head has moved on from
+        // the version that the update expects, because this makes a late update fail.
         let is_moved = self
             .expected
             .is_some_and(|version| version != self.head.version);
         (is_moved && !self.has_forgotten()).then_some(self.head.version)
     }
 
-    /// Returns whether an acceptance of this submission may have dropped out of the history.
+    /// Returns whether an entry of this submission may already have been removed from the history.
     pub(super) fn has_forgotten(&self) -> bool {
         let since = self.first_read.unwrap_or_default();
         self.has_lost_update && !self.head.remembers_since(since)
--- a/crates/wisteriahitch-core/src/fleet/configuration/watchers.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/watchers.rs
@@ -1,14 +1,14 @@
-//! Who watches the head.
+//! Selection of the daemons that watch the head.
 
 use wisteriahitch_types::{AvailabilityZone, Incarnation};
 
 use crate::fleet::{Membership, Rendezvous};
 
-/// Returns the daemons of a zone that watch the head.
+/// Returns the daemons of a zone that watch the head in the store.
 ///
-/// Each waiting watch counts as a call of the platform, so only a few daemons of each zone hold
-/// one; the others hear from them. Daemons with differing views name differing watchers for a
-/// moment, which costs a watch more or a second of delay.
+/// Each open watch counts as a call of the platform, so only a few daemons of each zone watch, and
+/// the others get new versions from them. While membership views differ, daemons select different
+/// watchers, which costs an extra watch or delays a version by a second.
 pub fn head_watchers(
     members: &Membership,
     zone: &AvailabilityZone,
--- a/crates/wisteriahitch-core/src/fleet/drain.rs
+++ b/crates/wisteriahitch-core/src/fleet/drain.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown: no new callers, and no request cut off.
+//! Graceful shutdown: a draining daemon gets no new callers and finishes its open requests.
 //!
-//! It has no model in `specs/`: what it waits for is this daemon's own.
+//! There is no model of it in `specs/`, because it depends on nothing outside this daemon.
 
 #![allow(
     missing_docs,
@@ -13,28 +13,28 @@
 use statig::prelude::*;
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Names the state of a daemon's shutdown.
+/// State of a daemon's shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainPhase {
-    /// The daemon is listed and takes everything.
+    /// The daemon is listed for callers and accepts all work.
     Serving,
-    /// The daemon isn't listed any more, issues no tickets, and goes on accepting.
+    /// The daemon is no longer listed and issues no tickets, but still accepts requests.
     Draining,
-    /// Nothing is left that needs the daemon; it may exit.
+    /// No open work is left; the daemon may exit.
     Drained,
 }
 
-/// Holds what still needs the daemon.
+/// Open work that keeps a draining daemon running.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct OpenWork {
-    /// Requests that were accepted and haven't ended.
+    /// Number of accepted requests that have not ended.
     pub requests: u64,
-    /// Tickets that were issued here and are neither used nor expired.
+    /// Number of tickets issued by this daemon that are neither used nor expired.
     pub tickets: u64,
 }
 
-/// Decides when a daemon that shuts down may exit.
+/// Decides when a daemon that is shutting down may exit.
 ///
 /// ```
 /// use wisteriahitch_core::fleet::{Drain, DrainPhase, OpenWork};
@@ -51,7 +51,7 @@
     machine: StateMachine<DrainMachine>,
 }
 
-/// Moves a shutdown on.
+/// Events of the shutdown state machine.
 #[derive(Debug)]
 enum DrainEvent {
     Start,
@@ -59,7 +59,7 @@
     HardStop,
 }
 
-/// Holds when the last answer that named this daemon runs out.
+/// Time data that the shutdown state machine works on.
 #[derive(Clone, Copy, Debug, Default)]
 struct DrainTurn {
     now: TimeUs,
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Callers keep an answer of `GET /v1/entries` for its whole lifetime and connect here until
-    /// then. Closing earlier would refuse them; they would see connection errors at each restart.
+    /// Waits until no caller can still connect by an old list. Callers cache an answer of `GET
+    /// /v1/entries` for its whole lifetime. If the daemon closed earlier, they would see connection
+    /// errors at each restart.
     #[state]
     fn draining(context: &mut DrainTurn, event: &DrainEvent) -> Outcome<State> {
         match event {
@@ -107,7 +108,7 @@
 }
 
 impl Drain {
-    /// Starts in the state [`DrainPhase::Serving`].
+    /// Creates a shutdown in the state [`DrainPhase::Serving`].
     pub fn new() -> Self {
         Self {
             turn: DrainTurn::default(),
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Starts the shutdown; answers that name this daemon run out after `entries_ttl_us`.
+    /// Starts the shutdown. Cached entry lists that name this daemon expire after `entries_ttl_us`.
+    /// Has no effect unless the state is [`DrainPhase::Serving`].
     pub fn start(&mut self, now: TimeUs, entries_ttl_us: DurationUs) {
         if self.phase() == DrainPhase::Serving {
             self.turn.listed_until_us = now + entries_ttl_us;
@@ -123,18 +125,19 @@
         }
     }
 
-    /// Looks at what is left, and returns the state.
+    /// Re-evaluates the state for the current open `work` and returns it.
     pub fn tick(&mut self, now: TimeUs, work: OpenWork) -> DrainPhase {
         self.dispatch(now, &DrainEvent::Tick(work));
         self.phase()
     }
 
-    /// Ends at once, by an operator's second order; open requests are cut off.
+    /// Ends the shutdown immediately, on a second request of the operator; open requests are cut
+    /// off.
     pub fn hard_stop(&mut self, now: TimeUs) {
         self.dispatch(now, &DrainEvent::HardStop);
     }
 
-    /// Returns the state.
+    /// Returns the current state.
     pub fn phase(&self) -> DrainPhase {
         match self.machine.state() {
             State::Serving {} => DrainPhase::Serving,
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Returns when the last answer that named this daemon runs out, once it drains.
+    /// Returns when the last cached entry list that names this daemon expires; zero before the
+    /// start of the shutdown.
     pub fn listed_until_us(&self) -> TimeUs {
         self.turn.listed_until_us
     }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease.rs
@@ -1,4 +1,4 @@
-//! One lease as one daemon sees it.
+//! State of one lease at one daemon.
 
 use serde::Serialize;
 use statig::blocking::StateMachine;
@@ -9,7 +9,7 @@
 use super::lease_settings::LeaseSettings;
 use super::{LeaseHolder, LeaseObject, LeasePhase, OrderGrant, WriteFailure};
 
-/// Says what a write under way is for.
+/// Purpose of a pending write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum WriteKind {
@@ -18,7 +18,7 @@
     Release,
 }
 
-/// Holds a write whose effect isn't known yet.
+/// A write whose effect is not yet known.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct PendingWrite {
     pub(super) kind: WriteKind,
@@ -27,16 +27,17 @@
     pub(super) wait_us: DurationUs,
 }
 
-/// Holds the object as it was last read or written.
+/// The lease's object as last read or written.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct SeenObject {
     pub(super) object: Option<LeaseObject>,
     pub(super) version: u64,
-    /// When this version was first seen: its holder's term ends at most a term later.
+    /// Local time at which this version was first read or written. The holder's term ends at most
+    /// one term after it.
     pub(super) first_seen_at_us: TimeUs,
 }
 
-/// Holds one lease as one daemon sees it.
+/// One lease as seen by one daemon.
 pub(super) struct Lease {
     pub(super) me: LeaseHolder,
     pub(super) settings: LeaseSettings,
@@ -50,7 +51,7 @@
     pub(super) write_number: u64,
 }
 
-/// Asks the table for one call of the platform.
+/// Platform call that the lease needs.
 pub(super) enum LeaseCall {
     Read,
     Write { object: LeaseObject, expected: u64 },
@@ -86,10 +87,11 @@
         object.holder.as_ref().map(|holder| holder.incarnation)
     }
 
-    /// Returns the version of the last write of ours that is known to have taken effect.
+    /// Returns the version of this daemon's last write that is known to have taken effect.
     ///
-    /// What was last read isn't it: after a conflict nothing is known of the object, and an order
-    /// with a lower number than the one before would be refused by an endpoint that checks.
+    /// The last version read cannot be used: after a conflict the object is unknown, and an
+    /// endpoint that checks fencing numbers would refuse an order with a lower number than the one
+    /// before.
     pub(super) fn fence(&self) -> FenceNumber {
         FenceNumber::new(self.own_version)
     }
@@ -102,7 +104,7 @@
         matches!(self.phase(), LeasePhase::Held | LeasePhase::Waiting)
     }
 
-    /// Lets time pass and returns the call that is due, if one is.
+    /// Advances the time and returns the call that is due, if any.
     pub(super) fn tick(&mut self, is_responsible: bool, now: TimeUs) -> Option<LeaseCall> {
         self.dispatch(PhaseEvent::Lapse, now);
         if self.is_reading {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Allows an order, if the lease lasts long enough for it on the clock right now.
+    /// Grants an order if the remaining term is long enough at time `now`.
     pub(super) fn try_order(&mut self, now: TimeUs) -> Result<OrderGrant, Code> {
         self.dispatch(PhaseEvent::Lapse, now);
         self.times.is_order_granted = false;
@@ -164,11 +166,10 @@
         self.is_reading = false;
     }
 
-    /// Notes that a write took effect.
+    /// Handles a write that took effect.
     ///
-    /// An answer that comes after its write was given up and another one was sent must not count
-    /// for the later one: the term would be counted from too late, and two daemons would hold the
-    /// lease at once.
+    /// An answer to an abandoned write must not be counted for a later one. Otherwise the term
+    /// would start too late and two daemons would hold the lease at the same time.
     pub(super) fn written(&mut self, write_number: u64, object_version: u64, now: TimeUs) {
         let Some(pending) = self.pending.take_if(|p| p.write_number == write_number) else {
             return;
@@ -179,8 +180,7 @@
         self.take_effect(&pending, now);
     }
 
-    /// Notes what is known of a write that didn't succeed; a lost one stays pending until the
-    /// object is read back.
+    /// Handles a failed write. A lost write stays pending until the object is read back.
     pub(super) fn write_failed(&mut self, write_number: u64, failure: WriteFailure) {
         let is_pending = self.pending.as_ref().map(|p| p.write_number) == Some(write_number);
         if !is_pending {
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Settles a write whose answer was lost: the object names it, or it has no effect so far. A
-    /// late one can only replace the version that it expects, and is then seen by the next read.
+    /// Resolves a write whose answer was lost: the object shows it, or it has had no effect so far.
+    /// A late write can only replace the version that it expects; the next read then shows it.
     pub(super) fn settle_pending(&mut self, now: TimeUs) {
         let Some(pending) = self.pending.take() else {
             return;
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_calls.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_calls.rs
@@ -1,4 +1,4 @@
-//! Which call of the platform a lease needs next.
+//! Selection of the platform call that a lease needs next.
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
@@ -30,10 +30,12 @@
         self.write(WriteKind::Renew, DurationUs::ZERO, now)
     }
 
-    /// Gives the lease up early, once nothing is under way that the next holder would wait for.
+    /// Releases the lease early, once no order is in progress that the next holder would have to
+    /// wait for.
     ///
-    /// An order that was given up by a shorter time-out may still arrive; a whole order time-out
-    /// after the last one it counts as ended, as it does for a holder that takes a lapsed lease.
+    /// An order that was abandoned after a shorter timeout may still arrive. It counts as ended one
+    /// full order timeout after it was granted, the same time that the next holder of an expired
+    /// lease waits.
     pub(super) fn release_if_idle(&mut self, now: TimeUs) -> Option<LeaseCall> {
         let order_us = self.settings.order_timeout_us;
         let last_order = self.times.last_order_at_us;
@@ -41,7 +43,7 @@
         if self.times.open_orders > 0 || is_recent {
             return None;
         }
-        // From here on no order may start: the release may take effect at any moment.
+        // No order may start from here on, because the release may take effect at any moment.
         self.dispatch(PhaseEvent::ReadBack, now);
         self.write(WriteKind::Release, DurationUs::ZERO, now)
     }
@@ -58,8 +60,8 @@
             let wait_us = DurationUs::ZERO;
             return self.write(WriteKind::Acquire, wait_us, now);
         };
-        // Terms are counted from when the version was first seen here, since clocks can't be
-        // compared; the holder counts from before it wrote, so it stops earlier.
+        // The term is counted from when this daemon first saw the version, since clocks of daemons
+        // cannot be compared. The holder counts from before its write, so it stops earlier.
         let term_us = seen.object.as_ref().map_or(DurationUs::ZERO, |o| o.term_us);
         let order_us = seen
             .object
@@ -67,7 +69,8 @@
             .map_or(DurationUs::ZERO, |o| o.order_timeout_us);
         let is_over = now.since(seen.first_seen_at_us) >= term_us;
         if holder.incarnation == self.me.incarnation {
-            // Nobody else has held it since: there is no other holder's order to wait for.
+            // No other daemon has held the lease since, so there are no orders of another holder to
+            // wait for.
             return self.write(WriteKind::Acquire, DurationUs::ZERO, now);
         }
         if is_over {
@@ -92,7 +95,7 @@
         let object = self.object_of(&pending);
         let expected = self.seen.as_ref().map_or(0, |seen| seen.version);
         self.pending = Some(pending);
-        // The answer may take long; until then nothing is read.
+        // Delays the next read, since the answer may take a while.
         self.read_at_us = Some(now);
         Some(LeaseCall::Write { object, expected })
     }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_event.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_event.rs
@@ -1,78 +1,78 @@
-//! What leases are told and what they ask their shell to do.
+//! Input events and output commands of leases.
 
 use serde::Serialize;
 use wisteriahitch_types::{DurationUs, FenceNumber};
 
 use super::{LeaseGroup, LeaseObject};
 
-/// Tells the leases what has happened.
+/// Input of [`LeaseTable::handle`](super::LeaseTable::handle).
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
     /// Time has passed.
     Tick,
-    /// A lease's object was read; nothing where it doesn't exist.
+    /// A lease's object was read.
     Read {
-        /// Group.
+        /// Group of the lease.
         group: LeaseGroup,
-        /// Object with its version in the platform.
+        /// Object with its version in the platform; `None` if it does not exist.
         object: Option<(LeaseObject, u64)>,
     },
-    /// A lease's object can't be read now.
+    /// A lease's object cannot be read now.
     ReadFailed(LeaseGroup),
     /// A write took effect.
     Written {
-        /// Group.
+        /// Group of the lease.
         group: LeaseGroup,
-        /// Number in the object that was written; an answer to an earlier write counts for nothing.
+        /// Write number of the written object; answers to earlier writes are ignored.
         write_number: u64,
-        /// Version that the object has now.
+        /// Version of the object after the write.
         object_version: u64,
     },
-    /// A write didn't succeed.
+    /// A write failed.
     WriteFailed {
-        /// Group.
+        /// Group of the lease.
         group: LeaseGroup,
-        /// Number in the object that was to be written.
+        /// Write number of the object that was to be written.
         write_number: u64,
-        /// What is known of its effect.
+        /// Reason, which tells whether the write may have taken effect.
         failure: WriteFailure,
     },
-    /// An order has been answered, refused or given up.
+    /// An order has been answered, refused or abandoned.
     OrderDone(LeaseGroup),
 }
 
-/// Says what is known of a write that didn't succeed.
+/// Reason of a failed write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteFailure {
-    /// It had no effect, because the object has another version.
+    /// The write had no effect because the object has another version.
     Conflict,
-    /// It was sent and no answer came.
+    /// The write was sent but its answer was lost, so its effect is unknown.
     Lost,
-    /// It certainly had no effect, because the platform can't be reached.
+    /// The write had no effect because the platform cannot be reached.
     Unavailable,
 }
 
-/// Asks the shell to do something.
+/// Action that the caller of [`LeaseTable::handle`](super::LeaseTable::handle) must perform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseCommand {
     /// Read a lease's object.
     Read(LeaseGroup),
-    /// Write a lease's object, if it still has the expected version (0: doesn't exist yet).
+    /// Write a lease's object if it still has the expected version.
     Write {
-        /// Group.
+        /// Group of the lease.
         group: LeaseGroup,
-        /// Content.
+        /// Content to write.
         object: LeaseObject,
-        /// Version that the object must still have.
+        /// Expected version of the object; 0 if it must not exist yet.
         expected: u64,
     },
 }
 
-/// Allows one order.
+/// Permission to send one order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct OrderGrant {
-    /// Fencing number to send along.
+    /// Fencing number to send with the order.
     pub fence: FenceNumber,
-    /// Longest wait for the order's answer, shorter than what is left of the lease.
+    /// Timeout of the order, shorter than the remaining term of the lease.
     pub timeout_us: DurationUs,
 }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_group.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_group.rs
@@ -1,4 +1,4 @@
-//! What one lease is about.
+//! Subject of a lease.
 
 use std::fmt;
 
@@ -6,23 +6,23 @@
 use wisteriahitch_types::{EndpointId, ServiceName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names what a lease gives the right to.
+/// Right that a lease grants.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseGroup {
-    /// Orders to the endpoints of a service that fall into one of its shards.
+    /// Giving orders to the endpoints in one shard of a service.
     Endpoints {
-        /// Service.
+        /// Service of the endpoints.
         service: ServiceName,
-        /// Number of the shard.
+        /// Index of the shard.
         shard: u32,
     },
-    /// A part of the loads of weights that may run at once at the whole site.
+    /// Loading weights in one of the slots for concurrent loads at the site.
     RolloutSlot(u32),
 }
 
 impl LeaseGroup {
-    /// Returns the group of an endpoint, where its service has `shards` of them.
+    /// Returns the group of an endpoint whose service has `shards` shards.
     pub fn of_endpoint(service: &ServiceName, endpoint: &EndpointId, shards: u32) -> Self {
         let hash = xxh3_64(endpoint.as_str().as_bytes());
         Self::Endpoints {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes the name of the group's object in the platform.
+/// Formats the name of the group's object in the platform.
 impl fmt::Display for LeaseGroup {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_machine.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_machine.rs
@@ -1,8 +1,8 @@
-//! Life of a lease: states and events by the names of the model `specs/orders.pml`.
+//! State machine of a lease. States and events have the names of the model `specs/orders.pml`.
 //!
 //! The model has no clock. Its step from `Waiting` to `Held` is [`PhaseEvent::Lapse`] here, once
-//! the wait is over; its orders that are `Checked` or `Sent` are those that [`PhaseEvent::Order`]
-//! granted and that no [`PhaseEvent::OrderDone`] has ended.
+//! the wait is over. Its orders that are `Checked` or `Sent` are the orders that
+//! [`PhaseEvent::Order`] has granted and that no [`PhaseEvent::OrderDone`] has ended.
 
 #![allow(
     missing_docs,
@@ -14,29 +14,31 @@
 use statig::prelude::*;
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Names the state of a lease as one daemon sees it.
+/// State of a lease as seen by one daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeasePhase {
-    /// This daemon doesn't hold it.
+    /// This daemon does not hold the lease.
     Vacant,
-    /// This daemon holds it and waits until no order of the holder before can be under way.
+    /// This daemon holds the lease and waits until no order of the previous holder can be in
+    /// progress.
     Waiting,
-    /// This daemon holds it and may give orders.
+    /// This daemon holds the lease and may give orders.
     Held,
-    /// This daemon held it; its term has run out.
+    /// This daemon held the lease and its term has ended.
     Expired,
 }
 
-/// Moves a lease on.
+/// Events of the state machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum PhaseEvent {
-    /// A write that takes the lease took effect; it was sent at this time.
+    /// A write that acquires the lease took effect. It was sent at `sent_at_us`; orders must wait
+    /// for `wait_us`.
     Acquire {
         sent_at_us: TimeUs,
         wait_us: DurationUs,
     },
-    /// A write that renews the lease took effect.
+    /// A write that renews the lease took effect; it was sent at `sent_at_us`.
     Renew { sent_at_us: TimeUs },
     /// Time has passed.
     Lapse,
@@ -44,11 +46,11 @@
     Order,
     /// An order has ended.
     OrderDone,
-    /// The object was read: another one holds the lease, or nobody.
+    /// The object was read and this daemon is not the holder.
     ReadBack,
 }
 
-/// Holds the times of a lease on the holder's own monotonic clock.
+/// Times of a lease on the local monotonic clock.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct LeaseTimes {
     #[serde(skip)]
@@ -76,9 +78,9 @@
         Self::acquire(context, event)
     }
 
-    /// An order of the holder before may still be on its way, sent right before its lease ended.
-    /// Giving orders at once would let it overtake ours: the endpoint would end with the older
-    /// one, and its report would not agree with the wanted state.
+    /// Waits for the orders of the previous holder. One of them may have been sent right before its
+    /// lease ended. If it arrived after an order of this daemon, the endpoint would end with the
+    /// older order, and its report would not match the wanted state.
     #[state(superstate = "owned")]
     fn waiting(context: &mut LeaseTimes, event: &PhaseEvent) -> Outcome<State> {
         match event {
@@ -108,8 +110,8 @@
         }
     }
 
-    /// A pause of the process lets the term run out unseen; so the clock is looked at right before
-    /// each order, not when a timer says so.
+    /// The process may be paused while the term ends. Therefore the clock is checked immediately
+    /// before each order, not only when a timer fires.
     #[superstate(superstate = "known")]
     fn owned(context: &mut LeaseTimes, event: &PhaseEvent) -> Outcome<State> {
         match event {
@@ -149,7 +151,7 @@
 }
 
 impl LeaseTimes {
-    /// Counts the term from the sending of the write, which is before anybody can have seen it.
+    /// Starts the term at the time the write was sent, before any other daemon can have seen it.
     fn renew(&mut self, sent_at_us: TimeUs) {
         self.expires_at_us = sent_at_us + self.term_us;
     }
@@ -162,7 +164,7 @@
         self.now >= self.wait_until_us
     }
 
-    /// Returns what is left of the term, less a margin for the way to the endpoint.
+    /// Returns the remaining term, less a margin for the transfer to the endpoint.
     pub(super) fn left_us(&self) -> DurationUs {
         self.expires_at_us.since(self.now) - self.margin_us
     }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_object.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_object.rs
@@ -1,26 +1,26 @@
-//! A lease as the platform keeps it.
+//! Representation of a lease in the platform.
 
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{DaemonId, DurationUs, Incarnation};
 
-/// Names the incarnation that holds a lease.
+/// Holder of a lease.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// Daemon, for people.
+    /// Name of the daemon, only for display.
     pub daemon: DaemonId,
-    /// Incarnation, which alone may use the lease.
+    /// Incarnation that holds the lease; other incarnations of the same daemon do not.
     pub incarnation: Incarnation,
 }
 
-/// Holds the content of a lease's object; the object's version is the fencing number.
+/// Content of a lease's object. The object's version serves as the fencing number.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeaseObject {
-    /// Holder, or nobody after a release.
+    /// Holder; `None` after a release.
     pub holder: Option<LeaseHolder>,
-    /// Counts the holder's writes, so that it recognises one whose answer was lost.
+    /// Number of the holder's write, by which it recognises a write whose answer was lost.
     pub write_number: u64,
-    /// How long the lease lasts from the sending of the write.
+    /// Duration of the lease, counted from when the write was sent.
     pub term_us: DurationUs,
-    /// Longest time-out of an order under the lease.
+    /// Maximum timeout of orders under the lease.
     pub order_timeout_us: DurationUs,
 }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_settings.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_settings.rs
@@ -1,20 +1,21 @@
-//! The times of leases.
+//! Settings of leases.
 
 use serde::Serialize;
 use wisteriahitch_types::DurationUs;
 
-/// Holds the times of leases.
+/// Times of leases.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LeaseSettings {
-    /// How long a lease lasts from the sending of its write.
+    /// Duration of a lease, counted from when its write was sent.
     pub term_us: DurationUs,
-    /// What must be left when it is renewed.
+    /// Remaining term at or below which the lease is renewed.
     pub renew_before_us: DurationUs,
-    /// Longest time-out of an order.
+    /// Maximum timeout of an order.
     pub order_timeout_us: DurationUs,
-    /// Part of the term that isn't used, for the way to the endpoint and for clocks that drift.
+    /// Unused part at the end of the term, which covers the transfer to the endpoint and clock
+    /// drift.
     pub margin_us: DurationUs,
-    /// Time between two reads of a lease that another one holds.
+    /// Minimum time between two reads of a lease's object.
     pub read_us: DurationUs,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
@@ -1,4 +1,4 @@
-//! The leases that a daemon is responsible for or holds.
+//! Leases that a daemon holds or is responsible for.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,22 +10,22 @@
 use super::{LeaseCommand, LeaseEvent, LeaseGroup, LeaseHolder, LeasePhase, OrderGrant};
 use crate::fleet::{Membership, Rendezvous};
 
-/// Shows one lease to operators.
+/// Status of one lease, for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct LeaseStatus {
-    /// Group.
+    /// Group of the lease.
     pub group: LeaseGroup,
-    /// State as this daemon sees it.
+    /// State as seen by this daemon.
     pub phase: LeasePhase,
-    /// Holder as last seen.
+    /// Last known holder; `None` if there is none or it is unknown.
     pub holder: Option<Incarnation>,
-    /// Fencing number as last seen.
+    /// Fencing number of this daemon's last write; 0 if it has never held the lease.
     pub fence: FenceNumber,
-    /// Orders under way.
+    /// Number of granted orders that have not ended.
     pub open_orders: u32,
 }
 
-/// Takes, renews and gives up leases, and allows orders under them.
+/// Acquires, renews and releases leases, and grants orders under them.
 ///
 /// ```
 /// use wisteriahitch_core::fleet::{LeaseGroup, LeaseHolder, LeaseSettings, LeaseTable};
@@ -47,7 +47,7 @@
 }
 
 impl LeaseTable {
-    /// Starts without any lease.
+    /// Creates a table without leases.
     pub fn new(me: LeaseHolder, settings: LeaseSettings) -> Self {
         Self {
             me,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Names the groups that there are; those held beyond them are given up.
+    /// Sets the groups that exist; leases held for other groups are released.
     pub fn want(&mut self, groups: impl IntoIterator<Item = LeaseGroup>) {
         self.wanted = groups.into_iter().collect();
         for group in &self.wanted {
@@ -71,16 +71,17 @@
             .retain(|group, lease| wanted.contains(group) || lease.is_owned());
     }
 
-    /// Names the daemon that should hold the leases of loads now: the one with the right to give
-    /// orders to the endpoint that is to load next. Without it the rendezvous hash decides.
+    /// Sets the daemon that should hold the rollout slots: the one that may give orders to the
+    /// endpoint that is to load next. Without it the rendezvous hash decides.
     ///
-    /// Where the endpoints are shared, the hash may name a daemon that has nothing to load, and
-    /// the rollout would stand still. Daemons that name different ones contend, and one holds it.
+    /// If the endpoints are divided among daemons, the hash may select a daemon that has nothing to
+    /// load, and the rollout would stall. If daemons set different owners, they contend and one
+    /// gets the lease.
     pub fn set_rollout_owner(&mut self, owner: Option<Incarnation>) {
         self.rollout_owner = owner;
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Processes an event at time `now` and returns the actions to perform.
     pub fn handle(
         &mut self,
         event: LeaseEvent,
@@ -106,18 +107,19 @@
         Vec::new()
     }
 
-    /// Allows one order to an endpoint of the group; the shell sends it at once and tells its end.
+    /// Grants one order to an endpoint of the group. The caller must send it immediately and report
+    /// its end by [`LeaseEvent::OrderDone`].
     ///
     /// # Errors
     ///
-    /// [`Code::LeaseHeld`] where another daemon holds the lease, [`Code::LeaseLapsed`] where too
-    /// little of the term is left or the wait for the holder before isn't over.
+    /// [`Code::LeaseHeld`] if this daemon does not hold the lease, [`Code::LeaseLapsed`] if too
+    /// little of the term is left or the wait for the previous holder's orders is not over.
     pub fn try_order(&mut self, group: &LeaseGroup, now: TimeUs) -> Result<OrderGrant, Code> {
         let lease = self.leases.get_mut(group).ok_or(Code::LeaseHeld)?;
         lease.try_order(now)
     }
 
-    /// Returns the groups under whose leases orders may be given.
+    /// Returns the groups for which this daemon may give orders.
     pub fn held(&self) -> impl Iterator<Item = &LeaseGroup> {
         self.leases
             .iter()
@@ -125,7 +127,7 @@
             .map(|(group, _)| group)
     }
 
-    /// Returns every lease, for operators and the dump.
+    /// Returns the status of every lease, for operators and the state dump.
     pub fn status(&self) -> Vec<LeaseStatus> {
         let to_status = |(group, lease): (&LeaseGroup, &Lease)| LeaseStatus {
             group: group.clone(),
@@ -137,7 +139,7 @@
         self.leases.iter().map(to_status).collect()
     }
 
-    /// Returns the member that should hold the lease of a group by the rendezvous hash.
+    /// Returns the member that should hold the lease of a group according to the rendezvous hash.
     pub fn responsible(group: &LeaseGroup, members: &Membership) -> Option<Incarnation> {
         let rank = Rendezvous::new("lease", &group.to_string());
         let workers = members.workers().map(|member| member.incarnation);
--- a/crates/wisteriahitch-core/src/fleet/leases/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/mod.rs
@@ -1,4 +1,4 @@
-//! The right to give orders to endpoints (`docs/design/orders.md`).
+//! Leases for the right to give orders to endpoints (`docs/design/orders.md`).
 
 mod lease;
 mod lease_calls;
--- a/crates/wisteriahitch-core/src/fleet/members/entries.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/entries.rs
@@ -1,4 +1,4 @@
-//! The answer to `GET /v1/entries`.
+//! Selection of the addresses that `GET /v1/entries` returns.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,30 @@
 use super::{Member, MemberState, Membership};
 use crate::fleet::Rendezvous;
 
-/// How much more often a daemon in the caller's own availability zone comes first.
+/// Factor by which a daemon in the caller's availability zone is more likely to be listed first.
 const SAME_ZONE_WEIGHT: f64 = 4.0;
-/// Least weight that a fully loaded daemon keeps, so that all the callers never leave it at once.
+/// Minimum weight of a fully loaded daemon, so that callers never all leave it at once.
 const MIN_IDLE_WEIGHT: f64 = 0.05;
 const FULL_PERMILLE: f64 = 1_000.0;
 
-/// Names an address that a caller may use.
+/// Address of a daemon that a caller may connect to.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct EntryAddress {
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Availability zone it is in.
+    /// Availability zone of the daemon.
     pub availability_zone: AvailabilityZone,
-    /// Incarnation that answers there now.
+    /// Incarnation of the daemon that serves the address now.
     pub incarnation: Incarnation,
 }
 
 impl Membership {
-    /// Returns addresses for a caller in `zone`, the best first.
+    /// Returns addresses for a caller in `zone`, best first.
     ///
-    /// Each answer is shuffled by its own `seed`, weighted by zone and load: callers keep an
-    /// answer a while, so one order for all of them would send all to one daemon. A workspace is
-    /// spread over a fixed few daemons of a large fleet, so that its mistakes reach only these.
-    /// Draining, leaving, suspect and starting daemons are left out at once.
+    /// Each answer is shuffled with its own `seed`, weighted by zone and load: callers cache an
+    /// answer, so one common order would send all of them to the same daemon. In a large fleet each
+    /// workspace is restricted to a fixed small set of daemons, so that a faulty workspace affects
+    /// only these. Draining, leaving, suspect and starting daemons are omitted.
     pub fn entries(
         &self,
         zone: Option<&AvailabilityZone>,
@@ -40,12 +40,13 @@
     ) -> Vec<EntryAddress> {
         let (ready, starting): (Vec<&Member>, Vec<&Member>) =
             self.workers().partition(|member| member.is_ready());
-        // A daemon that starts answers nothing but `not ready`, in an outage for many seconds. It is
-        // named only where nobody else is, since its readiness may not have been heard of yet.
+        // A starting daemon answers only `not ready`, for many seconds during an outage. It is
+        // listed only if no daemon is known to be ready, since the update about its readiness may
+        // not have arrived yet.
         let listed = if ready.is_empty() { starting } else { ready };
         let candidates = if listed.is_empty() {
-            // An empty answer would cut the callers off although some daemon may well answer:
-            // this daemon drains and all others are suspect.
+            // An empty answer would cut callers off although a suspect daemon may still answer.
+            // This happens when this daemon drains and all others are suspect.
             let is_suspect = |member: &&Member| member.state == MemberState::Suspect;
             self.members().filter(is_suspect).collect()
         } else {
@@ -59,7 +60,7 @@
         ranked.into_iter().map(to_entry).collect()
     }
 
-    /// Returns the daemons that this workspace is spread over, whatever their load.
+    /// Returns the daemons that serve this workspace, independent of their load.
     fn share_of<'a>(
         &self,
         zone: Option<&AvailabilityZone>,
--- a/crates/wisteriahitch-core/src/fleet/members/event.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/event.rs
@@ -1,4 +1,4 @@
-//! What membership is told and what it asks its shell to do.
+//! Input events and output commands of membership.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,87 +7,88 @@
 
 use super::{MemberState, News};
 
-/// Tells membership what has happened.
+/// Input of [`Membership::handle`](super::Membership::handle).
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
-    /// Time has passed; drives rounds and time-outs.
+    /// Time has passed; triggers probe rounds and timeouts.
     Tick,
     /// A probe was answered.
     ProbeAnswered {
         /// Address that was probed.
         address: SocketAddr,
-        /// Incarnation that was meant, if one was.
+        /// Incarnation that the probe was addressed to, or `None` if it was for any incarnation.
         meant_for: Option<Incarnation>,
         /// Incarnation that answered.
         answered_by: Incarnation,
-        /// News that came with the answer.
+        /// Updates carried by the answer.
         news: Vec<News>,
     },
-    /// A probe failed or wasn't answered in time.
+    /// A probe failed or timed out.
     ProbeFailed {
-        /// Incarnation that was meant, if one was.
+        /// Incarnation that the probe was addressed to, or `None` if it was for any incarnation.
         meant_for: Option<Incarnation>,
     },
-    /// A peer told whether it reached a member for us, or could not be asked.
+    /// An indirect probe has ended: the peer reported the result or could not be asked.
     IndirectAnswered {
-        /// Member in question.
+        /// Member that is probed.
         target: Incarnation,
-        /// Whether it answered.
+        /// Whether the member answered the peer.
         is_reached: bool,
-        /// News that came with its answer.
+        /// Updates carried by the peer's answer.
         news: Vec<News>,
     },
-    /// The platform's lagging list of VMs was read.
+    /// The platform's list of VMs was read. The list lags behind the real state.
     VmList(Vec<VmNotice>),
-    /// This daemon's load was measured, from 0 to 1000.
+    /// This daemon's load was measured, from 0 (idle) to 1000 (full).
     Load(u32),
-    /// This daemon has put a configuration in force.
+    /// This daemon has put a configuration version in force.
     ConfigApplied(ConfigVersion),
     /// This daemon starts to drain.
     Drain,
-    /// This daemon leaves now.
+    /// This daemon is about to exit.
     Leave,
 }
 
-/// Holds one VM of the platform's list.
+/// One VM of the platform's list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct VmNotice {
-    /// IP address.
+    /// IP address of the VM.
     pub address: IpAddr,
-    /// Whether the VM will go away soon.
+    /// Whether the platform is about to remove the VM.
     pub is_leaving: bool,
 }
 
-/// Asks the shell to do something.
+/// Action that the caller of [`Membership::handle`](super::Membership::handle) must perform.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum MembershipCommand {
     /// Send a probe.
     Probe {
-        /// Where to.
+        /// Peer address to probe.
         address: SocketAddr,
-        /// Incarnation that is meant, if one is known.
+        /// Incarnation that the probe is addressed to, if known.
         meant_for: Option<Incarnation>,
-        /// News to send along.
+        /// Updates to send with the probe.
         news: Vec<News>,
-        /// Whether to ask for a page of the member list, after this incarnation.
+        /// Requests the page of the member list that starts after this incarnation; `None` requests
+        /// no page.
         sync_after: Option<Incarnation>,
     },
     /// Ask a peer to probe a member.
     IndirectProbe {
-        /// Peer to ask.
+        /// Address of the peer to ask.
         helper: SocketAddr,
         /// Incarnation of that peer.
         helper_incarnation: Incarnation,
-        /// Member in question.
+        /// Member that is probed.
         target: Incarnation,
-        /// Its address.
+        /// Peer address of that member.
         target_address: SocketAddr,
     },
-    /// A member's state has changed; others may want to know.
+    /// A member's state has changed. For information only.
     Changed {
-        /// Member.
+        /// Member that changed.
         incarnation: Incarnation,
-        /// State it has now.
+        /// New state.
         state: MemberState,
     },
 }
--- a/crates/wisteriahitch-core/src/fleet/members/learning.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/learning.rs
@@ -1,11 +1,12 @@
-//! What news and notices change in the table.
+//! Applies membership updates, the VM list and this daemon's own changes to the member table.
 
 use wisteriahitch_types::{ConfigVersion, Incarnation, TimeUs};
 
 use super::{Member, MemberState, Membership, MembershipCommand, News, VmNotice};
 
 impl Membership {
-    /// Moves on to the next page, or ends once a page came that wasn't full.
+    /// Requests the next page of the member list, or ends the sync after a page that was not full.
+    /// An answer with at most one update carried no page and changes nothing.
     pub(super) fn advance_sync(&mut self, news: &[News]) {
         if self.sync_after.is_none() {
             return;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Answers a wrong belief about this daemon with a higher news number.
+    /// Refutes a wrong update about this daemon by publishing a higher update number.
     pub(super) fn refute(&mut self, item: &News) {
         let (news_number, state) = (self.me().news_number, self.me().state);
         if !item.is_newer_than(news_number, state) {
@@ -78,7 +79,8 @@
 
     pub(super) fn add(&mut self, item: &News, now: TimeUs, commands: &mut Vec<MembershipCommand>) {
         let (Some(addresses), Some(zone)) = (item.addresses, item.availability_zone.clone()) else {
-            // Gone before it was known here: there is nothing to remember it by.
+            // The member left or died before it was known here, and the update carries no addresses
+            // to store.
             return;
         };
         let is_vm_leaving = self.vm_addresses.get(&addresses.peer.ip()) == Some(&true);
@@ -141,10 +143,11 @@
         }
     }
 
-    /// Notes the version that this daemon has in force.
+    /// Records the configuration version that this daemon has in force.
     ///
-    /// The first one is news of its own: until the others hear of it they name this daemon to no
-    /// caller. Later ones travel with the daemon's own messages alone.
+    /// The first version is published as a separate update, because peers list this daemon for
+    /// callers only after they receive it. Later versions are carried only by this daemon's own
+    /// messages.
     pub(super) fn take_config(&mut self, version: ConfigVersion) {
         let is_first = !self.me().is_ready();
         self.update_me(|me| me.config_version = version);
--- a/crates/wisteriahitch-core/src/fleet/members/member.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/member.rs
@@ -1,76 +1,77 @@
-//! One daemon as another one sees it.
+//! A daemon as seen by another daemon.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{AvailabilityZone, ConfigVersion, DaemonId, Incarnation, TimeUs};
 
-/// Says what is believed of a member; of two beliefs with one news number the later one counts.
+/// Believed state of a member. Of two updates with the same update number, the one with the later
+/// variant wins.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It takes no new callers and will leave.
+    /// The member accepts no new callers and is going to leave.
     Draining,
-    /// It didn't answer lately.
+    /// Recent probes of the member failed.
     Suspect,
-    /// It was suspected for too long.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It has left by its own word.
+    /// The member announced that it left.
     Left,
 }
 
 impl MemberState {
-    /// Returns whether a member in this state may still answer, and so is worth probing.
+    /// Returns whether a member in this state may still answer and is therefore worth probing.
     pub const fn is_present(self) -> bool {
         !matches!(self, MemberState::Dead | MemberState::Left)
     }
 }
 
-/// Holds the addresses of a daemon.
+/// Addresses of a daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct MemberAddresses {
-    /// Where callers connect.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// Where peers connect.
+    /// Address for peers.
     pub peer: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub operator: SocketAddr,
 }
 
-/// Holds one incarnation of a daemon.
+/// One incarnation of a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Configured name.
+    /// Configured name of the daemon.
     pub daemon: DaemonId,
-    /// Random number drawn at its start.
+    /// Random number chosen when the daemon started.
     pub incarnation: Incarnation,
-    /// Counts its own news; a higher number refutes what was said before.
+    /// Number of the member's latest own update. A higher number refutes earlier updates about it.
     pub news_number: u64,
-    /// What is believed of it.
+    /// Believed state.
     pub state: MemberState,
-    /// Addresses.
+    /// Addresses of the daemon.
     pub addresses: MemberAddresses,
-    /// Availability zone it is in.
+    /// Availability zone of the daemon.
     pub availability_zone: AvailabilityZone,
-    /// Version of the configuration in force there, as last heard.
+    /// Last received version of the configuration that the member has in force; 0 if it has none.
     pub config_version: ConfigVersion,
-    /// Load from 0 (idle) to 1000 (full), as last heard.
+    /// Last received load, from 0 (idle) to 1000 (full).
     pub load_permille: u32,
-    /// When the state last changed, on this daemon's clock.
+    /// When the state last changed, on the local clock.
     pub changed_at_us: TimeUs,
-    /// Whether the platform's list says that its VM is leaving.
+    /// Whether the platform's list marks the member's VM as leaving.
     pub is_vm_leaving: bool,
 }
 
 impl Member {
-    /// Returns whether it has a configuration in force, as far as is known.
+    /// Returns whether the member is known to have a configuration in force.
     pub fn is_ready(&self) -> bool {
         self.config_version > ConfigVersion::new(0)
     }
 
-    /// Returns whether callers may be sent to it.
+    /// Returns whether callers may be sent to this member.
     pub fn is_entry(&self) -> bool {
         self.state == MemberState::Alive && !self.is_vm_leaving
     }
--- a/crates/wisteriahitch-core/src/fleet/members/membership.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/membership.rs
@@ -1,4 +1,4 @@
-//! The table of members and the systems that run over it.
+//! The member table and the entry points of membership.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -10,9 +10,9 @@
 use super::news_queue::NewsQueue;
 use super::{Member, MemberState, MembershipCommand, MembershipEvent, MembershipSettings, News};
 
-/// Holds what this daemon knows of the others, and decides whom to probe and what to tell.
+/// Membership view of this daemon. Decides which members to probe and which updates to send.
 ///
-/// Nothing rests on it for safety: a wrong belief makes the fleet slower, never wrong.
+/// Safety never depends on membership: a wrong view makes the fleet slower but never incorrect.
 ///
 /// ```
 /// use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
@@ -57,7 +57,8 @@
     pub(super) rounds: u64,
     pub(super) next_round_at_us: TimeUs,
     pub(super) probe_order: Vec<Incarnation>,
-    /// Members whose direct probe failed, with the number of helpers that haven't answered yet.
+    /// Members whose direct probe failed, with the number of peers that have not yet answered the
+    /// request for an indirect probe.
     pub(super) indirect: BTreeMap<Incarnation, usize>,
     pub(super) vm_addresses: BTreeMap<IpAddr, bool>,
     pub(super) lost_turn: usize,
@@ -71,7 +72,7 @@
 }
 
 impl Membership {
-    /// Starts with `me` alone; `rng` decides whom to probe.
+    /// Creates a view that contains only `me`. `rng` selects the members to probe.
     pub fn new(settings: MembershipSettings, me: Member, rng: ChaCha8Rng) -> Self {
         let incarnation = me.incarnation;
         let mut queue = NewsQueue::default();
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Processes an event at time `now` and returns the actions to perform.
     pub fn handle(&mut self, event: MembershipEvent, now: TimeUs) -> Vec<MembershipCommand> {
         let mut commands = Vec::new();
         match event {
@@ -131,10 +132,11 @@
         commands
     }
 
-    /// Takes the news of a probe that `sender` sent, and returns the news to answer with.
+    /// Applies the updates of a probe from `sender` and returns the updates to answer with.
     ///
-    /// With `sync_after` the sender asks for the page of the member list that follows it; one
-    /// page is given between two rounds, so that many newcomers can't use up the bytes.
+    /// With `sync_after` the sender requests the page of the member list that follows this
+    /// incarnation. At most one page is served per probe round, so that many starting daemons
+    /// cannot use up the byte budget.
     pub fn answer_probe(
         &mut self,
         sender: Incarnation,
@@ -151,44 +153,44 @@
         (reply, commands)
     }
 
-    /// Returns this daemon as the others are told of it.
+    /// Returns this daemon's own entry as it is published to the others.
     pub fn me(&self) -> &Member {
         &self.members[&self.me]
     }
 
-    /// Returns a member by its incarnation, also one that is dead or has left.
+    /// Returns a member by its incarnation, including dead and departed members.
     pub fn by_incarnation(&self, incarnation: Incarnation) -> Option<&Member> {
         self.members.get(&incarnation)
     }
 
-    /// Returns the present incarnation of a daemon, if one is known.
+    /// Returns the present incarnation of a daemon, or `None` if none is known.
     pub fn by_daemon(&self, daemon: &DaemonId) -> Option<&Member> {
         self.present().find(|member| member.daemon == *daemon)
     }
 
-    /// Returns every member, in the order of the incarnations.
+    /// Returns all members in the order of their incarnations, including dead and departed members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the members that are neither dead nor have left, this daemon among them.
+    /// Returns the members that are neither dead nor departed, including this daemon.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.state.is_present())
     }
 
-    /// Returns the members that are present, without this daemon.
+    /// Returns the present members without this daemon.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         let me = self.me;
         self.present()
             .filter(move |member| member.incarnation != me)
     }
 
-    /// Returns the members that are alive and stay, this daemon among them: those that share work.
+    /// Returns the members that share work: alive and not on a leaving VM, including this daemon.
     pub fn workers(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.is_entry())
     }
 
-    /// Returns the highest version of the configuration that a present peer was heard to have.
+    /// Returns the highest configuration version that any present peer is known to have in force.
     pub fn highest_peer_config(&self) -> Option<ConfigVersion> {
         self.peers().map(|member| member.config_version).max()
     }
--- a/crates/wisteriahitch-core/src/fleet/members/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/mod.rs
@@ -1,4 +1,4 @@
-//! Who the daemons are: soft state, learnt by probing and from peers (`docs/design/membership.md`).
+//! Fleet membership: soft state learned from probes and gossip (`docs/design/membership.md`).
 
 mod entries;
 mod event;
--- a/crates/wisteriahitch-core/src/fleet/members/news.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/news.rs
@@ -1,43 +1,44 @@
-//! One piece of membership news, as it goes from daemon to daemon.
+//! A membership update as it is sent between daemons.
 
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{AvailabilityZone, ConfigVersion, DaemonId, Incarnation};
 
 use super::{Member, MemberAddresses, MemberState};
 
-/// Bytes of the numbers, the state and the field tags of one piece of news in a message.
+/// Encoded size in bytes of the numbers, the state and the field tags of one update.
 const FIXED_BYTES: usize = 32;
-/// Bytes of an IPv4 address with its port and field tag.
+/// Encoded size in bytes of an IPv4 address with its port and field tag.
 const V4_BYTES: usize = 8;
-/// Bytes of an IPv6 address with its port and field tag.
+/// Encoded size in bytes of an IPv6 address with its port and field tag.
 const V6_BYTES: usize = 20;
 
-/// Holds what one daemon says of a member.
+/// State of one member as reported by a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// Configured name.
+    /// Configured name of the member.
     pub daemon: DaemonId,
-    /// Incarnation that the news is about.
+    /// Incarnation that the update is about.
     pub incarnation: Incarnation,
-    /// Number of that incarnation's own news.
+    /// Update number of that incarnation.
     pub news_number: u64,
-    /// State.
+    /// Believed state of the member.
     pub state: MemberState,
-    /// Addresses; left out where the state is suspect, dead or left.
+    /// Addresses; `None` if the state is suspect, dead or left.
     pub addresses: Option<MemberAddresses>,
-    /// Availability zone; left out together with the addresses.
+    /// Availability zone; `None` if there are no addresses.
     pub availability_zone: Option<AvailabilityZone>,
-    /// Version of the configuration in force there.
+    /// Version of the configuration that the member has in force; 0 if it has none.
     pub config_version: ConfigVersion,
     /// Load from 0 (idle) to 1000 (full).
     pub load_permille: u32,
 }
 
 impl News {
-    /// Size of news with IPv4 addresses and names of up to 20 bytes, for planning.
+    /// Maximum size in bytes of an update with IPv4 addresses and names of up to 20 bytes; used to
+    /// reserve bytes for a page of the member list.
     pub(crate) const MAX_V4_BYTES: usize = FIXED_BYTES + 3 * V4_BYTES + 2 * 20;
 
-    /// Tells what is believed of `member`.
+    /// Creates an update from the local view of `member`.
     pub fn of(member: &Member) -> Self {
         let is_whole = matches!(member.state, MemberState::Alive | MemberState::Draining);
         Self {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Returns an upper bound of the bytes that the news takes in a message.
+    /// Returns an upper bound of the encoded size in bytes.
     pub fn size_bytes(&self) -> usize {
         let zone = self.availability_zone.as_ref();
         let zone_len = zone.map_or(0, |zone| zone.as_str().len());
@@ -60,10 +61,11 @@
         FIXED_BYTES + self.daemon.as_str().len() + zone_len + address_bytes
     }
 
-    /// Returns whether this news replaces a belief with that number and state.
+    /// Returns whether this update replaces a view with the given update number and state.
     ///
-    /// A member's own higher number wins, so that it can refute a suspicion; with one number the
-    /// graver state wins, so that a suspicion isn't undone by older good news still going round.
+    /// A higher number of the member itself wins, so that it can refute a suspicion. With equal
+    /// numbers the more severe state wins, so that older positive updates that still circulate
+    /// cannot undo a suspicion.
     pub fn is_newer_than(&self, news_number: u64, state: MemberState) -> bool {
         (self.news_number, self.state) > (news_number, state)
     }
--- a/crates/wisteriahitch-core/src/fleet/members/news_queue.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/news_queue.rs
@@ -1,21 +1,21 @@
-//! News still to be told, each a bounded number of times.
+//! Queue of membership updates that are still to be sent, each a bounded number of times.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use wisteriahitch_types::Incarnation;
 
-/// Holds which members' news is still to be told, and how often it has been.
+/// Members whose updates are still to be sent, with the number of times each has been sent.
 ///
-/// What the news says is read from the table when it is sent, so that an older state never goes
-/// out after a newer one is known.
+/// The content of an update is read from the member table when it is sent, so that an older state
+/// is never sent after a newer one is known.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct NewsQueue {
     sends: BTreeMap<Incarnation, u32>,
 }
 
 impl NewsQueue {
-    /// Makes a member's news fresh again.
+    /// Queues a member's update and resets its send count.
     pub(crate) fn push(&mut self, incarnation: Incarnation) {
         self.sends.insert(incarnation, 0);
     }
@@ -24,7 +24,7 @@
         self.sends.remove(&incarnation);
     }
 
-    /// Returns the members with news, those told least often first.
+    /// Returns the queued members, those sent least often first.
     pub(crate) fn by_urgency(&self) -> Vec<Incarnation> {
         let mut order: Vec<(u32, Incarnation)> = self
             .sends
@@ -38,7 +38,7 @@
             .collect()
     }
 
-    /// Counts one telling; the news is dropped after `max_sends`.
+    /// Counts one transmission; the update is removed from the queue after `max_sends`.
     pub(crate) fn mark_sent(&mut self, incarnation: Incarnation, max_sends: u32) {
         let Some(sends) = self.sends.get_mut(&incarnation) else {
             return;
--- a/crates/wisteriahitch-core/src/fleet/members/probing.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/probing.rs
@@ -1,4 +1,4 @@
-//! Whom to probe, and what an answer or its absence means.
+//! Failure detection: selection of probe targets and handling of probe results.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,15 +8,16 @@
 
 use super::{Member, MemberState, Membership, MembershipCommand};
 
-/// Rounds after which one address is tried that no present member has: a seed, a VM of the
-/// platform's list, or a member believed dead. It finds the others again after a partition.
+/// Number of rounds between two probes of an address that belongs to no present member: a seed, a
+/// VM of the platform's list, or a dead or departed member. These probes reconnect the fleet after
+/// a partition.
 const ROUNDS_PER_LOST_PROBE: u64 = 3;
-/// Such addresses that are tried in a round while nobody else is known.
+/// Number of such addresses probed in each round while no peer is known.
 const LOST_PROBES_ALONE: usize = 3;
-/// Rounds after which the pages of the member list are read once more. A daemon that started
-/// together with many others read pages that were not complete yet, and would miss some for long.
+/// Number of rounds between two syncs of the whole member list. A daemon that started together with
+/// many others received incomplete pages, and would otherwise miss some members for a long time.
 const ROUNDS_PER_SYNC: u64 = 60;
-/// The same for a daemon that has just started.
+/// Number of rounds between two syncs in the first [`ROUNDS_PER_SYNC`] rounds after the start.
 const ROUNDS_PER_FIRST_SYNCS: u64 = 6;
 
 impl Membership {
@@ -51,13 +52,15 @@
             ROUNDS_PER_SYNC
         };
         let shift = self.me.get() % period;
-        // A reading under way goes on: begun anew it would never get past the first pages.
+        // A sync in progress continues: restarted each time, it would never get past the first
+        // pages.
         if self.rounds % period == shift && self.sync_after.is_none() {
             self.sync_after = Some(Incarnation::new(0));
         }
     }
 
-    /// Probes the next member of a shuffled round, so that each is probed within a bounded time.
+    /// Probes the next member of a shuffled order, so that each member is probed within a bounded
+    /// time.
     pub(super) fn probe_next(&mut self, commands: &mut Vec<MembershipCommand>) {
         if self.probe_order.is_empty() {
             self.probe_order = self.peers().map(|member| member.incarnation).collect();
@@ -86,7 +89,7 @@
         self.push_probe(address, None, commands);
     }
 
-    /// Returns addresses where a daemon may be that no present member has, the seeds first.
+    /// Returns addresses where a daemon may run but that belong to no present member, seeds first.
     pub(super) fn lost_addresses(&self) -> Vec<SocketAddr> {
         let known: BTreeSet<SocketAddr> = self.present().map(|m| m.addresses.peer).collect();
         let seeds = self.settings.seeds.iter().copied();
@@ -123,7 +126,8 @@
         });
     }
 
-    /// Notes that an address answered, perhaps as another incarnation than was meant.
+    /// Handles an answer from an address, possibly by another incarnation than the probe was
+    /// addressed to.
     pub(super) fn settle_probe(
         &mut self,
         address: SocketAddr,
@@ -133,16 +137,17 @@
         commands: &mut Vec<MembershipCommand>,
     ) {
         self.indirect.remove(&answered_by);
-        // A member believed dead answers after all, for example after a partition. It can't refute
-        // what it hasn't heard: it would stay unlisted for good. So it is told at once.
+        // A member believed to be dead still answers, for example after a partition. It cannot
+        // refute an update that it has not received and would stay unlisted forever, so it is sent
+        // one immediately.
         if meant_for.is_none() && self.is_accused(answered_by) {
             self.push_probe(address, Some(answered_by), commands);
         }
         let Some(meant) = meant_for.filter(|meant| *meant != answered_by) else {
             return;
         };
-        // The address belongs to another process now. Without this the dead incarnation would
-        // stay listed until its suspicion times out, and its tickets would be asked for in vain.
+        // The address now belongs to another process. Without this step the old incarnation would
+        // stay listed until its suspicion times out, and peers would ask in vain for its tickets.
         let is_replaced = self
             .members
             .get(&meant)
@@ -206,7 +211,8 @@
         }
     }
 
-    /// Declares suspects dead that didn't refute in time, and forgets old dead ones.
+    /// Marks suspects as dead that did not refute in time, and removes expired dead and departed
+    /// members.
     pub(super) fn expire(&mut self, now: TimeUs, commands: &mut Vec<MembershipCommand>) {
         let suspicion_us = self.suspicion_us();
         let tombstone_us = self.settings.tombstone_us;
@@ -237,7 +243,7 @@
         DurationUs::new(self.settings.suspicion_us.get().saturating_mul(steps))
     }
 
-    /// Tells a few members at once, since no further round may come.
+    /// Sends the departure to a few members immediately, since no further round may follow.
     pub(super) fn say_goodbye(&mut self, commands: &mut Vec<MembershipCommand>) {
         for _ in 0..=self.settings.indirect_probes {
             self.probe_next(commands);
--- a/crates/wisteriahitch-core/src/fleet/members/settings.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/settings.rs
@@ -1,41 +1,43 @@
-//! Times and bounds of membership.
+//! Settings of membership.
 
 use std::net::SocketAddr;
 
 use serde::Serialize;
 use wisteriahitch_types::DurationUs;
 
-/// Holds the times and bounds of membership; `docs/design/membership.md` works out the bytes.
+/// Times and limits of membership; `docs/design/membership.md` derives the byte limits.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipSettings {
-    /// Peer addresses that are asked first, and again while nobody answers there.
+    /// Peer addresses that are probed first, and again while no present member has them.
     pub seeds: Vec<SocketAddr>,
-    /// Port for peers on VMs that only the platform's list names.
+    /// Port for probing VMs that are known only from the platform's list; `None` disables these
+    /// probes.
     pub peer_port: Option<u16>,
-    /// Time between two rounds of probes.
+    /// Time between two probe rounds.
     pub interval_us: DurationUs,
-    /// Members probed in a round.
+    /// Number of members probed in each round.
     pub probes_per_round: usize,
-    /// Peers asked to probe a member that didn't answer.
+    /// Number of peers that are asked to probe a member that did not answer.
     pub indirect_probes: usize,
-    /// Base time that a suspect has to refute; it grows with the logarithm of the fleet's size.
+    /// Base time in which a suspect can refute; multiplied by the logarithm of the fleet's size.
     pub suspicion_us: DurationUs,
-    /// How long a dead or left member is remembered, so that old news can't bring it back.
+    /// How long a dead or departed member is retained, so that old updates cannot bring it back.
     pub tombstone_us: DurationUs,
-    /// Bytes of news in one message.
+    /// Maximum bytes of updates in one message.
     pub max_news_bytes: usize,
-    /// Bytes of news in all messages between two rounds; above it only a daemon's own news and
-    /// pages of the member list go, and above twice as much nothing.
+    /// Maximum bytes of updates in all messages of one round. Above it a daemon sends only its own
+    /// update and pages of the member list, and above twice this value nothing.
     pub max_round_news_bytes: usize,
-    /// Each piece of news is told this often, times the logarithm of the fleet's size.
+    /// Number of times each update is sent, multiplied by the logarithm of the fleet's size.
     pub sends_factor: u32,
-    /// Pieces of news in a page of the member list for a daemon that has just started.
+    /// Maximum number of updates in a page of the member list, which starting daemons request.
     pub sync_page: usize,
-    /// Change of the load from which a daemon tells it to all.
+    /// Minimum load change, in thousandths, that is published as an update.
     pub load_step_permille: u32,
-    /// Shortest time between two such tellings.
+    /// Minimum time between two load updates.
     pub load_news_us: DurationUs,
-    /// Most addresses in an answer to `GET /v1/entries`, and daemons that a workspace is spread over.
+    /// Maximum number of addresses in an answer to `GET /v1/entries`, and the number of daemons
+    /// that serve one workspace.
     pub max_entries: usize,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/members/telling.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/telling.rs
@@ -1,4 +1,4 @@
-//! Which news goes into a message, within the bounds.
+//! Selection of the updates in a message, within the byte limits.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,8 @@
 use super::{MemberState, Membership, News};
 
 impl Membership {
-    /// Chooses news within the bounds: this daemon's own first, then what is new, then others at
-    /// random, so that a daemon that missed something learns it all the same.
+    /// Selects updates within the byte limits: this daemon's own first, then queued updates, then
+    /// random others, so that a daemon that missed an update receives it eventually.
     pub(super) fn pick_news(&mut self, receiver: Option<Incarnation>) -> Vec<News> {
         let mut order = vec![self.me];
         order.extend(receiver.filter(|receiver| self.is_accused(*receiver)));
@@ -27,7 +27,7 @@
             let Some(member) = self.members.get(&incarnation) else {
                 continue;
             };
-            // Of itself the receiver needs to hear an accusation alone, which it then refutes.
+            // About itself the receiver needs only a suspicion, so that it can refute it.
             if receiver == Some(incarnation) && !self.is_accused(incarnation) {
                 continue;
             }
@@ -51,13 +51,14 @@
         news
     }
 
-    /// Returns whether a member is believed suspect or dead, which it may refute.
+    /// Returns whether a member is believed to be suspect or dead, which it may refute.
     pub(super) fn is_accused(&self, incarnation: Incarnation) -> bool {
         let member = self.members.get(&incarnation);
         member.is_some_and(|m| matches!(m.state, MemberState::Suspect | MemberState::Dead))
     }
 
-    /// Returns whether `size` more bytes keep to the bound that nothing exceeds.
+    /// Returns whether `size` more bytes stay within the round's hard limit, which is never
+    /// exceeded.
     pub(super) fn has_hard_room(&self, size: usize) -> bool {
         self.round_news_bytes + size <= 2 * self.settings.max_round_news_bytes
     }
--- a/crates/wisteriahitch-core/src/fleet/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Daemons among each other: membership, configuration, leases, orders and draining.
+//! Coordination between daemons: membership, configuration replication, leases, endpoint orders and
+//! graceful shutdown.
 
 mod configuration;
 mod drain;
--- a/crates/wisteriahitch-core/src/fleet/orders/choosing.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/choosing.rs
@@ -1,4 +1,4 @@
-//! Which order an endpoint needs next, and why it may have to wait.
+//! Selection of an endpoint's next order, and of the reason why it has to wait.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 };
 
 impl OrderPlanner {
-    /// Returns the next order of an endpoint, and notes why a load has to wait.
+    /// Returns the next order of an endpoint, and records the reason if a load has to wait.
     pub(super) fn next_order(
         &mut self,
         endpoint: &EndpointId,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Returns the first order that brings the endpoint nearer to the wanted state: the role, then
-    /// weights, then adapters, and last what is to be dropped.
+    /// Returns the first order that an endpoint needs to reach the wanted state: the role first,
+    /// then weights, adapters, and last models to unload.
     pub(super) fn difference(
         &self,
         wanted: &WantedEndpoint,
@@ -123,7 +123,8 @@
         can_spare(endpoint, model, site.wanted, site.reports, &busy, share)
     }
 
-    /// Counts the loads of this daemon and those that other endpoints report.
+    /// Returns the number of loads in progress, by this daemon's orders or by other endpoints'
+    /// reports.
     pub(super) fn loads_under_way(&self, site: SiteView<'_>) -> u32 {
         let ours = self.running.values().filter(|r| r.order.is_load()).count();
         let others = site
@@ -134,7 +135,8 @@
         (ours + others) as u32
     }
 
-    /// Returns whether the version hasn't been shown to work and one endpoint is trying it.
+    /// Returns whether the version has not been confirmed on any endpoint and one endpoint is
+    /// loading it.
     pub(super) fn waits_for_first(&self, model: &ModelName, site: SiteView<'_>) -> bool {
         let Some(rollout) = self.rollouts.get(model) else {
             return false;
@@ -168,7 +170,7 @@
     orders.into_iter()
 }
 
-/// Returns the version that most endpoints report and that isn't the wanted one.
+/// Returns the most frequently reported version other than `wanted`.
 pub(super) fn version_before(
     model: &ModelName,
     wanted: &WeightVersion,
--- a/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
@@ -1,19 +1,19 @@
-//! Whether an order has done what it was to do.
+//! Confirmation of orders by endpoint reports.
 
 use serde::Serialize;
 use wisteriahitch_types::TimeUs;
 
 use super::{EndpointOrder, EndpointReport};
 
-/// Follows one order until reports show its effect.
+/// An order that is waiting for reports that confirm its effect.
 ///
-/// An endpoint that ignores fencing numbers may run an older order after this one. One report
-/// could fall between the two; so two different reports in a row must agree.
+/// An endpoint that ignores fencing numbers may execute an older order after this one. A single
+/// report could fall between the two, so several different reports in a row must confirm the order.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Confirmation {
     pub(super) order: EndpointOrder,
     pub(super) started_at_us: TimeUs,
-    /// Whether the endpoint has answered; reports from before don't count.
+    /// Whether the endpoint has answered the order; earlier reports do not count.
     pub(super) is_answered: bool,
     agreeing: u32,
     last_made_at_ms: Option<u64>,
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Takes a report over and returns whether enough have agreed.
+    /// Records a report and returns whether enough reports have confirmed the order. A report with
+    /// the same `made_at_ms` as the last one is ignored.
     pub(super) fn take(&mut self, report: &EndpointReport, wanted_reads: u32) -> bool {
         if !self.is_answered || self.last_made_at_ms == Some(report.made_at_ms) {
             return false;
--- a/crates/wisteriahitch-core/src/fleet/orders/endpoint_order.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/endpoint_order.rs
@@ -1,55 +1,56 @@
-//! Orders to endpoints, and what endpoints report.
+//! Orders to endpoints, and reports of endpoints.
 
 use serde::Serialize;
 use wisteriahitch_types::{AdapterName, EndpointId, ModelName, WeightVersion};
 
-/// Tells an endpoint what to change.
+/// Order that changes the state of an endpoint.
 ///
-/// The engine's protocol has an `Order` of its own, whose JSON form is for engines to say; the
-/// two are kept apart, so that another protocol can be put there without touching a decision.
+/// The engine protocol has its own type `Order`, whose JSON form is defined by engines. The two are
+/// separate, so that another protocol can be used without changing the planner.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum EndpointOrder {
-    /// Load a version of a model, in place of the one that is loaded.
+    /// Load a version of a model, replacing the loaded version.
     LoadModel {
-        /// Model.
+        /// Name of the model.
         model: ModelName,
-        /// Version.
+        /// Weight version to load.
         weight_version: WeightVersion,
     },
-    /// Drop a model.
+    /// Unload a model.
     UnloadModel {
-        /// Model.
+        /// Name of the model.
         model: ModelName,
     },
     /// Load an adapter.
     LoadAdapter {
-        /// Model that it belongs to.
+        /// Model that the adapter belongs to.
         model: ModelName,
-        /// Adapter.
+        /// Name of the adapter.
         adapter: AdapterName,
     },
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter {
-        /// Model that it belongs to.
+        /// Model that the adapter belongs to.
         model: ModelName,
-        /// Adapter.
+        /// Name of the adapter.
         adapter: AdapterName,
     },
-    /// Serve in another role.
+    /// Change the role of the endpoint.
     SetRole {
-        /// Role.
+        /// New role.
         role: String,
     },
 }
 
 impl EndpointOrder {
-    /// Returns whether the endpoint loads weights, which takes it out of service for a while.
+    /// Returns whether the order loads weights, which takes the endpoint out of service for a
+    /// while.
     pub const fn is_load(&self) -> bool {
         matches!(self, EndpointOrder::LoadModel { .. })
     }
 
-    /// Returns the model that the order is about, if it is about one.
+    /// Returns the model that the order affects, or `None` for a change of role.
     pub const fn model(&self) -> Option<&ModelName> {
         match self {
             EndpointOrder::LoadModel { model, .. }
@@ -61,57 +62,58 @@
     }
 }
 
-/// Names an endpoint and the order that it is to be given.
+/// An order and the endpoint that it is for.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct PlannedOrder {
-    /// Endpoint.
+    /// Endpoint that receives the order.
     pub endpoint: EndpointId,
-    /// Order.
+    /// Order to send.
     pub order: EndpointOrder,
 }
 
-/// Holds what an endpoint last reported, as far as orders need it.
+/// Last report of an endpoint, as far as the planner needs it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EndpointReport {
-    /// Tells reports apart: two with one number are the same report.
+    /// Time at which the report was made, in milliseconds. Reports with the same value are the same
+    /// report.
     pub made_at_ms: u64,
-    /// Models that are loaded.
+    /// Loaded models.
     pub models: Vec<ModelOnEndpoint>,
-    /// Role that it serves in.
+    /// Role that the endpoint serves in.
     pub role: String,
-    /// Whether it will go away soon.
+    /// Whether the endpoint is about to leave.
     pub is_leaving: bool,
-    /// Requests that run or wait.
+    /// Number of running and queued requests.
     pub open_requests: u64,
-    /// Requests that can run at once.
+    /// Maximum number of requests that run at the same time.
     pub batch_slots: u64,
 }
 
-/// Holds one model as an endpoint reports it.
+/// A model as reported by an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ModelOnEndpoint {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version that new requests run on.
+    /// Weight version that new requests run on.
     pub weight_version: WeightVersion,
-    /// Adapters that are loaded.
+    /// Loaded adapters.
     pub adapters: Vec<AdapterName>,
-    /// Whether requests are taken now.
+    /// Whether the endpoint accepts requests for the model now.
     pub is_ready: bool,
 }
 
 impl EndpointReport {
-    /// Returns what is reported of a model.
+    /// Returns the report about a model, or `None` if the model is not loaded.
     pub fn model(&self, name: &ModelName) -> Option<&ModelOnEndpoint> {
         self.models.iter().find(|model| model.model == *name)
     }
 
-    /// Returns whether new requests for the model are taken.
+    /// Returns whether the endpoint accepts new requests for the model.
     pub fn is_ready_for(&self, name: &ModelName) -> bool {
         !self.is_leaving && self.model(name).is_some_and(|model| model.is_ready)
     }
 
-    /// Returns whether weights are loading now.
+    /// Returns whether the endpoint is loading weights.
     pub fn is_loading(&self) -> bool {
         self.models.iter().any(|model| !model.is_ready)
     }
--- a/crates/wisteriahitch-core/src/fleet/orders/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/mod.rs
@@ -1,4 +1,4 @@
-//! Which orders bring the endpoints to the wanted state (`docs/design/orders.md`).
+//! Planning of the orders that bring endpoints to the wanted state (`docs/design/orders.md`).
 
 mod choosing;
 mod confirmation;
--- a/crates/wisteriahitch-core/src/fleet/orders/order_planner.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/order_planner.rs
@@ -1,4 +1,4 @@
-//! Brings endpoints to the wanted state, a few at a time.
+//! Planner that brings endpoints to the wanted state, a few at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,18 +13,19 @@
     WantedState,
 };
 
-/// Holds the bounds of rollouts.
+/// Limits and times of rollouts.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PlannerSettings {
-    /// Different reports in a row that must show an order's effect.
+    /// Number of different reports in a row that must confirm an order.
     pub wanted_reads: u32,
-    /// Failed loads of a version after which its rollout stops and goes back.
+    /// Number of failed loads of a version after which its rollout is rolled back.
     pub max_failures: u32,
-    /// Part of a model's endpoints that stays ready.
+    /// Fraction of a model's endpoints that must stay ready.
     pub ready_share: Share,
-    /// Longest time from an order to its last confirmation.
+    /// Maximum time from planning an order to its last confirmation; after it the order counts as
+    /// failed.
     pub confirm_us: DurationUs,
-    /// Pause after a failed order before the endpoint is given another one.
+    /// Time after a failed order during which the endpoint gets no other order.
     pub retry_us: DurationUs,
 }
 
@@ -40,23 +41,23 @@
     }
 }
 
-/// Holds what the planner looks at.
+/// Input of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteView<'a> {
-    /// What the configuration wants.
+    /// Wanted state by the configuration.
     pub wanted: &'a WantedState,
-    /// What every endpoint last reported.
+    /// Last report of each endpoint.
     pub reports: &'a BTreeMap<EndpointId, EndpointReport>,
     /// Endpoints that this daemon may give orders to now.
     pub owned: &'a BTreeSet<EndpointId>,
-    /// Loads that this daemon may have under way at once; none without a lease of loads.
+    /// Maximum number of concurrent loads that this daemon may order; 0 without a rollout lease.
     pub load_slots: u32,
 }
 
-/// Plans orders, follows them, and stops a rollout that fails.
+/// Plans orders, tracks them until reports confirm them, and rolls back a failing rollout.
 ///
-/// The shell asks the lease for a grant right before it sends a planned order, and tells the end
-/// with [`OrderPlanner::order_done`].
+/// The caller requests a grant from the lease right before it sends a planned order, and reports
+/// the result by [`OrderPlanner::order_done`].
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct OrderPlanner {
     pub(super) settings: PlannerSettings,
@@ -67,7 +68,7 @@
 }
 
 impl OrderPlanner {
-    /// Starts without any rollout.
+    /// Creates a planner without rollouts.
     pub fn new(settings: PlannerSettings) -> Self {
         Self {
             settings,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Looks at the site and returns the orders to give now.
+    /// Processes the current reports and returns the orders to give now.
     pub fn plan(&mut self, site: SiteView<'_>, now: TimeUs) -> Vec<PlannedOrder> {
         self.follow_wanted(site);
         self.confirm(site, now);
@@ -94,7 +95,8 @@
         planned
     }
 
-    /// Notes that an order was answered (`is_good`), or failed or could not be given.
+    /// Records the result of sending an order: the endpoint accepted it (`is_good`), or it failed
+    /// or could not be sent.
     pub fn order_done(&mut self, endpoint: &EndpointId, is_good: bool, now: TimeUs) {
         match self.running.get_mut(endpoint) {
             Some(running) if is_good => running.is_answered = true,
@@ -103,13 +105,15 @@
         }
     }
 
-    /// Notes that an order wasn't sent, because the lease didn't allow it; no failure of its own.
+    /// Records that an order was not sent because the lease did not allow it; this is not a
+    /// failure.
     pub fn order_withdrawn(&mut self, endpoint: &EndpointId) {
         self.running.remove(endpoint);
     }
 
-    /// Returns the endpoint that is to load next, whoever may give it orders; its owner is the one
-    /// for [`LeaseTable::set_rollout_owner`](crate::fleet::LeaseTable::set_rollout_owner).
+    /// Returns the endpoint that is to load next, even if another daemon gives it orders. The
+    /// daemon that does is the owner to set with
+    /// [`LeaseTable::set_rollout_owner`](crate::fleet::LeaseTable::set_rollout_owner).
     pub fn next_to_load<'a>(&self, site: SiteView<'a>) -> Option<&'a EndpointId> {
         let is_next = |endpoint: &EndpointId, wanted: &WantedEndpoint| {
             if self
@@ -131,13 +135,13 @@
             .map(|(endpoint, _)| endpoint)
     }
 
-    /// Returns whether an endpoint's present order isn't confirmed yet; it then gets no work for a
-    /// version that it doesn't report.
+    /// Returns whether an endpoint's order is not confirmed yet. Until then the endpoint must get
+    /// no requests for a version that it does not report.
     pub fn is_changing(&self, endpoint: &EndpointId) -> bool {
         self.running.contains_key(endpoint)
     }
 
-    /// Returns how far every model is, for operators.
+    /// Returns the rollout progress of every model, for operators.
     pub fn progress(&self, site: SiteView<'_>) -> Vec<RolloutProgress> {
         let progress = |(model, rollout): (&ModelName, &Rollout)| RolloutProgress {
             model: model.clone(),
@@ -169,7 +173,8 @@
             .collect()
     }
 
-    /// Starts a rollout for every model whose wanted version is new.
+    /// Starts a rollout for each model whose wanted version has changed, and removes obsolete
+    /// rollouts and orders.
     pub(super) fn follow_wanted(&mut self, site: SiteView<'_>) {
         let versions = site.wanted.versions();
         self.rollouts
--- a/crates/wisteriahitch-core/src/fleet/orders/readiness.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint can be spared while it loads.
+//! Whether an endpoint can be taken out of service to load weights.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use super::{EndpointReport, WantedState};
 
-/// Returns whether the others carry the model's present load without this endpoint.
+/// Returns whether the other endpoints can carry the model's current load without this one.
 ///
-/// `busy` are endpoints that are given orders now; they count as not ready whatever they report,
-/// since reports lag.
+/// `busy` are endpoints with unconfirmed orders. They count as not ready even if their reports,
+/// which lag, say that they are.
 pub(super) fn can_spare(
     endpoint: &EndpointId,
     model: &ModelName,
@@ -28,7 +28,7 @@
     }
     let others = || holders.iter().filter(|id| **id != endpoint);
     if holders.len() == 1 {
-        // Nobody can stand in for the only one: it is taken while it has nothing to do.
+        // A single endpoint cannot be replaced, so it may load only while it is idle.
         return reports.get(endpoint).is_some_and(|r| r.open_requests == 0);
     }
     let ready_others = others().filter(|id| is_ready(id)).count();
@@ -37,7 +37,7 @@
     ready_others >= needed.min(holders.len() - 1)
 }
 
-/// Returns how many endpoints the requests that run or wait now would fill.
+/// Returns the number of endpoints that the running and queued requests would fill.
 fn needed_for_load(
     holders: &[&EndpointId],
     reports: &BTreeMap<EndpointId, EndpointReport>,
--- a/crates/wisteriahitch-core/src/fleet/orders/rollout.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/rollout.rs
@@ -1,62 +1,63 @@
-//! One model's way from one version of its weights to another.
+//! Rollout of a new weight version of one model.
 
 use serde::Serialize;
 use wisteriahitch_types::{EndpointId, ModelName, WeightVersion};
 
-/// Names the state of a rollout.
+/// State of a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
-    /// Endpoints go to the new version.
+    /// Endpoints are changing to the new version.
     Running,
-    /// Every endpoint reports the new version.
+    /// All endpoints report the new version.
     Done,
-    /// Loading failed; endpoints go back to the version before.
+    /// Loading failed too often; endpoints are returning to the previous version.
     GoingBack,
-    /// Loading failed and every endpoint reports the version before, or there was none.
+    /// The rollout failed. All endpoints report the previous version, or there was none.
     Stopped,
 }
 
-/// Says why an endpoint isn't taken yet.
+/// Reason why an endpoint's load has to wait.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Blocked {
-    /// As many load at the site as may.
+    /// The maximum number of concurrent loads at the site is reached.
     TooManyLoading,
-    /// The first endpoint of a rollout hasn't shown yet that the version works.
+    /// The first endpoint of the rollout has not yet confirmed that the version works.
     FirstNotConfirmed,
-    /// The others couldn't carry the present load, or none would be left.
+    /// The other endpoints could not carry the current load, or none would be left.
     NeededForLoad,
-    /// Its orders are another daemon's, or the lease isn't held now.
+    /// Another daemon gives the endpoint's orders, or this daemon does not hold the needed lease
+    /// now.
     NoLease,
-    /// It hasn't reported.
+    /// The endpoint has not reported yet.
     NoReport,
 }
 
-/// Shows a rollout to operators.
+/// Progress of a rollout, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RolloutProgress {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version that most endpoints reported at the start.
+    /// Version that most endpoints reported when the rollout started; `None` if there was none.
     pub from: Option<WeightVersion>,
     /// Version that the configuration wants.
     pub to: WeightVersion,
-    /// State.
+    /// State of the rollout.
     pub phase: RolloutPhase,
-    /// Endpoints that are to hold the model.
+    /// Number of endpoints that are to load the model.
     pub total: usize,
-    /// Endpoints that report the target version and are ready.
+    /// Number of endpoints that are ready and report the target version.
     pub done: usize,
-    /// Endpoints that are loading by this daemon's orders.
+    /// Endpoints that are loading by orders of this daemon.
     pub loading: Vec<EndpointId>,
-    /// Loads that failed.
+    /// Number of failed loads.
     pub failures: u32,
-    /// Endpoints that wait, with the reason.
+    /// Endpoints that have to wait, with the reason.
     pub blocked: Vec<(EndpointId, Blocked)>,
 }
 
-/// Follows one model's rollout.
+/// Rollout state of one model.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Rollout {
     pub(super) from: Option<WeightVersion>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Returns the version that endpoints are to go to, or nothing where they stay as they are.
+    /// Returns the version that endpoints are to load, or `None` if they stay as they are.
     pub(super) fn target(&self) -> Option<&WeightVersion> {
         match self.phase {
             RolloutPhase::Running | RolloutPhase::Done => Some(&self.to),
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Counts a failure; from `max` on nothing more goes to the new version.
+    /// Counts a failed load. At `max` failures a running rollout goes back to the previous version,
+    /// or stops if there is none.
     pub(super) fn fail(&mut self, max: u32) {
         self.failures += 1;
         let is_running = self.phase == RolloutPhase::Running;
@@ -96,7 +98,7 @@
         };
     }
 
-    /// Notes whether every endpoint reports the target.
+    /// Updates the state by whether all endpoints report the target version.
     pub(super) fn note_complete(&mut self, is_complete: bool) {
         self.phase = match (self.phase, is_complete) {
             (RolloutPhase::Running, true) => RolloutPhase::Done,
--- a/crates/wisteriahitch-core/src/fleet/orders/wanted_state.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/wanted_state.rs
@@ -1,4 +1,4 @@
-//! What the configuration wants of every endpoint.
+//! State of the endpoints that the configuration asks for.
 
 use std::collections::BTreeMap;
 
@@ -6,37 +6,38 @@
 use wisteriahitch_config::{Configuration, Service, ServiceKind};
 use wisteriahitch_types::{AdapterName, EndpointId, ModelName, ServiceName, WeightVersion};
 
-/// Holds what is wanted of every endpoint that takes orders.
+/// Wanted state of all endpoints that accept orders.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WantedState {
-    /// Endpoints by name.
+    /// Wanted state by endpoint.
     pub endpoints: BTreeMap<EndpointId, WantedEndpoint>,
-    /// Most loads at once at the site.
+    /// Maximum number of concurrent loads at the site.
     pub rollout_parallel: u32,
 }
 
-/// Holds what is wanted of one endpoint.
+/// Wanted state of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WantedEndpoint {
-    /// Service that it belongs to, whose name is its role.
+    /// Service that the endpoint belongs to; its name is the endpoint's role.
     pub service: ServiceName,
-    /// Models that it is to hold.
+    /// Models that the endpoint is to load.
     pub models: Vec<WantedModel>,
 }
 
-/// Holds one model that is wanted.
+/// Wanted state of one model on an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WantedModel {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version.
+    /// Weight version.
     pub weight_version: WeightVersion,
-    /// Adapters.
+    /// Adapters to load.
     pub adapters: Vec<AdapterName>,
 }
 
 impl WantedState {
-    /// Reads the wanted state from a configuration; plain services take no orders.
+    /// Derives the wanted state from a configuration. Endpoints of plain services accept no orders
+    /// and are omitted.
     pub fn from_configuration(configuration: &Configuration) -> Self {
         let engines = configuration
             .services
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Returns the wanted version of every model.
+    /// Returns the wanted version of each model.
     pub(super) fn versions(&self) -> BTreeMap<&ModelName, &WeightVersion> {
         let models = self.endpoints.values().flat_map(|wanted| &wanted.models);
         models
@@ -61,7 +62,7 @@
             .collect()
     }
 
-    /// Returns the endpoints that are to hold a model.
+    /// Returns the endpoints that are to load a model.
     pub(super) fn holders<'a>(
         &'a self,
         model: &'a ModelName,
--- a/crates/wisteriahitch-core/src/fleet/rendezvous.rs
+++ b/crates/wisteriahitch-core/src/fleet/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Rendezvous hash: who of many is responsible, without anybody being asked.
+//! Rendezvous hashing: assigns a subject to one of many candidates without coordination.
 
 use xxhash_rust::xxh3::Xxh3;
 
 const UNIT_BITS: u32 = 53;
 
-/// Ranks candidates for a subject by hash, so that all daemons with the same view agree, and a
-/// candidate that goes away moves only its own subjects.
+/// Ranks candidates for a subject by hash. All daemons with the same candidates agree on the
+/// ranking, and removing a candidate moves only the subjects that were assigned to it.
 ///
 /// ```
 /// use wisteriahitch_core::fleet::Rendezvous;
@@ -20,7 +20,8 @@
 }
 
 impl Rendezvous {
-    /// Ranks for `subject`, under a `purpose` that keeps the uses apart from each other.
+    /// Creates a ranking for `subject`. `purpose` separates the rankings of different uses from
+    /// each other.
     pub fn new(purpose: &str, subject: &str) -> Self {
         let mut base = Xxh3::new();
         base.update(purpose.as_bytes());
@@ -30,21 +31,22 @@
         Self { base }
     }
 
-    /// Returns the score of a candidate; the highest one is responsible.
+    /// Returns the score of a candidate; the candidate with the highest score is responsible.
     pub fn score(&self, candidate: &[u8]) -> u64 {
         let mut hasher = self.base.clone();
         hasher.update(candidate);
         hasher.digest()
     }
 
-    /// Returns a score in which a candidate of twice the `weight` wins twice as often; lower wins.
+    /// Returns a score under which a candidate of twice the `weight` wins twice as often; the
+    /// lowest score wins.
     pub fn weighted_score(&self, candidate: &[u8], weight: f64) -> f64 {
         let steps = (self.score(candidate) >> (u64::BITS - UNIT_BITS)) as f64;
         let uniform = (steps + 0.5) / (1_u64 << UNIT_BITS) as f64;
         -uniform.ln() / weight.max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the candidate that is responsible.
+    /// Returns the responsible candidate, or `None` if there are no candidates.
     pub fn first<'a, T>(&self, candidates: &'a [T], name: impl Fn(&T) -> &[u8]) -> Option<&'a T> {
         candidates.iter().max_by_key(|item| self.score(name(item)))
     }
