--- a/crates/wisteriahitch-core/tests/all/fleet.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! What the tests of the fleet share.
+//! Helpers shared by the fleet tests.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -7,13 +7,13 @@
 };
 use wisteriahitch_types::{ConfigVersion, Incarnation, TimeUs};
 
-/// Seed of every generated run of the fleet, so that a failure comes back.
+/// Seed of all generated runs of the fleet tests, so that failures are reproducible.
 pub(crate) const SEED: u64 = 0x5eed;
 
-/// Zones of the daemons by turns.
+/// Availability zones, assigned to the daemons round-robin.
 pub(crate) const ZONES: [&str; 3] = ["colombo-a", "colombo-b", "negombo-c"];
 
-/// Builds daemon number `index` in its life number `life`; both together give the incarnation.
+/// Builds daemon `index` after `life` restarts; the two numbers determine the incarnation.
 pub(crate) fn member(index: u16, life: u64) -> Member {
     let address = |port: u16| ([127, 0, 0, 1], port).into();
     Member {
@@ -38,7 +38,7 @@
     Incarnation::new(1 + u64::from(index) + life * 100_000)
 }
 
-/// Builds the membership of daemon `index`, which knows the first daemon's address alone.
+/// Builds the membership of daemon `index`, which knows only the address of daemon 0.
 pub(crate) fn membership(index: u16, life: u64) -> Membership {
     let settings = MembershipSettings {
         seeds: vec![member(0, 0).addresses.peer],
@@ -52,7 +52,7 @@
     )
 }
 
-/// Builds the membership of daemon 0 that knows the daemons below `count`.
+/// Builds the membership of daemon 0, which knows all daemons below `count`.
 pub(crate) fn membership_of(count: u16) -> Membership {
     let mut members = membership(0, 0);
     for index in 1..count {
@@ -62,7 +62,8 @@
     members
 }
 
-/// Builds the membership of daemon `index` in its life `life` that knows all of `count` daemons.
+/// Builds the membership of daemon `index`, which knows all daemons. `lives` has the number of
+/// restarts of each daemon.
 pub(crate) fn full_membership(index: u16, lives: &[u64]) -> Membership {
     let mut members = membership(index, lives[usize::from(index)]);
     for (other, life) in lives.iter().enumerate() {
--- a/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
@@ -1,4 +1,5 @@
-//! A configuration in force never reverts, whatever dies, is lost or comes late.
+//! Tests of configuration replication: the version in force never reverts, whatever daemons crash
+//! and whatever messages are lost or late.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
 const DAEMONS: usize = 5;
 const STEP_US: DurationUs = DurationUs::from_ms(250);
 
-/// A message under way, or an answer that is still to come.
+/// A message in flight, or an answer that is still to come.
 #[derive(Clone)]
 enum Flight {
     Event(usize, u64, ConfigEvent),
@@ -27,7 +28,7 @@
 }
 
 impl Flight {
-    /// Returns the daemons that have to run for it to land.
+    /// Returns the daemons that must be running for the delivery.
     fn waits_for(&self) -> impl Iterator<Item = usize> + use<> {
         let (a, b) = match self {
             Flight::Event(index, ..) | Flight::Read(index, ..) => (*index, *index),
@@ -41,13 +42,14 @@
     replica: ConfigReplica,
     members: Membership,
     is_up: bool,
-    /// Whether the process is paused: whatever is sent to it waits.
+    /// Whether the process is paused; messages to it wait.
     is_frozen: bool,
-    /// Highest version that was in force in any life, if peers held it then.
+    /// Highest version that this daemon, over all its restarts, had in force while peers had stored
+    /// it.
     highest: Option<ConfigVersion>,
 }
 
-/// Five daemons, one store and a network that loses, repeats and reorders.
+/// Five daemons, a store, and a network that loses, repeats and reorders messages.
 struct Site {
     nodes: Vec<Node>,
     lives: Vec<u64>,
@@ -208,8 +210,8 @@
             "in force before any peer held it"
         );
         if highest.is_some_and(|highest| version < highest) {
-            // The written bound: it may only happen while the store is away and every daemon
-            // that holds the higher version has died with it or can't be reached.
+            // The documented limit: a version may revert only while the store is unavailable and
+            // every daemon with the higher version has crashed or cannot be reached.
             let holder = (0..DAEMONS).find(|other| {
                 let other_node = &self.nodes[*other];
                 *other != index
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Carries one flight; an answer to one who has died since goes nowhere.
+    /// Delivers one message; an answer to a daemon that has crashed since is dropped.
     fn land(&mut self, flight: Flight) {
         let is_here = |site: &Self, index: usize, life: u64| {
             site.nodes[index].is_up && site.lives[index] == life
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Lets time pass so often, and everything land that is under way.
+    /// Advances the time `count` times and delivers all messages in flight after each step.
     fn pass_rounds(&mut self, count: usize) {
         for _ in 0..count {
             self.pass();
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Lets time pass; the news of probes goes along.
+    /// Advances the time by one step and exchanges the updates that probes carry.
     fn pass(&mut self) {
         self.now = self.now + STEP_US;
         for index in 0..DAEMONS {
@@ -437,18 +439,16 @@
 prop_state_machine! {
     #![proptest_config(generated(200, SEED))]
 
-    /// Symptom: rules that were in force are replaced by older ones.
-    /// Sequence: versions are accepted while daemons die and start, the store goes away, and
-    /// messages are lost, repeated and reordered.
-    /// Cause: a daemon takes the version of whoever it hears first.
+    /// Failure: rules in force are replaced by older ones. Versions are accepted while daemons
+    /// crash and restart, the store is unavailable and messages are lost, repeated or reordered,
+    /// and a daemon accepts the version of the first peer that answers.
     #[test]
     fn a_version_in_force_never_reverts(sequential 1..120 => Replicas);
 }
 
-/// Symptom: the accepted version 2 is replaced by version 1.
-/// Sequence: one daemon is paused while the others put 2 in force; the store goes away; another
-/// daemon dies and starts again, and the paused one goes on and answers it first.
-/// Cause: the first answer is taken for the highest.
+/// Failure: the accepted version 2 is replaced by version 1. One daemon is paused while the others
+/// put version 2 in force, and then the store becomes unavailable. Another daemon restarts, the
+/// paused one resumes and answers it first, and the first answer is taken for the highest version.
 #[test]
 fn a_start_in_an_outage_takes_the_highest_version_of_the_peers() {
     let mut site = Site::new();
@@ -465,7 +465,7 @@
     site.kill(0);
     site.nodes[3].is_frozen = false;
     site.start(0);
-    // Only what goes between the two lands, until nothing more goes.
+    // Deliver only the messages between these two daemons, until there are no more.
     let is_between =
         |flight: &Flight| matches!(flight, Flight::Pull(0, _, 3, ..) | Flight::Event(0, ..));
     while let Some(place) = site.flights.iter().position(is_between) {
@@ -478,9 +478,8 @@
     site.assert_all_have(ConfigVersion::new(2));
 }
 
-/// Symptom: a daemon without any configuration is listed and refuses every caller.
-/// Sequence: all daemons start while the store is away.
-/// Cause: neither the store nor a peer holds anything.
+/// Failure: a daemon without a configuration is listed and refuses every caller. All daemons start
+/// while the store is unavailable, so neither the store nor a peer provides a version.
 #[test]
 fn without_store_and_peers_nothing_is_in_force() {
     let mut site = Site::new();
@@ -498,9 +497,8 @@
     site.assert_all_have(ConfigVersion::new(1));
 }
 
-/// Symptom: an accepted version is never put in force at a lone daemon.
-/// Sequence: peers are known but none answers a push.
-/// Cause: waiting for holders without a bound.
+/// Failure: an accepted version is never put in force at an isolated daemon. Peers are known but
+/// none answers a push, and the wait for holders has no limit.
 #[test]
 fn a_version_is_put_in_force_although_no_peer_answers() {
     let mut replica = ConfigReplica::new(ConfigSettings::default());
@@ -523,9 +521,8 @@
     assert_eq!(replica.holders(&members).daemons, 0);
 }
 
-/// Symptom: one damaged object takes a whole site's rules away.
-/// Sequence: a version is in force; the next one's section, head or content is damaged.
-/// Cause: what the platform gives isn't what was accepted.
+/// Failure: one corrupt object removes the rules of a whole site. A version is in force, and the
+/// section, head or content of the next one differs from what was accepted.
 #[test]
 fn a_corrupt_object_leaves_the_last_good_version_in_force() {
     let mut site = Site::new();
@@ -594,10 +591,9 @@
     }
 }
 
-/// Symptom: a submission is accepted, but a workspace in it never comes in force.
-/// Sequence: an operator submits a workspace whose id has the greatest length.
-/// Cause: the head's own type for section names counted the prefix into the bound, so the section
-/// had no name there and was left out.
+/// Failure: a submission is accepted but a workspace in it never comes into force. The head's type
+/// for section names counted the prefix towards the length limit, so a workspace with an id of
+/// maximum length had no valid section name and was omitted.
 #[test]
 fn a_head_names_a_workspace_of_the_longest_id() {
     let id = "w".repeat(128);
--- a/crates/wisteriahitch-core/tests/all/fleet_drain.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_drain.rs
@@ -1,4 +1,4 @@
-//! A daemon that shuts down cuts off nobody.
+//! Tests of graceful shutdown: no caller is cut off.
 
 use wisteriahitch_core::fleet::{Drain, DrainPhase, OpenWork};
 use wisteriahitch_types::{DurationUs, TimeUs};
@@ -44,9 +44,8 @@
     },
 ];
 
-/// Symptom: callers meet a closed port at each restart.
-/// Sequence: a daemon is told to stop while callers still hold its address, requests or tickets.
-/// Cause: it exits as soon as it has nothing to do at the moment.
+/// Failure: callers get connection errors at each restart. A daemon is stopped while callers still
+/// hold its address, requests or tickets, and exits as soon as it is idle.
 #[test]
 fn a_daemon_stays_until_nobody_needs_it() {
     for case in CASES {
--- a/crates/wisteriahitch-core/tests/all/fleet_leases.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_leases.rs
@@ -1,4 +1,5 @@
-//! Orders of two daemons never overlap, whatever is lost, late or paused.
+//! Tests of leases: orders of two daemons never overlap, whatever messages are lost or late and
+//! whatever daemons are paused.
 
 use std::collections::BTreeMap;
 
@@ -40,7 +41,7 @@
     Event(usize, LeaseEvent),
 }
 
-/// One order as it went out, in the site's time.
+/// One order that was sent, with times of the site's clock.
 #[derive(Clone, Copy, Debug)]
 struct SentOrder {
     daemon: usize,
@@ -52,7 +53,7 @@
 struct Node {
     leases: LeaseTable,
     members: Membership,
-    /// What this daemon's clock is ahead of the site's time.
+    /// How far this daemon's clock is ahead of the site's clock.
     ahead_us: u64,
     is_frozen: bool,
 }
@@ -67,7 +68,7 @@
 }
 
 impl Site {
-    /// Starts and runs until a daemon holds the lease, which is returned too.
+    /// Runs a new site until a daemon holds the lease; returns the site and the holder.
     fn with_holder() -> (Self, usize) {
         let mut site = Self::new();
         site.run(5_000);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Tells the sender that its write's answer is lost, while the write itself is still under way.
+    /// Reports a lost answer to the sender of a write while the write itself is still in flight.
     fn delay(&mut self, place: usize) {
         if let Flight::Write(index, object, _) = &self.flights[place] {
             let event = LeaseEvent::WriteFailed {
@@ -302,7 +303,7 @@
     type Reference = Reference;
 
     fn init_test((): &()) -> Site {
-        // Each daemon believes itself alone at first, so that all of them contend.
+        // Each daemon suspects all others at first, so that all of them contend for the lease.
         let mut site = Site::new();
         for index in 0..DAEMONS {
             site.leave_alone(index);
@@ -319,7 +320,7 @@
             Step::Land(place) if count > 0 => site.land(place % count, false),
             Step::LoseAnswer(place) if count > 0 => site.land(place % count, true),
             Step::Delay(place) if count > 0 => site.delay(place % count),
-            // A frozen daemon that goes on gives its order before any timer has fired.
+            // A paused daemon that resumes gives its order before any timer has fired.
             Step::Order(index) => {
                 let _ = site.order(index);
             }
@@ -357,17 +358,17 @@
 prop_state_machine! {
     #![proptest_config(generated(300, SEED))]
 
-    /// Symptom: two daemons give an endpoint contradicting orders at the same time.
-    /// Sequence: writes and answers are lost or late, daemons pause, and views of membership
-    /// differ, while each that believes it holds the lease gives orders.
-    /// Cause: a lease that is held by the memory of one and by the clock of another.
+    /// Failure: two daemons give an endpoint contradicting orders at the same time. Writes and
+    /// answers are lost or late, daemons are paused, and membership views differ, while every
+    /// daemon that believes that it holds the lease gives orders. The lease is held by one daemon's
+    /// state but expires by another daemon's clock.
     #[test]
     fn orders_of_two_holders_never_overlap(sequential 1..200 => Leases);
 }
 
-/// Symptom: a daemon gives an order under a lease that another one holds by now.
-/// Sequence: the holder is paused for longer than its term and goes on in the middle of its work.
-/// Cause: its timers haven't run, so nothing has told it that the lease lapsed.
+/// Failure: a daemon gives an order under a lease that another daemon holds by now. The holder is
+/// paused for longer than its term and resumes in the middle of its work, before its timers could
+/// expire the lease.
 #[test]
 fn a_paused_holder_gives_no_order() {
     let (mut site, holder) = Site::with_holder();
@@ -376,9 +377,8 @@
     assert_eq!(site.order(holder), Err(Code::LeaseLapsed));
 }
 
-/// Symptom: orders go on although nobody can say who holds the lease.
-/// Sequence: the store goes away while the lease is held.
-/// Cause: without renewals the term runs out.
+/// Failure: orders continue although the holder of the lease is unknown. The store becomes
+/// unavailable while the lease is held, so it is not renewed and its term ends.
 #[test]
 fn without_the_store_orders_end_with_the_term() {
     let (mut site, holder) = Site::with_holder();
@@ -404,9 +404,8 @@
     assert!(site.order(holder).is_ok());
 }
 
-/// Symptom: an order outlives the lease under which it was given.
-/// Sequence: an order is given shortly before the term ends.
-/// Cause: a time-out that doesn't look at what is left.
+/// Failure: an order outlives its lease. It is given shortly before the term ends, with a timeout
+/// that ignores the remaining term.
 #[test]
 fn an_order_gets_less_time_than_the_lease_has_left() {
     let (mut site, holder) = Site::with_holder();
@@ -447,9 +446,9 @@
     },
 ];
 
-/// Symptom: a daemon holds a lease and doesn't know, or believes to hold one that it lacks.
-/// Sequence: the answer to the write that takes the lease is lost; the object is read back.
-/// Cause: a lost answer says nothing about the write.
+/// Failure: a daemon holds a lease without knowing it, or believes that it holds one that it does
+/// not. The answer to the acquiring write is lost, which does not tell whether the write took
+/// effect; only reading the object back does.
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
     for case in LOSS_CASES {
@@ -499,8 +498,8 @@
     assert!(settings.order_timeout_us + settings.margin_us < DurationUs::from_ms(10_000));
 }
 
-/// Returns the daemon that all agree on, after it has read that there is no object yet and sent
-/// the write that takes the lease.
+/// Returns the responsible daemon after it has read that there is no object yet and has sent the
+/// acquiring write.
 fn first_write(site: &mut Site) -> usize {
     let members = &site.nodes[0].members;
     let responsible = LeaseTable::responsible(&site.group, members);
@@ -514,9 +513,9 @@
     index
 }
 
-/// Symptom: two daemons hold the lease at once.
-/// Sequence: the write takes effect at once, but its answer comes 14 seconds later.
-/// Cause: the term is counted from the answer, while the others count from the write.
+/// Failure: two daemons hold the lease at the same time. A write takes effect immediately but its
+/// answer arrives 14 seconds later, and the term is counted from the answer, while the other daemons
+/// count it from the write.
 #[test]
 fn the_term_counts_from_the_sending_of_the_write() {
     let mut site = Site::new();
@@ -530,10 +529,9 @@
     assert_eq!(site.order(index), Err(Code::LeaseLapsed));
 }
 
-/// Symptom: two daemons hold the lease at once.
-/// Sequence: a write is slow, is read back without effect and given up; a second one is sent; then
-/// the first one takes effect and is answered.
-/// Cause: the answer counts for the second write, whose term began later.
+/// Failure: two daemons hold the lease at the same time. A slow write is abandoned because a read
+/// shows no effect, and a second write is sent. Then the first one takes effect and is answered, and
+/// the answer is counted for the second write, whose term began later.
 #[test]
 fn an_answer_to_an_earlier_write_counts_for_nothing() {
     let mut site = Site::new();
@@ -556,9 +554,9 @@
     );
 }
 
-/// Symptom: an order of the holder before arrives after one of the new holder.
-/// Sequence: a holder is no longer responsible while its order is under way.
-/// Cause: it gives the lease up, and a released lease is taken without a wait.
+/// Failure: an order of the previous holder arrives after an order of the new one. A holder is no
+/// longer responsible while its order is in progress; it releases the lease, and a released lease is
+/// acquired without a wait.
 #[test]
 fn a_lease_is_not_released_while_an_order_is_under_way() {
     let (mut site, holder) = Site::with_holder();
@@ -577,9 +575,8 @@
     assert_eq!(object_holder(&site), None);
 }
 
-/// Symptom: an order of the holder before arrives after one of the new holder.
-/// Sequence: an order is given up at once and counts as done; the lease is given up.
-/// Cause: an order that nobody waits for any more may still be on its way.
+/// Failure: an order of the previous holder arrives after an order of the new one. The order was
+/// abandoned and counted as done, and the lease was released, but the order may still be in transit.
 #[test]
 fn a_lease_is_not_released_right_after_an_order() {
     let (mut site, holder) = Site::with_holder();
@@ -594,9 +591,9 @@
     assert!(!is_held(&site));
 }
 
-/// Symptom: an order of the holder before arrives after one of the new holder.
-/// Sequence: the holder is paused right after an order; its lease runs out and another takes it.
-/// Cause: the new holder begins at once.
+/// Failure: an order of the previous holder arrives after an order of the new one. The holder is
+/// paused right after an order, its lease expires, and the daemon that acquires it gives orders
+/// immediately.
 #[test]
 fn a_new_holder_waits_for_the_orders_before() {
     let (mut site, before) = Site::with_holder();
--- a/crates/wisteriahitch-core/tests/all/fleet_membership.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_membership.rs
@@ -1,4 +1,4 @@
-//! Membership converges, bounds its bytes and lists the right addresses.
+//! Tests of membership: it converges, limits its traffic and lists the right addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,18 +12,18 @@
 use crate::fleet::{SEED, ZONES, incarnation, member, membership, membership_of};
 use crate::generated::generated;
 
-/// Twice `max_round_news_bytes`, which nothing exceeds.
+/// Twice `max_round_news_bytes`: the limit that is never exceeded.
 const HARD_ROUND_BYTES: usize = 4_096;
 const ROUND_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Daemons whose probes are carried at once, without a network of their own.
+/// Daemons connected by a simulated network that delivers probes immediately.
 struct Fleet {
     nodes: BTreeMap<u16, Membership>,
     lives: BTreeMap<u16, u64>,
-    /// Pairs that can't reach each other.
+    /// Pairs of daemons that cannot reach each other.
     cut: BTreeSet<(u16, u16)>,
     now: TimeUs,
-    /// Bytes of news that each has sent since its own last round.
+    /// Bytes of updates that each daemon has sent since its last round.
     sent: BTreeMap<u16, usize>,
     most_round_bytes: usize,
 }
@@ -145,7 +145,7 @@
         Some((node.me().incarnation, news))
     }
 
-    /// Returns whether every daemon lists exactly the running ones as alive.
+    /// Returns whether every daemon lists exactly the running daemons as alive.
     fn has_converged(&self) -> bool {
         let running: BTreeSet<Incarnation> =
             self.nodes.values().map(|n| n.me().incarnation).collect();
@@ -178,9 +178,8 @@
     }
 }
 
-/// Symptom: callers are sent to a daemon that has died.
-/// Sequence: a daemon is killed without a word; the others go on probing.
-/// Cause: nobody tells of a crash; only unanswered probes show it.
+/// Failure: callers are sent to a crashed daemon. A crash is not announced; only unanswered probes
+/// reveal it.
 #[test]
 fn a_killed_daemon_leaves_every_list() {
     let mut fleet = Fleet::new(9);
@@ -194,9 +193,9 @@
     }
 }
 
-/// Symptom: a ticket of a dead daemon is asked for at its successor.
-/// Sequence: a daemon dies and another one starts at its address before anybody noticed.
-/// Cause: the address answers probes, but as another incarnation.
+/// Failure: a ticket of a crashed daemon is looked up at its successor. A daemon crashes and
+/// another one starts at its address before the crash is detected, so the address still answers
+/// probes, but with another incarnation.
 #[test]
 fn a_successor_at_the_same_address_replaces_the_dead_incarnation() {
     let mut fleet = Fleet::new(6);
@@ -209,9 +208,8 @@
     assert_eq!(known.incarnation, incarnation(3, 1));
 }
 
-/// Symptom: after a partition heals, each half goes on without the other.
-/// Sequence: two halves lose each other until each believes the other dead; the cut ends.
-/// Cause: nobody probes the dead, and the dead can't refute what they don't hear.
+/// Failure: after a partition heals, the two halves stay separate. Each half believes the other
+/// dead, dead members are not probed, and they cannot refute updates that they do not receive.
 #[test]
 fn halves_find_each_other_after_a_partition() {
     let mut fleet = Fleet::new(8);
@@ -224,9 +222,8 @@
     assert!(fleet.run_until_converged(60));
 }
 
-/// Symptom: a healthy daemon is thrown out because one other can't reach it.
-/// Sequence: one link is cut; the prober asks others, who reach the daemon.
-/// Cause: a failed probe may be the prober's own link.
+/// Failure: a healthy daemon is removed because one peer cannot reach it. The failed probe is
+/// caused by the prober's own link; other peers still reach the daemon.
 #[test]
 fn one_broken_link_raises_no_suspicion() {
     let mut fleet = Fleet::new(6);
@@ -262,9 +259,9 @@
         .unwrap();
 }
 
-/// Symptom: control traffic grows with the fleet until it crowds out callers.
-/// Sequence: a large fleet starts at once, and then a zone of it dies at once.
-/// Cause: there is news of every member at the same time.
+/// Failure: control traffic grows with the fleet until it displaces callers' traffic. A large fleet
+/// starts at once and then a whole zone dies at once, so there are updates about all members at the
+/// same time.
 #[test]
 fn bytes_of_a_round_stay_bounded() {
     let mut fleet = Fleet::new(120);
@@ -339,9 +336,8 @@
     }
 }
 
-/// Symptom: all callers come to one daemon at the same moment.
-/// Sequence: many callers ask for entries at once and use the first.
-/// Cause: an order that is the same for everybody.
+/// Failure: all callers connect to the same daemon. Many callers request entries at the same time
+/// and use the first one of a list whose order is the same for everyone.
 #[test]
 fn entries_are_spread_by_zone_and_load() {
     let mut members = membership_of(6);
@@ -357,7 +353,7 @@
         *firsts.entry(entries[0].incarnation).or_default() += 1;
     }
     let count = |index| firsts.get(&incarnation(index, 0)).copied().unwrap_or(0);
-    // Daemons 0 and 3 are in the caller's zone, 3 is busy, 1 is elsewhere and idle.
+    // Daemons 0 and 3 are in the caller's zone, 3 is busy; 1 is in another zone and idle.
     assert!(count(0) > 2 * count(1), "{firsts:?}");
     assert!(count(1) > count(3), "{firsts:?}");
     assert!(firsts.len() == 6, "{firsts:?}");
--- a/crates/wisteriahitch-core/tests/all/fleet_orders.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_orders.rs
@@ -1,4 +1,5 @@
-//! Rollouts load a few at a time, keep enough ready, and go back on failure.
+//! Tests of order planning: rollouts load a few endpoints at a time, keep enough of them ready, and
+//! roll back on failure.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +15,7 @@
 use crate::fleet::SEED;
 use crate::generated::generated;
 
-/// Runners that load in two steps of time.
+/// Simulated runners whose loads take two time steps.
 struct Site {
     wanted: WantedState,
     reports: BTreeMap<EndpointId, EndpointReport>,
@@ -199,9 +200,8 @@
     assert_eq!(site.progress().done, 9);
 }
 
-/// Symptom: a broken version takes a whole site out of service.
-/// Sequence: loading the new version fails at runner after runner.
-/// Cause: nobody stops the rollout.
+/// Failure: a broken version takes a whole site out of service. Loading it fails at one runner
+/// after another and the rollout is not stopped.
 #[test]
 fn a_rollout_that_fails_stops_and_goes_back() {
     let mut site = Site::new(6, "v1");
@@ -219,9 +219,8 @@
     assert_eq!(site.versions(), BTreeSet::from(["v3".to_owned()]));
 }
 
-/// Symptom: runners that went to the broken version stay there.
-/// Sequence: some runners load the new version; then loading it fails elsewhere.
-/// Cause: a stop alone leaves the site in two versions.
+/// Failure: runners that loaded a broken version keep it. Some runners load the new version before
+/// loading fails at others, and stopping the rollout alone leaves the site with two versions.
 #[test]
 fn runners_that_had_the_new_version_go_back_too() {
     let mut site = Site::new(6, "v1");
@@ -324,9 +323,9 @@
     }
 }
 
-/// Symptom: an endpoint that ignores fencing numbers ends with an older order's version.
-/// Sequence: a late order of the holder before runs after ours was reported once.
-/// Cause: one report that agrees is taken for the end.
+/// Failure: an endpoint that ignores fencing numbers ends with the version of an older order. A
+/// late order of the previous holder is executed after one report has confirmed the new order, and
+/// a single confirming report is taken as final.
 #[test]
 fn one_agreeing_report_is_not_enough() {
     let mut site = Site::new(1, "v1");
@@ -399,9 +398,8 @@
     expect_test::expect![[r#"{"model":"hist-7b","from":"v1","to":"v2","phase":"running","total":2,"done":0,"loading":["runner-0"],"failures":0,"blocked":[["runner-1","first_not_confirmed"]]}"#]].assert_eq(&text);
 }
 
-/// Symptom: a rollout stands still although runners wait for it.
-/// Sequence: the first runner in the list is needed for the load; others could go.
-/// Cause: the right to load stays with the owner of the one that can't.
+/// Failure: a rollout stalls although runners could load. The first runner in the list is needed
+/// for the current load, and the right to load stays with the owner of that runner.
 #[test]
 fn the_next_to_load_can_be_spared() {
     let mut site = Site::new(3, "v1");
--- a/crates/wisteriahitch-core/tests/all/fleet_submission.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_submission.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a submission is true, whatever is lost.
+//! Tests of submissions: the reported outcome is true, whatever messages are lost.
 
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -12,17 +12,17 @@
 use crate::fleet::SEED;
 use crate::generated::generated;
 
-/// What the store does with the next call.
+/// Behaviour of the store for the next call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fate {
     Answer,
-    /// The call takes effect and the answer is lost.
+    /// The call takes effect and its answer is lost.
     LoseAnswer,
-    /// The call takes effect later, after what comes next.
+    /// The call takes effect later, after the following calls.
     Delay,
     /// The call has no effect.
     Refuse,
-    /// Another operator's submission goes before it.
+    /// Another operator's submission is accepted before the call.
     Race,
 }
 
@@ -126,11 +126,10 @@
     history.filter(|entry| entry.submission == *id).count()
 }
 
-/// Symptom: an operator is told `not accepted` of a submission that is in force, or submits it
-/// twice.
-/// Sequence: answers are lost, updates arrive late, others win in between; the operator submits
-/// again with the same id.
-/// Cause: a lost answer says nothing about the update.
+/// Failure: an operator is told that a submission in force was not accepted, or a submission is
+/// accepted twice. Answers are lost, updates arrive late, other submissions are accepted in
+/// between, and the operator submits again with the same id. A lost answer does not tell whether
+/// the update took effect.
 #[test]
 fn generated_losses_and_races_are_told_truthfully() {
     let fate = prop_oneof![
