--- a/crates/wisteriahitch-core/src/fleet/configuration/config_event.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_event.rs
@@ -68,7 +68,8 @@
 pub struct PushAnswer {
     /// Highest version that the peer has completely. The push is acknowledged if this is not lower
     /// than the pushed version.
-    pub held_version: ConfigVersion,
+    #[serde(rename = "held_version")]
+    pub stored_version: ConfigVersion,
     /// Sections of the pushed version that the peer still needs.
     pub missing: Vec<SectionHash>,
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/config_replica.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_replica.rs
@@ -5,11 +5,11 @@
 use wisteriahitch_config::{Section, SectionHash};
 use wisteriahitch_types::{Code, ConfigVersion, Incarnation, TimeUs};
 
-use super::phase::{PhaseEvent, PhaseMachine, PhaseTurn};
+use super::phase::{PhaseContext, PhaseEvent, PhaseMachine};
 use super::replication::Replication;
 use super::{
     ConfigCommand, ConfigEvent, ConfigPhase, ConfigSettings, ConfigTable, HeadChange, HeadObject,
-    Holders, PullAnswer, PushAnswer,
+    HolderCounts, PullAnswer, PushAnswer,
 };
 use crate::fleet::Membership;
 
@@ -21,10 +21,10 @@
     pub(super) settings: ConfigSettings,
     pub(super) table: ConfigTable,
     pub(super) phase: StateMachine<PhaseMachine>,
-    pub(super) turn: PhaseTurn,
+    pub(super) phase_context: PhaseContext,
     pub(super) is_watching: bool,
-    pub(super) heard_at_us: TimeUs,
-    pub(super) asked_at_us: TimeUs,
+    pub(super) last_contact_at_us: TimeUs,
+    pub(super) last_request_at_us: TimeUs,
     pub(super) commands: Vec<ConfigCommand>,
 }
 
@@ -35,10 +35,10 @@
             settings,
             table: ConfigTable::default(),
             phase: PhaseMachine.state_machine(),
-            turn: PhaseTurn::default(),
+            phase_context: PhaseContext::default(),
             is_watching: false,
-            heard_at_us: TimeUs::ZERO,
-            asked_at_us: TimeUs::ZERO,
+            last_contact_at_us: TimeUs::ZERO,
+            last_request_at_us: TimeUs::ZERO,
             commands: Vec::new(),
         }
     }
@@ -53,20 +53,22 @@
         match event {
             ConfigEvent::Restart => self.restart(now, members),
             ConfigEvent::Tick => self.tick(now, members),
-            ConfigEvent::StoreHead(head) => self.store_answered(head, now),
+            ConfigEvent::StoreHead(head) => self.handle_store_head(head, now),
             ConfigEvent::StoreFailed => {}
             ConfigEvent::StoreHeadCorrupt => self.report_corrupt(self.table.known_version()),
-            ConfigEvent::SectionRead { hash, text } => self.section_read(hash, text),
+            ConfigEvent::SectionRead { hash, text } => self.handle_section_read(hash, text),
             ConfigEvent::SectionFailed(_) => {}
-            ConfigEvent::PeerHead { from, head } => self.peer_head(from, head, now),
-            ConfigEvent::PeerSections { from: _, sections } => self.sections_pulled(sections),
+            ConfigEvent::PeerHead { from, head } => self.handle_peer_head(from, head, now),
+            ConfigEvent::PeerSections { from: _, sections } => {
+                self.handle_pulled_sections(sections)
+            }
             ConfigEvent::PeerFailed(_) => {}
             ConfigEvent::PeerVersion { from, version } => {
-                self.heard_at_us = now;
-                self.note_holder(from, version, members);
+                self.last_contact_at_us = now;
+                self.record_holder(from, version, members);
             }
             ConfigEvent::PushAnswered { to, answer } => {
-                self.note_holder(to, answer.held_version, members);
+                self.record_holder(to, answer.stored_version, members);
             }
             ConfigEvent::Rejected(version) => self.reject(version),
         }
@@ -84,20 +86,22 @@
         now: TimeUs,
         members: &Membership,
     ) -> (PushAnswer, Vec<ConfigCommand>) {
-        self.heard_at_us = now;
+        self.last_contact_at_us = now;
         if change.version > self.table.known_version() {
-            match change.try_apply(self.table.held.as_ref()) {
-                Some(head) => self.learn(head, Some(from)),
+            match change.try_apply(self.table.stored_head.as_ref()) {
+                Some(head) => self.start_reading(head, Some(from)),
                 None => self.pull_head(from),
             }
         }
-        sections.into_iter().for_each(|s| self.table.keep(s));
+        sections
+            .into_iter()
+            .for_each(|s| self.table.store_section(s));
         self.advance(now, members);
-        self.note_holder(from, change.version, members);
+        self.record_holder(from, change.version, members);
         let missing = self.table.candidate.as_ref();
         let missing = missing.filter(|c| c.head.version == change.version);
         let answer = PushAnswer {
-            held_version: self.table.held_version(),
+            stored_version: self.table.stored_version(),
             missing: missing.map_or(Vec::new(), |c| c.missing.iter().copied().collect()),
         };
         (answer, std::mem::take(&mut self.commands))
@@ -106,11 +110,11 @@
     /// Returns the stored head, if its version is higher than `after`, and the stored ones of the
     /// `wanted` sections.
     pub fn answer_pull(&self, after: ConfigVersion, wanted: &[SectionHash]) -> PullAnswer {
-        let head = self.table.held.clone();
+        let head = self.table.stored_head.clone();
         PullAnswer {
-            version: self.table.held_version(),
+            version: self.table.stored_version(),
             head: head.filter(|head| head.version > after),
-            sections: self.table.find(wanted),
+            sections: self.table.find_sections(wanted),
         }
     }
 
@@ -120,8 +124,8 @@
     }
 
     /// Returns the head of the highest version whose sections are all stored.
-    pub fn held(&self) -> Option<&HeadObject> {
-        self.table.held.as_ref()
+    pub fn stored_head(&self) -> Option<&HeadObject> {
+        self.table.stored_head.as_ref()
     }
 
     /// Returns the current state.
@@ -141,30 +145,35 @@
 
     /// Returns how many other daemons are known to have stored the highest version; reported to
     /// operators.
-    pub fn holders(&self, members: &Membership) -> Holders {
+    pub fn holders(&self, members: &Membership) -> HolderCounts {
         let replication = self.table.replication.as_ref();
-        replication.map_or(Holders::default(), |r| r.holders(members))
+        replication.map_or(HolderCounts::default(), |r| r.holders(members))
     }
 
-    pub(super) fn store_answered(&mut self, head: Option<HeadObject>, now: TimeUs) {
-        self.heard_at_us = now;
+    pub(super) fn handle_store_head(&mut self, head: Option<HeadObject>, now: TimeUs) {
+        self.last_contact_at_us = now;
         if let Some(head) = head {
-            self.learn(head, None);
+            self.start_reading(head, None);
         }
         // The store's answer ends the startup sync: when the head was read, no daemon had a higher
         // version.
-        self.table.gathering = None;
+        self.table.startup_sync = None;
     }
 
-    pub(super) fn peer_head(&mut self, from: Incarnation, head: Option<HeadObject>, now: TimeUs) {
-        self.heard_at_us = now;
+    pub(super) fn handle_peer_head(
+        &mut self,
+        from: Incarnation,
+        head: Option<HeadObject>,
+        now: TimeUs,
+    ) {
+        self.last_contact_at_us = now;
         if let Some(head) = head {
-            self.learn(head, Some(from));
+            self.start_reading(head, Some(from));
         }
     }
 
-    pub(super) fn learn(&mut self, head: HeadObject, source: Option<Incarnation>) {
-        self.table.try_learn(head, source);
+    pub(super) fn start_reading(&mut self, head: HeadObject, source: Option<Incarnation>) {
+        self.table.try_start_reading(head, source);
     }
 
     pub(super) fn reject(&mut self, version: ConfigVersion) {
@@ -183,33 +192,34 @@
     }
 
     pub(super) fn pull_head(&mut self, peer: Incarnation) {
-        let after = self.table.held_version();
+        let after = self.table.stored_version();
         self.commands.push(ConfigCommand::PullHead { peer, after });
     }
 
     /// Performs all steps that are possible now: request missing sections, store a complete
     /// version, replicate it and put it in force.
     pub(super) fn advance(&mut self, now: TimeUs, members: &Membership) {
-        if self.table.gathering.is_some() {
+        if self.table.startup_sync.is_some() {
             return;
         }
         let source = self.table.candidate.as_ref().and_then(|c| c.source);
-        if let Some(version) = self.table.try_hold() {
+        if let Some(version) = self.table.try_store_candidate() {
             self.table.replication = Some(Replication::new(version, now));
-            self.note_known_holders(source, version, members);
+            self.record_known_holders(source, version, members);
             self.dispatch(PhaseEvent::Learn { is_whole: true });
         } else if self.table.candidate.is_some() {
             self.dispatch(PhaseEvent::Learn { is_whole: false });
             self.read_missing(now, members);
         }
-        if std::mem::take(&mut self.turn.wants_replication) || self.is_push_due(now) {
+        if std::mem::take(&mut self.phase_context.should_replicate) || self.is_push_due(now) {
             self.push(now, members);
         }
         self.finish_replication(now, members);
     }
 
     pub(super) fn dispatch(&mut self, event: PhaseEvent) {
-        self.turn.has_version_in_force = self.table.in_force.is_some();
-        self.phase.handle_with_context(&event, &mut self.turn);
+        self.phase_context.has_version_in_force = self.table.in_force.is_some();
+        self.phase
+            .handle_with_context(&event, &mut self.phase_context);
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
@@ -18,22 +18,30 @@
     pub push_fanout: usize,
     /// Number of other availability zones that must have stored a version before it is put in
     /// force.
-    pub wanted_zones: usize,
+    #[serde(rename = "wanted_zones")]
+    pub min_replica_zones: usize,
     /// Maximum wait for these zones; after it the version is put in force without them.
-    pub replicate_wait_us: DurationUs,
+    #[serde(rename = "replicate_wait_us")]
+    pub replication_timeout_us: DurationUs,
     /// Maximum number of peers that a starting daemon asks for their head.
-    pub start_peers: usize,
+    #[serde(rename = "start_peers")]
+    pub max_startup_peers: usize,
     /// How long a starting daemon waits for peers to be discovered and to answer while the store is
     /// unavailable. Also the time between two startup syncs while no configuration is found.
-    pub start_wait_us: DurationUs,
+    #[serde(rename = "start_wait_us")]
+    pub startup_timeout_us: DurationUs,
     /// Additional wait for a peer that is known to have a higher version in force.
-    pub start_ahead_wait_us: DurationUs,
+    #[serde(rename = "start_ahead_wait_us")]
+    pub startup_ahead_timeout_us: DurationUs,
     /// Time between two attempts to read missing data, and between two pushes of a version.
-    pub retry_us: DurationUs,
+    #[serde(rename = "retry_us")]
+    pub retry_interval_us: DurationUs,
     /// Time without messages from peers or the store after which a daemon reads the head itself.
-    pub silence_us: DurationUs,
+    #[serde(rename = "silence_us")]
+    pub silence_timeout_us: DurationUs,
     /// Maximum number of sections in one request.
-    pub max_asked_sections: usize,
+    #[serde(rename = "max_asked_sections")]
+    pub max_requested_sections: usize,
     /// Maximum bytes of sections sent with a push; peers request the rest.
     pub max_push_bytes: usize,
 }
@@ -43,14 +51,14 @@
         Self {
             watchers_per_zone: 2,
             push_fanout: 4,
-            wanted_zones: 2,
-            replicate_wait_us: DurationUs::from_ms(1_000),
-            start_peers: 12,
-            start_wait_us: DurationUs::from_ms(3_000),
-            start_ahead_wait_us: DurationUs::from_ms(30_000),
-            retry_us: DurationUs::from_ms(200),
-            silence_us: DurationUs::from_ms(10_000),
-            max_asked_sections: 256,
+            min_replica_zones: 2,
+            replication_timeout_us: DurationUs::from_ms(1_000),
+            max_startup_peers: 12,
+            startup_timeout_us: DurationUs::from_ms(3_000),
+            startup_ahead_timeout_us: DurationUs::from_ms(30_000),
+            retry_interval_us: DurationUs::from_ms(200),
+            silence_timeout_us: DurationUs::from_ms(10_000),
+            max_requested_sections: 256,
             max_push_bytes: 65_536,
         }
     }
@@ -60,10 +68,11 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ConfigTable {
     /// Head of the highest version whose sections are all stored.
-    pub(super) held: Option<HeadObject>,
+    #[serde(rename = "held")]
+    pub(super) stored_head: Option<HeadObject>,
     /// Head stored before that one; a push sends the difference to it.
     #[serde(skip)]
-    pub(super) held_before: Option<HeadObject>,
+    pub(super) previous_stored_head: Option<HeadObject>,
     /// Version in force.
     pub(super) in_force: Option<ConfigVersion>,
     /// Version that was in force before `in_force`; restored if the latter is rejected.
@@ -73,7 +82,8 @@
     /// Version whose sections are being read.
     pub(super) candidate: Option<Candidate>,
     pub(super) replication: Option<Replication>,
-    pub(super) gathering: Option<Gathering>,
+    #[serde(rename = "gathering")]
+    pub(super) startup_sync: Option<StartupSync>,
     #[serde(skip)]
     pub(super) sections: BTreeMap<SectionHash, Section>,
 }
@@ -85,21 +95,25 @@
     pub(super) missing: BTreeSet<SectionHash>,
     /// Peer that sent the head; `None` if it came from the store.
     pub(super) source: Option<Incarnation>,
-    pub(super) tried_at_us: Option<TimeUs>,
-    pub(super) tries: u32,
+    #[serde(rename = "tried_at_us")]
+    pub(super) last_attempt_at_us: Option<TimeUs>,
+    #[serde(rename = "tries")]
+    pub(super) attempts: u32,
 }
 
 /// Progress of a starting daemon's search for the highest version.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Gathering {
-    pub(super) since_us: TimeUs,
-    pub(super) asked_peers: BTreeSet<Incarnation>,
+pub(super) struct StartupSync {
+    #[serde(rename = "since_us")]
+    pub(super) started_at_us: TimeUs,
+    #[serde(rename = "asked_peers")]
+    pub(super) queried_peers: BTreeSet<Incarnation>,
 }
 
 impl ConfigTable {
     /// Returns the highest version that is stored completely, or 0.
-    pub(super) fn held_version(&self) -> ConfigVersion {
-        self.held
+    pub(super) fn stored_version(&self) -> ConfigVersion {
+        self.stored_head
             .as_ref()
             .map_or(ConfigVersion::new(0), |h| h.version)
     }
@@ -108,11 +122,15 @@
     pub(super) fn known_version(&self) -> ConfigVersion {
         let candidate = self.candidate.as_ref();
         let candidate = candidate.map_or(ConfigVersion::new(0), |c| c.head.version);
-        self.held_version().max(candidate)
+        self.stored_version().max(candidate)
     }
 
     /// Starts reading a version if it is higher than every known one; returns whether it was.
-    pub(super) fn try_learn(&mut self, head: HeadObject, source: Option<Incarnation>) -> bool {
+    pub(super) fn try_start_reading(
+        &mut self,
+        head: HeadObject,
+        source: Option<Incarnation>,
+    ) -> bool {
         if head.version <= self.known_version() {
             return false;
         }
@@ -125,14 +143,14 @@
             head,
             missing,
             source,
-            tried_at_us: None,
-            tries: 0,
+            last_attempt_at_us: None,
+            attempts: 0,
         });
         true
     }
 
     /// Stores a section if the version being read needs it.
-    pub(super) fn keep(&mut self, section: Section) {
+    pub(super) fn store_section(&mut self, section: Section) {
         let Some(candidate) = &mut self.candidate else {
             return;
         };
@@ -143,25 +161,25 @@
 
     /// Allows the next request for sections immediately and from the same source: an answer
     /// contains only as many sections as fit into a message.
-    pub(super) fn continue_reading(&mut self) {
+    pub(super) fn reset_read_attempts(&mut self) {
         if let Some(candidate) = &mut self.candidate {
-            candidate.tried_at_us = None;
-            candidate.tries = 0;
+            candidate.last_attempt_at_us = None;
+            candidate.attempts = 0;
         }
     }
 
     /// Makes the version being read the stored one once no section is missing; returns that
     /// version.
-    pub(super) fn try_hold(&mut self) -> Option<ConfigVersion> {
+    pub(super) fn try_store_candidate(&mut self) -> Option<ConfigVersion> {
         let candidate = self.candidate.take_if(|c| c.missing.is_empty())?;
         let version = candidate.head.version;
-        self.held_before = self.held.replace(candidate.head);
-        self.drop_unused();
+        self.previous_stored_head = self.stored_head.replace(candidate.head);
+        self.remove_unused_sections();
         Some(version)
     }
 
     /// Returns the stored sections with these hashes.
-    pub(super) fn find<'a>(
+    pub(super) fn find_sections<'a>(
         &self,
         hashes: impl IntoIterator<Item = &'a SectionHash>,
     ) -> Vec<Section> {
@@ -169,8 +187,11 @@
         hashes.into_iter().filter_map(find).collect()
     }
 
-    fn drop_unused(&mut self) {
-        let heads = [self.held.as_ref(), self.held_before.as_ref()];
+    fn remove_unused_sections(&mut self) {
+        let heads = [
+            self.stored_head.as_ref(),
+            self.previous_stored_head.as_ref(),
+        ];
         let used: BTreeSet<&SectionHash> = heads
             .into_iter()
             .flatten()
--- a/crates/wisteriahitch-core/src/fleet/configuration/handing_on.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/handing_on.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Membership;
 
 impl ConfigReplica {
-    pub(super) fn note_holder(
+    pub(super) fn record_holder(
         &mut self,
         peer: Incarnation,
         version: ConfigVersion,
@@ -21,17 +21,17 @@
         }
     }
 
-    pub(super) fn note_known_holders(
+    pub(super) fn record_known_holders(
         &mut self,
         source: Option<Incarnation>,
         version: ConfigVersion,
         members: &Membership,
     ) {
         if let Some(source) = source {
-            self.note_holder(source, version, members);
+            self.record_holder(source, version, members);
         }
         for peer in members.peers() {
-            self.note_holder(peer.incarnation, peer.config_version, members);
+            self.record_holder(peer.incarnation, peer.config_version, members);
         }
     }
 
@@ -39,22 +39,23 @@
     pub(super) fn is_push_due(&self, now: TimeUs) -> bool {
         let replication = self.table.replication.as_ref();
         self.phase() == ConfigPhase::Replicating
-            && replication.is_some_and(|r| now.since(r.pushed_at_us) >= self.settings.retry_us)
+            && replication
+                .is_some_and(|r| now.since(r.pushed_at_us) >= self.settings.retry_interval_us)
     }
 
     pub(super) fn push(&mut self, now: TimeUs, members: &Membership) {
-        let Some(head) = &self.table.held else {
+        let Some(head) = &self.table.stored_head else {
             return;
         };
-        let base = self.table.held_before.clone().unwrap_or_default();
+        let base = self.table.previous_stored_head.clone().unwrap_or_default();
         let change = HeadChange::between(&base, head);
         let changed = change.sections.values().flatten();
-        let mut sections = self.table.find(changed);
-        let mut room_bytes = self.settings.max_push_bytes;
+        let mut sections = self.table.find_sections(changed);
+        let mut remaining_bytes = self.settings.max_push_bytes;
         sections.retain(|section| {
             let size = section.text().len();
-            let fits = size <= room_bytes;
-            room_bytes = room_bytes.saturating_sub(if fits { size } else { 0 });
+            let fits = size <= remaining_bytes;
+            remaining_bytes = remaining_bytes.saturating_sub(if fits { size } else { 0 });
             fits
         });
         let Some(replication) = &mut self.table.replication else {
@@ -79,26 +80,27 @@
             return;
         }
         let waited_us = now.since(replication.started_at_us);
-        let is_enough = replication.is_enough(members, self.settings.wanted_zones);
+        let has_enough_holders =
+            replication.has_enough_holders(members, self.settings.min_replica_zones);
         // Unreachable peers must not keep an accepted version out of force forever.
-        if is_enough || waited_us >= self.settings.replicate_wait_us {
+        if has_enough_holders || waited_us >= self.settings.replication_timeout_us {
             self.dispatch(PhaseEvent::Replicated);
             self.dispatch(PhaseEvent::Apply);
         }
-        if std::mem::take(&mut self.turn.wants_apply) {
+        if std::mem::take(&mut self.phase_context.should_apply) {
             self.apply();
         }
     }
 
     pub(super) fn apply(&mut self) {
-        let Some(head) = self.table.held.clone() else {
+        let Some(head) = self.table.stored_head.clone() else {
             return;
         };
         if self.table.in_force >= Some(head.version) {
             return;
         }
         self.table.in_force_before = self.table.in_force.replace(head.version);
-        let sections = self.table.find(head.sections.values());
+        let sections = self.table.find_sections(head.sections.values());
         self.commands.push(ConfigCommand::Apply { head, sections });
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/head_change.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/head_change.rs
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Returns the later head, or `None` if `held` is not the base of the change or the digest
+    /// Returns the later head, or `None` if `stored` is not the base of the change or the digest
     /// differs.
     ///
-    /// A change from version 0 contains the whole head and applies to any `held` head.
-    pub fn try_apply(&self, held: Option<&HeadObject>) -> Option<HeadObject> {
+    /// A change from version 0 contains the whole head and applies to any `stored` head.
+    pub fn try_apply(&self, stored: Option<&HeadObject>) -> Option<HeadObject> {
         let is_whole = self.base == ConfigVersion::new(0);
-        let base = match held.filter(|_| !is_whole) {
-            Some(held) if held.version == self.base => held.clone(),
+        let base = match stored.filter(|_| !is_whole) {
+            Some(stored) if stored.version == self.base => stored.clone(),
             None if is_whole => HeadObject::default(),
             _ => return None,
         };
--- a/crates/wisteriahitch-core/src/fleet/configuration/head_object.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/head_object.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns whether the history still contains the entry that followed `version`.
-    pub fn remembers_since(&self, version: ConfigVersion) -> bool {
+    pub fn history_covers(&self, version: ConfigVersion) -> bool {
         let oldest = self.history.last().map(|entry| entry.version);
         oldest.is_none_or(|oldest| oldest <= version.next())
     }
--- a/crates/wisteriahitch-core/src/fleet/configuration/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/mod.rs
@@ -23,7 +23,7 @@
 pub use head_change::HeadChange;
 pub use head_object::{HeadObject, HistoryEntry};
 pub use phase::ConfigPhase;
-pub use replication::Holders;
+pub use replication::HolderCounts;
 pub use submission::{Submission, SubmissionStep};
 pub use submission_event::{SubmissionCommand, SubmissionEvent, SubmissionOutcome};
 pub use watchers::head_watchers;
--- a/crates/wisteriahitch-core/src/fleet/configuration/phase.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/phase.rs
@@ -46,11 +46,11 @@
 
 /// Input and output flags of the state machine.
 #[derive(Debug, Default)]
-pub(super) struct PhaseTurn {
+pub(super) struct PhaseContext {
     pub(super) has_version_in_force: bool,
     pub(super) is_replicated: bool,
-    pub(super) wants_replication: bool,
-    pub(super) wants_apply: bool,
+    pub(super) should_replicate: bool,
+    pub(super) should_apply: bool,
 }
 
 #[state_machine(
@@ -75,7 +75,7 @@
     /// daemon applies version 5, crashes during an outage of the platform and restarts among peers
     /// that have only version 4, so callers see older rules in force again.
     #[state(superstate = "known", entry_action = "replicate")]
-    fn replicating(context: &mut PhaseTurn, event: &PhaseEvent) -> Outcome<State> {
+    fn replicating(context: &mut PhaseContext, event: &PhaseEvent) -> Outcome<State> {
         match event {
             PhaseEvent::Replicated => {
                 context.is_replicated = true;
@@ -96,7 +96,7 @@
     }
 
     #[superstate]
-    fn known(context: &mut PhaseTurn, event: &PhaseEvent) -> Outcome<State> {
+    fn known(context: &mut PhaseContext, event: &PhaseEvent) -> Outcome<State> {
         match event {
             PhaseEvent::Restart => Transition(State::empty()),
             PhaseEvent::Reject if !context.has_version_in_force => Transition(State::empty()),
@@ -105,14 +105,14 @@
     }
 
     #[action]
-    fn replicate(context: &mut PhaseTurn) {
+    fn replicate(context: &mut PhaseContext) {
         context.is_replicated = false;
-        context.wants_replication = true;
+        context.should_replicate = true;
     }
 
     #[action]
-    fn apply(context: &mut PhaseTurn) {
-        context.wants_apply = true;
+    fn apply(context: &mut PhaseContext) {
+        context.should_apply = true;
     }
 }
 
--- a/crates/wisteriahitch-core/src/fleet/configuration/reading.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/reading.rs
@@ -7,35 +7,37 @@
 use crate::fleet::Membership;
 
 impl ConfigReplica {
-    pub(super) fn sections_pulled(&mut self, sections: Vec<Section>) {
+    pub(super) fn handle_pulled_sections(&mut self, sections: Vec<Section>) {
         let has_some = !sections.is_empty();
-        sections.into_iter().for_each(|s| self.table.keep(s));
+        sections
+            .into_iter()
+            .for_each(|s| self.table.store_section(s));
         if has_some {
-            self.table.continue_reading();
+            self.table.reset_read_attempts();
         }
     }
 
-    pub(super) fn section_read(&mut self, hash: SectionHash, text: String) {
+    pub(super) fn handle_section_read(&mut self, hash: SectionHash, text: String) {
         match Section::try_checked(hash, text) {
-            Ok(section) => self.table.keep(section),
+            Ok(section) => self.table.store_section(section),
             Err(_) => self.report_corrupt(self.table.known_version()),
         }
     }
 
     /// Requests missing sections, alternately from a peer that has them and from the store.
     pub(super) fn read_missing(&mut self, now: TimeUs, members: &Membership) {
-        let retry_us = self.settings.retry_us;
+        let retry_interval_us = self.settings.retry_interval_us;
         let Some(candidate) = &mut self.table.candidate else {
             return;
         };
         let is_due = candidate
-            .tried_at_us
-            .is_none_or(|tried| now.since(tried) >= retry_us);
+            .last_attempt_at_us
+            .is_none_or(|last| now.since(last) >= retry_interval_us);
         if !is_due {
             return;
         }
-        candidate.tried_at_us = Some(now);
-        candidate.tries += 1;
+        candidate.last_attempt_at_us = Some(now);
+        candidate.attempts += 1;
         let version = candidate.head.version;
         let is_holder = |peer: &Incarnation| members.by_incarnation(*peer).is_some();
         let source = candidate.source.filter(is_holder).or_else(|| {
@@ -45,8 +47,8 @@
                 .map(|peer| peer.incarnation)
         });
         let wanted = candidate.missing.iter().copied();
-        let wanted: Vec<SectionHash> = wanted.take(self.settings.max_asked_sections).collect();
-        match source.filter(|_| candidate.tries % 2 == 1) {
+        let wanted: Vec<SectionHash> = wanted.take(self.settings.max_requested_sections).collect();
+        match source.filter(|_| candidate.attempts % 2 == 1) {
             Some(peer) => self
                 .commands
                 .push(ConfigCommand::PullSections { peer, wanted }),
--- a/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
@@ -9,7 +9,7 @@
 
 /// Numbers of daemons and availability zones that have stored a version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Holders {
+pub struct HolderCounts {
     /// Number of other daemons known to have stored the version.
     pub daemons: usize,
     /// Number of availability zones of these daemons, without this daemon's own zone.
@@ -64,10 +64,10 @@
         }
     }
 
-    pub(super) fn holders(&self, members: &Membership) -> Holders {
+    pub(super) fn holders(&self, members: &Membership) -> HolderCounts {
         let own = &members.me().availability_zone;
         let zones: BTreeSet<_> = self.holders.values().filter(|zone| *zone != own).collect();
-        Holders {
+        HolderCounts {
             daemons: self.holders.len(),
             other_zones: zones.len(),
         }
@@ -75,7 +75,11 @@
 
     /// Returns whether enough zones have stored the version for it to survive this daemon. Requires
     /// no more zones and daemons than there are.
-    pub(super) fn is_enough(&self, members: &Membership, wanted_zones: usize) -> bool {
+    pub(super) fn has_enough_holders(
+        &self,
+        members: &Membership,
+        min_replica_zones: usize,
+    ) -> bool {
         let own = &members.me().availability_zone;
         let peers: Vec<&Member> = members.peers().collect();
         let other_zones: BTreeSet<_> = peers
@@ -85,7 +89,7 @@
             .collect();
         let holders = self.holders(members);
         let wanted_daemons = usize::from(!peers.is_empty());
-        holders.other_zones >= wanted_zones.min(other_zones.len())
+        holders.other_zones >= min_replica_zones.min(other_zones.len())
             && holders.daemons >= wanted_daemons
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission.rs
@@ -62,13 +62,13 @@
         submitted_at_unix_ms: u64,
     ) -> Self {
         let changes: BTreeMap<_, _> = changes.into_iter().collect();
-        let unwritten = changes.values().flatten().copied().collect();
+        let unwritten_sections = changes.values().flatten().copied().collect();
         let table = SubmissionTable {
             id: Some(id),
             changes,
             expected,
             submitted_at_unix_ms,
-            unwritten,
+            unwritten_sections,
             ..SubmissionTable::default()
         };
         Self {
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_event.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_event.rs
@@ -4,7 +4,7 @@
 use wisteriahitch_config::SectionHash;
 use wisteriahitch_types::{Code, ConfigVersion};
 
-use super::{HeadObject, Holders};
+use super::{HeadObject, HolderCounts};
 
 /// Input of [`Submission::handle`](super::Submission::handle).
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     /// The resulting configuration was checked.
     Checked {
         /// Whether the configuration passed the checks.
-        is_good: bool,
+        is_valid: bool,
     },
     /// The update of the head took effect.
     Updated,
@@ -42,7 +42,7 @@
     /// Number of peers that have stored the accepted version.
     Spread {
         /// Daemons and zones that have stored it.
-        holders: Holders,
+        holders: HolderCounts,
         /// Whether these are enough or the wait has timed out.
         is_final: bool,
     },
@@ -79,7 +79,7 @@
         /// Version that it created.
         version: ConfigVersion,
         /// Daemons and zones known to have stored it when the outcome was reported.
-        holders: Holders,
+        holders: HolderCounts,
     },
     /// Another submission was accepted first; this one had no effect.
     Conflict {
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_machine.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_machine.rs
@@ -14,7 +14,7 @@
 use statig::prelude::*;
 
 use super::submission_table::SubmissionTable;
-use super::{Holders, SubmissionCommand, SubmissionEvent, SubmissionOutcome, SubmissionStep};
+use super::{HolderCounts, SubmissionCommand, SubmissionEvent, SubmissionOutcome, SubmissionStep};
 
 /// State machine that takes a submission from its sections to an outcome.
 #[derive(Debug, Default)]
@@ -38,11 +38,11 @@
     fn writing(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
             SubmissionEvent::SectionWritten(hash) => {
-                context.unwritten.remove(hash);
+                context.unwritten_sections.remove(hash);
                 Self::start_reading_if_written(context)
             }
-            SubmissionEvent::SectionFailed(hash) if context.try_again() => {
-                context.ask(SubmissionCommand::WriteSection(*hash));
+            SubmissionEvent::SectionFailed(hash) if context.try_use_retry() => {
+                context.push_command(SubmissionCommand::WriteSection(*hash));
                 Handled
             }
             SubmissionEvent::SectionFailed(_) => {
@@ -59,10 +59,10 @@
                 head,
                 object_version,
             } => {
-                context.take_head(head.clone(), *object_version);
+                context.record_head(head.clone(), *object_version);
                 Self::decide(context)
             }
-            SubmissionEvent::HeadUnavailable => Self::give_up(context),
+            SubmissionEvent::HeadUnavailable => Self::finish_unavailable(context),
             _ => Handled,
         }
     }
@@ -70,11 +70,11 @@
     #[state]
     fn checking(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
-            SubmissionEvent::Checked { is_good: true } => {
-                context.ask_update();
+            SubmissionEvent::Checked { is_valid: true } => {
+                context.push_head_update();
                 Transition(State::updating())
             }
-            SubmissionEvent::Checked { is_good: false } => {
+            SubmissionEvent::Checked { is_valid: false } => {
                 Self::finish(context, SubmissionOutcome::Refused)
             }
             _ => Handled,
@@ -86,12 +86,12 @@
         match event {
             SubmissionEvent::Updated => Self::spread(context),
             // The head has another version, perhaps because of an own update whose answer was lost.
-            SubmissionEvent::Conflict => Self::read_again(context),
+            SubmissionEvent::Conflict => Self::retry_read(context),
             SubmissionEvent::UpdateLost => {
                 context.has_lost_update = true;
-                Self::read_again(context)
+                Self::retry_read(context)
             }
-            SubmissionEvent::UpdateUnavailable => Self::give_up(context),
+            SubmissionEvent::UpdateUnavailable => Self::finish_unavailable(context),
             SubmissionEvent::TooLarge => Self::finish(context, SubmissionOutcome::TooLarge),
             _ => Handled,
         }
@@ -119,7 +119,7 @@
 
 impl SubmissionMachine {
     fn start(context: &mut SubmissionTable) -> Outcome<State> {
-        let writes = context.unwritten.iter().cloned();
+        let writes = context.unwritten_sections.iter().cloned();
         let writes: Vec<_> = writes.map(SubmissionCommand::WriteSection).collect();
         context.commands.extend(writes);
         match Self::start_reading_if_written(context) {
@@ -129,10 +129,10 @@
     }
 
     fn start_reading_if_written(context: &mut SubmissionTable) -> Outcome<State> {
-        if !context.unwritten.is_empty() {
+        if !context.unwritten_sections.is_empty() {
             return Handled;
         }
-        context.ask(SubmissionCommand::ReadHead);
+        context.push_command(SubmissionCommand::ReadHead);
         Transition(State::reading())
     }
 
@@ -141,28 +141,28 @@
         if context.find_acceptance() {
             return Self::spread(context);
         }
-        if let Some(winner) = context.find_winner() {
+        if let Some(winner) = context.find_conflicting_version() {
             return Self::finish(context, SubmissionOutcome::Conflict { winner });
         }
-        if context.has_forgotten() {
+        if context.may_have_lost_entry() {
             return Self::finish(context, SubmissionOutcome::Unknown);
         }
         let next = context.build_next();
-        context.ask(SubmissionCommand::Check(next));
+        context.push_command(SubmissionCommand::Check(next));
         Transition(State::checking())
     }
 
-    fn read_again(context: &mut SubmissionTable) -> Outcome<State> {
-        if !context.try_again() {
-            return Self::give_up(context);
+    fn retry_read(context: &mut SubmissionTable) -> Outcome<State> {
+        if !context.try_use_retry() {
+            return Self::finish_unavailable(context);
         }
-        context.ask(SubmissionCommand::ReadHead);
+        context.push_command(SubmissionCommand::ReadHead);
         Transition(State::reading())
     }
 
     /// Finishes because the platform is unavailable. A lost update may still take effect, so the
     /// outcome is then unknown.
-    fn give_up(context: &mut SubmissionTable) -> Outcome<State> {
+    fn finish_unavailable(context: &mut SubmissionTable) -> Outcome<State> {
         let outcome = match context.has_lost_update {
             true => SubmissionOutcome::Unknown,
             false => SubmissionOutcome::Unavailable,
@@ -172,19 +172,19 @@
 
     fn spread(context: &mut SubmissionTable) -> Outcome<State> {
         let head = context.next.clone();
-        context.ask(SubmissionCommand::Spread(head));
+        context.push_command(SubmissionCommand::Spread(head));
         Transition(State::spreading())
     }
 
     fn finish(context: &mut SubmissionTable, outcome: SubmissionOutcome) -> Outcome<State> {
         context.outcome = Some(outcome);
-        context.ask(SubmissionCommand::Finish(outcome));
+        context.push_command(SubmissionCommand::Finish(outcome));
         Transition(State::done())
     }
 }
 
 impl SubmissionTable {
-    fn accepted(&self, holders: Holders) -> SubmissionOutcome {
+    fn accepted(&self, holders: HolderCounts) -> SubmissionOutcome {
         SubmissionOutcome::Accepted {
             version: self.accepted_version,
             holders,
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_table.rs
@@ -8,7 +8,7 @@
 use super::{HeadObject, SubmissionCommand, SubmissionOutcome};
 
 /// Number of failed or conflicting store calls after which a submission gives up.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// Changes of a submission and the state of the head as last read.
 #[derive(Debug, Default)]
@@ -17,32 +17,32 @@
     pub(super) changes: BTreeMap<SectionName, Option<SectionHash>>,
     pub(super) expected: Option<ConfigVersion>,
     pub(super) submitted_at_unix_ms: u64,
-    pub(super) unwritten: BTreeSet<SectionHash>,
+    pub(super) unwritten_sections: BTreeSet<SectionHash>,
     pub(super) head: HeadObject,
     pub(super) object_version: u64,
     pub(super) next: HeadObject,
     pub(super) accepted_version: ConfigVersion,
-    pub(super) first_read: Option<ConfigVersion>,
+    pub(super) first_read_version: Option<ConfigVersion>,
     pub(super) has_lost_update: bool,
-    pub(super) tries: u32,
+    pub(super) attempts: u32,
     pub(super) outcome: Option<SubmissionOutcome>,
     pub(super) commands: Vec<SubmissionCommand>,
 }
 
 impl SubmissionTable {
-    pub(super) fn ask(&mut self, command: SubmissionCommand) {
+    pub(super) fn push_command(&mut self, command: SubmissionCommand) {
         self.commands.push(command);
     }
 
-    pub(super) fn try_again(&mut self) -> bool {
-        self.tries += 1;
-        self.tries < MAX_TRIES
+    pub(super) fn try_use_retry(&mut self) -> bool {
+        self.attempts += 1;
+        self.attempts < MAX_ATTEMPTS
     }
 
-    pub(super) fn take_head(&mut self, head: Option<HeadObject>, object_version: u64) {
+    pub(super) fn record_head(&mut self, head: Option<HeadObject>, object_version: u64) {
         self.head = head.unwrap_or_default();
         self.object_version = object_version;
-        self.first_read.get_or_insert(self.head.version);
+        self.first_read_version.get_or_insert(self.head.version);
     }
 
     /// Returns whether the history contains this submission, and if so records the accepted
@@ -59,19 +59,19 @@
 
     /// Returns the version of the head if the operator expected another one and no entry of this
     /// submission can be missing from the history.
-    pub(super) fn find_winner(&self) -> Option<ConfigVersion> {
+    pub(super) fn find_conflicting_version(&self) -> Option<ConfigVersion> {
         // A lost update can still arrive. "No effect" is true only after the head has moved on from
         // the version that the update expects, because this makes a late update fail.
         let is_moved = self
             .expected
             .is_some_and(|version| version != self.head.version);
-        (is_moved && !self.has_forgotten()).then_some(self.head.version)
+        (is_moved && !self.may_have_lost_entry()).then_some(self.head.version)
     }
 
     /// Returns whether an entry of this submission may already have been removed from the history.
-    pub(super) fn has_forgotten(&self) -> bool {
-        let since = self.first_read.unwrap_or_default();
-        self.has_lost_update && !self.head.remembers_since(since)
+    pub(super) fn may_have_lost_entry(&self) -> bool {
+        let since = self.first_read_version.unwrap_or_default();
+        self.has_lost_update && !self.head.history_covers(since)
     }
 
     pub(super) fn build_next(&mut self) -> HeadObject {
@@ -86,8 +86,8 @@
         self.next.clone()
     }
 
-    pub(super) fn ask_update(&mut self) {
-        self.ask(SubmissionCommand::UpdateHead {
+    pub(super) fn push_head_update(&mut self) {
+        self.push_command(SubmissionCommand::UpdateHead {
             head: self.next.clone(),
             expected: self.object_version,
         });
--- a/crates/wisteriahitch-core/src/fleet/drain.rs
+++ b/crates/wisteriahitch-core/src/fleet/drain.rs
@@ -47,7 +47,7 @@
 /// assert_eq!(drain.tick(TimeUs::new(10_000_000), nothing), DrainPhase::Drained);
 /// ```
 pub struct Drain {
-    turn: DrainTurn,
+    context: DrainContext,
     machine: StateMachine<DrainMachine>,
 }
 
@@ -61,7 +61,7 @@
 
 /// Time data that the shutdown state machine works on.
 #[derive(Clone, Copy, Debug, Default)]
-struct DrainTurn {
+struct DrainContext {
     now: TimeUs,
     listed_until_us: TimeUs,
 }
@@ -87,9 +87,9 @@
     /// /v1/entries` for its whole lifetime. If the daemon closed earlier, they would see connection
     /// errors at each restart.
     #[state]
-    fn draining(context: &mut DrainTurn, event: &DrainEvent) -> Outcome<State> {
+    fn draining(context: &mut DrainContext, event: &DrainEvent) -> Outcome<State> {
         match event {
-            DrainEvent::Tick(work) if context.is_over(*work) => Transition(State::drained()),
+            DrainEvent::Tick(work) if context.is_complete(*work) => Transition(State::drained()),
             DrainEvent::HardStop => Transition(State::drained()),
             _ => Handled,
         }
@@ -101,8 +101,8 @@
     }
 }
 
-impl DrainTurn {
-    fn is_over(&self, work: OpenWork) -> bool {
+impl DrainContext {
+    fn is_complete(&self, work: OpenWork) -> bool {
         self.now >= self.listed_until_us && work == OpenWork::default()
     }
 }
@@ -111,7 +111,7 @@
     /// Creates a shutdown in the state [`DrainPhase::Serving`].
     pub fn new() -> Self {
         Self {
-            turn: DrainTurn::default(),
+            context: DrainContext::default(),
             machine: DrainMachine.state_machine(),
         }
     }
@@ -120,7 +120,7 @@
     /// Has no effect unless the state is [`DrainPhase::Serving`].
     pub fn start(&mut self, now: TimeUs, entries_ttl_us: DurationUs) {
         if self.phase() == DrainPhase::Serving {
-            self.turn.listed_until_us = now + entries_ttl_us;
+            self.context.listed_until_us = now + entries_ttl_us;
             self.dispatch(now, &DrainEvent::Start);
         }
     }
@@ -149,12 +149,12 @@
     /// Returns when the last cached entry list that names this daemon expires; zero before the
     /// start of the shutdown.
     pub fn listed_until_us(&self) -> TimeUs {
-        self.turn.listed_until_us
+        self.context.listed_until_us
     }
 
     fn dispatch(&mut self, now: TimeUs, event: &DrainEvent) {
-        self.turn.now = now;
-        self.machine.handle_with_context(event, &mut self.turn);
+        self.context.now = now;
+        self.machine.handle_with_context(event, &mut self.context);
     }
 }
 
--- a/crates/wisteriahitch-core/src/fleet/leases/lease.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease.rs
@@ -29,7 +29,7 @@
 
 /// The lease's object as last read or written.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct SeenObject {
+pub(super) struct ObservedObject {
     pub(super) object: Option<LeaseObject>,
     pub(super) version: u64,
     /// Local time at which this version was first read or written. The holder's term ends at most
@@ -43,11 +43,11 @@
     pub(super) settings: LeaseSettings,
     pub(super) times: LeaseTimes,
     pub(super) machine: StateMachine<LeaseMachine>,
-    pub(super) seen: Option<SeenObject>,
-    pub(super) own_version: u64,
-    pub(super) pending: Option<PendingWrite>,
+    pub(super) observed: Option<ObservedObject>,
+    pub(super) last_written_version: u64,
+    pub(super) pending_write: Option<PendingWrite>,
     pub(super) is_reading: bool,
-    pub(super) read_at_us: Option<TimeUs>,
+    pub(super) last_read_at_us: Option<TimeUs>,
     pub(super) write_number: u64,
 }
 
@@ -69,11 +69,11 @@
             settings,
             times,
             machine: LeaseMachine.state_machine(),
-            seen: None,
-            own_version: 0,
-            pending: None,
+            observed: None,
+            last_written_version: 0,
+            pending_write: None,
             is_reading: false,
-            read_at_us: None,
+            last_read_at_us: None,
             write_number: 0,
         }
     }
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn holder(&self) -> Option<Incarnation> {
-        let object = self.seen.as_ref()?.object.as_ref()?;
+        let object = self.observed.as_ref()?.object.as_ref()?;
         object.holder.as_ref().map(|holder| holder.incarnation)
     }
 
@@ -93,7 +93,7 @@
     /// endpoint that checks fencing numbers would refuse an order with a lower number than the one
     /// before.
     pub(super) fn fence(&self) -> FenceNumber {
-        FenceNumber::new(self.own_version)
+        FenceNumber::new(self.last_written_version)
     }
 
     pub(super) fn open_orders(&self) -> u32 {
@@ -110,7 +110,7 @@
         if self.is_reading {
             return None;
         }
-        if self.pending.is_some() {
+        if self.pending_write.is_some() {
             return self.read_if_due(now);
         }
         match (self.is_owned(), is_responsible) {
@@ -122,14 +122,17 @@
     }
 
     /// Grants an order if the remaining term is long enough at time `now`.
-    pub(super) fn try_order(&mut self, now: TimeUs) -> Result<OrderGrant, Code> {
+    pub(super) fn try_grant_order(&mut self, now: TimeUs) -> Result<OrderGrant, Code> {
         self.dispatch(PhaseEvent::Lapse, now);
         self.times.is_order_granted = false;
         self.dispatch(PhaseEvent::Order, now);
         if self.times.is_order_granted {
             return Ok(OrderGrant {
                 fence: self.fence(),
-                timeout_us: self.times.left_us().min(self.settings.order_timeout_us),
+                timeout_us: self
+                    .times
+                    .remaining_us()
+                    .min(self.settings.order_timeout_us),
             });
         }
         Err(match self.phase() {
@@ -142,17 +145,17 @@
         self.dispatch(PhaseEvent::OrderDone, now);
     }
 
-    pub(super) fn read(&mut self, object: Option<(LeaseObject, u64)>, now: TimeUs) {
+    pub(super) fn handle_read(&mut self, object: Option<(LeaseObject, u64)>, now: TimeUs) {
         self.is_reading = false;
         let (object, version) = match object {
             Some((object, version)) => (Some(object), version),
             None => (None, 0),
         };
-        self.see(object, version, now);
-        self.settle_pending(now);
+        self.record_object(object, version, now);
+        self.resolve_pending_write(now);
         let is_mine = self.holder() == Some(self.me.incarnation);
         if is_mine {
-            self.own_version = version;
+            self.last_written_version = version;
         }
         if self.is_owned() && !is_mine {
             self.dispatch(PhaseEvent::ReadBack, now);
@@ -162,7 +165,7 @@
         }
     }
 
-    pub(super) fn read_failed(&mut self) {
+    pub(super) fn handle_read_failure(&mut self) {
         self.is_reading = false;
     }
 
@@ -170,40 +173,43 @@
     ///
     /// An answer to an abandoned write must not be counted for a later one. Otherwise the term
     /// would start too late and two daemons would hold the lease at the same time.
-    pub(super) fn written(&mut self, write_number: u64, object_version: u64, now: TimeUs) {
-        let Some(pending) = self.pending.take_if(|p| p.write_number == write_number) else {
+    pub(super) fn handle_written(&mut self, write_number: u64, object_version: u64, now: TimeUs) {
+        let Some(pending) = self
+            .pending_write
+            .take_if(|p| p.write_number == write_number)
+        else {
             return;
         };
         let object = self.object_of(&pending);
-        self.see(Some(object), object_version, now);
-        self.own_version = object_version;
-        self.take_effect(&pending, now);
+        self.record_object(Some(object), object_version, now);
+        self.last_written_version = object_version;
+        self.apply_write_effect(&pending, now);
     }
 
     /// Handles a failed write. A lost write stays pending until the object is read back.
-    pub(super) fn write_failed(&mut self, write_number: u64, failure: WriteFailure) {
-        let is_pending = self.pending.as_ref().map(|p| p.write_number) == Some(write_number);
+    pub(super) fn handle_write_failure(&mut self, write_number: u64, failure: WriteFailure) {
+        let is_pending = self.pending_write.as_ref().map(|p| p.write_number) == Some(write_number);
         if !is_pending {
             return;
         }
         match failure {
             WriteFailure::Conflict => {
-                self.pending = None;
-                self.read_at_us = None;
-                self.seen = None;
+                self.pending_write = None;
+                self.last_read_at_us = None;
+                self.observed = None;
             }
-            WriteFailure::Lost => self.read_at_us = None,
-            WriteFailure::Unavailable => self.pending = None,
+            WriteFailure::Lost => self.last_read_at_us = None,
+            WriteFailure::Unavailable => self.pending_write = None,
         }
     }
 
-    pub(super) fn see(&mut self, object: Option<LeaseObject>, version: u64, now: TimeUs) {
+    pub(super) fn record_object(&mut self, object: Option<LeaseObject>, version: u64, now: TimeUs) {
         let is_known = self
-            .seen
+            .observed
             .as_ref()
             .is_some_and(|seen| seen.version == version);
         if !is_known {
-            self.seen = Some(SeenObject {
+            self.observed = Some(ObservedObject {
                 object,
                 version,
                 first_seen_at_us: now,
@@ -213,18 +219,18 @@
 
     /// Resolves a write whose answer was lost: the object shows it, or it has had no effect so far.
     /// A late write can only replace the version that it expects; the next read then shows it.
-    pub(super) fn settle_pending(&mut self, now: TimeUs) {
-        let Some(pending) = self.pending.take() else {
+    pub(super) fn resolve_pending_write(&mut self, now: TimeUs) {
+        let Some(pending) = self.pending_write.take() else {
             return;
         };
-        let seen = self.seen.as_ref().and_then(|seen| seen.object.as_ref());
+        let seen = self.observed.as_ref().and_then(|seen| seen.object.as_ref());
         let is_in_effect = seen == Some(&self.object_of(&pending));
         if is_in_effect {
-            self.take_effect(&pending, now);
+            self.apply_write_effect(&pending, now);
         }
     }
 
-    pub(super) fn take_effect(&mut self, pending: &PendingWrite, now: TimeUs) {
+    pub(super) fn apply_write_effect(&mut self, pending: &PendingWrite, now: TimeUs) {
         let sent_at_us = pending.sent_at_us;
         let wait_us = pending.wait_us;
         match pending.kind {
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_calls.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_calls.rs
@@ -9,22 +9,22 @@
 impl Lease {
     pub(super) fn read_if_due(&mut self, now: TimeUs) -> Option<LeaseCall> {
         let is_due = self
-            .read_at_us
-            .is_none_or(|read| now.since(read) >= self.settings.read_us);
+            .last_read_at_us
+            .is_none_or(|read| now.since(read) >= self.settings.read_interval_us);
         if !is_due {
             return None;
         }
-        self.read_at_us = Some(now);
+        self.last_read_at_us = Some(now);
         self.is_reading = true;
         Some(LeaseCall::Read)
     }
 
     pub(super) fn renew_if_due(&mut self, now: TimeUs) -> Option<LeaseCall> {
-        let left_us = self.times.expires_at_us.since(now);
-        if left_us > self.settings.renew_before_us {
+        let remaining_us = self.times.expires_at_us.since(now);
+        if remaining_us > self.settings.renew_before_us {
             return None;
         }
-        if self.seen.is_none() {
+        if self.observed.is_none() {
             return self.read_if_due(now);
         }
         self.write(WriteKind::Renew, DurationUs::ZERO, now)
@@ -37,9 +37,9 @@
     /// full order timeout after it was granted, the same time that the next holder of an expired
     /// lease waits.
     pub(super) fn release_if_idle(&mut self, now: TimeUs) -> Option<LeaseCall> {
-        let order_us = self.settings.order_timeout_us;
+        let order_timeout_us = self.settings.order_timeout_us;
         let last_order = self.times.last_order_at_us;
-        let is_recent = last_order.is_some_and(|last| now.since(last) < order_us);
+        let is_recent = last_order.is_some_and(|last| now.since(last) < order_timeout_us);
         if self.times.open_orders > 0 || is_recent {
             return None;
         }
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn acquire_if_free(&mut self, now: TimeUs) -> Option<LeaseCall> {
-        let Some(seen) = &self.seen else {
+        let Some(seen) = &self.observed else {
             return self.read_if_due(now);
         };
         let holder = seen
@@ -63,18 +63,18 @@
         // The term is counted from when this daemon first saw the version, since clocks of daemons
         // cannot be compared. The holder counts from before its write, so it stops earlier.
         let term_us = seen.object.as_ref().map_or(DurationUs::ZERO, |o| o.term_us);
-        let order_us = seen
+        let order_timeout_us = seen
             .object
             .as_ref()
             .map_or(DurationUs::ZERO, |o| o.order_timeout_us);
-        let is_over = now.since(seen.first_seen_at_us) >= term_us;
+        let is_term_over = now.since(seen.first_seen_at_us) >= term_us;
         if holder.incarnation == self.me.incarnation {
             // No other daemon has held the lease since, so there are no orders of another holder to
             // wait for.
             return self.write(WriteKind::Acquire, DurationUs::ZERO, now);
         }
-        if is_over {
-            return self.write(WriteKind::Acquire, order_us, now);
+        if is_term_over {
+            return self.write(WriteKind::Acquire, order_timeout_us, now);
         }
         self.read_if_due(now)
     }
@@ -93,10 +93,10 @@
             wait_us,
         };
         let object = self.object_of(&pending);
-        let expected = self.seen.as_ref().map_or(0, |seen| seen.version);
-        self.pending = Some(pending);
+        let expected = self.observed.as_ref().map_or(0, |seen| seen.version);
+        self.pending_write = Some(pending);
         // Delays the next read, since the answer may take a while.
-        self.read_at_us = Some(now);
+        self.last_read_at_us = Some(now);
         Some(LeaseCall::Write { object, expected })
     }
 
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_machine.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_machine.rs
@@ -80,11 +80,11 @@
 
     /// Waits for the orders of the previous holder. One of them may have been sent right before its
     /// lease ended. If it arrived after an order of this daemon, the endpoint would end with the
-    /// older order, and its report would not match the wanted state.
+    /// older order, and its report would not match the desired state.
     #[state(superstate = "owned")]
     fn waiting(context: &mut LeaseTimes, event: &PhaseEvent) -> Outcome<State> {
         match event {
-            PhaseEvent::Lapse if context.has_waited() && !context.is_expired() => {
+            PhaseEvent::Lapse if context.is_wait_over() && !context.is_expired() => {
                 Transition(State::held())
             }
             _ => Super,
@@ -160,17 +160,17 @@
         self.now >= self.expires_at_us
     }
 
-    fn has_waited(&self) -> bool {
+    fn is_wait_over(&self) -> bool {
         self.now >= self.wait_until_us
     }
 
     /// Returns the remaining term, less a margin for the transfer to the endpoint.
-    pub(super) fn left_us(&self) -> DurationUs {
+    pub(super) fn remaining_us(&self) -> DurationUs {
         self.expires_at_us.since(self.now) - self.margin_us
     }
 
     fn grant_order(&mut self) {
-        if self.left_us() > DurationUs::ZERO {
+        if self.remaining_us() > DurationUs::ZERO {
             self.open_orders += 1;
             self.last_order_at_us = Some(self.now);
             self.is_order_granted = true;
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_settings.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_settings.rs
@@ -16,7 +16,8 @@
     /// drift.
     pub margin_us: DurationUs,
     /// Minimum time between two reads of a lease's object.
-    pub read_us: DurationUs,
+    #[serde(rename = "read_us")]
+    pub read_interval_us: DurationUs,
 }
 
 impl Default for LeaseSettings {
@@ -26,7 +27,7 @@
             renew_before_us: DurationUs::from_ms(10_000),
             order_timeout_us: DurationUs::from_ms(3_000),
             margin_us: DurationUs::from_ms(500),
-            read_us: DurationUs::from_ms(5_000),
+            read_interval_us: DurationUs::from_ms(5_000),
         }
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
@@ -34,14 +34,14 @@
 /// let me = LeaseHolder { daemon: "entry-1".parse()?, incarnation: Incarnation::new(7) };
 /// let mut leases = LeaseTable::new(me, LeaseSettings::default());
 /// let group = LeaseGroup::RolloutSlot(0);
-/// leases.want([group.clone()]);
-/// assert_eq!(leases.try_order(&group, TimeUs::ZERO), Err(Code::LeaseHeld));
+/// leases.set_groups([group.clone()]);
+/// assert_eq!(leases.try_grant_order(&group, TimeUs::ZERO), Err(Code::LeaseHeld));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub struct LeaseTable {
     me: LeaseHolder,
     settings: LeaseSettings,
-    wanted: BTreeSet<LeaseGroup>,
+    groups: BTreeSet<LeaseGroup>,
     rollout_owner: Option<Incarnation>,
     leases: BTreeMap<LeaseGroup, Lease>,
 }
@@ -52,23 +52,23 @@
         Self {
             me,
             settings,
-            wanted: BTreeSet::new(),
+            groups: BTreeSet::new(),
             rollout_owner: None,
             leases: BTreeMap::new(),
         }
     }
 
     /// Sets the groups that exist; leases held for other groups are released.
-    pub fn want(&mut self, groups: impl IntoIterator<Item = LeaseGroup>) {
-        self.wanted = groups.into_iter().collect();
-        for group in &self.wanted {
+    pub fn set_groups(&mut self, groups: impl IntoIterator<Item = LeaseGroup>) {
+        self.groups = groups.into_iter().collect();
+        for group in &self.groups {
             self.leases
                 .entry(group.clone())
                 .or_insert_with(|| Lease::new(self.me.clone(), self.settings));
         }
-        let wanted = &self.wanted;
+        let groups = &self.groups;
         self.leases
-            .retain(|group, lease| wanted.contains(group) || lease.is_owned());
+            .retain(|group, lease| groups.contains(group) || lease.is_owned());
     }
 
     /// Sets the daemon that should hold the rollout slots: the one that may give orders to the
@@ -90,19 +90,23 @@
     ) -> Vec<LeaseCommand> {
         match event {
             LeaseEvent::Tick => return self.tick(now, members),
-            LeaseEvent::Read { group, object } => self.with(&group, |l| l.read(object, now)),
-            LeaseEvent::ReadFailed(group) => self.with(&group, Lease::read_failed),
+            LeaseEvent::Read { group, object } => {
+                self.update_lease(&group, |l| l.handle_read(object, now))
+            }
+            LeaseEvent::ReadFailed(group) => self.update_lease(&group, Lease::handle_read_failure),
             LeaseEvent::Written {
                 group,
                 write_number,
                 object_version,
-            } => self.with(&group, |l| l.written(write_number, object_version, now)),
+            } => self.update_lease(&group, |l| {
+                l.handle_written(write_number, object_version, now)
+            }),
             LeaseEvent::WriteFailed {
                 group,
                 write_number,
                 failure,
-            } => self.with(&group, |l| l.write_failed(write_number, failure)),
-            LeaseEvent::OrderDone(group) => self.with(&group, |l| l.order_done(now)),
+            } => self.update_lease(&group, |l| l.handle_write_failure(write_number, failure)),
+            LeaseEvent::OrderDone(group) => self.update_lease(&group, |l| l.order_done(now)),
         }
         Vec::new()
     }
@@ -114,13 +118,13 @@
     ///
     /// [`Code::LeaseHeld`] if this daemon does not hold the lease, [`Code::LeaseLapsed`] if too
     /// little of the term is left or the wait for the previous holder's orders is not over.
-    pub fn try_order(&mut self, group: &LeaseGroup, now: TimeUs) -> Result<OrderGrant, Code> {
+    pub fn try_grant_order(&mut self, group: &LeaseGroup, now: TimeUs) -> Result<OrderGrant, Code> {
         let lease = self.leases.get_mut(group).ok_or(Code::LeaseHeld)?;
-        lease.try_order(now)
+        lease.try_grant_order(now)
     }
 
     /// Returns the groups for which this daemon may give orders.
-    pub fn held(&self) -> impl Iterator<Item = &LeaseGroup> {
+    pub fn held_groups(&self) -> impl Iterator<Item = &LeaseGroup> {
         self.leases
             .iter()
             .filter(|(_, lease)| lease.phase() == LeasePhase::Held)
@@ -152,7 +156,7 @@
     fn tick(&mut self, now: TimeUs, members: &Membership) -> Vec<LeaseCommand> {
         let mut commands = Vec::new();
         for (group, lease) in &mut self.leases {
-            let is_wanted = self.wanted.contains(group);
+            let is_wanted = self.groups.contains(group);
             let responsible = match group {
                 LeaseGroup::RolloutSlot(_) if self.rollout_owner.is_some() => self.rollout_owner,
                 _ => Self::responsible(group, members),
@@ -174,7 +178,7 @@
         commands
     }
 
-    fn with(&mut self, group: &LeaseGroup, change: impl FnOnce(&mut Lease)) {
+    fn update_lease(&mut self, group: &LeaseGroup, change: impl FnOnce(&mut Lease)) {
         if let Some(lease) = self.leases.get_mut(group) {
             change(lease);
         }
--- a/crates/wisteriahitch-core/src/fleet/members/entries.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/entries.rs
@@ -52,16 +52,16 @@
         } else {
             listed
         };
-        let share = self.share_of(zone, workspace, candidates);
+        let subset = self.workspace_subset(zone, workspace, candidates);
         let order = Rendezvous::new("entries-order", &seed.to_string());
-        let ranked = rank(share, |member| {
-            order.weighted_score(&bytes_of(member), weight(member, zone))
+        let ranked = rank(subset, |member| {
+            order.weighted_score(&incarnation_bytes(member), selection_weight(member, zone))
         });
         ranked.into_iter().map(to_entry).collect()
     }
 
     /// Returns the daemons that serve this workspace, independent of their load.
-    fn share_of<'a>(
+    fn workspace_subset<'a>(
         &self,
         zone: Option<&AvailabilityZone>,
         workspace: &WorkspaceId,
@@ -69,7 +69,7 @@
     ) -> Vec<&'a Member> {
         let order = Rendezvous::new("entries-share", workspace.as_str());
         let mut ranked = rank(candidates, |member| {
-            order.weighted_score(&bytes_of(member), zone_weight(member, zone))
+            order.weighted_score(&incarnation_bytes(member), zone_weight(member, zone))
         });
         ranked.truncate(self.settings.max_entries);
         ranked
@@ -82,7 +82,7 @@
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-fn weight(member: &Member, zone: Option<&AvailabilityZone>) -> f64 {
+fn selection_weight(member: &Member, zone: Option<&AvailabilityZone>) -> f64 {
     let idle = 1.0 - f64::from(member.load_permille) / FULL_PERMILLE;
     zone_weight(member, zone) * idle.max(MIN_IDLE_WEIGHT)
 }
@@ -95,7 +95,7 @@
     }
 }
 
-fn bytes_of(member: &Member) -> [u8; 8] {
+fn incarnation_bytes(member: &Member) -> [u8; 8] {
     member.incarnation.get().to_le_bytes()
 }
 
--- a/crates/wisteriahitch-core/src/fleet/members/event.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/event.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use wisteriahitch_types::{ConfigVersion, Incarnation};
 
-use super::{MemberState, News};
+use super::{MemberState, MembershipUpdate};
 
 /// Input of [`Membership::handle`](super::Membership::handle).
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
         /// Incarnation that answered.
         answered_by: Incarnation,
         /// Updates carried by the answer.
-        news: Vec<News>,
+        updates: Vec<MembershipUpdate>,
     },
     /// A probe failed or timed out.
     ProbeFailed {
@@ -35,10 +35,10 @@
         /// Whether the member answered the peer.
         is_reached: bool,
         /// Updates carried by the peer's answer.
-        news: Vec<News>,
+        updates: Vec<MembershipUpdate>,
     },
     /// The platform's list of VMs was read. The list lags behind the real state.
-    VmList(Vec<VmNotice>),
+    VmList(Vec<ListedVm>),
     /// This daemon's load was measured, from 0 (idle) to 1000 (full).
     Load(u32),
     /// This daemon has put a configuration version in force.
@@ -51,7 +51,7 @@
 
 /// One VM of the platform's list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub struct VmNotice {
+pub struct ListedVm {
     /// IP address of the VM.
     pub address: IpAddr,
     /// Whether the platform is about to remove the VM.
@@ -68,7 +68,8 @@
         /// Incarnation that the probe is addressed to, if known.
         meant_for: Option<Incarnation>,
         /// Updates to send with the probe.
-        news: Vec<News>,
+        #[serde(rename = "news")]
+        updates: Vec<MembershipUpdate>,
         /// Requests the page of the member list that starts after this incarnation; `None` requests
         /// no page.
         sync_after: Option<Incarnation>,
--- a/crates/wisteriahitch-core/src/fleet/members/learning.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/learning.rs
@@ -2,105 +2,115 @@
 
 use wisteriahitch_types::{ConfigVersion, Incarnation, TimeUs};
 
-use super::{Member, MemberState, Membership, MembershipCommand, News, VmNotice};
+use super::{ListedVm, Member, MemberState, Membership, MembershipCommand, MembershipUpdate};
 
 impl Membership {
     /// Requests the next page of the member list, or ends the sync after a page that was not full.
     /// An answer with at most one update carried no page and changes nothing.
-    pub(super) fn advance_sync(&mut self, news: &[News]) {
+    pub(super) fn advance_sync(&mut self, updates: &[MembershipUpdate]) {
         if self.sync_after.is_none() {
             return;
         }
-        let is_page = news.len() > 1;
+        let is_page = updates.len() > 1;
         if !is_page {
             return;
         }
-        let is_full = news.len() >= self.settings.sync_page;
-        let last = news.iter().skip(1).map(|item| item.incarnation).max();
+        let is_full = updates.len() >= self.settings.max_sync_page_updates;
+        let last = updates
+            .iter()
+            .skip(1)
+            .map(|update| update.incarnation)
+            .max();
         self.sync_after = if is_full { last } else { None };
     }
 
-    pub(super) fn take_all(
+    pub(super) fn apply_updates(
         &mut self,
-        news: &[News],
-        teller: Option<Incarnation>,
+        updates: &[MembershipUpdate],
+        sender: Option<Incarnation>,
         now: TimeUs,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        for item in news {
-            if item.incarnation == self.me {
-                self.refute(item);
+        for update in updates {
+            if update.incarnation == self.me {
+                self.refute(update);
             } else {
-                self.take(item, teller == Some(item.incarnation), now, commands);
+                self.apply_update(update, sender == Some(update.incarnation), now, commands);
             }
         }
     }
 
     /// Refutes a wrong update about this daemon by publishing a higher update number.
-    pub(super) fn refute(&mut self, item: &News) {
-        let (news_number, state) = (self.me().news_number, self.me().state);
-        if !item.is_newer_than(news_number, state) {
+    pub(super) fn refute(&mut self, update: &MembershipUpdate) {
+        let (update_number, state) = (self.me().update_number, self.me().state);
+        if !update.supersedes(update_number, state) {
             return;
         }
-        self.update_me(|me| me.news_number = item.news_number + 1);
-        self.queue.push(self.me);
+        self.update_me(|me| me.update_number = update.update_number + 1);
+        self.update_queue.push(self.me);
     }
 
-    pub(super) fn take(
+    pub(super) fn apply_update(
         &mut self,
-        item: &News,
-        is_own_word: bool,
+        update: &MembershipUpdate,
+        is_direct: bool,
         now: TimeUs,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let Some(member) = self.members.get_mut(&item.incarnation) else {
-            self.add(item, now, commands);
+        let Some(member) = self.members.get_mut(&update.incarnation) else {
+            self.add_member(update, now, commands);
             return;
         };
-        if is_own_word && item.news_number >= member.news_number {
-            member.config_version = item.config_version.max(member.config_version);
-            member.load_permille = item.load_permille;
+        if is_direct && update.update_number >= member.update_number {
+            member.config_version = update.config_version.max(member.config_version);
+            member.load_permille = update.load_permille;
         }
-        if !item.is_newer_than(member.news_number, member.state) {
+        if !update.supersedes(member.update_number, member.state) {
             return;
         }
-        member.news_number = item.news_number;
-        member.config_version = item.config_version.max(member.config_version);
-        member.load_permille = item.load_permille;
-        if let Some(addresses) = item.addresses {
+        member.update_number = update.update_number;
+        member.config_version = update.config_version.max(member.config_version);
+        member.load_permille = update.load_permille;
+        if let Some(addresses) = update.addresses {
             member.addresses = addresses;
         }
-        let has_changed = member.state != item.state;
-        self.queue.push(item.incarnation);
+        let has_changed = member.state != update.state;
+        self.update_queue.push(update.incarnation);
         if has_changed {
-            self.set_state(item.incarnation, item.state, now, commands);
+            self.set_state(update.incarnation, update.state, now, commands);
         }
     }
 
-    pub(super) fn add(&mut self, item: &News, now: TimeUs, commands: &mut Vec<MembershipCommand>) {
-        let (Some(addresses), Some(zone)) = (item.addresses, item.availability_zone.clone()) else {
+    pub(super) fn add_member(
+        &mut self,
+        update: &MembershipUpdate,
+        now: TimeUs,
+        commands: &mut Vec<MembershipCommand>,
+    ) {
+        let (Some(addresses), Some(zone)) = (update.addresses, update.availability_zone.clone())
+        else {
             // The member left or died before it was known here, and the update carries no addresses
             // to store.
             return;
         };
         let is_vm_leaving = self.vm_addresses.get(&addresses.peer.ip()) == Some(&true);
         let member = Member {
-            daemon: item.daemon.clone(),
-            incarnation: item.incarnation,
-            news_number: item.news_number,
-            state: item.state,
+            daemon: update.daemon.clone(),
+            incarnation: update.incarnation,
+            update_number: update.update_number,
+            state: update.state,
             addresses,
             availability_zone: zone,
-            config_version: item.config_version,
-            load_permille: item.load_permille.min(1_000),
+            config_version: update.config_version,
+            load_permille: update.load_permille.min(1_000),
             changed_at_us: now,
             is_vm_leaving,
         };
-        self.members.insert(item.incarnation, member);
-        self.queue.push(item.incarnation);
+        self.members.insert(update.incarnation, member);
+        self.update_queue.push(update.incarnation);
         commands.push(MembershipCommand::Changed {
-            incarnation: item.incarnation,
-            state: item.state,
+            incarnation: update.incarnation,
+            state: update.state,
         });
     }
 
@@ -116,12 +126,12 @@
         };
         member.state = state;
         member.changed_at_us = now;
-        self.queue.push(incarnation);
-        self.indirect.remove(&incarnation);
+        self.update_queue.push(incarnation);
+        self.pending_indirect_probes.remove(&incarnation);
         commands.push(MembershipCommand::Changed { incarnation, state });
     }
 
-    pub(super) fn take_vm_list(&mut self, vms: &[VmNotice]) {
+    pub(super) fn apply_vm_list(&mut self, vms: &[ListedVm]) {
         self.vm_addresses = vms.iter().map(|vm| (vm.address, vm.is_leaving)).collect();
         for member in self.members.values_mut() {
             let is_leaving = self.vm_addresses.get(&member.addresses.peer.ip());
@@ -129,17 +139,18 @@
         }
     }
 
-    pub(super) fn take_load(&mut self, permille: u32, now: TimeUs) {
+    pub(super) fn record_load(&mut self, permille: u32, now: TimeUs) {
         let permille = permille.min(1_000);
-        let has_moved =
-            permille.abs_diff(self.told_load_permille) >= self.settings.load_step_permille;
-        let is_due = now.since(self.told_load_at_us) >= self.settings.load_news_us;
+        let has_moved = permille.abs_diff(self.published_load_permille)
+            >= self.settings.min_load_change_permille;
+        let is_due =
+            now.since(self.load_published_at_us) >= self.settings.min_load_update_interval_us;
         self.update_me(|me| me.load_permille = permille);
         if has_moved && is_due {
-            self.told_load_permille = permille;
-            self.told_load_at_us = now;
-            self.update_me(|me| me.news_number += 1);
-            self.queue.push(self.me);
+            self.published_load_permille = permille;
+            self.load_published_at_us = now;
+            self.update_me(|me| me.update_number += 1);
+            self.update_queue.push(self.me);
         }
     }
 
@@ -148,16 +159,16 @@
     /// The first version is published as a separate update, because peers list this daemon for
     /// callers only after they receive it. Later versions are carried only by this daemon's own
     /// messages.
-    pub(super) fn take_config(&mut self, version: ConfigVersion) {
+    pub(super) fn record_config_version(&mut self, version: ConfigVersion) {
         let is_first = !self.me().is_ready();
         self.update_me(|me| me.config_version = version);
         if is_first {
-            self.update_me(|me| me.news_number += 1);
-            self.queue.push(self.me);
+            self.update_me(|me| me.update_number += 1);
+            self.update_queue.push(self.me);
         }
     }
 
-    pub(super) fn announce(
+    pub(super) fn announce_state(
         &mut self,
         state: MemberState,
         now: TimeUs,
@@ -166,10 +177,10 @@
         if self.me().state >= state {
             return;
         }
-        self.update_me(|me| me.news_number += 1);
+        self.update_me(|me| me.update_number += 1);
         self.set_state(self.me, state, now, commands);
         if state == MemberState::Left {
-            self.say_goodbye(commands);
+            self.announce_departure(commands);
         }
     }
 
--- a/crates/wisteriahitch-core/src/fleet/members/member.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/member.rs
@@ -48,7 +48,8 @@
     /// Random number chosen when the daemon started.
     pub incarnation: Incarnation,
     /// Number of the member's latest own update. A higher number refutes earlier updates about it.
-    pub news_number: u64,
+    #[serde(rename = "news_number")]
+    pub update_number: u64,
     /// Believed state.
     pub state: MemberState,
     /// Addresses of the daemon.
@@ -72,7 +73,7 @@
     }
 
     /// Returns whether callers may be sent to this member.
-    pub fn is_entry(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         self.state == MemberState::Alive && !self.is_vm_leaving
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/members/membership.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/membership.rs
@@ -7,8 +7,10 @@
 use serde::Serialize;
 use wisteriahitch_types::{ConfigVersion, DaemonId, Incarnation, TimeUs};
 
-use super::news_queue::NewsQueue;
-use super::{Member, MemberState, MembershipCommand, MembershipEvent, MembershipSettings, News};
+use super::membership_update_queue::MembershipUpdateQueue;
+use super::{
+    Member, MemberState, MembershipCommand, MembershipEvent, MembershipSettings, MembershipUpdate,
+};
 
 /// Membership view of this daemon. Decides which members to probe and which updates to send.
 ///
@@ -30,7 +32,7 @@
 /// let me = Member {
 ///     daemon: "entry-1".parse()?,
 ///     incarnation: Incarnation::new(7),
-///     news_number: 1,
+///     update_number: 1,
 ///     state: MemberState::Alive,
 ///     addresses,
 ///     availability_zone: "colombo-a".parse()?,
@@ -53,20 +55,26 @@
     pub(super) settings: MembershipSettings,
     pub(super) me: Incarnation,
     pub(super) members: BTreeMap<Incarnation, Member>,
-    pub(super) queue: NewsQueue,
+    #[serde(rename = "queue")]
+    pub(super) update_queue: MembershipUpdateQueue,
     pub(super) rounds: u64,
     pub(super) next_round_at_us: TimeUs,
     pub(super) probe_order: Vec<Incarnation>,
     /// Members whose direct probe failed, with the number of peers that have not yet answered the
     /// request for an indirect probe.
-    pub(super) indirect: BTreeMap<Incarnation, usize>,
+    #[serde(rename = "indirect")]
+    pub(super) pending_indirect_probes: BTreeMap<Incarnation, usize>,
     pub(super) vm_addresses: BTreeMap<IpAddr, bool>,
-    pub(super) lost_turn: usize,
-    pub(super) round_news_bytes: usize,
+    #[serde(rename = "lost_turn")]
+    pub(super) next_rediscovery_index: usize,
+    #[serde(rename = "round_news_bytes")]
+    pub(super) round_update_bytes: usize,
     pub(super) sync_after: Option<Incarnation>,
     pub(super) is_sync_served: bool,
-    pub(super) told_load_permille: u32,
-    pub(super) told_load_at_us: TimeUs,
+    #[serde(rename = "told_load_permille")]
+    pub(super) published_load_permille: u32,
+    #[serde(rename = "told_load_at_us")]
+    pub(super) load_published_at_us: TimeUs,
     #[serde(skip)]
     pub(super) rng: ChaCha8Rng,
 }
@@ -75,24 +83,24 @@
     /// Creates a view that contains only `me`. `rng` selects the members to probe.
     pub fn new(settings: MembershipSettings, me: Member, rng: ChaCha8Rng) -> Self {
         let incarnation = me.incarnation;
-        let mut queue = NewsQueue::default();
-        queue.push(incarnation);
+        let mut update_queue = MembershipUpdateQueue::default();
+        update_queue.push(incarnation);
         Self {
             settings,
             me: incarnation,
             members: BTreeMap::from([(incarnation, me)]),
-            queue,
+            update_queue,
             rounds: 0,
             next_round_at_us: TimeUs::ZERO,
             probe_order: Vec::new(),
-            indirect: BTreeMap::new(),
+            pending_indirect_probes: BTreeMap::new(),
             vm_addresses: BTreeMap::new(),
-            lost_turn: 0,
-            round_news_bytes: 0,
+            next_rediscovery_index: 0,
+            round_update_bytes: 0,
             sync_after: Some(Incarnation::new(0)),
             is_sync_served: false,
-            told_load_permille: 0,
-            told_load_at_us: TimeUs::ZERO,
+            published_load_permille: 0,
+            load_published_at_us: TimeUs::ZERO,
             rng,
         }
     }
@@ -106,28 +114,30 @@
                 address,
                 meant_for,
                 answered_by,
-                news,
+                updates,
             } => {
-                self.take_all(&news, Some(answered_by), now, &mut commands);
-                self.settle_probe(address, meant_for, answered_by, now, &mut commands);
-                self.advance_sync(&news);
+                self.apply_updates(&updates, Some(answered_by), now, &mut commands);
+                self.handle_probe_answer(address, meant_for, answered_by, now, &mut commands);
+                self.advance_sync(&updates);
             }
             MembershipEvent::ProbeFailed { meant_for } => {
-                self.probe_failed(meant_for, now, &mut commands);
+                self.handle_probe_failure(meant_for, now, &mut commands);
             }
             MembershipEvent::IndirectAnswered {
                 target,
                 is_reached,
-                news,
+                updates,
             } => {
-                self.take_all(&news, None, now, &mut commands);
-                self.indirect_answered(target, is_reached, now, &mut commands);
+                self.apply_updates(&updates, None, now, &mut commands);
+                self.handle_indirect_answer(target, is_reached, now, &mut commands);
             }
-            MembershipEvent::VmList(vms) => self.take_vm_list(&vms),
-            MembershipEvent::Load(permille) => self.take_load(permille, now),
-            MembershipEvent::ConfigApplied(version) => self.take_config(version),
-            MembershipEvent::Drain => self.announce(MemberState::Draining, now, &mut commands),
-            MembershipEvent::Leave => self.announce(MemberState::Left, now, &mut commands),
+            MembershipEvent::VmList(vms) => self.apply_vm_list(&vms),
+            MembershipEvent::Load(permille) => self.record_load(permille, now),
+            MembershipEvent::ConfigApplied(version) => self.record_config_version(version),
+            MembershipEvent::Drain => {
+                self.announce_state(MemberState::Draining, now, &mut commands)
+            }
+            MembershipEvent::Leave => self.announce_state(MemberState::Left, now, &mut commands),
         }
         commands
     }
@@ -140,15 +150,15 @@
     pub fn answer_probe(
         &mut self,
         sender: Incarnation,
-        news: &[News],
+        updates: &[MembershipUpdate],
         sync_after: Option<Incarnation>,
         now: TimeUs,
-    ) -> (Vec<News>, Vec<MembershipCommand>) {
+    ) -> (Vec<MembershipUpdate>, Vec<MembershipCommand>) {
         let mut commands = Vec::new();
-        self.take_all(news, Some(sender), now, &mut commands);
+        self.apply_updates(updates, Some(sender), now, &mut commands);
         let reply = match sync_after {
-            Some(after) if self.can_serve_sync() => self.sync_page(after),
-            _ => self.pick_news(Some(sender)),
+            Some(after) if self.can_serve_sync() => self.build_sync_page(after),
+            _ => self.select_updates(Some(sender)),
         };
         (reply, commands)
     }
@@ -187,7 +197,7 @@
 
     /// Returns the members that share work: alive and not on a leaving VM, including this daemon.
     pub fn workers(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.is_entry())
+        self.members().filter(|member| member.accepts_callers())
     }
 
     /// Returns the highest configuration version that any present peer is known to have in force.
--- a/crates/wisteriahitch-core/src/fleet/members/news.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/membership_update.rs
@@ -14,13 +14,14 @@
 
 /// State of one member as reported by a daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct MembershipUpdate {
     /// Configured name of the member.
     pub daemon: DaemonId,
     /// Incarnation that the update is about.
     pub incarnation: Incarnation,
     /// Update number of that incarnation.
-    pub news_number: u64,
+    #[serde(rename = "news_number")]
+    pub update_number: u64,
     /// Believed state of the member.
     pub state: MemberState,
     /// Addresses; `None` if the state is suspect, dead or left.
@@ -33,21 +34,21 @@
     pub load_permille: u32,
 }
 
-impl News {
+impl MembershipUpdate {
     /// Maximum size in bytes of an update with IPv4 addresses and names of up to 20 bytes; used to
     /// reserve bytes for a page of the member list.
     pub(crate) const MAX_V4_BYTES: usize = FIXED_BYTES + 3 * V4_BYTES + 2 * 20;
 
     /// Creates an update from the local view of `member`.
     pub fn of(member: &Member) -> Self {
-        let is_whole = matches!(member.state, MemberState::Alive | MemberState::Draining);
+        let has_addresses = matches!(member.state, MemberState::Alive | MemberState::Draining);
         Self {
             daemon: member.daemon.clone(),
             incarnation: member.incarnation,
-            news_number: member.news_number,
+            update_number: member.update_number,
             state: member.state,
-            addresses: is_whole.then_some(member.addresses),
-            availability_zone: is_whole.then(|| member.availability_zone.clone()),
+            addresses: has_addresses.then_some(member.addresses),
+            availability_zone: has_addresses.then(|| member.availability_zone.clone()),
             config_version: member.config_version,
             load_permille: member.load_permille,
         }
@@ -66,8 +67,8 @@
     /// A higher number of the member itself wins, so that it can refute a suspicion. With equal
     /// numbers the more severe state wins, so that older positive updates that still circulate
     /// cannot undo a suspicion.
-    pub fn is_newer_than(&self, news_number: u64, state: MemberState) -> bool {
-        (self.news_number, self.state) > (news_number, state)
+    pub fn supersedes(&self, update_number: u64, state: MemberState) -> bool {
+        (self.update_number, self.state) > (update_number, state)
     }
 }
 
--- a/crates/wisteriahitch-core/src/fleet/members/news_queue.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/membership_update_queue.rs
@@ -10,26 +10,27 @@
 /// The content of an update is read from the member table when it is sent, so that an older state
 /// is never sent after a newer one is known.
 #[derive(Clone, Debug, Default, Serialize)]
-pub(crate) struct NewsQueue {
-    sends: BTreeMap<Incarnation, u32>,
+pub(crate) struct MembershipUpdateQueue {
+    #[serde(rename = "sends")]
+    transmissions: BTreeMap<Incarnation, u32>,
 }
 
-impl NewsQueue {
+impl MembershipUpdateQueue {
     /// Queues a member's update and resets its send count.
     pub(crate) fn push(&mut self, incarnation: Incarnation) {
-        self.sends.insert(incarnation, 0);
+        self.transmissions.insert(incarnation, 0);
     }
 
     pub(crate) fn remove(&mut self, incarnation: Incarnation) {
-        self.sends.remove(&incarnation);
+        self.transmissions.remove(&incarnation);
     }
 
     /// Returns the queued members, those sent least often first.
-    pub(crate) fn by_urgency(&self) -> Vec<Incarnation> {
+    pub(crate) fn least_sent_first(&self) -> Vec<Incarnation> {
         let mut order: Vec<(u32, Incarnation)> = self
-            .sends
+            .transmissions
             .iter()
-            .map(|(incarnation, sends)| (*sends, *incarnation))
+            .map(|(incarnation, transmissions)| (*transmissions, *incarnation))
             .collect();
         order.sort_unstable();
         order
@@ -38,14 +39,14 @@
             .collect()
     }
 
-    /// Counts one transmission; the update is removed from the queue after `max_sends`.
-    pub(crate) fn mark_sent(&mut self, incarnation: Incarnation, max_sends: u32) {
-        let Some(sends) = self.sends.get_mut(&incarnation) else {
+    /// Counts one transmission; the update is removed from the queue after `max_transmissions`.
+    pub(crate) fn mark_sent(&mut self, incarnation: Incarnation, max_transmissions: u32) {
+        let Some(transmissions) = self.transmissions.get_mut(&incarnation) else {
             return;
         };
-        *sends += 1;
-        if *sends >= max_sends {
-            self.sends.remove(&incarnation);
+        *transmissions += 1;
+        if *transmissions >= max_transmissions {
+            self.transmissions.remove(&incarnation);
         }
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/members/probing.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/probing.rs
@@ -11,50 +11,50 @@
 /// Number of rounds between two probes of an address that belongs to no present member: a seed, a
 /// VM of the platform's list, or a dead or departed member. These probes reconnect the fleet after
 /// a partition.
-const ROUNDS_PER_LOST_PROBE: u64 = 3;
+const ROUNDS_PER_REDISCOVERY_PROBE: u64 = 3;
 /// Number of such addresses probed in each round while no peer is known.
-const LOST_PROBES_ALONE: usize = 3;
+const REDISCOVERY_PROBES_WHEN_ALONE: usize = 3;
 /// Number of rounds between two syncs of the whole member list. A daemon that started together with
 /// many others received incomplete pages, and would otherwise miss some members for a long time.
 const ROUNDS_PER_SYNC: u64 = 60;
 /// Number of rounds between two syncs in the first [`ROUNDS_PER_SYNC`] rounds after the start.
-const ROUNDS_PER_FIRST_SYNCS: u64 = 6;
+const ROUNDS_PER_STARTUP_SYNC: u64 = 6;
 
 impl Membership {
     pub(super) fn tick(&mut self, now: TimeUs, commands: &mut Vec<MembershipCommand>) {
-        self.expire(now, commands);
+        self.expire_members(now, commands);
         if now < self.next_round_at_us {
             return;
         }
-        self.next_round_at_us = now + self.settings.interval_us;
+        self.next_round_at_us = now + self.settings.probe_interval_us;
         self.rounds += 1;
-        self.round_news_bytes = 0;
+        self.round_update_bytes = 0;
         self.is_sync_served = false;
         self.restart_sync();
         for _ in 0..self.settings.probes_per_round {
             self.probe_next(commands);
         }
         let is_alone = self.peers().next().is_none();
-        let lost_probes = match is_alone {
-            true => LOST_PROBES_ALONE,
-            false => usize::from(self.rounds.is_multiple_of(ROUNDS_PER_LOST_PROBE)),
+        let rediscovery_probes = match is_alone {
+            true => REDISCOVERY_PROBES_WHEN_ALONE,
+            false => usize::from(self.rounds.is_multiple_of(ROUNDS_PER_REDISCOVERY_PROBE)),
         };
-        for _ in 0..lost_probes {
-            self.probe_lost(commands);
+        for _ in 0..rediscovery_probes {
+            self.probe_rediscovery_address(commands);
         }
     }
 
     pub(super) fn restart_sync(&mut self) {
-        let is_new = self.rounds < ROUNDS_PER_SYNC;
-        let period = if is_new {
-            ROUNDS_PER_FIRST_SYNCS
+        let is_starting = self.rounds < ROUNDS_PER_SYNC;
+        let period = if is_starting {
+            ROUNDS_PER_STARTUP_SYNC
         } else {
             ROUNDS_PER_SYNC
         };
-        let shift = self.me.get() % period;
+        let offset = self.me.get() % period;
         // A sync in progress continues: restarted each time, it would never get past the first
         // pages.
-        if self.rounds % period == shift && self.sync_after.is_none() {
+        if self.rounds % period == offset && self.sync_after.is_none() {
             self.sync_after = Some(Incarnation::new(0));
         }
     }
@@ -79,21 +79,21 @@
         self.push_probe(address, Some(incarnation), commands);
     }
 
-    pub(super) fn probe_lost(&mut self, commands: &mut Vec<MembershipCommand>) {
-        let lost = self.lost_addresses();
-        if lost.is_empty() {
+    pub(super) fn probe_rediscovery_address(&mut self, commands: &mut Vec<MembershipCommand>) {
+        let addresses = self.rediscovery_addresses();
+        if addresses.is_empty() {
             return;
         }
-        let address = lost[self.lost_turn % lost.len()];
-        self.lost_turn = self.lost_turn.wrapping_add(1);
+        let address = addresses[self.next_rediscovery_index % addresses.len()];
+        self.next_rediscovery_index = self.next_rediscovery_index.wrapping_add(1);
         self.push_probe(address, None, commands);
     }
 
     /// Returns addresses where a daemon may run but that belong to no present member, seeds first.
-    pub(super) fn lost_addresses(&self) -> Vec<SocketAddr> {
+    pub(super) fn rediscovery_addresses(&self) -> Vec<SocketAddr> {
         let known: BTreeSet<SocketAddr> = self.present().map(|m| m.addresses.peer).collect();
         let seeds = self.settings.seeds.iter().copied();
-        let gone = self
+        let departed = self
             .members()
             .filter(|member| !member.state.is_present())
             .map(|member| member.addresses.peer);
@@ -105,7 +105,7 @@
             .filter_map(|(ip, _)| port.map(|port| SocketAddr::new(*ip, port)));
         let mut seen = BTreeSet::new();
         seeds
-            .chain(gone)
+            .chain(departed)
             .chain(vms)
             .filter(|address| !known.contains(address) && seen.insert(*address))
             .collect()
@@ -117,18 +117,18 @@
         meant_for: Option<Incarnation>,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let news = self.pick_news(meant_for);
+        let updates = self.select_updates(meant_for);
         commands.push(MembershipCommand::Probe {
             address,
             meant_for,
-            news,
+            updates,
             sync_after: self.sync_after,
         });
     }
 
     /// Handles an answer from an address, possibly by another incarnation than the probe was
     /// addressed to.
-    pub(super) fn settle_probe(
+    pub(super) fn handle_probe_answer(
         &mut self,
         address: SocketAddr,
         meant_for: Option<Incarnation>,
@@ -136,28 +136,28 @@
         now: TimeUs,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        self.indirect.remove(&answered_by);
+        self.pending_indirect_probes.remove(&answered_by);
         // A member believed to be dead still answers, for example after a partition. It cannot
         // refute an update that it has not received and would stay unlisted forever, so it is sent
         // one immediately.
-        if meant_for.is_none() && self.is_accused(answered_by) {
+        if meant_for.is_none() && self.is_suspect_or_dead(answered_by) {
             self.push_probe(address, Some(answered_by), commands);
         }
-        let Some(meant) = meant_for.filter(|meant| *meant != answered_by) else {
+        let Some(expected) = meant_for.filter(|expected| *expected != answered_by) else {
             return;
         };
         // The address now belongs to another process. Without this step the old incarnation would
         // stay listed until its suspicion times out, and peers would ask in vain for its tickets.
         let is_replaced = self
             .members
-            .get(&meant)
+            .get(&expected)
             .is_some_and(|member| member.addresses.peer == address && member.state.is_present());
         if is_replaced {
-            self.set_state(meant, MemberState::Dead, now, commands);
+            self.set_state(expected, MemberState::Dead, now, commands);
         }
     }
 
-    pub(super) fn probe_failed(
+    pub(super) fn handle_probe_failure(
         &mut self,
         meant_for: Option<Incarnation>,
         now: TimeUs,
@@ -168,7 +168,7 @@
         };
         let can_suspect = matches!(target.state, MemberState::Alive | MemberState::Draining);
         let (target, target_address) = (target.incarnation, target.addresses.peer);
-        if !can_suspect || self.indirect.contains_key(&target) {
+        if !can_suspect || self.pending_indirect_probes.contains_key(&target) {
             return;
         }
         let mut helpers: Vec<(SocketAddr, Incarnation)> = self
@@ -182,7 +182,7 @@
             self.set_state(target, MemberState::Suspect, now, commands);
             return;
         }
-        self.indirect.insert(target, helpers.len());
+        self.pending_indirect_probes.insert(target, helpers.len());
         for (helper, helper_incarnation) in helpers {
             commands.push(MembershipCommand::IndirectProbe {
                 helper,
@@ -193,58 +193,63 @@
         }
     }
 
-    pub(super) fn indirect_answered(
+    pub(super) fn handle_indirect_answer(
         &mut self,
         target: Incarnation,
         is_reached: bool,
         now: TimeUs,
         commands: &mut Vec<MembershipCommand>,
     ) {
-        let Some(open) = self.indirect.get_mut(&target) else {
+        let Some(pending) = self.pending_indirect_probes.get_mut(&target) else {
             return;
         };
-        *open -= 1;
+        *pending -= 1;
         if is_reached {
-            self.indirect.remove(&target);
-        } else if *open == 0 {
+            self.pending_indirect_probes.remove(&target);
+        } else if *pending == 0 {
             self.set_state(target, MemberState::Suspect, now, commands);
         }
     }
 
     /// Marks suspects as dead that did not refute in time, and removes expired dead and departed
     /// members.
-    pub(super) fn expire(&mut self, now: TimeUs, commands: &mut Vec<MembershipCommand>) {
-        let suspicion_us = self.suspicion_us();
-        let tombstone_us = self.settings.tombstone_us;
+    pub(super) fn expire_members(&mut self, now: TimeUs, commands: &mut Vec<MembershipCommand>) {
+        let suspicion_timeout_us = self.suspicion_timeout_us();
+        let tombstone_ttl_us = self.settings.tombstone_ttl_us;
         let age = |member: &Member| now.since(member.changed_at_us);
         let dead: Vec<Incarnation> = self
             .members()
-            .filter(|m| m.state == MemberState::Suspect && age(m) >= suspicion_us)
+            .filter(|m| m.state == MemberState::Suspect && age(m) >= suspicion_timeout_us)
             .map(|m| m.incarnation)
             .collect();
-        let old: Vec<Incarnation> = self
+        let expired: Vec<Incarnation> = self
             .members()
-            .filter(|m| !m.state.is_present() && age(m) >= tombstone_us)
+            .filter(|m| !m.state.is_present() && age(m) >= tombstone_ttl_us)
             .filter(|m| m.incarnation != self.me)
             .map(|m| m.incarnation)
             .collect();
         for incarnation in dead {
             self.set_state(incarnation, MemberState::Dead, now, commands);
         }
-        for incarnation in old {
+        for incarnation in expired {
             self.members.remove(&incarnation);
-            self.queue.remove(incarnation);
+            self.update_queue.remove(incarnation);
         }
     }
 
-    pub(super) fn suspicion_us(&self) -> DurationUs {
+    pub(super) fn suspicion_timeout_us(&self) -> DurationUs {
         let size = self.present().count() as u64 + 1;
         let steps = u64::from(size.ilog2()).max(1);
-        DurationUs::new(self.settings.suspicion_us.get().saturating_mul(steps))
+        DurationUs::new(
+            self.settings
+                .suspicion_timeout_us
+                .get()
+                .saturating_mul(steps),
+        )
     }
 
     /// Sends the departure to a few members immediately, since no further round may follow.
-    pub(super) fn say_goodbye(&mut self, commands: &mut Vec<MembershipCommand>) {
+    pub(super) fn announce_departure(&mut self, commands: &mut Vec<MembershipCommand>) {
         for _ in 0..=self.settings.indirect_probes {
             self.probe_next(commands);
         }
--- a/crates/wisteriahitch-core/src/fleet/members/settings.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/settings.rs
@@ -14,28 +14,37 @@
     /// probes.
     pub peer_port: Option<u16>,
     /// Time between two probe rounds.
-    pub interval_us: DurationUs,
+    #[serde(rename = "interval_us")]
+    pub probe_interval_us: DurationUs,
     /// Number of members probed in each round.
     pub probes_per_round: usize,
     /// Number of peers that are asked to probe a member that did not answer.
     pub indirect_probes: usize,
     /// Base time in which a suspect can refute; multiplied by the logarithm of the fleet's size.
-    pub suspicion_us: DurationUs,
+    #[serde(rename = "suspicion_us")]
+    pub suspicion_timeout_us: DurationUs,
     /// How long a dead or departed member is retained, so that old updates cannot bring it back.
-    pub tombstone_us: DurationUs,
+    #[serde(rename = "tombstone_us")]
+    pub tombstone_ttl_us: DurationUs,
     /// Maximum bytes of updates in one message.
-    pub max_news_bytes: usize,
+    #[serde(rename = "max_news_bytes")]
+    pub max_message_update_bytes: usize,
     /// Maximum bytes of updates in all messages of one round. Above it a daemon sends only its own
     /// update and pages of the member list, and above twice this value nothing.
-    pub max_round_news_bytes: usize,
+    #[serde(rename = "max_round_news_bytes")]
+    pub max_round_update_bytes: usize,
     /// Number of times each update is sent, multiplied by the logarithm of the fleet's size.
-    pub sends_factor: u32,
+    #[serde(rename = "sends_factor")]
+    pub retransmit_factor: u32,
     /// Maximum number of updates in a page of the member list, which starting daemons request.
-    pub sync_page: usize,
+    #[serde(rename = "sync_page")]
+    pub max_sync_page_updates: usize,
     /// Minimum load change, in thousandths, that is published as an update.
-    pub load_step_permille: u32,
+    #[serde(rename = "load_step_permille")]
+    pub min_load_change_permille: u32,
     /// Minimum time between two load updates.
-    pub load_news_us: DurationUs,
+    #[serde(rename = "load_news_us")]
+    pub min_load_update_interval_us: DurationUs,
     /// Maximum number of addresses in an answer to `GET /v1/entries`, and the number of daemons
     /// that serve one workspace.
     pub max_entries: usize,
@@ -46,17 +55,17 @@
         Self {
             seeds: Vec::new(),
             peer_port: None,
-            interval_us: DurationUs::from_ms(1_000),
+            probe_interval_us: DurationUs::from_ms(1_000),
             probes_per_round: 2,
             indirect_probes: 3,
-            suspicion_us: DurationUs::from_ms(2_000),
-            tombstone_us: DurationUs::from_ms(600_000),
-            max_news_bytes: 480,
-            max_round_news_bytes: 2_048,
-            sends_factor: 3,
-            sync_page: 24,
-            load_step_permille: 200,
-            load_news_us: DurationUs::from_ms(30_000),
+            suspicion_timeout_us: DurationUs::from_ms(2_000),
+            tombstone_ttl_us: DurationUs::from_ms(600_000),
+            max_message_update_bytes: 480,
+            max_round_update_bytes: 2_048,
+            retransmit_factor: 3,
+            max_sync_page_updates: 24,
+            min_load_change_permille: 200,
+            min_load_update_interval_us: DurationUs::from_ms(30_000),
             max_entries: 12,
         }
     }
--- a/crates/wisteriahitch-core/src/fleet/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 pub use configuration::{
     ConfigCommand, ConfigEvent, ConfigPhase, ConfigReplica, ConfigSettings, ConfigTable,
-    HeadChange, HeadObject, HistoryEntry, Holders, PullAnswer, PushAnswer, Submission,
+    HeadChange, HeadObject, HistoryEntry, HolderCounts, PullAnswer, PushAnswer, Submission,
     SubmissionCommand, SubmissionEvent, SubmissionOutcome, SubmissionStep, head_watchers,
 };
 pub use drain::{Drain, DrainPhase, OpenWork};
@@ -19,12 +19,12 @@
     LeaseStatus, LeaseTable, OrderGrant, WriteFailure,
 };
 pub use members::{
-    EntryAddress, Member, MemberAddresses, MemberState, Membership, MembershipCommand,
-    MembershipEvent, MembershipSettings, News, VmNotice,
+    EntryAddress, ListedVm, Member, MemberAddresses, MemberState, Membership, MembershipCommand,
+    MembershipEvent, MembershipSettings, MembershipUpdate,
 };
 pub use orders::{
-    Blocked, EndpointOrder, EndpointReport, ModelOnEndpoint, OrderPlanner, PlannedOrder,
-    PlannerSettings, RolloutPhase, RolloutProgress, SiteView, WantedEndpoint, WantedModel,
-    WantedState,
+    BlockReason, DesiredEndpoint, DesiredModel, DesiredState, EndpointOrder, EndpointReport,
+    ModelOnEndpoint, OrderPlanner, PlannedOrder, PlannerSettings, RolloutPhase, RolloutProgress,
+    SiteView,
 };
 pub use rendezvous::Rendezvous;
--- a/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
@@ -15,7 +15,8 @@
     pub(super) started_at_us: TimeUs,
     /// Whether the endpoint has answered the order; earlier reports do not count.
     pub(super) is_answered: bool,
-    agreeing: u32,
+    #[serde(rename = "agreeing")]
+    consecutive_confirmations: u32,
     last_made_at_ms: Option<u64>,
 }
 
@@ -25,23 +26,23 @@
             order,
             started_at_us: now,
             is_answered: false,
-            agreeing: 0,
+            consecutive_confirmations: 0,
             last_made_at_ms: None,
         }
     }
 
     /// Records a report and returns whether enough reports have confirmed the order. A report with
     /// the same `made_at_ms` as the last one is ignored.
-    pub(super) fn take(&mut self, report: &EndpointReport, wanted_reads: u32) -> bool {
+    pub(super) fn record_report(&mut self, report: &EndpointReport, required_reports: u32) -> bool {
         if !self.is_answered || self.last_made_at_ms == Some(report.made_at_ms) {
             return false;
         }
         self.last_made_at_ms = Some(report.made_at_ms);
-        self.agreeing = match is_done(&self.order, report) {
-            true => self.agreeing + 1,
+        self.consecutive_confirmations = match is_done(&self.order, report) {
+            true => self.consecutive_confirmations + 1,
             false => 0,
         };
-        self.agreeing >= wanted_reads
+        self.consecutive_confirmations >= required_reports
     }
 }
 
--- a/crates/wisteriahitch-core/src/fleet/orders/wanted_state.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/desired_state.rs
@@ -6,27 +6,27 @@
 use wisteriahitch_config::{Configuration, Service, ServiceKind};
 use wisteriahitch_types::{AdapterName, EndpointId, ModelName, ServiceName, WeightVersion};
 
-/// Wanted state of all endpoints that accept orders.
+/// Desired state of all endpoints that accept orders.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct WantedState {
-    /// Wanted state by endpoint.
-    pub endpoints: BTreeMap<EndpointId, WantedEndpoint>,
+pub struct DesiredState {
+    /// Desired state by endpoint.
+    pub endpoints: BTreeMap<EndpointId, DesiredEndpoint>,
     /// Maximum number of concurrent loads at the site.
     pub rollout_parallel: u32,
 }
 
-/// Wanted state of one endpoint.
+/// Desired state of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct WantedEndpoint {
+pub struct DesiredEndpoint {
     /// Service that the endpoint belongs to; its name is the endpoint's role.
     pub service: ServiceName,
     /// Models that the endpoint is to load.
-    pub models: Vec<WantedModel>,
+    pub models: Vec<DesiredModel>,
 }
 
-/// Wanted state of one model on an endpoint.
+/// Desired state of one model on an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct WantedModel {
+pub struct DesiredModel {
     /// Name of the model.
     pub model: ModelName,
     /// Weight version.
@@ -35,8 +35,8 @@
     pub adapters: Vec<AdapterName>,
 }
 
-impl WantedState {
-    /// Derives the wanted state from a configuration. Endpoints of plain services accept no orders
+impl DesiredState {
+    /// Derives the desired state from a configuration. Endpoints of plain services accept no orders
     /// and are omitted.
     pub fn from_configuration(configuration: &Configuration) -> Self {
         let engines = configuration
@@ -44,9 +44,9 @@
             .values()
             .filter(|service| service.kind == ServiceKind::Engine);
         let endpoints = engines.flat_map(|service| {
-            let wanted = wanted_of(service, configuration);
+            let desired = desired_endpoint(service, configuration);
             let ids = service.endpoints.iter().map(|endpoint| endpoint.id.clone());
-            ids.map(move |id| (id, wanted.clone()))
+            ids.map(move |id| (id, desired.clone()))
         });
         Self {
             endpoints: endpoints.collect(),
@@ -54,36 +54,37 @@
         }
     }
 
-    /// Returns the wanted version of each model.
-    pub(super) fn versions(&self) -> BTreeMap<&ModelName, &WeightVersion> {
-        let models = self.endpoints.values().flat_map(|wanted| &wanted.models);
+    /// Returns the desired version of each model.
+    pub(super) fn desired_versions(&self) -> BTreeMap<&ModelName, &WeightVersion> {
+        let models = self.endpoints.values().flat_map(|desired| &desired.models);
         models
-            .map(|wanted| (&wanted.model, &wanted.weight_version))
+            .map(|desired| (&desired.model, &desired.weight_version))
             .collect()
     }
 
     /// Returns the endpoints that are to load a model.
-    pub(super) fn holders<'a>(
+    pub(super) fn endpoints_with_model<'a>(
         &'a self,
         model: &'a ModelName,
     ) -> impl Iterator<Item = &'a EndpointId> {
-        let holds = move |wanted: &WantedEndpoint| wanted.models.iter().any(|m| m.model == *model);
+        let holds =
+            move |desired: &DesiredEndpoint| desired.models.iter().any(|m| m.model == *model);
         self.endpoints
             .iter()
-            .filter(move |(_, wanted)| holds(wanted))
+            .filter(move |(_, desired)| holds(desired))
             .map(|(id, _)| id)
     }
 }
 
-fn wanted_of(service: &Service, configuration: &Configuration) -> WantedEndpoint {
+fn desired_endpoint(service: &Service, configuration: &Configuration) -> DesiredEndpoint {
     let models = service
         .models
         .iter()
         .filter_map(|name| configuration.models.get(name));
-    WantedEndpoint {
+    DesiredEndpoint {
         service: service.name.clone(),
         models: models
-            .map(|model| WantedModel {
+            .map(|model| DesiredModel {
                 model: model.name.clone(),
                 weight_version: model.weight_version.clone(),
                 adapters: model.adapters.clone(),
--- a/crates/wisteriahitch-core/src/fleet/orders/order_planner.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/order_planner.rs
@@ -1,42 +1,46 @@
-//! Planner that brings endpoints to the wanted state, a few at a time.
+//! Planner that brings endpoints to the desired state, a few at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::Serialize;
 use wisteriahitch_types::{DurationUs, EndpointId, ModelName, Share, TimeUs};
 
-use super::choosing::{count_at_target, version_before};
+use super::choosing::{count_at_target, previous_version};
 use super::confirmation::Confirmation;
 use super::rollout::Rollout;
 use super::{
-    Blocked, EndpointOrder, EndpointReport, PlannedOrder, RolloutProgress, WantedEndpoint,
-    WantedState,
+    BlockReason, DesiredEndpoint, DesiredState, EndpointOrder, EndpointReport, PlannedOrder,
+    RolloutProgress,
 };
 
 /// Limits and times of rollouts.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PlannerSettings {
     /// Number of different reports in a row that must confirm an order.
-    pub wanted_reads: u32,
+    #[serde(rename = "wanted_reads")]
+    pub required_reports: u32,
     /// Number of failed loads of a version after which its rollout is rolled back.
     pub max_failures: u32,
     /// Fraction of a model's endpoints that must stay ready.
-    pub ready_share: Share,
+    #[serde(rename = "ready_share")]
+    pub min_ready_share: Share,
     /// Maximum time from planning an order to its last confirmation; after it the order counts as
     /// failed.
-    pub confirm_us: DurationUs,
+    #[serde(rename = "confirm_us")]
+    pub confirmation_timeout_us: DurationUs,
     /// Time after a failed order during which the endpoint gets no other order.
-    pub retry_us: DurationUs,
+    #[serde(rename = "retry_us")]
+    pub retry_backoff_us: DurationUs,
 }
 
 impl Default for PlannerSettings {
     fn default() -> Self {
         Self {
-            wanted_reads: 2,
+            required_reports: 2,
             max_failures: 2,
-            ready_share: Share::try_from(0.5).unwrap_or(Share::ONE),
-            confirm_us: DurationUs::from_ms(60_000),
-            retry_us: DurationUs::from_ms(5_000),
+            min_ready_share: Share::try_from(0.5).unwrap_or(Share::ONE),
+            confirmation_timeout_us: DurationUs::from_ms(60_000),
+            retry_backoff_us: DurationUs::from_ms(5_000),
         }
     }
 }
@@ -44,8 +48,8 @@
 /// Input of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteView<'a> {
-    /// Wanted state by the configuration.
-    pub wanted: &'a WantedState,
+    /// Desired state by the configuration.
+    pub desired: &'a DesiredState,
     /// Last report of each endpoint.
     pub reports: &'a BTreeMap<EndpointId, EndpointReport>,
     /// Endpoints that this daemon may give orders to now.
@@ -62,9 +66,11 @@
 pub struct OrderPlanner {
     pub(super) settings: PlannerSettings,
     pub(super) rollouts: BTreeMap<ModelName, Rollout>,
-    pub(super) running: BTreeMap<EndpointId, Confirmation>,
-    pub(super) resting_until_us: BTreeMap<EndpointId, TimeUs>,
-    pub(super) blocked: BTreeMap<EndpointId, (ModelName, Blocked)>,
+    #[serde(rename = "running")]
+    pub(super) unconfirmed_orders: BTreeMap<EndpointId, Confirmation>,
+    #[serde(rename = "resting_until_us")]
+    pub(super) backoff_until_us: BTreeMap<EndpointId, TimeUs>,
+    pub(super) blocked: BTreeMap<EndpointId, (ModelName, BlockReason)>,
 }
 
 impl OrderPlanner {
@@ -78,16 +84,17 @@
 
     /// Processes the current reports and returns the orders to give now.
     pub fn plan(&mut self, site: SiteView<'_>, now: TimeUs) -> Vec<PlannedOrder> {
-        self.follow_wanted(site);
-        self.confirm(site, now);
-        self.note_complete(site);
+        self.update_rollouts(site);
+        self.check_confirmations(site, now);
+        self.update_phases(site);
         self.blocked.clear();
-        self.resting_until_us.retain(|_, until| *until > now);
+        self.backoff_until_us.retain(|_, until| *until > now);
         let mut planned = Vec::new();
-        for (endpoint, wanted) in &site.wanted.endpoints {
-            if let Some(order) = self.next_order(endpoint, wanted, site) {
+        for (endpoint, desired) in &site.desired.endpoints {
+            if let Some(order) = self.next_order(endpoint, desired, site) {
                 let confirmation = Confirmation::new(order.clone(), now);
-                self.running.insert(endpoint.clone(), confirmation);
+                self.unconfirmed_orders
+                    .insert(endpoint.clone(), confirmation);
                 let endpoint = endpoint.clone();
                 planned.push(PlannedOrder { endpoint, order });
             }
@@ -95,12 +102,12 @@
         planned
     }
 
-    /// Records the result of sending an order: the endpoint accepted it (`is_good`), or it failed
+    /// Records the result of sending an order: the endpoint accepted it (`is_success`), or it failed
     /// or could not be sent.
-    pub fn order_done(&mut self, endpoint: &EndpointId, is_good: bool, now: TimeUs) {
-        match self.running.get_mut(endpoint) {
-            Some(running) if is_good => running.is_answered = true,
-            Some(_) => self.fail(endpoint, now),
+    pub fn order_done(&mut self, endpoint: &EndpointId, is_success: bool, now: TimeUs) {
+        match self.unconfirmed_orders.get_mut(endpoint) {
+            Some(running) if is_success => running.is_answered = true,
+            Some(_) => self.record_failure(endpoint, now),
             None => {}
         }
     }
@@ -108,37 +115,37 @@
     /// Records that an order was not sent because the lease did not allow it; this is not a
     /// failure.
     pub fn order_withdrawn(&mut self, endpoint: &EndpointId) {
-        self.running.remove(endpoint);
+        self.unconfirmed_orders.remove(endpoint);
     }
 
     /// Returns the endpoint that is to load next, even if another daemon gives it orders. The
     /// daemon that does is the owner to set with
     /// [`LeaseTable::set_rollout_owner`](crate::fleet::LeaseTable::set_rollout_owner).
     pub fn next_to_load<'a>(&self, site: SiteView<'a>) -> Option<&'a EndpointId> {
-        let is_next = |endpoint: &EndpointId, wanted: &WantedEndpoint| {
+        let is_next = |endpoint: &EndpointId, desired: &DesiredEndpoint| {
             if self
-                .running
+                .unconfirmed_orders
                 .get(endpoint)
                 .is_some_and(|r| r.order.is_load())
             {
                 return true;
             }
             let report = site.reports.get(endpoint).filter(|r| !r.is_leaving);
-            let order = report.and_then(|report| self.difference(wanted, report));
+            let order = report.and_then(|report| self.next_needed_order(desired, report));
             let load = order.filter(EndpointOrder::is_load);
             let model = load.as_ref().and_then(EndpointOrder::model);
-            model.is_some_and(|model| self.can_spare(endpoint, model, site))
+            model.is_some_and(|model| self.can_take_out_of_service(endpoint, model, site))
         };
-        let mut endpoints = site.wanted.endpoints.iter();
+        let mut endpoints = site.desired.endpoints.iter();
         endpoints
-            .find(|(endpoint, wanted)| is_next(endpoint, wanted))
+            .find(|(endpoint, desired)| is_next(endpoint, desired))
             .map(|(endpoint, _)| endpoint)
     }
 
     /// Returns whether an endpoint's order is not confirmed yet. Until then the endpoint must get
     /// no requests for a version that it does not report.
-    pub fn is_changing(&self, endpoint: &EndpointId) -> bool {
-        self.running.contains_key(endpoint)
+    pub fn has_unconfirmed_order(&self, endpoint: &EndpointId) -> bool {
+        self.unconfirmed_orders.contains_key(endpoint)
     }
 
     /// Returns the rollout progress of every model, for operators.
@@ -148,24 +155,24 @@
             from: rollout.from.clone(),
             to: rollout.to.clone(),
             phase: rollout.phase,
-            total: site.wanted.holders(model).count(),
+            total: site.desired.endpoints_with_model(model).count(),
             done: count_at_target(model, rollout, site),
-            loading: self.loading_of(model),
+            loading: self.endpoints_loading(model),
             failures: rollout.failures,
-            blocked: self.blocked_of(model),
+            blocked: self.block_reasons(model),
         };
         self.rollouts.iter().map(progress).collect()
     }
 
-    pub(super) fn loading_of(&self, model: &ModelName) -> Vec<EndpointId> {
-        self.running
+    pub(super) fn endpoints_loading(&self, model: &ModelName) -> Vec<EndpointId> {
+        self.unconfirmed_orders
             .iter()
             .filter(|(_, running)| running.order.is_load() && running.order.model() == Some(model))
             .map(|(endpoint, _)| endpoint.clone())
             .collect()
     }
 
-    pub(super) fn blocked_of(&self, model: &ModelName) -> Vec<(EndpointId, Blocked)> {
+    pub(super) fn block_reasons(&self, model: &ModelName) -> Vec<(EndpointId, BlockReason)> {
         self.blocked
             .iter()
             .filter(|(_, (of, _))| of == model)
@@ -173,58 +180,62 @@
             .collect()
     }
 
-    /// Starts a rollout for each model whose wanted version has changed, and removes obsolete
+    /// Starts a rollout for each model whose desired version has changed, and removes obsolete
     /// rollouts and orders.
-    pub(super) fn follow_wanted(&mut self, site: SiteView<'_>) {
-        let versions = site.wanted.versions();
+    pub(super) fn update_rollouts(&mut self, site: SiteView<'_>) {
+        let versions = site.desired.desired_versions();
         self.rollouts
             .retain(|model, _| versions.contains_key(model));
         for (model, version) in versions {
             let is_known = self.rollouts.get(model).is_some_and(|r| r.to == *version);
             if !is_known {
-                let from = version_before(model, version, site);
+                let from = previous_version(model, version, site);
                 let rollout = Rollout::new(from, version.clone());
                 self.rollouts.insert(model.clone(), rollout);
             }
         }
-        self.running
-            .retain(|endpoint, _| site.wanted.endpoints.contains_key(endpoint));
+        self.unconfirmed_orders
+            .retain(|endpoint, _| site.desired.endpoints.contains_key(endpoint));
     }
 
-    pub(super) fn confirm(&mut self, site: SiteView<'_>, now: TimeUs) {
-        let (reads, confirm_us) = (self.settings.wanted_reads, self.settings.confirm_us);
+    pub(super) fn check_confirmations(&mut self, site: SiteView<'_>, now: TimeUs) {
+        let (required_reports, confirmation_timeout_us) = (
+            self.settings.required_reports,
+            self.settings.confirmation_timeout_us,
+        );
         let mut failed = Vec::new();
-        self.running.retain(|endpoint, running| {
+        self.unconfirmed_orders.retain(|endpoint, running| {
             let report = site.reports.get(endpoint);
-            let is_confirmed = report.is_some_and(|report| running.take(report, reads));
-            let is_late = now.since(running.started_at_us) >= confirm_us;
+            let is_confirmed =
+                report.is_some_and(|report| running.record_report(report, required_reports));
+            let is_late = now.since(running.started_at_us) >= confirmation_timeout_us;
             if is_late && !is_confirmed {
                 failed.push(endpoint.clone());
             }
             !is_confirmed
         });
         for endpoint in failed {
-            self.fail(&endpoint, now);
+            self.record_failure(&endpoint, now);
         }
     }
 
-    pub(super) fn fail(&mut self, endpoint: &EndpointId, now: TimeUs) {
-        let Some(running) = self.running.remove(endpoint) else {
+    pub(super) fn record_failure(&mut self, endpoint: &EndpointId, now: TimeUs) {
+        let Some(running) = self.unconfirmed_orders.remove(endpoint) else {
             return;
         };
-        let until = now + self.settings.retry_us;
-        self.resting_until_us.insert(endpoint.clone(), until);
+        let until = now + self.settings.retry_backoff_us;
+        self.backoff_until_us.insert(endpoint.clone(), until);
         let model = running.order.model().filter(|_| running.order.is_load());
         if let Some(rollout) = model.and_then(|model| self.rollouts.get_mut(model)) {
-            rollout.fail(self.settings.max_failures);
+            rollout.record_failure(self.settings.max_failures);
         }
     }
 
-    pub(super) fn note_complete(&mut self, site: SiteView<'_>) {
+    pub(super) fn update_phases(&mut self, site: SiteView<'_>) {
         for (model, rollout) in &mut self.rollouts {
-            let total = site.wanted.holders(model).count();
+            let total = site.desired.endpoints_with_model(model).count();
             let is_complete = count_at_target(model, rollout, site) == total;
-            rollout.note_complete(is_complete);
+            rollout.update_phase(is_complete);
         }
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/orders/rollout.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/rollout.rs
@@ -12,7 +12,8 @@
     /// All endpoints report the new version.
     Done,
     /// Loading failed too often; endpoints are returning to the previous version.
-    GoingBack,
+    #[serde(rename = "going_back")]
+    RollingBack,
     /// The rollout failed. All endpoints report the previous version, or there was none.
     Stopped,
 }
@@ -20,7 +21,7 @@
 /// Reason why an endpoint's load has to wait.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Blocked {
+pub enum BlockReason {
     /// The maximum number of concurrent loads at the site is reached.
     TooManyLoading,
     /// The first endpoint of the rollout has not yet confirmed that the version works.
@@ -54,7 +55,7 @@
     /// Number of failed loads.
     pub failures: u32,
     /// Endpoints that have to wait, with the reason.
-    pub blocked: Vec<(EndpointId, Blocked)>,
+    pub blocked: Vec<(EndpointId, BlockReason)>,
 }
 
 /// Rollout state of one model.
@@ -80,30 +81,30 @@
     pub(super) fn target(&self) -> Option<&WeightVersion> {
         match self.phase {
             RolloutPhase::Running | RolloutPhase::Done => Some(&self.to),
-            RolloutPhase::GoingBack | RolloutPhase::Stopped => self.from.as_ref(),
+            RolloutPhase::RollingBack | RolloutPhase::Stopped => self.from.as_ref(),
         }
     }
 
     /// Counts a failed load. At `max` failures a running rollout goes back to the previous version,
     /// or stops if there is none.
-    pub(super) fn fail(&mut self, max: u32) {
+    pub(super) fn record_failure(&mut self, max: u32) {
         self.failures += 1;
         let is_running = self.phase == RolloutPhase::Running;
         if !is_running || self.failures < max {
             return;
         }
         self.phase = match self.from {
-            Some(_) => RolloutPhase::GoingBack,
+            Some(_) => RolloutPhase::RollingBack,
             None => RolloutPhase::Stopped,
         };
     }
 
     /// Updates the state by whether all endpoints report the target version.
-    pub(super) fn note_complete(&mut self, is_complete: bool) {
+    pub(super) fn update_phase(&mut self, is_complete: bool) {
         self.phase = match (self.phase, is_complete) {
             (RolloutPhase::Running, true) => RolloutPhase::Done,
             (RolloutPhase::Done, false) => RolloutPhase::Running,
-            (RolloutPhase::GoingBack, true) => RolloutPhase::Stopped,
+            (RolloutPhase::RollingBack, true) => RolloutPhase::Stopped,
             (phase, _) => phase,
         };
     }
--- a/crates/wisteriahitch-core/src/fleet/rendezvous.rs
+++ b/crates/wisteriahitch-core/src/fleet/rendezvous.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::Xxh3;
 
-const UNIT_BITS: u32 = 53;
+const MANTISSA_BITS: u32 = 53;
 
 /// Ranks candidates for a subject by hash. All daemons with the same candidates agree on the
 /// ranking, and removing a candidate moves only the subjects that were assigned to it.
@@ -16,24 +16,24 @@
 /// ```
 #[derive(Clone)]
 pub struct Rendezvous {
-    base: Xxh3,
+    seeded_hasher: Xxh3,
 }
 
 impl Rendezvous {
     /// Creates a ranking for `subject`. `purpose` separates the rankings of different uses from
     /// each other.
     pub fn new(purpose: &str, subject: &str) -> Self {
-        let mut base = Xxh3::new();
-        base.update(purpose.as_bytes());
-        base.update(&[0]);
-        base.update(subject.as_bytes());
-        base.update(&[0]);
-        Self { base }
+        let mut seeded_hasher = Xxh3::new();
+        seeded_hasher.update(purpose.as_bytes());
+        seeded_hasher.update(&[0]);
+        seeded_hasher.update(subject.as_bytes());
+        seeded_hasher.update(&[0]);
+        Self { seeded_hasher }
     }
 
     /// Returns the score of a candidate; the candidate with the highest score is responsible.
     pub fn score(&self, candidate: &[u8]) -> u64 {
-        let mut hasher = self.base.clone();
+        let mut hasher = self.seeded_hasher.clone();
         hasher.update(candidate);
         hasher.digest()
     }
@@ -41,8 +41,8 @@
     /// Returns a score under which a candidate of twice the `weight` wins twice as often; the
     /// lowest score wins.
     pub fn weighted_score(&self, candidate: &[u8], weight: f64) -> f64 {
-        let steps = (self.score(candidate) >> (u64::BITS - UNIT_BITS)) as f64;
-        let uniform = (steps + 0.5) / (1_u64 << UNIT_BITS) as f64;
+        let mantissa = (self.score(candidate) >> (u64::BITS - MANTISSA_BITS)) as f64;
+        let uniform = (mantissa + 0.5) / (1_u64 << MANTISSA_BITS) as f64;
         -uniform.ln() / weight.max(f64::MIN_POSITIVE)
     }
 
--- a/crates/wisteriahitch-core/tests/all/fleet.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet.rs
@@ -3,7 +3,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use wisteriahitch_core::fleet::{
-    Member, MemberAddresses, MemberState, Membership, MembershipSettings, News,
+    Member, MemberAddresses, MemberState, Membership, MembershipSettings, MembershipUpdate,
 };
 use wisteriahitch_types::{ConfigVersion, Incarnation, TimeUs};
 
@@ -19,7 +19,7 @@
     Member {
         daemon: format!("entry-{index}").parse().unwrap(),
         incarnation: incarnation(index, life),
-        news_number: 1,
+        update_number: 1,
         state: MemberState::Alive,
         addresses: MemberAddresses {
             caller: address(10_000 + index),
@@ -57,7 +57,12 @@
     let mut members = membership(0, 0);
     for index in 1..count {
         let peer = member(index, 0);
-        members.answer_probe(peer.incarnation, &[News::of(&peer)], None, TimeUs::ZERO);
+        members.answer_probe(
+            peer.incarnation,
+            &[MembershipUpdate::of(&peer)],
+            None,
+            TimeUs::ZERO,
+        );
     }
     members
 }
@@ -69,7 +74,12 @@
     for (other, life) in lives.iter().enumerate() {
         let peer = member(other as u16, *life);
         if peer.incarnation != members.me().incarnation {
-            members.answer_probe(peer.incarnation, &[News::of(&peer)], None, TimeUs::ZERO);
+            members.answer_probe(
+                peer.incarnation,
+                &[MembershipUpdate::of(&peer)],
+                None,
+                TimeUs::ZERO,
+            );
         }
     }
     members
--- a/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
@@ -204,7 +204,7 @@
         let dump = serde_json::to_value(node.replica.table()).unwrap();
         let started_us = dump["replication"]["started_at_us"].as_u64().unwrap();
         let waited_us = self.now.since(TimeUs::new(started_us));
-        let has_waited = waited_us >= ConfigSettings::default().replicate_wait_us;
+        let has_waited = waited_us >= ConfigSettings::default().replication_timeout_us;
         assert!(
             is_confirmed || has_waited,
             "in force before any peer held it"
@@ -216,7 +216,7 @@
                 let other_node = &self.nodes[*other];
                 *other != index
                     && self.is_running(*other)
-                    && other_node.replica.held().map(|head| head.version) >= highest
+                    && other_node.replica.stored_head().map(|head| head.version) >= highest
             });
             assert!(!self.is_store_up, "reverted with the store up");
             assert_eq!(holder, None, "reverted although a peer holds it");
@@ -314,10 +314,10 @@
                     continue;
                 }
                 let peer = self.nodes[other].members.me().clone();
-                let news = wisteriahitch_core::fleet::News::of(&peer);
+                let updates = wisteriahitch_core::fleet::MembershipUpdate::of(&peer);
                 let now = self.now;
                 let members = &mut self.nodes[index].members;
-                members.answer_probe(peer.incarnation, &[news], None, now);
+                members.answer_probe(peer.incarnation, &[updates], None, now);
                 let event = ConfigEvent::PeerVersion {
                     from: peer.incarnation,
                     version: peer.config_version,
--- a/crates/wisteriahitch-core/tests/all/fleet_leases.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_leases.rs
@@ -7,7 +7,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use wisteriahitch_core::fleet::{
     LeaseCommand, LeaseEvent, LeaseGroup, LeaseHolder, LeaseObject, LeasePhase, LeaseSettings,
-    LeaseTable, MemberState, Membership, MembershipEvent, News, OrderGrant, WriteFailure,
+    LeaseTable, MemberState, Membership, MembershipEvent, MembershipUpdate, OrderGrant,
+    WriteFailure,
 };
 use wisteriahitch_types::{Code, DurationUs, FenceNumber, TimeUs};
 
@@ -89,7 +90,7 @@
                 incarnation: me.incarnation,
             };
             let mut leases = LeaseTable::new(holder, LeaseSettings::default());
-            leases.want([group.clone()]);
+            leases.set_groups([group.clone()]);
             Node {
                 leases,
                 members: full_membership(index as u16, &lives),
@@ -183,7 +184,7 @@
     fn order(&mut self, index: usize) -> Result<OrderGrant, Code> {
         let now = self.clock(index);
         let group = self.group.clone();
-        let grant = self.nodes[index].leases.try_order(&group, now)?;
+        let grant = self.nodes[index].leases.try_grant_order(&group, now)?;
         let order = SentOrder {
             daemon: index,
             from: self.now_us,
@@ -209,7 +210,7 @@
         let event = MembershipEvent::IndirectAnswered {
             target: accused.incarnation,
             is_reached: false,
-            news: vec![News::of(&accused)],
+            updates: vec![MembershipUpdate::of(&accused)],
         };
         let now = self.clock(index);
         self.nodes[index].members.handle(event, now);
@@ -243,7 +244,7 @@
     }
 
     fn holder(&self) -> Option<usize> {
-        (0..DAEMONS).find(|index| self.nodes[*index].leases.held().next().is_some())
+        (0..DAEMONS).find(|index| self.nodes[*index].leases.held_groups().next().is_some())
     }
 }
 
@@ -561,7 +562,7 @@
 fn a_lease_is_not_released_while_an_order_is_under_way() {
     let (mut site, holder) = Site::with_holder();
     site.order(holder).unwrap();
-    site.nodes[holder].leases.want([]);
+    site.nodes[holder].leases.set_groups([]);
     let object_holder = |site: &Site| {
         let (object, _) = site.store.object.clone().unwrap();
         object.holder.map(|holder| holder.incarnation)
@@ -583,7 +584,7 @@
     site.order(holder).unwrap();
     let done = LeaseEvent::OrderDone(site.group.clone());
     site.feed(holder, done);
-    site.nodes[holder].leases.want([]);
+    site.nodes[holder].leases.set_groups([]);
     let is_held = |site: &Site| site.store.object.as_ref().unwrap().0.holder.is_some();
     site.run(2_900);
     assert!(is_held(&site));
@@ -626,7 +627,7 @@
     let mut site = Site::new();
     site.group = LeaseGroup::RolloutSlot(0);
     for node in &mut site.nodes {
-        node.leases.want([LeaseGroup::RolloutSlot(0)]);
+        node.leases.set_groups([LeaseGroup::RolloutSlot(0)]);
     }
     for owner in [2, 0] {
         let incarnation = site.nodes[owner].members.me().incarnation;
--- a/crates/wisteriahitch-core/tests/all/fleet_membership.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_membership.rs
@@ -5,14 +5,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use wisteriahitch_core::fleet::{
-    MemberState, Membership, MembershipCommand, MembershipEvent, News, VmNotice,
+    ListedVm, MemberState, Membership, MembershipCommand, MembershipEvent, MembershipUpdate,
 };
 use wisteriahitch_types::{ConfigVersion, DurationUs, Incarnation, TimeUs};
 
 use crate::fleet::{SEED, ZONES, incarnation, member, membership, membership_of};
 use crate::generated::generated;
 
-/// Twice `max_round_news_bytes`: the limit that is never exceeded.
+/// Twice `max_round_update_bytes`: the limit that is never exceeded.
 const HARD_ROUND_BYTES: usize = 4_096;
 const ROUND_US: DurationUs = DurationUs::from_ms(1_000);
 
@@ -84,19 +84,19 @@
                 MembershipCommand::Probe {
                     address,
                     meant_for,
-                    news,
+                    updates,
                     sync_after,
                 } => {
-                    *self.sent.entry(from).or_default() += size(&news);
+                    *self.sent.entry(from).or_default() += size(&updates);
                     let to = address.port() - 20_000;
-                    match self.deliver(from, to, &news, sync_after) {
-                        Some((answered_by, news)) => {
-                            *self.sent.entry(to).or_default() += size(&news);
+                    match self.deliver(from, to, &updates, sync_after) {
+                        Some((answered_by, updates)) => {
+                            *self.sent.entry(to).or_default() += size(&updates);
                             MembershipEvent::ProbeAnswered {
                                 address,
                                 meant_for,
                                 answered_by,
-                                news,
+                                updates,
                             }
                         }
                         None => MembershipEvent::ProbeFailed { meant_for },
@@ -114,7 +114,7 @@
                     MembershipEvent::IndirectAnswered {
                         target,
                         is_reached: is_asked && is_there && self.can_reach(via, to),
-                        news: Vec::new(),
+                        updates: Vec::new(),
                     }
                 }
                 MembershipCommand::Changed { .. } => continue,
@@ -132,17 +132,17 @@
         &mut self,
         from: u16,
         to: u16,
-        news: &[News],
+        updates: &[MembershipUpdate],
         sync_after: Option<Incarnation>,
-    ) -> Option<(Incarnation, Vec<News>)> {
+    ) -> Option<(Incarnation, Vec<MembershipUpdate>)> {
         if !self.can_reach(from, to) {
             return None;
         }
         let sender = self.nodes[&from].me().incarnation;
         let now = self.now;
         let node = self.nodes.get_mut(&to)?;
-        let (news, _) = node.answer_probe(sender, news, sync_after, now);
-        Some((node.me().incarnation, news))
+        let (updates, _) = node.answer_probe(sender, updates, sync_after, now);
+        Some((node.me().incarnation, updates))
     }
 
     /// Returns whether every daemon lists exactly the running daemons as alive.
@@ -166,8 +166,8 @@
     }
 }
 
-fn size(news: &[News]) -> usize {
-    news.iter().map(News::size_bytes).sum()
+fn size(updates: &[MembershipUpdate]) -> usize {
+    updates.iter().map(MembershipUpdate::size_bytes).sum()
 }
 
 #[test]
@@ -288,7 +288,7 @@
     EntryCase {
         name: "its VM is leaving",
         event: || {
-            MembershipEvent::VmList(vec![VmNotice {
+            MembershipEvent::VmList(vec![ListedVm {
                 address: member(2, 0).addresses.peer.ip(),
                 is_leaving: true,
             }])
@@ -315,12 +315,12 @@
 fn told(state: MemberState) -> MembershipEvent {
     let mut subject = member(2, 0);
     subject.state = state;
-    subject.news_number += 1;
+    subject.update_number += 1;
     MembershipEvent::ProbeAnswered {
         address: member(1, 0).addresses.peer,
         meant_for: None,
         answered_by: member(1, 0).incarnation,
-        news: vec![News::of(&subject)],
+        updates: vec![MembershipUpdate::of(&subject)],
     }
 }
 
@@ -343,7 +343,12 @@
     let mut members = membership_of(6);
     let mut busy = member(3, 0);
     busy.load_permille = 900;
-    members.answer_probe(busy.incarnation, &[News::of(&busy)], None, TimeUs::ZERO);
+    members.answer_probe(
+        busy.incarnation,
+        &[MembershipUpdate::of(&busy)],
+        None,
+        TimeUs::ZERO,
+    );
     let zone = ZONES[0].parse().unwrap();
     let workspace = "kandy-1".parse().unwrap();
     let mut firsts: BTreeMap<Incarnation, u32> = BTreeMap::new();
@@ -381,15 +386,15 @@
     );
     let later = TimeUs::new(60_000_000);
     members.handle(MembershipEvent::Load(400), later);
-    let before = members.me().news_number;
+    let before = members.me().update_number;
     members.handle(MembershipEvent::Drain, later);
-    let (news, _) = members.answer_probe(incarnation(1, 0), &[], None, later);
-    let own = &news[0];
+    let (updates, _) = members.answer_probe(incarnation(1, 0), &[], None, later);
+    let own = &updates[0];
     assert_eq!(own.incarnation, incarnation(0, 0));
     assert_eq!(own.config_version, ConfigVersion::new(5));
     assert_eq!(own.load_permille, 400);
     assert_eq!(own.state, MemberState::Draining);
-    assert_eq!(own.news_number, before + 1);
+    assert_eq!(own.update_number, before + 1);
 }
 
 #[test]
--- a/crates/wisteriahitch-core/tests/all/fleet_orders.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_orders.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use wisteriahitch_core::fleet::{
-    Blocked, EndpointOrder, EndpointReport, ModelOnEndpoint, OrderPlanner, PlannedOrder,
-    PlannerSettings, RolloutPhase, RolloutProgress, SiteView, WantedEndpoint, WantedModel,
-    WantedState,
+    BlockReason, DesiredEndpoint, DesiredModel, DesiredState, EndpointOrder, EndpointReport,
+    ModelOnEndpoint, OrderPlanner, PlannedOrder, PlannerSettings, RolloutPhase, RolloutProgress,
+    SiteView,
 };
 use wisteriahitch_types::{EndpointId, ModelName, TimeUs};
 
@@ -17,7 +17,7 @@
 
 /// Simulated runners whose loads take two time steps.
 struct Site {
-    wanted: WantedState,
+    desired: DesiredState,
     reports: BTreeMap<EndpointId, EndpointReport>,
     owned: BTreeSet<EndpointId>,
     load_slots: u32,
@@ -57,7 +57,7 @@
             ..EndpointReport::default()
         };
         let mut site = Self {
-            wanted: WantedState::default(),
+            desired: DesiredState::default(),
             reports: (0..count).map(|n| (id(n), report())).collect(),
             owned: (0..count).map(id).collect(),
             load_slots: 2,
@@ -68,24 +68,24 @@
             most_loading: 0,
             least_ready: count,
         };
-        site.want(version, &[]);
+        site.set_desired(version, &[]);
         site
     }
 
-    fn want(&mut self, version: &str, adapters: &[&str]) {
-        let wanted = WantedEndpoint {
+    fn set_desired(&mut self, version: &str, adapters: &[&str]) {
+        let desired = DesiredEndpoint {
             service: "assistant".parse().unwrap(),
-            models: vec![WantedModel {
+            models: vec![DesiredModel {
                 model: model(),
                 weight_version: version.parse().unwrap(),
                 adapters: adapters.iter().map(|a| a.parse().unwrap()).collect(),
             }],
         };
-        self.wanted = WantedState {
+        self.desired = DesiredState {
             endpoints: self
                 .reports
                 .keys()
-                .map(|id| (id.clone(), wanted.clone()))
+                .map(|id| (id.clone(), desired.clone()))
                 .collect(),
             rollout_parallel: 2,
         };
@@ -93,7 +93,7 @@
 
     fn plan(&mut self) -> Vec<PlannedOrder> {
         let site = SiteView {
-            wanted: &self.wanted,
+            desired: &self.desired,
             reports: &self.reports,
             owned: &self.owned,
             load_slots: self.load_slots,
@@ -103,7 +103,7 @@
 
     fn progress(&self) -> RolloutProgress {
         let site = SiteView {
-            wanted: &self.wanted,
+            desired: &self.desired,
             reports: &self.reports,
             owned: &self.owned,
             load_slots: self.load_slots,
@@ -185,7 +185,7 @@
     let mut site = Site::new(9, "v1");
     site.run(3);
     assert!(site.plan().is_empty());
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.step();
     assert_eq!(
         site.loading.len(),
@@ -207,14 +207,14 @@
     let mut site = Site::new(6, "v1");
     site.run(2);
     site.broken = Some("v2");
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.run(40);
     assert_eq!(site.versions(), BTreeSet::from(["v1".to_owned()]));
     let progress = site.progress();
     assert_eq!(progress.phase, RolloutPhase::Stopped);
     assert_eq!(progress.failures, 2);
     assert_eq!(progress.done, 6);
-    site.want("v3", &[]);
+    site.set_desired("v3", &[]);
     site.run(60);
     assert_eq!(site.versions(), BTreeSet::from(["v3".to_owned()]));
 }
@@ -225,7 +225,7 @@
 fn runners_that_had_the_new_version_go_back_too() {
     let mut site = Site::new(6, "v1");
     site.run(2);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.run(8);
     assert_eq!(site.versions().len(), 2);
     site.broken = Some("v2");
@@ -239,7 +239,7 @@
     count: usize,
     change: fn(&mut Site),
     planned: usize,
-    blocked: Option<Blocked>,
+    blocked: Option<BlockReason>,
 }
 
 const SPARE_CASES: &[SpareCase] = &[
@@ -248,28 +248,28 @@
         count: 4,
         change: |_| {},
         planned: 1,
-        blocked: Some(Blocked::FirstNotConfirmed),
+        blocked: Some(BlockReason::FirstNotConfirmed),
     },
     SpareCase {
         name: "all needed for the load but one",
         count: 3,
         change: |site| site.reports.values_mut().for_each(|r| r.open_requests = 7),
         planned: 1,
-        blocked: Some(Blocked::FirstNotConfirmed),
+        blocked: Some(BlockReason::FirstNotConfirmed),
     },
     SpareCase {
         name: "the last ready one",
         count: 2,
         change: |site| site.reports.get_mut(&id(0)).unwrap().is_leaving = true,
         planned: 0,
-        blocked: Some(Blocked::NeededForLoad),
+        blocked: Some(BlockReason::NeededForLoad),
     },
     SpareCase {
         name: "the only one, busy",
         count: 1,
         change: |site| site.reports.get_mut(&id(0)).unwrap().open_requests = 1,
         planned: 0,
-        blocked: Some(Blocked::NeededForLoad),
+        blocked: Some(BlockReason::NeededForLoad),
     },
     SpareCase {
         name: "the only one, idle",
@@ -290,21 +290,21 @@
             site.owned = (2..6).map(id).collect();
         },
         planned: 0,
-        blocked: Some(Blocked::TooManyLoading),
+        blocked: Some(BlockReason::TooManyLoading),
     },
     SpareCase {
         name: "no lease of loads",
         count: 3,
         change: |site| site.load_slots = 0,
         planned: 0,
-        blocked: Some(Blocked::NoLease),
+        blocked: Some(BlockReason::NoLease),
     },
     SpareCase {
         name: "no lease",
         count: 3,
         change: |site| site.owned.clear(),
         planned: 0,
-        blocked: Some(Blocked::NoLease),
+        blocked: Some(BlockReason::NoLease),
     },
 ];
 
@@ -313,7 +313,7 @@
     for case in SPARE_CASES {
         let mut site = Site::new(case.count, "v1");
         site.run(2);
-        site.want("v2", &[]);
+        site.set_desired("v2", &[]);
         (case.change)(&mut site);
         let planned = site.plan();
         assert_eq!(planned.len(), case.planned, "{}", case.name);
@@ -330,7 +330,7 @@
 fn one_agreeing_report_is_not_enough() {
     let mut site = Site::new(1, "v1");
     site.run(2);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     let planned = site.plan();
     let endpoint = planned[0].endpoint.clone();
     site.planner.order_done(&endpoint, true, site.now);
@@ -339,14 +339,14 @@
         report.made_at_ms += 1;
         report.models = vec![loaded(version)];
         site.plan();
-        site.planner.is_changing(&id(0))
+        site.planner.has_unconfirmed_order(&id(0))
     };
     assert!(report(&mut site, "v2"));
     assert!(report(&mut site, "v1"), "the late order");
     assert!(report(&mut site, "v2"));
     site.plan();
     assert!(
-        site.planner.is_changing(&id(0)),
+        site.planner.has_unconfirmed_order(&id(0)),
         "the same report counts once"
     );
     assert!(!report(&mut site, "v2"));
@@ -355,11 +355,11 @@
 #[test]
 fn adapters_follow_the_configuration() {
     let mut site = Site::new(3, "v1");
-    site.want("v1", &["parts", "warranty"]);
+    site.set_desired("v1", &["parts", "warranty"]);
     site.run(20);
     let adapters = |site: &Site| site.reports[&id(1)].models[0].adapters.len();
     assert_eq!(adapters(&site), 2);
-    site.want("v1", &["parts"]);
+    site.set_desired("v1", &["parts"]);
     site.run(20);
     assert_eq!(adapters(&site), 1);
 }
@@ -376,9 +376,9 @@
                 site.reports.get_mut(&id(number)).unwrap().open_requests = *open;
             }
             site.run(2);
-            site.want("v2", &[]);
+            site.set_desired("v2", &[]);
             site.run(changes_at);
-            site.want("v3", &["parts"]);
+            site.set_desired("v3", &["parts"]);
             site.run(20 * count + 40);
             prop_assert_eq!(site.versions(), BTreeSet::from(["v3".to_owned()]));
             prop_assert!(site.most_loading <= 2);
@@ -392,7 +392,7 @@
 fn progress_is_shown() {
     let mut site = Site::new(2, "v1");
     site.run(2);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.plan();
     let text = serde_json::to_string(&site.progress()).unwrap();
     expect_test::expect![[r#"{"model":"hist-7b","from":"v1","to":"v2","phase":"running","total":2,"done":0,"loading":["runner-0"],"failures":0,"blocked":[["runner-1","first_not_confirmed"]]}"#]].assert_eq(&text);
@@ -406,7 +406,7 @@
     site.run(2);
     let view = |site: &Site| {
         let view = SiteView {
-            wanted: &site.wanted,
+            desired: &site.desired,
             reports: &site.reports,
             owned: &site.owned,
             load_slots: site.load_slots,
@@ -414,7 +414,7 @@
         site.planner.next_to_load(view).cloned()
     };
     assert_eq!(view(&site), None);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.owned.clear();
     site.plan();
     assert_eq!(view(&site), Some(id(0)));
--- a/crates/wisteriahitch-core/tests/all/fleet_submission.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_submission.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::TestRunner;
 use wisteriahitch_config::{SectionHash, SectionName};
 use wisteriahitch_core::fleet::{
-    HeadObject, Holders, Submission, SubmissionCommand, SubmissionEvent, SubmissionOutcome,
+    HeadObject, HolderCounts, Submission, SubmissionCommand, SubmissionEvent, SubmissionOutcome,
     SubmissionStep,
 };
 use wisteriahitch_types::{ConfigVersion, SubmissionId};
@@ -76,7 +76,7 @@
                 head: self.head.clone(),
                 object_version: self.object_version,
             },
-            SubmissionCommand::Check(_) => SubmissionEvent::Checked { is_good: true },
+            SubmissionCommand::Check(_) => SubmissionEvent::Checked { is_valid: true },
             SubmissionCommand::UpdateHead { .. } if is_away => SubmissionEvent::UpdateUnavailable,
             SubmissionCommand::UpdateHead { head, expected } if fate == Fate::Delay => {
                 self.delayed = Some((head, expected));
@@ -91,7 +91,7 @@
                 }
             }
             SubmissionCommand::Spread(_) => SubmissionEvent::Spread {
-                holders: Holders::default(),
+                holders: HolderCounts::default(),
                 is_final: true,
             },
             SubmissionCommand::Finish(_) => return None,
--- a/crates/wisteriahitch-node/src/config/peers.rs
+++ b/crates/wisteriahitch-node/src/config/peers.rs
@@ -99,7 +99,7 @@
             .await
             .ok()?;
         Some(PushAnswer {
-            held_version: ConfigVersion::new(reply.held_version),
+            stored_version: ConfigVersion::new(reply.held_version),
             missing: parse_hashes(&reply.missing),
         })
     }
@@ -129,8 +129,8 @@
         };
         self.run_config(commands);
         PushConfigurationReply {
-            held: answer.held_version.get() >= version,
-            held_version: answer.held_version.get(),
+            held: answer.stored_version.get() >= version,
+            held_version: answer.stored_version.get(),
             missing: answer.missing.iter().map(ToString::to_string).collect(),
         }
     }
--- a/crates/wisteriahitch-node/src/config/replica.rs
+++ b/crates/wisteriahitch-node/src/config/replica.rs
@@ -106,7 +106,7 @@
 
     /// Returns the head that is held whole, if there is one.
     pub(crate) fn held_head(&self) -> Option<HeadObject> {
-        self.config.replica.lock().held().cloned()
+        self.config.replica.lock().stored_head().cloned()
     }
 }
 
--- a/crates/wisteriahitch-node/src/config/submit.rs
+++ b/crates/wisteriahitch-node/src/config/submit.rs
@@ -154,9 +154,9 @@
     /// Checks the whole that would come out, with the sections that others submitted meanwhile.
     async fn check(&mut self, head: &HeadObject) -> SubmissionEvent {
         let Some(sections) = self.collect(head).await else {
-            return SubmissionEvent::Checked { is_good: false };
+            return SubmissionEvent::Checked { is_valid: false };
         };
-        let is_good = match build_sections(head, &sections) {
+        let is_valid = match build_sections(head, &sections) {
             Ok(built) => match built.assemble() {
                 Ok(_) => true,
                 Err(report) => {
@@ -169,7 +169,7 @@
                 false
             }
         };
-        SubmissionEvent::Checked { is_good }
+        SubmissionEvent::Checked { is_valid }
     }
 
     async fn collect(&mut self, head: &HeadObject) -> Option<Vec<Section>> {
--- a/crates/wisteriahitch-node/src/orders/planning.rs
+++ b/crates/wisteriahitch-node/src/orders/planning.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use wisteriahitch_core::fleet::{
-    EndpointOrder, LeaseEvent, OrderGrant, PlannedOrder, SiteView, WantedState,
+    DesiredState, EndpointOrder, LeaseEvent, OrderGrant, PlannedOrder, SiteView,
 };
 use wisteriahitch_types::EndpointId;
 use wisteriahitch_wire::engine::{EngineErrorKind, Order};
@@ -26,7 +26,11 @@
             _ = ticks.tick() => {}
         }
         if let Some(in_force) = shared.in_force.load_full() {
-            shared.orders.leases.lock().want([OrderState::group()]);
+            shared
+                .orders
+                .leases
+                .lock()
+                .set_groups([OrderState::group()]);
             shared.step_leases(LeaseEvent::Tick);
             plan(&shared, &in_force);
         }
@@ -35,12 +39,12 @@
 
 fn plan(shared: &Arc<Shared>, in_force: &InForce) {
     let now = shared.clock.now();
-    let wanted = WantedState::from_configuration(&in_force.configuration);
+    let wanted = DesiredState::from_configuration(&in_force.configuration);
     let is_held = shared
         .orders
         .leases
         .lock()
-        .held()
+        .held_groups()
         .any(|group| *group == OrderState::group());
     let owned: BTreeSet<EndpointId> = match is_held {
         true => wanted.endpoints.keys().cloned().collect(),
@@ -50,7 +54,7 @@
     let planned = {
         let reports = shared.orders.reports.lock();
         let view = SiteView {
-            wanted: &wanted,
+            desired: &wanted,
             reports: &reports,
             owned: &owned,
             load_slots,
@@ -72,7 +76,7 @@
         .orders
         .leases
         .lock()
-        .try_order(&OrderState::group(), now);
+        .try_grant_order(&OrderState::group(), now);
     match grant {
         Ok(grant) => {
             tokio::spawn(send(Arc::clone(shared), planned, grant));
--- a/crates/wisteriahitch-node/src/peering/news.rs
+++ b/crates/wisteriahitch-node/src/peering/news.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use wisteriahitch_core::fleet::{MemberAddresses, MemberState, News};
+use wisteriahitch_core::fleet::{MemberAddresses, MemberState, MembershipUpdate};
 use wisteriahitch_peer::{MemberNews, MemberState as WireState, decode_address, encode_address};
 use wisteriahitch_types::{ConfigVersion, Incarnation};
 
 /// Renders news for a message.
-pub(crate) fn to_wire(news: &News) -> MemberNews {
+pub(crate) fn to_wire(news: &MembershipUpdate) -> MemberNews {
     let address = |pick: fn(&MemberAddresses) -> SocketAddr| {
         let picked = news.addresses.as_ref().map(pick);
         picked.map_or_else(Bytes::new, encode_address)
@@ -16,7 +16,7 @@
     MemberNews {
         daemon_id: news.daemon.to_string(),
         incarnation: news.incarnation.get(),
-        news_number: news.news_number,
+        news_number: news.update_number,
         state: wire_state(news.state).into(),
         caller_address: address(|addresses| addresses.caller),
         peer_address: address(|addresses| addresses.peer),
@@ -32,7 +32,7 @@
 }
 
 /// Reads the news of a message; a piece that doesn't parse is left out.
-pub(crate) fn from_wire(news: &[MemberNews]) -> Vec<News> {
+pub(crate) fn from_wire(news: &[MemberNews]) -> Vec<MembershipUpdate> {
     news.iter().filter_map(try_from_wire).collect()
 }
 
@@ -44,7 +44,7 @@
 /// Its numbers are counted on from: a daemon answers a wrong belief about itself with the next
 /// number. One broken peer that tells the largest number would stop it doing so, and with it every
 /// task that looks at the members.
-fn try_from_wire(news: &MemberNews) -> Option<News> {
+fn try_from_wire(news: &MemberNews) -> Option<MembershipUpdate> {
     if news.news_number > MAX_NUMBER || news.config_version > MAX_NUMBER {
         return None;
     }
@@ -60,10 +60,10 @@
         Some(_) => Some(news.availability_zone.parse().ok()?),
         None => None,
     };
-    Some(News {
+    Some(MembershipUpdate {
         daemon: news.daemon_id.parse().ok()?,
         incarnation: Incarnation::new(news.incarnation),
-        news_number: news.news_number,
+        update_number: news.news_number,
         state: core_state(news.state())?,
         addresses,
         availability_zone,
--- a/crates/wisteriahitch-node/src/peering/probe.rs
+++ b/crates/wisteriahitch-node/src/peering/probe.rs
@@ -69,12 +69,12 @@
         MembershipCommand::Probe {
             address,
             meant_for,
-            news,
+            updates,
             sync_after,
         } => {
             let request = ProbeRequest {
                 envelope: shared.envelope(meant_for),
-                news: news.iter().map(to_wire).collect(),
+                news: updates.iter().map(to_wire).collect(),
                 sync: sync_after.is_some(),
                 sync_after: sync_after.map_or(0, Incarnation::get),
             };
@@ -114,11 +114,11 @@
         Some((sender.incarnation, from_wire(&reply.news)))
     });
     let event = match answered {
-        Some((answered_by, news)) => MembershipEvent::ProbeAnswered {
+        Some((answered_by, updates)) => MembershipEvent::ProbeAnswered {
             address,
             meant_for,
             answered_by,
-            news,
+            updates,
         },
         None => MembershipEvent::ProbeFailed { meant_for },
     };
@@ -136,13 +136,13 @@
         .peers
         .indirect_probe(helper, request, INDIRECT_TIMEOUT)
         .await;
-    let (is_reached, news) = match answer {
+    let (is_reached, updates) = match answer {
         Ok(reply) => (reply.reached, from_wire(&reply.news)),
         Err(_) => (false, Vec::new()),
     };
     shared.step_members(MembershipEvent::IndirectAnswered {
         target,
         is_reached,
-        news,
+        updates,
     });
 }
--- a/crates/wisteriahitch-node/src/state/fleet.rs
+++ b/crates/wisteriahitch-node/src/state/fleet.rs
@@ -28,7 +28,7 @@
         let me = Member {
             daemon: settings.id.clone(),
             incarnation,
-            news_number: 1,
+            update_number: 1,
             state: MemberState::Alive,
             addresses: MemberAddresses {
                 caller: settings.listen.callers,
@@ -43,7 +43,7 @@
         };
         let options = MembershipSettings {
             seeds: settings.peers.seeds.clone(),
-            interval_us: settings.peers.probe_interval_us,
+            probe_interval_us: settings.peers.probe_interval_us,
             ..MembershipSettings::default()
         };
         let rng = ChaCha8Rng::seed_from_u64(rand::random());
--- a/crates/wisteriahitch-node/src/task/vm_list.rs
+++ b/crates/wisteriahitch-node/src/task/vm_list.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wisteriahitch_core::fleet::{MembershipEvent, VmNotice};
+use wisteriahitch_core::fleet::{ListedVm, MembershipEvent};
 use wisteriahitch_core::route::LeavingSource;
 use wisteriahitch_wire::platform::{
     Object, ObjectKind, ObjectVersion, PlatformErrorKind, VirtualMachine, VmPhase,
@@ -52,7 +52,7 @@
     let vms = parse(listing.items, damaged);
     let notices = vms.iter().filter_map(|vm| {
         let address: IpAddr = vm.address.parse().ok()?;
-        Some(VmNotice {
+        Some(ListedVm {
             address,
             is_leaving: vm.phase == VmPhase::Leaving,
         })
--- a/crates/wisteriahitch-relay/src/shell/lease.rs
+++ b/crates/wisteriahitch-relay/src/shell/lease.rs
@@ -53,7 +53,7 @@
         // A new holder waits for so long after a lease that wasn't released.
         order_timeout_us: order_timeout(settings),
         margin_us: LEASE_MARGIN_US,
-        read_us: LEASE_READ_US,
+        read_interval_us: LEASE_READ_US,
     };
     LeaseTable::new(holder, settings)
 }
@@ -64,7 +64,7 @@
     let me = Member {
         daemon: shared.settings.id.clone(),
         incarnation: shared.incarnation,
-        news_number: 1,
+        update_number: 1,
         state: MemberState::Alive,
         addresses: MemberAddresses {
             caller: listen.callers,
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -42,7 +42,7 @@
     let mut is_late = false;
     loop {
         let behind = behind(&shared);
-        let has_lease = shared.leases.lock().held().next().is_some();
+        let has_lease = shared.leases.lock().held_groups().next().is_some();
         let is_busy = !behind.is_empty() || has_lease;
         if is_busy {
             step(&shared, &members, &behind);
@@ -108,18 +108,18 @@
         // A holder keeps the lease as long as there is work, whoever would be the first now, and
         // also while it leaves: each change of hands costs seconds in which no order may be given,
         // and it serves for some more seconds in any case.
-        let is_held = leases.held().next().is_some();
+        let is_held = leases.held_groups().next().is_some();
         let is_candidate = candidates(shared, now).contains(&shared.incarnation);
         let is_mine = !behind.is_empty() && (is_held || is_candidate);
         let wanted = is_mine.then_some(GROUP);
-        leases.want(wanted);
+        leases.set_groups(wanted);
         leases.set_rollout_owner(is_mine.then_some(shared.incarnation));
         leases.handle(LeaseEvent::Tick, now, members)
     };
     for command in commands {
         tokio::spawn(call(Arc::clone(shared), Arc::clone(members), command));
     }
-    let is_held = shared.leases.lock().held().next().is_some();
+    let is_held = shared.leases.lock().held_groups().next().is_some();
     if !is_held {
         shared.rollout.lock().clear();
         return;
@@ -271,7 +271,7 @@
 ) {
     let address = address_of(shared, endpoint);
     // This grant numbers the order; the one that counts is asked for once the connection is open.
-    let grant = shared.leases.lock().try_order(&GROUP, shared.now());
+    let grant = shared.leases.lock().try_grant_order(&GROUP, shared.now());
     let (Some(address), Ok(grant)) = (address, grant) else {
         shared.rollout.lock().withheld(endpoint, shared.now());
         return;
@@ -279,7 +279,7 @@
     let order = order(address, grant.fence);
     let permit = || {
         let mut leases = shared.leases.lock();
-        let again = leases.try_order(&GROUP, shared.now()).ok()?;
+        let again = leases.try_grant_order(&GROUP, shared.now()).ok()?;
         leases.handle(LeaseEvent::OrderDone(GROUP), shared.now(), members);
         (again.fence >= grant.fence).then(|| Duration::from(again.timeout_us))
     };
