--- a/crates/wisteriahitch-core/src/fleet/configuration/config_replica.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_replica.rs
@@ -23,8 +23,11 @@
     pub(super) phase: StateMachine<PhaseMachine>,
     pub(super) phase_context: PhaseContext,
     pub(super) is_watching: bool,
+    /// When a peer or the store last sent a version or head.
     pub(super) last_contact_at_us: TimeUs,
+    /// When a head was last requested from the store or a peer.
     pub(super) last_request_at_us: TimeUs,
+    /// Actions collected while an event is processed.
     pub(super) commands: Vec<ConfigCommand>,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
@@ -81,9 +81,12 @@
     pub(super) rejected: Option<ConfigVersion>,
     /// Version whose sections are being read.
     pub(super) candidate: Option<Candidate>,
+    /// Replication progress of the stored version.
     pub(super) replication: Option<Replication>,
+    /// Search for the highest version; `None` if it has ended. No version is put in force before.
     #[serde(rename = "gathering")]
     pub(super) startup_sync: Option<StartupSync>,
+    /// Sections of the stored heads and of the version being read.
     #[serde(skip)]
     pub(super) sections: BTreeMap<SectionHash, Section>,
 }
@@ -92,11 +95,13 @@
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Candidate {
     pub(super) head: HeadObject,
+    /// Sections that are not stored yet.
     pub(super) missing: BTreeSet<SectionHash>,
     /// Peer that sent the head; `None` if it came from the store.
     pub(super) source: Option<Incarnation>,
     #[serde(rename = "tried_at_us")]
     pub(super) last_attempt_at_us: Option<TimeUs>,
+    /// Number of requests for missing sections since a peer last sent some.
     #[serde(rename = "tries")]
     pub(super) attempts: u32,
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/phase.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/phase.rs
@@ -49,7 +49,9 @@
 pub(super) struct PhaseContext {
     pub(super) has_version_in_force: bool,
     pub(super) is_replicated: bool,
+    /// Set on entering `Replicating`; the replica then pushes the version.
     pub(super) should_replicate: bool,
+    /// Set on entering `Applied`; the replica then puts the version in force.
     pub(super) should_apply: bool,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
@@ -22,7 +22,9 @@
     pub(super) version: ConfigVersion,
     pub(super) started_at_us: TimeUs,
     pub(super) pushed_at_us: TimeUs,
+    /// Peers of the last push.
     pub(super) targets: Vec<Incarnation>,
+    /// Daemons known to have stored the version, with their zones.
     holders: BTreeMap<Incarnation, AvailabilityZone>,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_table.rs
@@ -15,14 +15,22 @@
 pub(super) struct SubmissionTable {
     pub(super) id: Option<SubmissionId>,
     pub(super) changes: BTreeMap<SectionName, Option<SectionHash>>,
+    /// Version that the submission must be based on; `None` accepts any version.
     pub(super) expected: Option<ConfigVersion>,
     pub(super) submitted_at_unix_ms: u64,
+    /// Sections that are not known to be in the store yet.
     pub(super) unwritten_sections: BTreeSet<SectionHash>,
+    /// Head as last read.
     pub(super) head: HeadObject,
+    /// Version of the head object in the platform as last read.
     pub(super) object_version: u64,
+    /// Head that contains the submission.
     pub(super) next: HeadObject,
     pub(super) accepted_version: ConfigVersion,
+    /// Version of the head at the first read; an entry of this submission can only follow it.
     pub(super) first_read_version: Option<ConfigVersion>,
+    /// Whether the answer to an update was lost, so that the update may have taken or still take
+    /// effect.
     pub(super) has_lost_update: bool,
     pub(super) attempts: u32,
     pub(super) outcome: Option<SubmissionOutcome>,
--- a/crates/wisteriahitch-core/src/fleet/drain.rs
+++ b/crates/wisteriahitch-core/src/fleet/drain.rs
@@ -63,6 +63,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct DrainContext {
     now: TimeUs,
+    /// When the last cached entry list that names this daemon expires.
     listed_until_us: TimeUs,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/leases/lease.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease.rs
@@ -24,6 +24,7 @@
     pub(super) kind: WriteKind,
     pub(super) write_number: u64,
     pub(super) sent_at_us: TimeUs,
+    /// How long orders must wait after the lease is acquired.
     pub(super) wait_us: DurationUs,
 }
 
@@ -43,11 +44,16 @@
     pub(super) settings: LeaseSettings,
     pub(super) times: LeaseTimes,
     pub(super) machine: StateMachine<LeaseMachine>,
+    /// Object as last read or written; `None` if unknown.
     pub(super) observed: Option<ObservedObject>,
+    /// Object version of this daemon's last write; the fencing number.
     pub(super) last_written_version: u64,
     pub(super) pending_write: Option<PendingWrite>,
+    /// Whether a read of the object is in progress.
     pub(super) is_reading: bool,
+    /// When the last read or write was sent; `None` makes a read due immediately.
     pub(super) last_read_at_us: Option<TimeUs>,
+    /// Number of this daemon's writes.
     pub(super) write_number: u64,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_machine.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_machine.rs
@@ -58,9 +58,12 @@
     pub(super) term_us: DurationUs,
     pub(super) margin_us: DurationUs,
     pub(super) expires_at_us: TimeUs,
+    /// End of the wait for orders of the previous holder.
     pub(super) wait_until_us: TimeUs,
+    /// Number of granted orders that have not ended.
     pub(super) open_orders: u32,
     pub(super) last_order_at_us: Option<TimeUs>,
+    /// Whether the last [`PhaseEvent::Order`] was granted.
     #[serde(skip)]
     pub(super) is_order_granted: bool,
 }
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
@@ -41,8 +41,11 @@
 pub struct LeaseTable {
     me: LeaseHolder,
     settings: LeaseSettings,
+    /// Groups that exist.
     groups: BTreeSet<LeaseGroup>,
+    /// Daemon that should hold the rollout slots, if set.
     rollout_owner: Option<Incarnation>,
+    /// Leases of the existing groups, and leases of other groups that are still held.
     leases: BTreeMap<LeaseGroup, Lease>,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/members/membership.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/membership.rs
@@ -53,24 +53,34 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
+    /// Incarnation of this daemon.
     pub(super) me: Incarnation,
+    /// All known members, including this daemon, and dead and departed members until they expire.
     pub(super) members: BTreeMap<Incarnation, Member>,
     #[serde(rename = "queue")]
     pub(super) update_queue: MembershipUpdateQueue,
+    /// Number of probe rounds since the start.
     pub(super) rounds: u64,
     pub(super) next_round_at_us: TimeUs,
+    /// Members still to be probed in the current shuffled order; probed from the end.
     pub(super) probe_order: Vec<Incarnation>,
     /// Members whose direct probe failed, with the number of peers that have not yet answered the
     /// request for an indirect probe.
     #[serde(rename = "indirect")]
     pub(super) pending_indirect_probes: BTreeMap<Incarnation, usize>,
+    /// VMs of the platform's list, with whether each is leaving.
     pub(super) vm_addresses: BTreeMap<IpAddr, bool>,
+    /// Index of the next rediscovery address to probe, modulo their number.
     #[serde(rename = "lost_turn")]
     pub(super) next_rediscovery_index: usize,
+    /// Bytes of updates sent since the start of the round.
     #[serde(rename = "round_news_bytes")]
     pub(super) round_update_bytes: usize,
+    /// Last incarnation received by the sync of the member list; `None` if no sync is in progress.
     pub(super) sync_after: Option<Incarnation>,
+    /// Whether this daemon has served a page of the member list in this round.
     pub(super) is_sync_served: bool,
+    /// Load in the last update that was published because of a load change.
     #[serde(rename = "told_load_permille")]
     pub(super) published_load_permille: u32,
     #[serde(rename = "told_load_at_us")]
--- a/crates/wisteriahitch-core/src/fleet/orders/choosing.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/choosing.rs
@@ -70,7 +70,7 @@
             .models
             .iter()
             .flat_map(|w| adapter_orders(w, report));
-        let drops = report
+        let unloads = report
             .models
             .iter()
             .filter(|loaded| !desired.models.iter().any(|w| w.model == loaded.model))
@@ -80,7 +80,7 @@
         let mut orders = std::iter::once(set_role)
             .chain(loads)
             .chain(adapters)
-            .chain(drops);
+            .chain(unloads);
         orders.find(|order| !is_done(order, report))
     }
 
@@ -205,11 +205,11 @@
     let Some(target) = rollout.target() else {
         return 0;
     };
-    let is_there = |report: &EndpointReport| {
+    let is_at_target = |report: &EndpointReport| {
         report.is_ready_for(model) && report.model(model).map(|m| &m.weight_version) == Some(target)
     };
     site.desired
         .endpoints_with_model(model)
-        .filter(|id| site.reports.get(*id).is_some_and(is_there))
+        .filter(|id| site.reports.get(*id).is_some_and(is_at_target))
         .count()
 }
--- a/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
@@ -17,6 +17,7 @@
     pub(super) is_answered: bool,
     #[serde(rename = "agreeing")]
     consecutive_confirmations: u32,
+    /// `made_at_ms` of the last recorded report.
     last_made_at_ms: Option<u64>,
 }
 
--- a/crates/wisteriahitch-core/src/fleet/orders/order_planner.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/order_planner.rs
@@ -19,7 +19,7 @@
     /// Number of different reports in a row that must confirm an order.
     #[serde(rename = "wanted_reads")]
     pub required_reports: u32,
-    /// Number of failed loads of a version after which its rollout is rolled back.
+    /// Number of failed loads of a version after which its rollout stops and is rolled back.
     pub max_failures: u32,
     /// Fraction of a model's endpoints that must stay ready.
     #[serde(rename = "ready_share")]
@@ -66,10 +66,13 @@
 pub struct OrderPlanner {
     pub(super) settings: PlannerSettings,
     pub(super) rollouts: BTreeMap<ModelName, Rollout>,
+    /// Orders that are not confirmed by reports yet.
     #[serde(rename = "running")]
     pub(super) unconfirmed_orders: BTreeMap<EndpointId, Confirmation>,
+    /// Endpoints that get no order until this time after a failure.
     #[serde(rename = "resting_until_us")]
     pub(super) backoff_until_us: BTreeMap<EndpointId, TimeUs>,
+    /// Reasons why loads have to wait, as of the last call of [`OrderPlanner::plan`].
     pub(super) blocked: BTreeMap<EndpointId, (ModelName, BlockReason)>,
 }
 
@@ -102,11 +105,11 @@
         planned
     }
 
-    /// Records the result of sending an order: the endpoint accepted it (`is_success`), or it failed
-    /// or could not be sent.
+    /// Records the result of sending an order: the endpoint accepted it (`is_success`), or it
+    /// failed or could not be sent.
     pub fn order_done(&mut self, endpoint: &EndpointId, is_success: bool, now: TimeUs) {
         match self.unconfirmed_orders.get_mut(endpoint) {
-            Some(running) if is_success => running.is_answered = true,
+            Some(unconfirmed) if is_success => unconfirmed.is_answered = true,
             Some(_) => self.record_failure(endpoint, now),
             None => {}
         }
@@ -167,7 +170,9 @@
     pub(super) fn endpoints_loading(&self, model: &ModelName) -> Vec<EndpointId> {
         self.unconfirmed_orders
             .iter()
-            .filter(|(_, running)| running.order.is_load() && running.order.model() == Some(model))
+            .filter(|(_, unconfirmed)| {
+                unconfirmed.order.is_load() && unconfirmed.order.model() == Some(model)
+            })
             .map(|(endpoint, _)| endpoint.clone())
             .collect()
     }
@@ -204,11 +209,11 @@
             self.settings.confirmation_timeout_us,
         );
         let mut failed = Vec::new();
-        self.unconfirmed_orders.retain(|endpoint, running| {
+        self.unconfirmed_orders.retain(|endpoint, unconfirmed| {
             let report = site.reports.get(endpoint);
             let is_confirmed =
-                report.is_some_and(|report| running.record_report(report, required_reports));
-            let is_late = now.since(running.started_at_us) >= confirmation_timeout_us;
+                report.is_some_and(|report| unconfirmed.record_report(report, required_reports));
+            let is_late = now.since(unconfirmed.started_at_us) >= confirmation_timeout_us;
             if is_late && !is_confirmed {
                 failed.push(endpoint.clone());
             }
@@ -220,12 +225,15 @@
     }
 
     pub(super) fn record_failure(&mut self, endpoint: &EndpointId, now: TimeUs) {
-        let Some(running) = self.unconfirmed_orders.remove(endpoint) else {
+        let Some(unconfirmed) = self.unconfirmed_orders.remove(endpoint) else {
             return;
         };
         let until = now + self.settings.retry_backoff_us;
         self.backoff_until_us.insert(endpoint.clone(), until);
-        let model = running.order.model().filter(|_| running.order.is_load());
+        let model = unconfirmed
+            .order
+            .model()
+            .filter(|_| unconfirmed.order.is_load());
         if let Some(rollout) = model.and_then(|model| self.rollouts.get_mut(model)) {
             rollout.record_failure(self.settings.max_failures);
         }
--- a/crates/wisteriahitch-core/src/fleet/orders/rollout.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/rollout.rs
@@ -61,6 +61,7 @@
 /// Rollout state of one model.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Rollout {
+    /// Version that most endpoints reported when the rollout started.
     pub(super) from: Option<WeightVersion>,
     pub(super) to: WeightVersion,
     pub(super) phase: RolloutPhase,
--- a/crates/wisteriahitch-core/tests/all/fleet.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet.rs
@@ -13,12 +13,12 @@
 /// Availability zones, assigned to the daemons round-robin.
 pub(crate) const ZONES: [&str; 3] = ["colombo-a", "colombo-b", "negombo-c"];
 
-/// Builds daemon `index` after `life` restarts; the two numbers determine the incarnation.
-pub(crate) fn member(index: u16, life: u64) -> Member {
+/// Builds daemon `index` after `restart` restarts; the two numbers determine the incarnation.
+pub(crate) fn member(index: u16, restart: u64) -> Member {
     let address = |port: u16| ([127, 0, 0, 1], port).into();
     Member {
         daemon: format!("entry-{index}").parse().unwrap(),
-        incarnation: incarnation(index, life),
+        incarnation: incarnation(index, restart),
         update_number: 1,
         state: MemberState::Alive,
         addresses: MemberAddresses {
@@ -34,20 +34,20 @@
     }
 }
 
-pub(crate) fn incarnation(index: u16, life: u64) -> Incarnation {
-    Incarnation::new(1 + u64::from(index) + life * 100_000)
+pub(crate) fn incarnation(index: u16, restart: u64) -> Incarnation {
+    Incarnation::new(1 + u64::from(index) + restart * 100_000)
 }
 
 /// Builds the membership of daemon `index`, which knows only the address of daemon 0.
-pub(crate) fn membership(index: u16, life: u64) -> Membership {
+pub(crate) fn membership(index: u16, restart: u64) -> Membership {
     let settings = MembershipSettings {
         seeds: vec![member(0, 0).addresses.peer],
         ..MembershipSettings::default()
     };
-    let seed = incarnation(index, life).get();
+    let seed = incarnation(index, restart).get();
     Membership::new(
         settings,
-        member(index, life),
+        member(index, restart),
         ChaCha8Rng::seed_from_u64(seed),
     )
 }
@@ -67,12 +67,12 @@
     members
 }
 
-/// Builds the membership of daemon `index`, which knows all daemons. `lives` has the number of
+/// Builds the membership of daemon `index`, which knows all daemons. `restarts` has the number of
 /// restarts of each daemon.
-pub(crate) fn full_membership(index: u16, lives: &[u64]) -> Membership {
-    let mut members = membership(index, lives[usize::from(index)]);
-    for (other, life) in lives.iter().enumerate() {
-        let peer = member(other as u16, *life);
+pub(crate) fn full_membership(index: u16, restarts: &[u64]) -> Membership {
+    let mut members = membership(index, restarts[usize::from(index)]);
+    for (other, restart) in restarts.iter().enumerate() {
+        let peer = member(other as u16, *restart);
         if peer.incarnation != members.me().incarnation {
             members.answer_probe(
                 peer.incarnation,
--- a/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
@@ -20,19 +20,19 @@
 
 /// A message in flight, or an answer that is still to come.
 #[derive(Clone)]
-enum Flight {
+enum InFlight {
     Event(usize, u64, ConfigEvent),
     Push(usize, u64, usize, HeadChange, Vec<Section>),
     Pull(usize, u64, usize, ConfigVersion, Vec<SectionHash>),
     Read(usize, u64, Option<SectionHash>),
 }
 
-impl Flight {
+impl InFlight {
     /// Returns the daemons that must be running for the delivery.
-    fn waits_for(&self) -> impl Iterator<Item = usize> + use<> {
+    fn required_daemons(&self) -> impl Iterator<Item = usize> + use<> {
         let (a, b) = match self {
-            Flight::Event(index, ..) | Flight::Read(index, ..) => (*index, *index),
-            Flight::Pull(index, _, to, ..) | Flight::Push(index, _, to, ..) => (*index, *to),
+            InFlight::Event(index, ..) | InFlight::Read(index, ..) => (*index, *index),
+            InFlight::Pull(index, _, to, ..) | InFlight::Push(index, _, to, ..) => (*index, *to),
         };
         [a, b].into_iter()
     }
@@ -43,17 +43,17 @@
     members: Membership,
     is_up: bool,
     /// Whether the process is paused; messages to it wait.
-    is_frozen: bool,
+    is_paused: bool,
     /// Highest version that this daemon, over all its restarts, had in force while peers had stored
     /// it.
-    highest: Option<ConfigVersion>,
+    highest_replicated: Option<ConfigVersion>,
 }
 
 /// Five daemons, a store, and a network that loses, repeats and reorders messages.
 struct Site {
     nodes: Vec<Node>,
-    lives: Vec<u64>,
-    flights: Vec<Flight>,
+    restarts: Vec<u64>,
+    in_flight: Vec<InFlight>,
     head: HeadObject,
     objects: BTreeMap<SectionHash, String>,
     is_store_up: bool,
@@ -62,18 +62,18 @@
 
 impl Site {
     fn new() -> Self {
-        let lives = vec![0; DAEMONS];
+        let restarts = vec![0; DAEMONS];
         let nodes = (0..DAEMONS).map(|index| Node {
             replica: ConfigReplica::new(ConfigSettings::default()),
-            members: full_membership(index as u16, &lives),
+            members: full_membership(index as u16, &restarts),
             is_up: false,
-            is_frozen: false,
-            highest: None,
+            is_paused: false,
+            highest_replicated: None,
         });
         let mut site = Self {
             nodes: nodes.collect(),
-            lives,
-            flights: Vec::new(),
+            restarts,
+            in_flight: Vec::new(),
             head: HeadObject::default(),
             objects: BTreeMap::new(),
             is_store_up: true,
@@ -102,78 +102,81 @@
         for index in 0..DAEMONS {
             if self.nodes[index].is_up && self.nodes[index].replica.is_watching() {
                 let head = Some(self.head.clone());
-                self.fly_event(index, ConfigEvent::StoreHead(head));
+                self.send_event(index, ConfigEvent::StoreHead(head));
             }
         }
     }
 
-    fn kill(&mut self, index: usize) {
+    fn crash(&mut self, index: usize) {
         self.nodes[index].is_up = false;
-        self.nodes[index].is_frozen = false;
+        self.nodes[index].is_paused = false;
     }
 
     fn is_running(&self, index: usize) -> bool {
-        self.nodes[index].is_up && !self.nodes[index].is_frozen
+        self.nodes[index].is_up && !self.nodes[index].is_paused
     }
 
     fn start(&mut self, index: usize) {
         if self.nodes[index].is_up {
             return;
         }
-        self.lives[index] += 1;
+        self.restarts[index] += 1;
         for other in 0..DAEMONS {
             let versions = self.nodes[other].members.me().config_version;
-            self.nodes[other].members = full_membership(other as u16, &self.lives);
+            self.nodes[other].members = full_membership(other as u16, &self.restarts);
             let applied = wisteriahitch_core::fleet::MembershipEvent::ConfigApplied(versions);
             self.nodes[other].members.handle(applied, self.now);
         }
-        self.nodes[index].members = full_membership(index as u16, &self.lives);
+        self.nodes[index].members = full_membership(index as u16, &self.restarts);
         self.nodes[index].is_up = true;
         self.nodes[index].replica = ConfigReplica::new(ConfigSettings::default());
-        self.feed(index, ConfigEvent::Restart);
+        self.handle_event(index, ConfigEvent::Restart);
     }
 
-    fn fly_event(&mut self, index: usize, event: ConfigEvent) {
-        self.flights
-            .push(Flight::Event(index, self.lives[index], event));
+    fn send_event(&mut self, index: usize, event: ConfigEvent) {
+        self.in_flight
+            .push(InFlight::Event(index, self.restarts[index], event));
     }
 
-    fn feed(&mut self, index: usize, event: ConfigEvent) {
+    fn handle_event(&mut self, index: usize, event: ConfigEvent) {
         let node = &mut self.nodes[index];
         let commands = node.replica.handle(event, self.now, &node.members);
-        self.carry(index, commands);
+        self.execute(index, commands);
     }
 
     fn index_of(&self, peer: Incarnation) -> Option<usize> {
-        (0..DAEMONS).find(|index| incarnation(*index as u16, self.lives[*index]) == peer)
+        (0..DAEMONS).find(|index| incarnation(*index as u16, self.restarts[*index]) == peer)
     }
 
     fn me(&self, index: usize) -> Incarnation {
-        incarnation(index as u16, self.lives[index])
+        incarnation(index as u16, self.restarts[index])
     }
 
-    fn carry(&mut self, index: usize, commands: Vec<ConfigCommand>) {
-        let life = self.lives[index];
+    fn execute(&mut self, index: usize, commands: Vec<ConfigCommand>) {
+        let restart = self.restarts[index];
         for command in commands {
             match command {
-                ConfigCommand::ReadHead => self.flights.push(Flight::Read(index, life, None)),
+                ConfigCommand::ReadHead => {
+                    self.in_flight.push(InFlight::Read(index, restart, None))
+                }
                 ConfigCommand::ReadSection(hash) => {
-                    self.flights.push(Flight::Read(index, life, Some(hash)));
+                    self.in_flight
+                        .push(InFlight::Read(index, restart, Some(hash)));
                 }
                 ConfigCommand::PullHead { peer, after } => match self.index_of(peer) {
                     Some(to) => {
-                        let pull = Flight::Pull(index, life, to, after, Vec::new());
-                        self.flights.push(pull);
+                        let pull = InFlight::Pull(index, restart, to, after, Vec::new());
+                        self.in_flight.push(pull);
                     }
-                    None => self.fly_event(index, ConfigEvent::PeerFailed(peer)),
+                    None => self.send_event(index, ConfigEvent::PeerFailed(peer)),
                 },
                 ConfigCommand::PullSections { peer, wanted } => match self.index_of(peer) {
                     Some(to) => {
                         let after = self.head.version;
-                        self.flights
-                            .push(Flight::Pull(index, life, to, after, wanted));
+                        self.in_flight
+                            .push(InFlight::Pull(index, restart, to, after, wanted));
                     }
-                    None => self.fly_event(index, ConfigEvent::PeerFailed(peer)),
+                    None => self.send_event(index, ConfigEvent::PeerFailed(peer)),
                 },
                 ConfigCommand::Push {
                     peer,
@@ -181,8 +184,8 @@
                     sections,
                 } => {
                     if let Some(to) = self.index_of(peer) {
-                        let push = Flight::Push(index, life, to, change, sections);
-                        self.flights.push(push);
+                        let push = InFlight::Push(index, restart, to, change, sections);
+                        self.in_flight.push(push);
                     }
                 }
                 ConfigCommand::Apply { head, sections } => {
@@ -199,7 +202,7 @@
         let node = &mut self.nodes[index];
         let applied = wisteriahitch_core::fleet::MembershipEvent::ConfigApplied(version);
         node.members.handle(applied, self.now);
-        let highest = node.highest;
+        let highest_replicated = node.highest_replicated;
         let is_confirmed = node.replica.holders(&node.members).daemons > 0;
         let dump = serde_json::to_value(node.replica.table()).unwrap();
         let started_us = dump["replication"]["started_at_us"].as_u64().unwrap();
@@ -207,49 +210,59 @@
         let has_waited = waited_us >= ConfigSettings::default().replication_timeout_us;
         assert!(
             is_confirmed || has_waited,
-            "in force before any peer held it"
+            "version {version} is in force before any peer has stored it"
         );
-        if highest.is_some_and(|highest| version < highest) {
+        if highest_replicated.is_some_and(|highest_replicated| version < highest_replicated) {
             // The documented limit: a version may revert only while the store is unavailable and
             // every daemon with the higher version has crashed or cannot be reached.
             let holder = (0..DAEMONS).find(|other| {
                 let other_node = &self.nodes[*other];
                 *other != index
                     && self.is_running(*other)
-                    && other_node.replica.stored_head().map(|head| head.version) >= highest
+                    && other_node.replica.stored_head().map(|head| head.version)
+                        >= highest_replicated
             });
-            assert!(!self.is_store_up, "reverted with the store up");
-            assert_eq!(holder, None, "reverted although a peer holds it");
+            assert!(
+                !self.is_store_up,
+                "reverted to version {version} while the store was available"
+            );
+            assert_eq!(
+                holder, None,
+                "reverted to version {version} although a peer has a higher one"
+            );
         }
         let node = &mut self.nodes[index];
         if is_confirmed {
-            node.highest = node.highest.max(Some(version));
+            node.highest_replicated = node.highest_replicated.max(Some(version));
         }
     }
 
     /// Delivers one message; an answer to a daemon that has crashed since is dropped.
-    fn land(&mut self, flight: Flight) {
-        let is_here = |site: &Self, index: usize, life: u64| {
-            site.nodes[index].is_up && site.lives[index] == life
+    fn deliver(&mut self, message: InFlight) {
+        let is_same_incarnation = |site: &Self, index: usize, restart: u64| {
+            site.nodes[index].is_up && site.restarts[index] == restart
         };
-        if flight.waits_for().any(|index| self.nodes[index].is_frozen) {
-            self.flights.push(flight);
+        if message
+            .required_daemons()
+            .any(|index| self.nodes[index].is_paused)
+        {
+            self.in_flight.push(message);
             return;
         }
-        match flight {
-            Flight::Event(index, life, event) => {
-                if is_here(self, index, life) {
-                    self.feed(index, event);
+        match message {
+            InFlight::Event(index, restart, event) => {
+                if is_same_incarnation(self, index, restart) {
+                    self.handle_event(index, event);
                 }
             }
-            Flight::Read(index, life, hash) => {
-                if is_here(self, index, life) {
+            InFlight::Read(index, restart, hash) => {
+                if is_same_incarnation(self, index, restart) {
                     let event = self.read(hash);
-                    self.feed(index, event);
+                    self.handle_event(index, event);
                 }
             }
-            Flight::Pull(index, life, to, after, wanted) => {
-                if !is_here(self, index, life) {
+            InFlight::Pull(index, restart, to, after, wanted) => {
+                if !is_same_incarnation(self, index, restart) {
                     return;
                 }
                 let from = self.me(to);
@@ -262,21 +275,21 @@
                     let sections = self.nodes[to].replica.answer_pull(after, &wanted).sections;
                     ConfigEvent::PeerSections { from, sections }
                 };
-                self.fly_event(index, event);
+                self.send_event(index, event);
             }
-            Flight::Push(index, life, to, change, sections) => {
+            InFlight::Push(index, restart, to, change, sections) => {
                 if !self.nodes[to].is_up {
                     return;
                 }
-                let from = incarnation(index as u16, life);
+                let from = incarnation(index as u16, restart);
                 let (now, node) = (self.now, &mut self.nodes[to]);
                 let (answer, commands) =
                     node.replica
                         .answer_push(from, &change, sections, now, &node.members);
-                self.carry(to, commands);
-                if is_here(self, index, life) {
+                self.execute(to, commands);
+                if is_same_incarnation(self, index, restart) {
                     let to = self.me(to);
-                    self.fly_event(index, ConfigEvent::PushAnswered { to, answer });
+                    self.send_event(index, ConfigEvent::PushAnswered { to, answer });
                 }
             }
         }
@@ -295,15 +308,15 @@
     }
 
     /// Advances the time `count` times and delivers all messages in flight after each step.
-    fn pass_rounds(&mut self, count: usize) {
+    fn run_rounds(&mut self, count: usize) {
         for _ in 0..count {
-            self.pass();
-            self.land_all();
+            self.advance_time();
+            self.deliver_all();
         }
     }
 
     /// Advances the time by one step and exchanges the updates that probes carry.
-    fn pass(&mut self) {
+    fn advance_time(&mut self) {
         self.now = self.now + STEP_US;
         for index in 0..DAEMONS {
             if !self.is_running(index) {
@@ -322,27 +335,27 @@
                     from: peer.incarnation,
                     version: peer.config_version,
                 };
-                self.feed(index, event);
+                self.handle_event(index, event);
             }
-            self.feed(index, ConfigEvent::Tick);
+            self.handle_event(index, ConfigEvent::Tick);
         }
     }
 
     fn settle(&mut self) {
         self.is_store_up = true;
         for index in 0..DAEMONS {
-            self.nodes[index].is_frozen = false;
+            self.nodes[index].is_paused = false;
             self.start(index);
         }
         for _ in 0..200 {
-            self.pass();
-            self.land_all();
+            self.advance_time();
+            self.deliver_all();
         }
     }
 
-    fn land_all(&mut self) {
-        for flight in std::mem::take(&mut self.flights) {
-            self.land(flight);
+    fn deliver_all(&mut self) {
+        for message in std::mem::take(&mut self.in_flight) {
+            self.deliver(message);
         }
     }
 
@@ -358,11 +371,11 @@
 enum Step {
     Accept,
     Outage(bool),
-    Kill(usize),
+    Crash(usize),
     Start(usize),
-    Freeze(usize, bool),
-    Pass,
-    Land(usize),
+    Pause(usize, bool),
+    AdvanceTime,
+    Deliver(usize),
     Lose(usize),
     Repeat(usize),
 }
@@ -381,11 +394,11 @@
         prop_oneof![
             2 => Just(Step::Accept),
             1 => any::<bool>().prop_map(Step::Outage),
-            1 => (0..DAEMONS).prop_map(Step::Kill),
+            1 => (0..DAEMONS).prop_map(Step::Crash),
             2 => (0..DAEMONS).prop_map(Step::Start),
-            2 => (0..DAEMONS, any::<bool>()).prop_map(|(i, on)| Step::Freeze(i, on)),
-            6 => Just(Step::Pass),
-            16 => any::<usize>().prop_map(Step::Land),
+            2 => (0..DAEMONS, any::<bool>()).prop_map(|(i, on)| Step::Pause(i, on)),
+            6 => Just(Step::AdvanceTime),
+            16 => any::<usize>().prop_map(Step::Deliver),
             1 => any::<usize>().prop_map(Step::Lose),
             1 => any::<usize>().prop_map(Step::Repeat),
         ]
@@ -406,24 +419,24 @@
     }
 
     fn apply(mut site: Site, (): &(), step: Step) -> Site {
-        let count = site.flights.len();
+        let count = site.in_flight.len();
         match step {
             Step::Accept => site.accept(),
             Step::Outage(is_away) => site.is_store_up = !is_away,
-            Step::Kill(index) => site.kill(index),
+            Step::Crash(index) => site.crash(index),
             Step::Start(index) => site.start(index),
-            Step::Freeze(index, on) => site.nodes[index].is_frozen = on && site.nodes[index].is_up,
-            Step::Pass => site.pass(),
-            Step::Land(place) if count > 0 => {
-                let flight = site.flights.swap_remove(place % count);
-                site.land(flight);
+            Step::Pause(index, on) => site.nodes[index].is_paused = on && site.nodes[index].is_up,
+            Step::AdvanceTime => site.advance_time(),
+            Step::Deliver(message_index) if count > 0 => {
+                let message = site.in_flight.swap_remove(message_index % count);
+                site.deliver(message);
             }
-            Step::Lose(place) if count > 0 => {
-                site.flights.swap_remove(place % count);
+            Step::Lose(message_index) if count > 0 => {
+                site.in_flight.swap_remove(message_index % count);
             }
-            Step::Repeat(place) if count > 0 => {
-                let flight = site.flights[place % count].clone();
-                site.land(flight);
+            Step::Repeat(message_index) if count > 0 => {
+                let message = site.in_flight[message_index % count].clone();
+                site.deliver(message);
             }
             _ => {}
         }
@@ -453,28 +466,32 @@
 fn a_start_in_an_outage_takes_the_highest_version_of_the_peers() {
     let mut site = Site::new();
     site.settle();
-    site.nodes[3].is_frozen = true;
+    site.nodes[3].is_paused = true;
     site.accept();
-    site.pass_rounds(8);
+    site.run_rounds(8);
     assert_eq!(
         site.nodes[0].replica.in_force(),
         Some(ConfigVersion::new(2))
     );
     site.is_store_up = false;
-    site.flights.clear();
-    site.kill(0);
-    site.nodes[3].is_frozen = false;
+    site.in_flight.clear();
+    site.crash(0);
+    site.nodes[3].is_paused = false;
     site.start(0);
     // Deliver only the messages between these two daemons, until there are no more.
-    let is_between =
-        |flight: &Flight| matches!(flight, Flight::Pull(0, _, 3, ..) | Flight::Event(0, ..));
-    while let Some(place) = site.flights.iter().position(is_between) {
-        let flight = site.flights.remove(place);
-        site.land(flight);
-        site.feed(0, ConfigEvent::Tick);
+    let is_between_0_and_3 = |message: &InFlight| {
+        matches!(
+            message,
+            InFlight::Pull(0, _, 3, ..) | InFlight::Event(0, ..)
+        )
+    };
+    while let Some(message_index) = site.in_flight.iter().position(is_between_0_and_3) {
+        let message = site.in_flight.remove(message_index);
+        site.deliver(message);
+        site.handle_event(0, ConfigEvent::Tick);
     }
     assert_eq!(site.nodes[0].replica.in_force(), None);
-    site.pass_rounds(40);
+    site.run_rounds(40);
     site.assert_all_have(ConfigVersion::new(2));
 }
 
@@ -485,10 +502,10 @@
     let mut site = Site::new();
     site.is_store_up = false;
     for index in 0..DAEMONS {
-        site.kill(index);
+        site.crash(index);
         site.start(index);
     }
-    site.pass_rounds(40);
+    site.run_rounds(40);
     for node in &site.nodes {
         assert_eq!(node.replica.in_force(), None);
         assert_eq!(node.replica.phase(), ConfigPhase::Empty);
@@ -544,17 +561,17 @@
         assert_eq!(node.replica.in_force(), in_force);
     }
     site.accept();
-    site.pass_rounds(8);
+    site.run_rounds(8);
     assert_eq!(
         site.nodes[0].replica.in_force(),
         Some(ConfigVersion::new(2))
     );
-    site.feed(0, ConfigEvent::Rejected(ConfigVersion::new(2)));
+    site.handle_event(0, ConfigEvent::Rejected(ConfigVersion::new(2)));
     assert_eq!(site.nodes[0].replica.in_force(), in_force);
 }
 
 #[test]
-fn a_change_leads_from_one_head_to_the_next() {
+fn a_head_change_turns_one_head_into_the_next() {
     let hash = |text: &str| Some(SectionHash::of(text));
     let other = SectionName::Workspace("kandy-01".parse().unwrap());
     let base = HeadObject::default().with_changes(
@@ -573,9 +590,9 @@
     assert_eq!(change.try_apply(Some(&next)), None);
     let whole = HeadChange::between(&HeadObject::default(), &next);
     assert_eq!(whole.try_apply(Some(&base)), Some(next.clone()));
-    let mut forged = change;
-    forged.sections.clear();
-    assert_eq!(forged.try_apply(Some(&base)), None);
+    let mut tampered = change;
+    tampered.sections.clear();
+    assert_eq!(tampered.try_apply(Some(&base)), None);
 }
 
 #[test]
--- a/crates/wisteriahitch-core/tests/all/fleet_drain.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_drain.rs
@@ -15,14 +15,14 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "answers that name it are still kept",
+        name: "callers may still have entry lists that name the daemon",
         after_ms: 9_999,
         requests: 0,
         tickets: 0,
         phase: DrainPhase::Draining,
     },
     Case {
-        name: "a request is under way",
+        name: "a request is in progress",
         after_ms: 60_000,
         requests: 1,
         tickets: 0,
@@ -36,7 +36,7 @@
         phase: DrainPhase::Draining,
     },
     Case {
-        name: "nothing is left",
+        name: "no open work is left",
         after_ms: 10_000,
         requests: 0,
         tickets: 0,
--- a/crates/wisteriahitch-core/tests/all/fleet_leases.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_leases.rs
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone)]
-enum Flight {
+enum InFlight {
     Write(usize, LeaseObject, u64),
     Event(usize, LeaseEvent),
 }
@@ -55,14 +55,14 @@
     leases: LeaseTable,
     members: Membership,
     /// How far this daemon's clock is ahead of the site's clock.
-    ahead_us: u64,
-    is_frozen: bool,
+    clock_offset_us: u64,
+    is_paused: bool,
 }
 
 struct Site {
     nodes: Vec<Node>,
     store: Store,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     orders: Vec<SentOrder>,
     now_us: u64,
     group: LeaseGroup,
@@ -82,7 +82,7 @@
             service: "assistant".parse().unwrap(),
             shard: 0,
         };
-        let lives = vec![0; DAEMONS];
+        let restarts = vec![0; DAEMONS];
         let node = |index: usize| {
             let me = member(index as u16, 0);
             let holder = LeaseHolder {
@@ -93,15 +93,15 @@
             leases.set_groups([group.clone()]);
             Node {
                 leases,
-                members: full_membership(index as u16, &lives),
-                ahead_us: 1_000_000_000 * index as u64,
-                is_frozen: false,
+                members: full_membership(index as u16, &restarts),
+                clock_offset_us: 1_000_000_000 * index as u64,
+                is_paused: false,
             }
         };
         Self {
             nodes: (0..DAEMONS).map(node).collect(),
             store: Store::default(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             orders: Vec::new(),
             now_us: 0,
             group,
@@ -109,10 +109,10 @@
     }
 
     fn clock(&self, index: usize) -> TimeUs {
-        TimeUs::new(self.now_us + self.nodes[index].ahead_us)
+        TimeUs::new(self.now_us + self.nodes[index].clock_offset_us)
     }
 
-    fn feed(&mut self, index: usize, event: LeaseEvent) {
+    fn handle_event(&mut self, index: usize, event: LeaseEvent) {
         let now = self.clock(index);
         let node = &mut self.nodes[index];
         for command in node.leases.handle(event, now, &node.members) {
@@ -120,29 +120,31 @@
                 LeaseCommand::Read(group) => {
                     let object = self.store.object.clone();
                     let read = LeaseEvent::Read { group, object };
-                    self.flights.push(Flight::Event(index, read));
+                    self.in_flight.push(InFlight::Event(index, read));
                 }
                 LeaseCommand::Write {
                     object, expected, ..
-                } => self.flights.push(Flight::Write(index, object, expected)),
+                } => self
+                    .in_flight
+                    .push(InFlight::Write(index, object, expected)),
             }
         }
     }
 
     fn tick(&mut self, index: usize) {
-        if !self.nodes[index].is_frozen {
-            self.feed(index, LeaseEvent::Tick);
+        if !self.nodes[index].is_paused {
+            self.handle_event(index, LeaseEvent::Tick);
         }
     }
 
-    fn land(&mut self, place: usize, is_answer_lost: bool) {
-        let flight = self.flights.swap_remove(place);
-        match flight {
-            Flight::Event(index, event) if self.nodes[index].is_frozen => {
-                self.flights.push(Flight::Event(index, event));
+    fn deliver(&mut self, message_index: usize, is_answer_lost: bool) {
+        let message = self.in_flight.swap_remove(message_index);
+        match message {
+            InFlight::Event(index, event) if self.nodes[index].is_paused => {
+                self.in_flight.push(InFlight::Event(index, event));
             }
-            Flight::Event(index, event) => self.feed(index, event),
-            Flight::Write(index, object, expected) => {
+            InFlight::Event(index, event) => self.handle_event(index, event),
+            InFlight::Write(index, object, expected) => {
                 let write_number = object.write_number;
                 let written = self.store.write(object, expected);
                 let group = self.group.clone();
@@ -163,21 +165,21 @@
                         failure: WriteFailure::Conflict,
                     },
                 };
-                self.flights.push(Flight::Event(index, event));
+                self.in_flight.push(InFlight::Event(index, event));
             }
         }
     }
 
     /// Reports a lost answer to the sender of a write while the write itself is still in flight.
-    fn delay(&mut self, place: usize) {
-        if let Flight::Write(index, object, _) = &self.flights[place] {
+    fn report_answer_lost(&mut self, message_index: usize) {
+        if let InFlight::Write(index, object, _) = &self.in_flight[message_index] {
             let event = LeaseEvent::WriteFailed {
                 group: self.group.clone(),
                 write_number: object.write_number,
                 failure: WriteFailure::Lost,
             };
             let index = *index;
-            self.flights.push(Flight::Event(index, event));
+            self.in_flight.push(InFlight::Event(index, event));
         }
     }
 
@@ -205,27 +207,27 @@
     }
 
     fn suspect(&mut self, index: usize, subject: usize) {
-        let mut accused = member(subject as u16, 0);
-        accused.state = MemberState::Suspect;
+        let mut suspected = member(subject as u16, 0);
+        suspected.state = MemberState::Suspect;
         let event = MembershipEvent::IndirectAnswered {
-            target: accused.incarnation,
+            target: suspected.incarnation,
             is_reached: false,
-            updates: vec![MembershipUpdate::of(&accused)],
+            updates: vec![MembershipUpdate::of(&suspected)],
         };
         let now = self.clock(index);
         self.nodes[index].members.handle(event, now);
     }
 
-    fn leave_alone(&mut self, index: usize) {
-        self.forgive(index);
+    fn suspect_all_peers(&mut self, index: usize) {
+        self.reset_membership(index);
         for subject in (0..DAEMONS).filter(|subject| *subject != index) {
             self.suspect(index, subject);
         }
     }
 
-    fn forgive(&mut self, index: usize) {
-        let lives = vec![0; DAEMONS];
-        self.nodes[index].members = full_membership(index as u16, &lives);
+    fn reset_membership(&mut self, index: usize) {
+        let restarts = vec![0; DAEMONS];
+        self.nodes[index].members = full_membership(index as u16, &restarts);
     }
 
     fn run(&mut self, ms: u64) {
@@ -234,11 +236,11 @@
             for index in 0..DAEMONS {
                 self.tick(index);
             }
-            for place in (0..self.flights.len()).rev() {
-                self.land(place, false);
+            for message_index in (0..self.in_flight.len()).rev() {
+                self.deliver(message_index, false);
             }
-            for place in (0..self.flights.len()).rev() {
-                self.land(place, false);
+            for message_index in (0..self.in_flight.len()).rev() {
+                self.deliver(message_index, false);
             }
         }
     }
@@ -253,15 +255,15 @@
     Run(u64),
     Pass(u64),
     Tick(usize),
-    Land(usize),
+    Deliver(usize),
     LoseAnswer(usize),
     Delay(usize),
     Order(usize),
     Done(usize),
-    Freeze(usize, bool),
+    Pause(usize, bool),
     Suspect(usize, usize),
-    Forgive(usize),
-    Alone(usize),
+    ResetMembership(usize),
+    SuspectAllPeers(usize),
 }
 
 struct Reference;
@@ -281,15 +283,15 @@
             6 => prop_oneof![Just(200), Just(1_000), Just(4_000), Just(16_000)]
                 .prop_map(Step::Pass),
             8 => daemon().prop_map(Step::Tick),
-            12 => any::<usize>().prop_map(Step::Land),
+            12 => any::<usize>().prop_map(Step::Deliver),
             2 => any::<usize>().prop_map(Step::LoseAnswer),
             2 => any::<usize>().prop_map(Step::Delay),
             6 => daemon().prop_map(Step::Order),
             3 => daemon().prop_map(Step::Done),
-            2 => (daemon(), any::<bool>()).prop_map(|(i, on)| Step::Freeze(i, on)),
+            2 => (daemon(), any::<bool>()).prop_map(|(i, on)| Step::Pause(i, on)),
             1 => (daemon(), daemon()).prop_map(|(a, b)| Step::Suspect(a, b)),
-            1 => daemon().prop_map(Step::Forgive),
-            1 => daemon().prop_map(Step::Alone),
+            1 => daemon().prop_map(Step::ResetMembership),
+            1 => daemon().prop_map(Step::SuspectAllPeers),
         ]
         .boxed()
     }
@@ -307,32 +309,36 @@
         // Each daemon suspects all others at first, so that all of them contend for the lease.
         let mut site = Site::new();
         for index in 0..DAEMONS {
-            site.leave_alone(index);
+            site.suspect_all_peers(index);
         }
         site
     }
 
     fn apply(mut site: Site, (): &(), step: Step) -> Site {
-        let count = site.flights.len();
+        let count = site.in_flight.len();
         match step {
             Step::Run(ms) => site.run(ms),
             Step::Pass(ms) => site.now_us += ms * 1_000,
             Step::Tick(index) => site.tick(index),
-            Step::Land(place) if count > 0 => site.land(place % count, false),
-            Step::LoseAnswer(place) if count > 0 => site.land(place % count, true),
-            Step::Delay(place) if count > 0 => site.delay(place % count),
+            Step::Deliver(message_index) if count > 0 => site.deliver(message_index % count, false),
+            Step::LoseAnswer(message_index) if count > 0 => {
+                site.deliver(message_index % count, true)
+            }
+            Step::Delay(message_index) if count > 0 => {
+                site.report_answer_lost(message_index % count)
+            }
             // A paused daemon that resumes gives its order before any timer has fired.
             Step::Order(index) => {
                 let _ = site.order(index);
             }
             Step::Done(index) => {
                 let done = LeaseEvent::OrderDone(site.group.clone());
-                site.feed(index, done);
+                site.handle_event(index, done);
             }
-            Step::Freeze(index, on) => site.nodes[index].is_frozen = on,
+            Step::Pause(index, on) => site.nodes[index].is_paused = on,
             Step::Suspect(index, subject) if index != subject => site.suspect(index, subject),
-            Step::Forgive(index) => site.forgive(index),
-            Step::Alone(index) => site.leave_alone(index),
+            Step::ResetMembership(index) => site.reset_membership(index),
+            Step::SuspectAllPeers(index) => site.suspect_all_peers(index),
             _ => {}
         }
         site
@@ -340,15 +346,15 @@
 
     fn teardown(mut site: Site, (): ()) {
         for index in 0..DAEMONS {
-            site.nodes[index].is_frozen = false;
-            site.forgive(index);
+            site.nodes[index].is_paused = false;
+            site.reset_membership(index);
             for _ in 0..200 {
                 let done = LeaseEvent::OrderDone(site.group.clone());
-                site.feed(index, done);
+                site.handle_event(index, done);
             }
         }
         site.run(120_000);
-        let holder = site.holder().expect("somebody holds the lease in the end");
+        let holder = site.holder().expect("a daemon holds the lease in the end");
         let members = &site.nodes[holder].members;
         let responsible = LeaseTable::responsible(&site.group, members);
         assert_eq!(responsible, Some(members.me().incarnation));
@@ -386,17 +392,17 @@
     for _ in 0..200 {
         site.now_us += 100_000;
         site.tick(holder);
-        for flight in std::mem::take(&mut site.flights) {
+        for message in std::mem::take(&mut site.in_flight) {
             let group = site.group.clone();
-            let event = match flight {
-                Flight::Write(_, object, _) => LeaseEvent::WriteFailed {
+            let event = match message {
+                InFlight::Write(_, object, _) => LeaseEvent::WriteFailed {
                     group,
                     write_number: object.write_number,
                     failure: WriteFailure::Unavailable,
                 },
-                Flight::Event(..) => LeaseEvent::ReadFailed(group),
+                InFlight::Event(..) => LeaseEvent::ReadFailed(group),
             };
-            site.feed(holder, event);
+            site.handle_event(holder, event);
         }
     }
     assert_eq!(site.order(holder), Err(Code::LeaseLapsed));
@@ -441,7 +447,7 @@
         phase: LeasePhase::Held,
     },
     LossCase {
-        name: "the write got lost itself",
+        name: "the write was lost",
         is_effective: false,
         phase: LeasePhase::Vacant,
     },
@@ -462,26 +468,26 @@
             })
             .unwrap();
         site.tick(index);
-        site.land(0, false);
+        site.deliver(0, false);
         site.tick(index);
-        site.delay(0);
-        let write = site.flights.remove(0);
-        let Flight::Write(_, object, expected) = write else {
-            panic!("a write was expected");
+        site.report_answer_lost(0);
+        let write = site.in_flight.remove(0);
+        let InFlight::Write(_, object, expected) = write else {
+            panic!("expected a pending write");
         };
         if case.is_effective {
             site.store.write(object, expected);
         }
-        site.land(0, false);
+        site.deliver(0, false);
         site.tick(index);
-        site.land(0, false);
+        site.deliver(0, false);
         let status = &site.nodes[index].leases.status()[0];
         assert_eq!(status.phase, case.phase, "{}", case.name);
     }
 }
 
 #[test]
-fn endpoints_are_shared_by_service_and_shard() {
+fn endpoints_are_grouped_by_service_and_shard() {
     let service = "assistant".parse().unwrap();
     let mut counts: BTreeMap<LeaseGroup, usize> = BTreeMap::new();
     for number in 0..400 {
@@ -508,22 +514,22 @@
         .find(|index| responsible == Some(site.nodes[*index].members.me().incarnation))
         .unwrap();
     site.tick(index);
-    site.land(0, false);
+    site.deliver(0, false);
     site.tick(index);
-    assert!(matches!(site.flights[0], Flight::Write(..)));
+    assert!(matches!(site.in_flight[0], InFlight::Write(..)));
     index
 }
 
 /// Failure: two daemons hold the lease at the same time. A write takes effect immediately but its
-/// answer arrives 14 seconds later, and the term is counted from the answer, while the other daemons
-/// count it from the write.
+/// answer arrives 14 seconds later, and the term is counted from the answer, while the other
+/// daemons count it from the write.
 #[test]
 fn the_term_counts_from_the_sending_of_the_write() {
     let mut site = Site::new();
     let index = first_write(&mut site);
-    site.land(0, false);
+    site.deliver(0, false);
     site.now_us += 14_000_000;
-    site.land(0, false);
+    site.deliver(0, false);
     let grant = site.order(index).unwrap();
     assert_eq!(grant.timeout_us, DurationUs::from_ms(500));
     site.now_us += 1_000_000;
@@ -531,24 +537,24 @@
 }
 
 /// Failure: two daemons hold the lease at the same time. A slow write is abandoned because a read
-/// shows no effect, and a second write is sent. Then the first one takes effect and is answered, and
-/// the answer is counted for the second write, whose term began later.
+/// shows no effect, and a second write is sent. Then the first one takes effect and is answered,
+/// and the answer is counted for the second write, whose term began later.
 #[test]
 fn an_answer_to_an_earlier_write_counts_for_nothing() {
     let mut site = Site::new();
     let index = first_write(&mut site);
-    let slow = site.flights.remove(0);
+    let slow = site.in_flight.remove(0);
     site.now_us += 5_000_000;
     site.tick(index);
-    site.land(0, false);
+    site.deliver(0, false);
     site.tick(index);
     assert!(
-        matches!(site.flights[0], Flight::Write(..)),
-        "the second write"
+        matches!(site.in_flight[0], InFlight::Write(..)),
+        "the second write is in flight"
     );
-    site.flights.push(slow);
-    site.land(1, false);
-    site.land(1, false);
+    site.in_flight.push(slow);
+    site.deliver(1, false);
+    site.deliver(1, false);
     assert_eq!(
         site.nodes[index].leases.status()[0].phase,
         LeasePhase::Vacant
@@ -556,8 +562,8 @@
 }
 
 /// Failure: an order of the previous holder arrives after an order of the new one. A holder is no
-/// longer responsible while its order is in progress; it releases the lease, and a released lease is
-/// acquired without a wait.
+/// longer responsible while its order is in progress; it releases the lease, and a released lease
+/// is acquired without a wait.
 #[test]
 fn a_lease_is_not_released_while_an_order_is_under_way() {
     let (mut site, holder) = Site::with_holder();
@@ -571,19 +577,20 @@
     site.run(4_000);
     assert_eq!(object_holder(&site), Some(me));
     let done = LeaseEvent::OrderDone(site.group.clone());
-    site.feed(holder, done);
+    site.handle_event(holder, done);
     site.run(2_000);
     assert_eq!(object_holder(&site), None);
 }
 
 /// Failure: an order of the previous holder arrives after an order of the new one. The order was
-/// abandoned and counted as done, and the lease was released, but the order may still be in transit.
+/// abandoned and counted as done, and the lease was released, but the order may still be in
+/// transit.
 #[test]
 fn a_lease_is_not_released_right_after_an_order() {
     let (mut site, holder) = Site::with_holder();
     site.order(holder).unwrap();
     let done = LeaseEvent::OrderDone(site.group.clone());
-    site.feed(holder, done);
+    site.handle_event(holder, done);
     site.nodes[holder].leases.set_groups([]);
     let is_held = |site: &Site| site.store.object.as_ref().unwrap().0.holder.is_some();
     site.run(2_900);
@@ -599,7 +606,7 @@
 fn a_new_holder_waits_for_the_orders_before() {
     let (mut site, before) = Site::with_holder();
     site.order(before).unwrap();
-    site.nodes[before].is_frozen = true;
+    site.nodes[before].is_paused = true;
     for index in (0..DAEMONS).filter(|index| *index != before) {
         site.suspect(index, before);
     }
@@ -623,7 +630,7 @@
 }
 
 #[test]
-fn the_lease_of_loads_follows_the_one_who_is_to_load() {
+fn the_rollout_lease_follows_the_rollout_owner() {
     let mut site = Site::new();
     site.group = LeaseGroup::RolloutSlot(0);
     for node in &mut site.nodes {
@@ -638,6 +645,6 @@
         assert_eq!(site.holder(), Some(owner));
         assert!(site.order(owner).is_ok());
         let done = LeaseEvent::OrderDone(LeaseGroup::RolloutSlot(0));
-        site.feed(owner, done);
+        site.handle_event(owner, done);
     }
 }
--- a/crates/wisteriahitch-core/tests/all/fleet_membership.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_membership.rs
@@ -19,34 +19,34 @@
 /// Daemons connected by a simulated network that delivers probes immediately.
 struct Fleet {
     nodes: BTreeMap<u16, Membership>,
-    lives: BTreeMap<u16, u64>,
+    restarts: BTreeMap<u16, u64>,
     /// Pairs of daemons that cannot reach each other.
-    cut: BTreeSet<(u16, u16)>,
+    partitioned_pairs: BTreeSet<(u16, u16)>,
     now: TimeUs,
     /// Bytes of updates that each daemon has sent since its last round.
-    sent: BTreeMap<u16, usize>,
-    most_round_bytes: usize,
+    sent_bytes: BTreeMap<u16, usize>,
+    max_round_bytes_seen: usize,
 }
 
 impl Fleet {
     fn new(count: u16) -> Self {
         Self {
             nodes: (0..count).map(|i| (i, membership(i, 0))).collect(),
-            lives: (0..count).map(|i| (i, 0)).collect(),
-            cut: BTreeSet::new(),
+            restarts: (0..count).map(|i| (i, 0)).collect(),
+            partitioned_pairs: BTreeSet::new(),
             now: TimeUs::ZERO,
-            sent: BTreeMap::new(),
-            most_round_bytes: 0,
+            sent_bytes: BTreeMap::new(),
+            max_round_bytes_seen: 0,
         }
     }
 
-    fn cut(&mut self, side: &[u16], other: &[u16]) {
-        for (a, b) in side
+    fn partition(&mut self, left: &[u16], right: &[u16]) {
+        for (a, b) in left
             .iter()
-            .flat_map(|a| other.iter().map(move |b| (*a, *b)))
+            .flat_map(|a| right.iter().map(move |b| (*a, *b)))
         {
-            self.cut.insert((a, b));
-            self.cut.insert((b, a));
+            self.partitioned_pairs.insert((a, b));
+            self.partitioned_pairs.insert((b, a));
         }
     }
 
@@ -55,30 +55,30 @@
     }
 
     fn start(&mut self, index: u16) {
-        let life = self.lives.entry(index).or_default();
-        *life += 1;
-        self.nodes.insert(index, membership(index, *life));
+        let restart = self.restarts.entry(index).or_default();
+        *restart += 1;
+        self.nodes.insert(index, membership(index, *restart));
     }
 
     fn run(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.now = self.now + ROUND_US;
             for index in self.nodes.keys().copied().collect::<Vec<_>>() {
-                let sent = self.sent.insert(index, 0).unwrap_or(0);
-                self.most_round_bytes = self.most_round_bytes.max(sent);
-                let commands = self.feed(index, MembershipEvent::Tick);
-                self.carry(index, commands);
+                let sent_bytes = self.sent_bytes.insert(index, 0).unwrap_or(0);
+                self.max_round_bytes_seen = self.max_round_bytes_seen.max(sent_bytes);
+                let commands = self.handle_event(index, MembershipEvent::Tick);
+                self.execute(index, commands);
             }
         }
     }
 
-    fn feed(&mut self, index: u16, event: MembershipEvent) -> Vec<MembershipCommand> {
+    fn handle_event(&mut self, index: u16, event: MembershipEvent) -> Vec<MembershipCommand> {
         let now = self.now;
         let node = self.nodes.get_mut(&index);
         node.map_or(Vec::new(), |node| node.handle(event, now))
     }
 
-    fn carry(&mut self, from: u16, commands: Vec<MembershipCommand>) {
+    fn execute(&mut self, from: u16, commands: Vec<MembershipCommand>) {
         for command in commands {
             let event = match command {
                 MembershipCommand::Probe {
@@ -87,11 +87,11 @@
                     updates,
                     sync_after,
                 } => {
-                    *self.sent.entry(from).or_default() += size(&updates);
+                    *self.sent_bytes.entry(from).or_default() += size(&updates);
                     let to = address.port() - 20_000;
                     match self.deliver(from, to, &updates, sync_after) {
                         Some((answered_by, updates)) => {
-                            *self.sent.entry(to).or_default() += size(&updates);
+                            *self.sent_bytes.entry(to).or_default() += size(&updates);
                             MembershipEvent::ProbeAnswered {
                                 address,
                                 meant_for,
@@ -119,13 +119,13 @@
                 }
                 MembershipCommand::Changed { .. } => continue,
             };
-            let more = self.feed(from, event);
-            self.carry(from, more);
+            let more = self.handle_event(from, event);
+            self.execute(from, more);
         }
     }
 
     fn can_reach(&self, from: u16, to: u16) -> bool {
-        self.nodes.contains_key(&to) && !self.cut.contains(&(from, to))
+        self.nodes.contains_key(&to) && !self.partitioned_pairs.contains(&(from, to))
     }
 
     fn deliver(
@@ -181,7 +181,7 @@
 /// Failure: callers are sent to a crashed daemon. A crash is not announced; only unanswered probes
 /// reveal it.
 #[test]
-fn a_killed_daemon_leaves_every_list() {
+fn a_crashed_daemon_is_removed_from_every_list() {
     let mut fleet = Fleet::new(9);
     assert!(fleet.run_until_converged(60));
     fleet.kill(4);
@@ -211,14 +211,14 @@
 /// Failure: after a partition heals, the two halves stay separate. Each half believes the other
 /// dead, dead members are not probed, and they cannot refute updates that they do not receive.
 #[test]
-fn halves_find_each_other_after_a_partition() {
+fn halves_rejoin_after_a_partition() {
     let mut fleet = Fleet::new(8);
     assert!(fleet.run_until_converged(60));
-    fleet.cut(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+    fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
     fleet.run(40);
     assert_eq!(fleet.nodes[&0].workers().count(), 4);
     assert_eq!(fleet.nodes[&7].workers().count(), 4);
-    fleet.cut.clear();
+    fleet.partitioned_pairs.clear();
     assert!(fleet.run_until_converged(60));
 }
 
@@ -228,7 +228,7 @@
 fn one_broken_link_raises_no_suspicion() {
     let mut fleet = Fleet::new(6);
     assert!(fleet.run_until_converged(60));
-    fleet.cut(&[1], &[2]);
+    fleet.partition(&[1], &[2]);
     for _ in 0..40 {
         fleet.run(1);
         assert!(fleet.has_converged());
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn generated_kills_starts_and_cuts_end_in_agreement() {
+fn membership_converges_after_random_crashes_restarts_and_partitions() {
     let config = generated(24, SEED);
     let step = (0_u8..4, 1_u16..8, 1_u16..8, 0_usize..6);
     let steps = prop::collection::vec(step, 1..20);
@@ -247,12 +247,12 @@
                 match kind {
                     0 => fleet.kill(a),
                     1 => fleet.start(a),
-                    2 => fleet.cut(&[a], &[b]),
-                    _ => fleet.cut.clear(),
+                    2 => fleet.partition(&[a], &[b]),
+                    _ => fleet.partitioned_pairs.clear(),
                 }
                 fleet.run(rounds);
             }
-            fleet.cut.clear();
+            fleet.partitioned_pairs.clear();
             prop_assert!(fleet.run_until_converged(120));
             Ok(())
         })
@@ -270,7 +270,7 @@
         fleet.kill(index);
     }
     assert!(fleet.run_until_converged(150));
-    assert!(fleet.most_round_bytes <= HARD_ROUND_BYTES);
+    assert!(fleet.max_round_bytes_seen <= HARD_ROUND_BYTES);
 }
 
 struct EntryCase {
@@ -296,23 +296,23 @@
         is_listed: false,
     },
     EntryCase {
-        name: "it drains",
-        event: || told(MemberState::Draining),
+        name: "it is draining",
+        event: || update_event(MemberState::Draining),
         is_listed: false,
     },
     EntryCase {
         name: "it is suspect",
-        event: || told(MemberState::Suspect),
+        event: || update_event(MemberState::Suspect),
         is_listed: false,
     },
     EntryCase {
         name: "it has left",
-        event: || told(MemberState::Left),
+        event: || update_event(MemberState::Left),
         is_listed: false,
     },
 ];
 
-fn told(state: MemberState) -> MembershipEvent {
+fn update_event(state: MemberState) -> MembershipEvent {
     let mut subject = member(2, 0);
     subject.state = state;
     subject.update_number += 1;
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn entries_leave_out_whoever_goes() {
+fn entries_omit_departing_members() {
     let workspace = "kandy-1".parse().unwrap();
     for case in ENTRY_CASES {
         let mut members = membership_of(4);
@@ -341,31 +341,38 @@
 #[test]
 fn entries_are_spread_by_zone_and_load() {
     let mut members = membership_of(6);
-    let mut busy = member(3, 0);
-    busy.load_permille = 900;
+    let mut loaded_peer = member(3, 0);
+    loaded_peer.load_permille = 900;
     members.answer_probe(
-        busy.incarnation,
-        &[MembershipUpdate::of(&busy)],
+        loaded_peer.incarnation,
+        &[MembershipUpdate::of(&loaded_peer)],
         None,
         TimeUs::ZERO,
     );
     let zone = ZONES[0].parse().unwrap();
     let workspace = "kandy-1".parse().unwrap();
-    let mut firsts: BTreeMap<Incarnation, u32> = BTreeMap::new();
+    let mut first_entry_counts: BTreeMap<Incarnation, u32> = BTreeMap::new();
     for seed in 0..4_000 {
         let entries = members.entries(Some(&zone), &workspace, seed);
         assert_eq!(entries.len(), 6);
-        *firsts.entry(entries[0].incarnation).or_default() += 1;
+        *first_entry_counts
+            .entry(entries[0].incarnation)
+            .or_default() += 1;
     }
-    let count = |index| firsts.get(&incarnation(index, 0)).copied().unwrap_or(0);
+    let count = |index| {
+        first_entry_counts
+            .get(&incarnation(index, 0))
+            .copied()
+            .unwrap_or(0)
+    };
     // Daemons 0 and 3 are in the caller's zone, 3 is busy; 1 is in another zone and idle.
-    assert!(count(0) > 2 * count(1), "{firsts:?}");
-    assert!(count(1) > count(3), "{firsts:?}");
-    assert!(firsts.len() == 6, "{firsts:?}");
+    assert!(count(0) > 2 * count(1), "{first_entry_counts:?}");
+    assert!(count(1) > count(3), "{first_entry_counts:?}");
+    assert!(first_entry_counts.len() == 6, "{first_entry_counts:?}");
 }
 
 #[test]
-fn a_large_fleet_gives_each_workspace_its_own_few() {
+fn a_large_fleet_restricts_each_workspace_to_a_fixed_subset() {
     let members = membership_of(100);
     let set = |workspace: &str, seed| -> BTreeSet<Incarnation> {
         let workspace = workspace.parse().unwrap();
@@ -398,7 +405,7 @@
 }
 
 #[test]
-fn the_dump_shows_a_member() {
+fn a_member_serializes_under_stable_names() {
     let text = serde_json::to_string(&member(1, 0)).unwrap();
     expect_test::expect![[r#"{"daemon":"entry-1","incarnation":2,"news_number":1,"state":"alive","addresses":{"caller":"127.0.0.1:10001","peer":"127.0.0.1:20001","operator":"127.0.0.1:30001"},"availability_zone":"colombo-b","config_version":0,"load_permille":0,"changed_at_us":0,"is_vm_leaving":false}"#]].assert_eq(&text);
 }
--- a/crates/wisteriahitch-core/tests/all/fleet_orders.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_orders.rs
@@ -25,9 +25,9 @@
     planner: OrderPlanner,
     now: TimeUs,
     /// Version that no runner can load.
-    broken: Option<&'static str>,
-    most_loading: usize,
-    least_ready: usize,
+    broken_version: Option<&'static str>,
+    max_loading_seen: usize,
+    min_ready_seen: usize,
 }
 
 fn model() -> ModelName {
@@ -64,9 +64,9 @@
             loading: BTreeMap::new(),
             planner: OrderPlanner::new(PlannerSettings::default()),
             now: TimeUs::ZERO,
-            broken: None,
-            most_loading: 0,
-            least_ready: count,
+            broken_version: None,
+            max_loading_seen: 0,
+            min_ready_seen: count,
         };
         site.set_desired(version, &[]);
         site
@@ -111,19 +111,19 @@
         self.planner.progress(site).remove(0)
     }
 
-    fn obey(&mut self, planned: PlannedOrder) {
+    fn execute(&mut self, planned: PlannedOrder) {
         let PlannedOrder { endpoint, order } = planned;
-        let broken = self.broken;
+        let broken_version = self.broken_version;
         let report = self.reports.get_mut(&endpoint).unwrap();
-        let is_good = match order {
+        let is_success = match order {
             EndpointOrder::LoadModel { weight_version, .. } => {
-                let is_good = Some(weight_version.as_str()) != broken;
-                if is_good {
+                let is_success = Some(weight_version.as_str()) != broken_version;
+                if is_success {
                     report.models[0].weight_version = weight_version;
                     report.models[0].is_ready = false;
                     self.loading.insert(endpoint.clone(), 2);
                 }
-                is_good
+                is_success
             }
             EndpointOrder::LoadAdapter { adapter, .. } => {
                 report.models[0].adapters.push(adapter);
@@ -142,28 +142,28 @@
                 true
             }
         };
-        self.planner.order_done(&endpoint, is_good, self.now);
+        self.planner.order_done(&endpoint, is_success, self.now);
     }
 
     fn step(&mut self) {
         self.now = TimeUs::new(self.now.get() + 1_000_000);
         for planned in self.plan() {
-            self.obey(planned);
+            self.execute(planned);
         }
         let ready = self
             .reports
             .values()
             .filter(|r| r.is_ready_for(&model()))
             .count();
-        self.most_loading = self.most_loading.max(self.loading.len());
-        self.least_ready = self.least_ready.min(ready);
+        self.max_loading_seen = self.max_loading_seen.max(self.loading.len());
+        self.min_ready_seen = self.min_ready_seen.min(ready);
         for (id, report) in &mut self.reports {
             report.made_at_ms += 1;
-            let Some(left) = self.loading.get_mut(id) else {
+            let Some(steps_left) = self.loading.get_mut(id) else {
                 continue;
             };
-            *left -= 1;
-            if *left == 0 {
+            *steps_left -= 1;
+            if *steps_left == 0 {
                 report.models[0].is_ready = true;
                 self.loading.remove(id);
             }
@@ -190,12 +190,12 @@
     assert_eq!(
         site.loading.len(),
         1,
-        "the first one shows that the version works"
+        "a single runner must confirm the version first"
     );
     site.run(60);
     assert_eq!(site.versions(), BTreeSet::from(["v2".to_owned()]));
-    assert_eq!(site.most_loading, 2);
-    assert_eq!(site.least_ready, 7);
+    assert_eq!(site.max_loading_seen, 2);
+    assert_eq!(site.min_ready_seen, 7);
     assert_eq!(site.progress().phase, RolloutPhase::Done);
     assert_eq!(site.progress().done, 9);
 }
@@ -206,7 +206,7 @@
 fn a_rollout_that_fails_stops_and_goes_back() {
     let mut site = Site::new(6, "v1");
     site.run(2);
-    site.broken = Some("v2");
+    site.broken_version = Some("v2");
     site.set_desired("v2", &[]);
     site.run(40);
     assert_eq!(site.versions(), BTreeSet::from(["v1".to_owned()]));
@@ -228,13 +228,13 @@
     site.set_desired("v2", &[]);
     site.run(8);
     assert_eq!(site.versions().len(), 2);
-    site.broken = Some("v2");
+    site.broken_version = Some("v2");
     site.run(60);
     assert_eq!(site.versions(), BTreeSet::from(["v1".to_owned()]));
     assert_eq!(site.progress().phase, RolloutPhase::Stopped);
 }
 
-struct SpareCase {
+struct LoadCase {
     name: &'static str,
     count: usize,
     change: fn(&mut Site),
@@ -242,44 +242,44 @@
     blocked: Option<BlockReason>,
 }
 
-const SPARE_CASES: &[SpareCase] = &[
-    SpareCase {
+const LOAD_CASES: &[LoadCase] = &[
+    LoadCase {
         name: "idle runners",
         count: 4,
         change: |_| {},
         planned: 1,
         blocked: Some(BlockReason::FirstNotConfirmed),
     },
-    SpareCase {
-        name: "all needed for the load but one",
+    LoadCase {
+        name: "all runners but one needed for the load",
         count: 3,
         change: |site| site.reports.values_mut().for_each(|r| r.open_requests = 7),
         planned: 1,
         blocked: Some(BlockReason::FirstNotConfirmed),
     },
-    SpareCase {
-        name: "the last ready one",
+    LoadCase {
+        name: "the last ready runner",
         count: 2,
         change: |site| site.reports.get_mut(&id(0)).unwrap().is_leaving = true,
         planned: 0,
         blocked: Some(BlockReason::NeededForLoad),
     },
-    SpareCase {
-        name: "the only one, busy",
+    LoadCase {
+        name: "a single busy runner",
         count: 1,
         change: |site| site.reports.get_mut(&id(0)).unwrap().open_requests = 1,
         planned: 0,
         blocked: Some(BlockReason::NeededForLoad),
     },
-    SpareCase {
-        name: "the only one, idle",
+    LoadCase {
+        name: "a single idle runner",
         count: 1,
         change: |_| {},
         planned: 1,
         blocked: None,
     },
-    SpareCase {
-        name: "two load elsewhere",
+    LoadCase {
+        name: "two runners of another owner are loading",
         count: 6,
         change: |site| {
             for number in 0..2 {
@@ -292,15 +292,15 @@
         planned: 0,
         blocked: Some(BlockReason::TooManyLoading),
     },
-    SpareCase {
-        name: "no lease of loads",
+    LoadCase {
+        name: "no rollout lease",
         count: 3,
         change: |site| site.load_slots = 0,
         planned: 0,
         blocked: Some(BlockReason::NoLease),
     },
-    SpareCase {
-        name: "no lease",
+    LoadCase {
+        name: "no lease of the endpoints",
         count: 3,
         change: |site| site.owned.clear(),
         planned: 0,
@@ -309,8 +309,8 @@
 ];
 
 #[test]
-fn a_runner_is_taken_only_where_it_can_be_spared() {
-    for case in SPARE_CASES {
+fn a_runner_loads_only_where_its_capacity_is_not_needed() {
+    for case in LOAD_CASES {
         let mut site = Site::new(case.count, "v1");
         site.run(2);
         site.set_desired("v2", &[]);
@@ -342,12 +342,12 @@
         site.planner.has_unconfirmed_order(&id(0))
     };
     assert!(report(&mut site, "v2"));
-    assert!(report(&mut site, "v1"), "the late order");
+    assert!(report(&mut site, "v1"), "the late order undoes the version");
     assert!(report(&mut site, "v2"));
     site.plan();
     assert!(
         site.planner.has_unconfirmed_order(&id(0)),
-        "the same report counts once"
+        "a repeated report must not count twice"
     );
     assert!(!report(&mut site, "v2"));
 }
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn generated_sites_keep_the_bounds_and_arrive() {
+fn generated_rollouts_finish_within_their_limits() {
     let config = generated(200, SEED);
     let busy = prop::collection::vec(0_u64..8, 2..12);
     TestRunner::new(config)
@@ -381,15 +381,15 @@
             site.set_desired("v3", &["parts"]);
             site.run(20 * count + 40);
             prop_assert_eq!(site.versions(), BTreeSet::from(["v3".to_owned()]));
-            prop_assert!(site.most_loading <= 2);
-            prop_assert!(site.least_ready >= (count / 2).max(1).min(count - 1));
+            prop_assert!(site.max_loading_seen <= 2);
+            prop_assert!(site.min_ready_seen >= (count / 2).max(1).min(count - 1));
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn progress_is_shown() {
+fn progress_serializes_under_stable_names() {
     let mut site = Site::new(2, "v1");
     site.run(2);
     site.set_desired("v2", &[]);
@@ -401,7 +401,7 @@
 /// Failure: a rollout stalls although runners could load. The first runner in the list is needed
 /// for the current load, and the right to load stays with the owner of that runner.
 #[test]
-fn the_next_to_load_can_be_spared() {
+fn the_next_runner_to_load_is_one_that_is_not_needed() {
     let mut site = Site::new(3, "v1");
     site.run(2);
     let view = |site: &Site| {
--- a/crates/wisteriahitch-core/tests/all/fleet_submission.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_submission.rs
@@ -14,7 +14,7 @@
 
 /// Behaviour of the store for the next call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
+enum StoreBehavior {
     Answer,
     /// The call takes effect and its answer is lost.
     LoseAnswer,
@@ -31,7 +31,7 @@
     head: Option<HeadObject>,
     object_version: u64,
     delayed: Option<(HeadObject, u64)>,
-    rivals: u64,
+    competing_submissions: u64,
 }
 
 impl Store {
@@ -44,41 +44,53 @@
         is_expected
     }
 
-    fn race(&mut self) {
-        self.rivals += 1;
-        let id = format!("rival-{}", self.rivals).parse().unwrap();
+    fn accept_competing(&mut self) {
+        self.competing_submissions += 1;
+        let id = format!("rival-{}", self.competing_submissions)
+            .parse()
+            .unwrap();
         let name = SectionName::Site;
-        let hash = SectionHash::of(self.rivals.to_string());
+        let hash = SectionHash::of(self.competing_submissions.to_string());
         let head = self.head.clone().unwrap_or_default();
         let next = head.with_changes([(name, Some(hash))], id, 0);
         self.update(&next, self.object_version);
     }
 
-    fn land_delayed(&mut self) {
+    fn apply_delayed_update(&mut self) {
         if let Some((head, expected)) = self.delayed.take() {
             self.update(&head, expected);
         }
     }
 
-    fn answer(&mut self, command: SubmissionCommand, fate: Fate) -> Option<SubmissionEvent> {
-        if fate == Fate::Race {
-            self.race();
+    fn answer(
+        &mut self,
+        command: SubmissionCommand,
+        behavior: StoreBehavior,
+    ) -> Option<SubmissionEvent> {
+        if behavior == StoreBehavior::Race {
+            self.accept_competing();
         }
-        let is_away = fate == Fate::Refuse;
-        let is_lost = matches!(fate, Fate::LoseAnswer | Fate::Delay);
+        let is_unavailable = behavior == StoreBehavior::Refuse;
+        let is_lost = matches!(behavior, StoreBehavior::LoseAnswer | StoreBehavior::Delay);
         let event = match command {
-            SubmissionCommand::WriteSection(hash) if is_away || is_lost => {
+            SubmissionCommand::WriteSection(hash) if is_unavailable || is_lost => {
                 SubmissionEvent::SectionFailed(hash)
             }
             SubmissionCommand::WriteSection(hash) => SubmissionEvent::SectionWritten(hash),
-            SubmissionCommand::ReadHead if is_away || is_lost => SubmissionEvent::HeadUnavailable,
+            SubmissionCommand::ReadHead if is_unavailable || is_lost => {
+                SubmissionEvent::HeadUnavailable
+            }
             SubmissionCommand::ReadHead => SubmissionEvent::HeadRead {
                 head: self.head.clone(),
                 object_version: self.object_version,
             },
             SubmissionCommand::Check(_) => SubmissionEvent::Checked { is_valid: true },
-            SubmissionCommand::UpdateHead { .. } if is_away => SubmissionEvent::UpdateUnavailable,
-            SubmissionCommand::UpdateHead { head, expected } if fate == Fate::Delay => {
+            SubmissionCommand::UpdateHead { .. } if is_unavailable => {
+                SubmissionEvent::UpdateUnavailable
+            }
+            SubmissionCommand::UpdateHead { head, expected }
+                if behavior == StoreBehavior::Delay =>
+            {
                 self.delayed = Some((head, expected));
                 SubmissionEvent::UpdateLost
             }
@@ -104,7 +116,7 @@
     store: &mut Store,
     id: &SubmissionId,
     expected: Option<u64>,
-    fates: &mut impl Iterator<Item = Fate>,
+    behaviors: &mut impl Iterator<Item = StoreBehavior>,
 ) -> SubmissionOutcome {
     let hash = SectionHash::of("mine");
     let changes = [(SectionName::Site, Some(hash))];
@@ -112,8 +124,8 @@
     let mut submission = Submission::new(id.clone(), changes, expected, 0);
     let mut commands = submission.handle(&SubmissionEvent::Start);
     while let Some(command) = commands.pop() {
-        let fate = fates.next().unwrap_or(Fate::Answer);
-        if let Some(event) = store.answer(command, fate) {
+        let behavior = behaviors.next().unwrap_or(StoreBehavior::Answer);
+        if let Some(event) = store.answer(command, behavior) {
             commands.extend(submission.handle(&event));
         }
     }
@@ -131,100 +143,118 @@
 /// between, and the operator submits again with the same id. A lost answer does not tell whether
 /// the update took effect.
 #[test]
-fn generated_losses_and_races_are_told_truthfully() {
-    let fate = prop_oneof![
-        4 => Just(Fate::Answer),
-        1 => Just(Fate::LoseAnswer),
-        1 => Just(Fate::Delay),
-        1 => Just(Fate::Refuse),
-        1 => Just(Fate::Race),
+fn generated_losses_and_conflicts_are_reported_correctly() {
+    let behavior = prop_oneof![
+        4 => Just(StoreBehavior::Answer),
+        1 => Just(StoreBehavior::LoseAnswer),
+        1 => Just(StoreBehavior::Delay),
+        1 => Just(StoreBehavior::Refuse),
+        1 => Just(StoreBehavior::Race),
     ];
-    let fates = prop::collection::vec(fate, 0..30);
+    let behaviors = prop::collection::vec(behavior, 0..30);
     let config = generated(2_000, SEED);
     TestRunner::new(config)
-        .run(&(fates, prop::option::of(0_u64..3)), |(fates, expected)| {
-            let id: SubmissionId = "mine".parse().unwrap();
-            let mut store = Store::default();
-            let outcome = submit(&mut store, &id, expected, &mut fates.into_iter());
-            store.land_delayed();
-            let accepted = count(&store, &id);
-            match outcome {
-                SubmissionOutcome::Accepted { version, .. } => {
-                    prop_assert_eq!(accepted, 1);
-                    let head = store.head.as_ref().unwrap();
-                    prop_assert_eq!(head.find_submission(&id).unwrap().version, version);
+        .run(
+            &(behaviors, prop::option::of(0_u64..3)),
+            |(behaviors, expected)| {
+                let id: SubmissionId = "mine".parse().unwrap();
+                let mut store = Store::default();
+                let outcome = submit(&mut store, &id, expected, &mut behaviors.into_iter());
+                store.apply_delayed_update();
+                let accepted = count(&store, &id);
+                match outcome {
+                    SubmissionOutcome::Accepted { version, .. } => {
+                        prop_assert_eq!(accepted, 1);
+                        let head = store.head.as_ref().unwrap();
+                        prop_assert_eq!(head.find_submission(&id).unwrap().version, version);
+                    }
+                    SubmissionOutcome::Unknown => prop_assert!(accepted <= 1),
+                    _ => prop_assert_eq!(accepted, 0, "{:?}", outcome),
                 }
-                SubmissionOutcome::Unknown => prop_assert!(accepted <= 1),
-                _ => prop_assert_eq!(accepted, 0, "{:?}", outcome),
-            }
-            let again = submit(&mut store, &id, None, &mut std::iter::empty());
-            let is_accepted = matches!(again, SubmissionOutcome::Accepted { .. });
-            prop_assert!(is_accepted);
-            prop_assert_eq!(count(&store, &id), 1);
-            Ok(())
-        })
+                let again = submit(&mut store, &id, None, &mut std::iter::empty());
+                let is_accepted = matches!(again, SubmissionOutcome::Accepted { .. });
+                prop_assert!(is_accepted);
+                prop_assert_eq!(count(&store, &id), 1);
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
 struct Case {
     name: &'static str,
-    fates: &'static [Fate],
+    behaviors: &'static [StoreBehavior],
     expected: Option<u64>,
     outcome: &'static str,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "everything answers",
-        fates: &[],
+        name: "all calls are answered",
+        behaviors: &[],
         expected: Some(0),
         outcome: "Accepted",
     },
     Case {
         name: "the update's answer is lost",
-        fates: &[Fate::Answer, Fate::Answer, Fate::Answer, Fate::LoseAnswer],
+        behaviors: &[
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::LoseAnswer,
+        ],
         expected: Some(0),
         outcome: "Accepted",
     },
     Case {
-        name: "the answer is lost and the store goes away",
-        fates: &[
-            Fate::Answer,
-            Fate::Answer,
-            Fate::Answer,
-            Fate::LoseAnswer,
-            Fate::Refuse,
+        name: "the update's answer is lost and the store becomes unavailable",
+        behaviors: &[
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::LoseAnswer,
+            StoreBehavior::Refuse,
         ],
         expected: Some(0),
         outcome: "Unknown",
     },
     Case {
-        name: "another operator wins",
-        fates: &[Fate::Answer, Fate::Answer, Fate::Answer, Fate::Race],
+        name: "another submission is accepted first",
+        behaviors: &[
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::Race,
+        ],
         expected: Some(0),
         outcome: "Conflict",
     },
     Case {
-        name: "another operator goes first, and any base will do",
-        fates: &[Fate::Answer, Fate::Answer, Fate::Answer, Fate::Race],
+        name: "another submission is accepted first, and any base version is allowed",
+        behaviors: &[
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::Answer,
+            StoreBehavior::Race,
+        ],
         expected: None,
         outcome: "Accepted",
     },
     Case {
-        name: "the store is away from the start",
-        fates: &[Fate::Refuse; 20],
+        name: "the store is unavailable from the start",
+        behaviors: &[StoreBehavior::Refuse; 20],
         expected: None,
         outcome: "Unavailable",
     },
 ];
 
 #[test]
-fn outcomes_are_told() {
+fn outcome_follows_from_store_behavior() {
     for case in CASES {
         let mut store = Store::default();
         let id = "mine".parse().unwrap();
-        let mut fates = case.fates.iter().copied();
-        let outcome = submit(&mut store, &id, case.expected, &mut fates);
+        let mut behaviors = case.behaviors.iter().copied();
+        let outcome = submit(&mut store, &id, case.expected, &mut behaviors);
         let text = format!("{outcome:?}");
         assert!(text.starts_with(case.outcome), "{}: {text}", case.name);
     }
