--- a/crates/wisteriahitch-core/src/fleet/drain.rs
+++ b/crates/wisteriahitch-core/src/fleet/drain.rs
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Waits until no caller can still connect by an old list. Callers cache an answer of `GET
-    /// /v1/entries` for its whole lifetime. If the daemon closed earlier, they would see connection
-    /// errors at each restart.
+    /// Waits until no open work is left and no caller can still connect by an old list. Callers
+    /// cache an answer of `GET /v1/entries` for its whole lifetime. If the daemon closed earlier,
+    /// they would see connection errors at each restart.
     #[state]
     fn draining(context: &mut DrainContext, event: &DrainEvent) -> Outcome<State> {
         match event {
