--- a/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/config_table.rs
@@ -1,4 +1,4 @@
-//! What a daemon holds of the configuration.
+//! Stored configuration data of a daemon, and the settings of its replication.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,31 +9,40 @@
 use super::HeadObject;
 use super::replication::Replication;
 
-/// Holds the times and bounds of the configuration's way through the fleet.
+/// Times and limits of configuration replication.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfigSettings {
-    /// Daemons of each availability zone that watch the head.
+    /// Number of daemons in each availability zone that watch the head in the store.
     pub watchers_per_zone: usize,
-    /// Peers that a new version is handed to.
+    /// Number of peers that a new version is pushed to.
     pub push_fanout: usize,
-    /// Other availability zones that must hold a version before it is put in force.
-    pub wanted_zones: usize,
-    /// Longest wait for that; then the version is put in force all the same.
-    pub replicate_wait_us: DurationUs,
-    /// Peers that a starting daemon asks, spread over the zones.
-    pub start_peers: usize,
-    /// Wait of a starting daemon for peers to be found and asked while the store is away, and the
-    /// time between two such starts as long as nobody holds a configuration.
-    pub start_wait_us: DurationUs,
-    /// Longest further wait for a peer that is known to have a higher version in force.
-    pub start_ahead_wait_us: DurationUs,
-    /// Time between two tries to read what is missing.
-    pub retry_us: DurationUs,
-    /// Silence of the peers after which a daemon reads the head itself.
-    pub silence_us: DurationUs,
-    /// Sections that are asked for at once.
-    pub max_asked_sections: usize,
-    /// Bytes of sections that are sent along with a push; the rest is pulled.
+    /// Number of other availability zones that must have stored a version before it is put in
+    /// force.
+    #[serde(rename = "wanted_zones")]
+    pub min_replica_zones: usize,
+    /// Maximum wait for these zones; after it the version is put in force without them.
+    #[serde(rename = "replicate_wait_us")]
+    pub replication_timeout_us: DurationUs,
+    /// Maximum number of peers that a starting daemon asks for their head.
+    #[serde(rename = "start_peers")]
+    pub max_startup_peers: usize,
+    /// How long a starting daemon waits for peers to be discovered and to answer while the store is
+    /// unavailable. Also the time between two startup syncs while no configuration is found.
+    #[serde(rename = "start_wait_us")]
+    pub startup_timeout_us: DurationUs,
+    /// Additional wait for a peer that is known to have a higher version in force.
+    #[serde(rename = "start_ahead_wait_us")]
+    pub startup_ahead_timeout_us: DurationUs,
+    /// Time between two attempts to read missing data, and between two pushes of a version.
+    #[serde(rename = "retry_us")]
+    pub retry_interval_us: DurationUs,
+    /// Time without messages from peers or the store after which a daemon reads the head itself.
+    #[serde(rename = "silence_us")]
+    pub silence_timeout_us: DurationUs,
+    /// Maximum number of sections in one request.
+    #[serde(rename = "max_asked_sections")]
+    pub max_requested_sections: usize,
+    /// Maximum bytes of sections sent with a push; peers request the rest.
     pub max_push_bytes: usize,
 }
 
@@ -42,76 +51,91 @@
         Self {
             watchers_per_zone: 2,
             push_fanout: 4,
-            wanted_zones: 2,
-            replicate_wait_us: DurationUs::from_ms(1_000),
-            start_peers: 12,
-            start_wait_us: DurationUs::from_ms(3_000),
-            start_ahead_wait_us: DurationUs::from_ms(30_000),
-            retry_us: DurationUs::from_ms(200),
-            silence_us: DurationUs::from_ms(10_000),
-            max_asked_sections: 256,
+            min_replica_zones: 2,
+            replication_timeout_us: DurationUs::from_ms(1_000),
+            max_startup_peers: 12,
+            startup_timeout_us: DurationUs::from_ms(3_000),
+            startup_ahead_timeout_us: DurationUs::from_ms(30_000),
+            retry_interval_us: DurationUs::from_ms(200),
+            silence_timeout_us: DurationUs::from_ms(10_000),
+            max_requested_sections: 256,
             max_push_bytes: 65_536,
         }
     }
 }
 
-/// Holds the versions that a daemon has in force, holds whole, or is reading.
+/// Versions that a daemon has in force, has stored completely, or is reading.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ConfigTable {
-    /// Highest version that is held whole.
-    pub(super) held: Option<HeadObject>,
-    /// Version held before, which a push to peers starts from.
+    /// Head of the highest version whose sections are all stored.
+    #[serde(rename = "held")]
+    pub(super) stored_head: Option<HeadObject>,
+    /// Head stored before that one; a push sends the difference to it.
     #[serde(skip)]
-    pub(super) held_before: Option<HeadObject>,
+    pub(super) previous_stored_head: Option<HeadObject>,
     /// Version in force.
     pub(super) in_force: Option<ConfigVersion>,
-    /// Version that was in force before it.
+    /// Version that was in force before `in_force`; restored if the latter is rejected.
     pub(super) in_force_before: Option<ConfigVersion>,
-    /// Version that couldn't be put in force.
+    /// Last version that could not be put in force.
     pub(super) rejected: Option<ConfigVersion>,
     /// Version whose sections are being read.
     pub(super) candidate: Option<Candidate>,
+    /// Replication progress of the stored version.
     pub(super) replication: Option<Replication>,
-    pub(super) gathering: Option<Gathering>,
+    /// Search for the highest version; `None` if it has ended. No version is put in force before.
+    #[serde(rename = "gathering")]
+    pub(super) startup_sync: Option<StartupSync>,
+    /// Sections of the stored heads and of the version being read.
     #[serde(skip)]
     pub(super) sections: BTreeMap<SectionHash, Section>,
 }
 
-/// Holds a version whose sections are being read.
+/// A version whose sections are being read.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Candidate {
     pub(super) head: HeadObject,
+    /// Sections that are not stored yet.
     pub(super) missing: BTreeSet<SectionHash>,
-    /// Peer that told of it, if one did.
+    /// Peer that sent the head; `None` if it came from the store.
     pub(super) source: Option<Incarnation>,
-    pub(super) tried_at_us: Option<TimeUs>,
-    pub(super) tries: u32,
+    #[serde(rename = "tried_at_us")]
+    pub(super) last_attempt_at_us: Option<TimeUs>,
+    /// Number of requests for missing sections since a peer last sent some.
+    #[serde(rename = "tries")]
+    pub(super) attempts: u32,
 }
 
-/// Holds what a starting daemon still waits for.
+/// Progress of a starting daemon's search for the highest version.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Gathering {
-    pub(super) since_us: TimeUs,
-    pub(super) asked_peers: BTreeSet<Incarnation>,
+pub(super) struct StartupSync {
+    #[serde(rename = "since_us")]
+    pub(super) started_at_us: TimeUs,
+    #[serde(rename = "asked_peers")]
+    pub(super) queried_peers: BTreeSet<Incarnation>,
 }
 
 impl ConfigTable {
-    /// Returns the highest version that is held whole, or 0.
-    pub(super) fn held_version(&self) -> ConfigVersion {
-        self.held
+    /// Returns the highest version that is stored completely, or 0.
+    pub(super) fn stored_version(&self) -> ConfigVersion {
+        self.stored_head
             .as_ref()
             .map_or(ConfigVersion::new(0), |h| h.version)
     }
 
-    /// Returns the highest version that is known here, whole or not.
+    /// Returns the highest version that is stored or being read, or 0.
     pub(super) fn known_version(&self) -> ConfigVersion {
         let candidate = self.candidate.as_ref();
         let candidate = candidate.map_or(ConfigVersion::new(0), |c| c.head.version);
-        self.held_version().max(candidate)
+        self.stored_version().max(candidate)
     }
 
-    /// Starts to read a version, unless one as high is known; returns whether it did.
-    pub(super) fn try_learn(&mut self, head: HeadObject, source: Option<Incarnation>) -> bool {
+    /// Starts reading a version if it is higher than every known one; returns whether it was.
+    pub(super) fn try_start_reading(
+        &mut self,
+        head: HeadObject,
+        source: Option<Incarnation>,
+    ) -> bool {
         if head.version <= self.known_version() {
             return false;
         }
@@ -124,14 +148,14 @@
             head,
             missing,
             source,
-            tried_at_us: None,
-            tries: 0,
+            last_attempt_at_us: None,
+            attempts: 0,
         });
         true
     }
 
-    /// Keeps a section that the version being read needs.
-    pub(super) fn keep(&mut self, section: Section) {
+    /// Stores a section if the version being read needs it.
+    pub(super) fn store_section(&mut self, section: Section) {
         let Some(candidate) = &mut self.candidate else {
             return;
         };
@@ -140,26 +164,27 @@
         }
     }
 
-    /// Lets the next sections be asked for at once, of the same source: what came was only as
-    /// much as fits in a message.
-    pub(super) fn continue_reading(&mut self) {
+    /// Allows the next request for sections immediately and from the same source: an answer
+    /// contains only as many sections as fit into a message.
+    pub(super) fn reset_read_attempts(&mut self) {
         if let Some(candidate) = &mut self.candidate {
-            candidate.tried_at_us = None;
-            candidate.tries = 0;
+            candidate.last_attempt_at_us = None;
+            candidate.attempts = 0;
         }
     }
 
-    /// Makes the version being read the one that is held, once nothing of it is missing.
-    pub(super) fn try_hold(&mut self) -> Option<ConfigVersion> {
+    /// Makes the version being read the stored one once no section is missing; returns that
+    /// version.
+    pub(super) fn try_store_candidate(&mut self) -> Option<ConfigVersion> {
         let candidate = self.candidate.take_if(|c| c.missing.is_empty())?;
         let version = candidate.head.version;
-        self.held_before = self.held.replace(candidate.head);
-        self.drop_unused();
+        self.previous_stored_head = self.stored_head.replace(candidate.head);
+        self.remove_unused_sections();
         Some(version)
     }
 
-    /// Returns the sections of these names that are held.
-    pub(super) fn find<'a>(
+    /// Returns the stored sections with these hashes.
+    pub(super) fn find_sections<'a>(
         &self,
         hashes: impl IntoIterator<Item = &'a SectionHash>,
     ) -> Vec<Section> {
@@ -167,8 +192,11 @@
         hashes.into_iter().filter_map(find).collect()
     }
 
-    fn drop_unused(&mut self) {
-        let heads = [self.held.as_ref(), self.held_before.as_ref()];
+    fn remove_unused_sections(&mut self) {
+        let heads = [
+            self.stored_head.as_ref(),
+            self.previous_stored_head.as_ref(),
+        ];
         let used: BTreeSet<&SectionHash> = heads
             .into_iter()
             .flatten()
--- a/crates/wisteriahitch-core/src/fleet/configuration/mod.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that is in force, how it gets to every daemon, and how it is accepted
+//! Configuration replication to all daemons, and acceptance of submitted configurations
 //! (`docs/design/configuration-acceptance.md`).
 
 mod config_event;
@@ -23,7 +23,7 @@
 pub use head_change::HeadChange;
 pub use head_object::{HeadObject, HistoryEntry};
 pub use phase::ConfigPhase;
-pub use replication::Holders;
+pub use replication::HolderCounts;
 pub use submission::{Submission, SubmissionStep};
 pub use submission_event::{SubmissionCommand, SubmissionEvent, SubmissionOutcome};
 pub use watchers::head_watchers;
--- a/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/replication.rs
@@ -1,4 +1,4 @@
-//! How far a version has come before it is put in force.
+//! Progress of a version's replication before it is put in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,24 @@
 
 use crate::fleet::{Member, Membership, Rendezvous};
 
-/// Says how many daemons hold a version, and in how many availability zones.
+/// Numbers of daemons and availability zones that have stored a version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Holders {
-    /// Daemons besides this one that are known to hold it.
+pub struct HolderCounts {
+    /// Number of other daemons known to have stored the version.
     pub daemons: usize,
-    /// Availability zones, besides this daemon's own, that they are in.
+    /// Number of availability zones of these daemons, without this daemon's own zone.
     pub other_zones: usize,
 }
 
-/// Follows the handing on of one version.
+/// Replication progress of one version.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Replication {
     pub(super) version: ConfigVersion,
     pub(super) started_at_us: TimeUs,
     pub(super) pushed_at_us: TimeUs,
+    /// Peers of the last push.
     pub(super) targets: Vec<Incarnation>,
+    /// Daemons known to have stored the version, with their zones.
     holders: BTreeMap<Incarnation, AvailabilityZone>,
 }
 
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Chooses peers to push to: first one in each of a few other zones, then any.
+    /// Selects the peers to push to: first one in each zone without a holder, then any others.
     pub(super) fn choose_targets(&mut self, members: &Membership, fanout: usize) {
         let me = members.me();
         let subject = format!("{}/{}", self.version, me.incarnation);
@@ -64,18 +66,22 @@
         }
     }
 
-    pub(super) fn holders(&self, members: &Membership) -> Holders {
+    pub(super) fn holders(&self, members: &Membership) -> HolderCounts {
         let own = &members.me().availability_zone;
         let zones: BTreeSet<_> = self.holders.values().filter(|zone| *zone != own).collect();
-        Holders {
+        HolderCounts {
             daemons: self.holders.len(),
             other_zones: zones.len(),
         }
     }
 
-    /// Returns whether so many zones hold it that it outlives this daemon, as far as zones and
-    /// peers are there at all.
-    pub(super) fn is_enough(&self, members: &Membership, wanted_zones: usize) -> bool {
+    /// Returns whether enough zones have stored the version for it to survive this daemon. Requires
+    /// no more zones and daemons than there are.
+    pub(super) fn has_enough_holders(
+        &self,
+        members: &Membership,
+        min_replica_zones: usize,
+    ) -> bool {
         let own = &members.me().availability_zone;
         let peers: Vec<&Member> = members.peers().collect();
         let other_zones: BTreeSet<_> = peers
@@ -85,7 +91,7 @@
             .collect();
         let holders = self.holders(members);
         let wanted_daemons = usize::from(!peers.is_empty());
-        holders.other_zones >= wanted_zones.min(other_zones.len())
+        holders.other_zones >= min_replica_zones.min(other_zones.len())
             && holders.daemons >= wanted_daemons
     }
 }
--- a/crates/wisteriahitch-core/src/fleet/configuration/submission_machine.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/submission_machine.rs
@@ -1,9 +1,9 @@
-//! Life of a submission, as a state machine over [`SubmissionTable`].
+//! State machine of a submission, over [`SubmissionTable`].
 //!
-//! The model `specs/configuration_history.pml` knows what an operator can tell apart, and none of
-//! the calls between: `Ready` is a submission that hasn't started, `Sent` is every step from there
-//! to the outcome, and also an outcome that is unknown, which the operator asks for again under
-//! the same id. `Accepted` and `NotAccepted` are the outcomes told.
+//! The model `specs/configuration_history.pml` has only what an operator can observe and none of
+//! the individual calls. Its state `Ready` is a submission that has not started. `Sent` covers all
+//! steps until the outcome, and also an unknown outcome, which the operator resolves by submitting
+//! again with the same id. `Accepted` and `NotAccepted` are the reported outcomes.
 
 #![allow(
     missing_docs,
@@ -14,9 +14,9 @@
 use statig::prelude::*;
 
 use super::submission_table::SubmissionTable;
-use super::{Holders, SubmissionCommand, SubmissionEvent, SubmissionOutcome, SubmissionStep};
+use super::{HolderCounts, SubmissionCommand, SubmissionEvent, SubmissionOutcome, SubmissionStep};
 
-/// Moves a submission from its sections to an outcome.
+/// State machine that takes a submission from its sections to an outcome.
 #[derive(Debug, Default)]
 pub(super) struct SubmissionMachine;
 
@@ -33,16 +33,16 @@
         }
     }
 
-    /// The sections go first: a head must never name an object that isn't there.
+    /// Writes the sections before the head, because a head must never refer to a missing object.
     #[state]
     fn writing(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
             SubmissionEvent::SectionWritten(hash) => {
-                context.unwritten.remove(hash);
+                context.unwritten_sections.remove(hash);
                 Self::start_reading_if_written(context)
             }
-            SubmissionEvent::SectionFailed(hash) if context.try_again() => {
-                context.ask(SubmissionCommand::WriteSection(*hash));
+            SubmissionEvent::SectionFailed(hash) if context.try_use_retry() => {
+                context.push_command(SubmissionCommand::WriteSection(*hash));
                 Handled
             }
             SubmissionEvent::SectionFailed(_) => {
@@ -59,10 +59,10 @@
                 head,
                 object_version,
             } => {
-                context.take_head(head.clone(), *object_version);
+                context.record_head(head.clone(), *object_version);
                 Self::decide(context)
             }
-            SubmissionEvent::HeadUnavailable => Self::give_up(context),
+            SubmissionEvent::HeadUnavailable => Self::finish_unavailable(context),
             _ => Handled,
         }
     }
@@ -70,11 +70,11 @@
     #[state]
     fn checking(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
-            SubmissionEvent::Checked { is_good: true } => {
-                context.ask_update();
+            SubmissionEvent::Checked { is_valid: true } => {
+                context.push_head_update();
                 Transition(State::updating())
             }
-            SubmissionEvent::Checked { is_good: false } => {
+            SubmissionEvent::Checked { is_valid: false } => {
                 Self::finish(context, SubmissionOutcome::Refused)
             }
             _ => Handled,
@@ -85,13 +85,13 @@
     fn updating(context: &mut SubmissionTable, event: &SubmissionEvent) -> Outcome<State> {
         match event {
             SubmissionEvent::Updated => Self::spread(context),
-            // The head has moved on, perhaps by an update of ours whose answer was lost.
-            SubmissionEvent::Conflict => Self::read_again(context),
+            // The head has another version, perhaps because of an own update whose answer was lost.
+            SubmissionEvent::Conflict => Self::retry_read(context),
             SubmissionEvent::UpdateLost => {
                 context.has_lost_update = true;
-                Self::read_again(context)
+                Self::retry_read(context)
             }
-            SubmissionEvent::UpdateUnavailable => Self::give_up(context),
+            SubmissionEvent::UpdateUnavailable => Self::finish_unavailable(context),
             SubmissionEvent::TooLarge => Self::finish(context, SubmissionOutcome::TooLarge),
             _ => Handled,
         }
@@ -119,7 +119,7 @@
 
 impl SubmissionMachine {
     fn start(context: &mut SubmissionTable) -> Outcome<State> {
-        let writes = context.unwritten.iter().cloned();
+        let writes = context.unwritten_sections.iter().cloned();
         let writes: Vec<_> = writes.map(SubmissionCommand::WriteSection).collect();
         context.commands.extend(writes);
         match Self::start_reading_if_written(context) {
@@ -129,39 +129,40 @@
     }
 
     fn start_reading_if_written(context: &mut SubmissionTable) -> Outcome<State> {
-        if !context.unwritten.is_empty() {
+        if !context.unwritten_sections.is_empty() {
             return Handled;
         }
-        context.ask(SubmissionCommand::ReadHead);
+        context.push_command(SubmissionCommand::ReadHead);
         Transition(State::reading())
     }
 
-    /// Decides by the head that was read: accepted before, lost to another one, or to be written.
+    /// Selects the next step by the head that was read: already accepted, conflict, or update.
     fn decide(context: &mut SubmissionTable) -> Outcome<State> {
         if context.find_acceptance() {
             return Self::spread(context);
         }
-        if let Some(winner) = context.find_winner() {
+        if let Some(winner) = context.find_conflicting_version() {
             return Self::finish(context, SubmissionOutcome::Conflict { winner });
         }
-        if context.has_forgotten() {
+        if context.may_have_lost_entry() {
             return Self::finish(context, SubmissionOutcome::Unknown);
         }
         let next = context.build_next();
-        context.ask(SubmissionCommand::Check(next));
+        context.push_command(SubmissionCommand::Check(next));
         Transition(State::checking())
     }
 
-    fn read_again(context: &mut SubmissionTable) -> Outcome<State> {
-        if !context.try_again() {
-            return Self::give_up(context);
+    fn retry_read(context: &mut SubmissionTable) -> Outcome<State> {
+        if !context.try_use_retry() {
+            return Self::finish_unavailable(context);
         }
-        context.ask(SubmissionCommand::ReadHead);
+        context.push_command(SubmissionCommand::ReadHead);
         Transition(State::reading())
     }
 
-    /// Ends without the platform: once an update was lost, it may yet take effect.
-    fn give_up(context: &mut SubmissionTable) -> Outcome<State> {
+    /// Finishes because the platform is unavailable. A lost update may still take effect, so the
+    /// outcome is then unknown.
+    fn finish_unavailable(context: &mut SubmissionTable) -> Outcome<State> {
         let outcome = match context.has_lost_update {
             true => SubmissionOutcome::Unknown,
             false => SubmissionOutcome::Unavailable,
@@ -171,19 +172,19 @@
 
     fn spread(context: &mut SubmissionTable) -> Outcome<State> {
         let head = context.next.clone();
-        context.ask(SubmissionCommand::Spread(head));
+        context.push_command(SubmissionCommand::Spread(head));
         Transition(State::spreading())
     }
 
     fn finish(context: &mut SubmissionTable, outcome: SubmissionOutcome) -> Outcome<State> {
         context.outcome = Some(outcome);
-        context.ask(SubmissionCommand::Finish(outcome));
+        context.push_command(SubmissionCommand::Finish(outcome));
         Transition(State::done())
     }
 }
 
 impl SubmissionTable {
-    fn accepted(&self, holders: Holders) -> SubmissionOutcome {
+    fn accepted(&self, holders: HolderCounts) -> SubmissionOutcome {
         SubmissionOutcome::Accepted {
             version: self.accepted_version,
             holders,
--- a/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
+++ b/crates/wisteriahitch-core/src/fleet/leases/lease_table.rs
@@ -1,4 +1,4 @@
-//! The leases that a daemon is responsible for or holds.
+//! Leases that a daemon holds or is responsible for.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,22 +10,22 @@
 use super::{LeaseCommand, LeaseEvent, LeaseGroup, LeaseHolder, LeasePhase, OrderGrant};
 use crate::fleet::{Membership, Rendezvous};
 
-/// Shows one lease to operators.
+/// Status of one lease, for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct LeaseStatus {
-    /// Group.
+    /// Group of the lease.
     pub group: LeaseGroup,
-    /// State as this daemon sees it.
+    /// State as seen by this daemon.
     pub phase: LeasePhase,
-    /// Holder as last seen.
+    /// Last known holder; `None` if there is none or it is unknown.
     pub holder: Option<Incarnation>,
-    /// Fencing number as last seen.
+    /// Fencing number of this daemon's last write; 0 if it has never held the lease.
     pub fence: FenceNumber,
-    /// Orders under way.
+    /// Number of granted orders that have not ended.
     pub open_orders: u32,
 }
 
-/// Takes, renews and gives up leases, and allows orders under them.
+/// Acquires, renews and releases leases, and grants orders under them.
 ///
 /// ```
 /// use wisteriahitch_core::fleet::{LeaseGroup, LeaseHolder, LeaseSettings, LeaseTable};
@@ -34,53 +34,57 @@
 /// let me = LeaseHolder { daemon: "entry-1".parse()?, incarnation: Incarnation::new(7) };
 /// let mut leases = LeaseTable::new(me, LeaseSettings::default());
 /// let group = LeaseGroup::RolloutSlot(0);
-/// leases.want([group.clone()]);
-/// assert_eq!(leases.try_order(&group, TimeUs::ZERO), Err(Code::LeaseHeld));
+/// leases.set_groups([group.clone()]);
+/// assert_eq!(leases.try_grant_order(&group, TimeUs::ZERO), Err(Code::LeaseHeld));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub struct LeaseTable {
     me: LeaseHolder,
     settings: LeaseSettings,
-    wanted: BTreeSet<LeaseGroup>,
+    /// Groups that exist.
+    groups: BTreeSet<LeaseGroup>,
+    /// Daemon that should hold the rollout slots, if set.
     rollout_owner: Option<Incarnation>,
+    /// Leases of the existing groups, and leases of other groups that are still held.
     leases: BTreeMap<LeaseGroup, Lease>,
 }
 
 impl LeaseTable {
-    /// Starts without any lease.
+    /// Creates a table without leases.
     pub fn new(me: LeaseHolder, settings: LeaseSettings) -> Self {
         Self {
             me,
             settings,
-            wanted: BTreeSet::new(),
+            groups: BTreeSet::new(),
             rollout_owner: None,
             leases: BTreeMap::new(),
         }
     }
 
-    /// Names the groups that there are; those held beyond them are given up.
-    pub fn want(&mut self, groups: impl IntoIterator<Item = LeaseGroup>) {
-        self.wanted = groups.into_iter().collect();
-        for group in &self.wanted {
+    /// Sets the groups that exist; leases held for other groups are released.
+    pub fn set_groups(&mut self, groups: impl IntoIterator<Item = LeaseGroup>) {
+        self.groups = groups.into_iter().collect();
+        for group in &self.groups {
             self.leases
                 .entry(group.clone())
                 .or_insert_with(|| Lease::new(self.me.clone(), self.settings));
         }
-        let wanted = &self.wanted;
+        let groups = &self.groups;
         self.leases
-            .retain(|group, lease| wanted.contains(group) || lease.is_owned());
+            .retain(|group, lease| groups.contains(group) || lease.is_owned());
     }
 
-    /// Names the daemon that should hold the leases of loads now: the one with the right to give
-    /// orders to the endpoint that is to load next. Without it the rendezvous hash decides.
+    /// Sets the daemon that should hold the rollout slots: the one that may give orders to the
+    /// endpoint that is to load next. Without it the rendezvous hash decides.
     ///
-    /// Where the endpoints are shared, the hash may name a daemon that has nothing to load, and
-    /// the rollout would stand still. Daemons that name different ones contend, and one holds it.
+    /// If the endpoints are divided among daemons, the hash may select a daemon that has nothing to
+    /// load, and the rollout would stall. If daemons set different owners, they contend and one
+    /// gets the lease.
     pub fn set_rollout_owner(&mut self, owner: Option<Incarnation>) {
         self.rollout_owner = owner;
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Processes an event at time `now` and returns the actions to perform.
     pub fn handle(
         &mut self,
         event: LeaseEvent,
@@ -89,43 +93,48 @@
     ) -> Vec<LeaseCommand> {
         match event {
             LeaseEvent::Tick => return self.tick(now, members),
-            LeaseEvent::Read { group, object } => self.with(&group, |l| l.read(object, now)),
-            LeaseEvent::ReadFailed(group) => self.with(&group, Lease::read_failed),
+            LeaseEvent::Read { group, object } => {
+                self.update_lease(&group, |l| l.handle_read(object, now))
+            }
+            LeaseEvent::ReadFailed(group) => self.update_lease(&group, Lease::handle_read_failure),
             LeaseEvent::Written {
                 group,
                 write_number,
                 object_version,
-            } => self.with(&group, |l| l.written(write_number, object_version, now)),
+            } => self.update_lease(&group, |l| {
+                l.handle_written(write_number, object_version, now)
+            }),
             LeaseEvent::WriteFailed {
                 group,
                 write_number,
                 failure,
-            } => self.with(&group, |l| l.write_failed(write_number, failure)),
-            LeaseEvent::OrderDone(group) => self.with(&group, |l| l.order_done(now)),
+            } => self.update_lease(&group, |l| l.handle_write_failure(write_number, failure)),
+            LeaseEvent::OrderDone(group) => self.update_lease(&group, |l| l.order_done(now)),
         }
         Vec::new()
     }
 
-    /// Allows one order to an endpoint of the group; the shell sends it at once and tells its end.
+    /// Grants one order to an endpoint of the group. The caller must send it immediately and report
+    /// its end by [`LeaseEvent::OrderDone`].
     ///
     /// # Errors
     ///
-    /// [`Code::LeaseHeld`] where another daemon holds the lease, [`Code::LeaseLapsed`] where too
-    /// little of the term is left or the wait for the holder before isn't over.
-    pub fn try_order(&mut self, group: &LeaseGroup, now: TimeUs) -> Result<OrderGrant, Code> {
+    /// [`Code::LeaseHeld`] if this daemon does not hold the lease, [`Code::LeaseLapsed`] if too
+    /// little of the term is left or the wait for the previous holder's orders is not over.
+    pub fn try_grant_order(&mut self, group: &LeaseGroup, now: TimeUs) -> Result<OrderGrant, Code> {
         let lease = self.leases.get_mut(group).ok_or(Code::LeaseHeld)?;
-        lease.try_order(now)
+        lease.try_grant_order(now)
     }
 
-    /// Returns the groups under whose leases orders may be given.
-    pub fn held(&self) -> impl Iterator<Item = &LeaseGroup> {
+    /// Returns the groups for which this daemon may give orders.
+    pub fn held_groups(&self) -> impl Iterator<Item = &LeaseGroup> {
         self.leases
             .iter()
             .filter(|(_, lease)| lease.phase() == LeasePhase::Held)
             .map(|(group, _)| group)
     }
 
-    /// Returns every lease, for operators and the dump.
+    /// Returns the status of every lease, for operators and the state dump.
     pub fn status(&self) -> Vec<LeaseStatus> {
         let to_status = |(group, lease): (&LeaseGroup, &Lease)| LeaseStatus {
             group: group.clone(),
@@ -137,7 +146,7 @@
         self.leases.iter().map(to_status).collect()
     }
 
-    /// Returns the member that should hold the lease of a group by the rendezvous hash.
+    /// Returns the member that should hold the lease of a group according to the rendezvous hash.
     pub fn responsible(group: &LeaseGroup, members: &Membership) -> Option<Incarnation> {
         let rank = Rendezvous::new("lease", &group.to_string());
         let workers = members.workers().map(|member| member.incarnation);
@@ -150,7 +159,7 @@
     fn tick(&mut self, now: TimeUs, members: &Membership) -> Vec<LeaseCommand> {
         let mut commands = Vec::new();
         for (group, lease) in &mut self.leases {
-            let is_wanted = self.wanted.contains(group);
+            let is_wanted = self.groups.contains(group);
             let responsible = match group {
                 LeaseGroup::RolloutSlot(_) if self.rollout_owner.is_some() => self.rollout_owner,
                 _ => Self::responsible(group, members),
@@ -172,7 +181,7 @@
         commands
     }
 
-    fn with(&mut self, group: &LeaseGroup, change: impl FnOnce(&mut Lease)) {
+    fn update_lease(&mut self, group: &LeaseGroup, change: impl FnOnce(&mut Lease)) {
         if let Some(lease) = self.leases.get_mut(group) {
             change(lease);
         }
--- a/crates/wisteriahitch-core/src/fleet/members/membership.rs
+++ b/crates/wisteriahitch-core/src/fleet/members/membership.rs
@@ -1,4 +1,4 @@
-//! The table of members and the systems that run over it.
+//! The member table and the entry points of membership.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -7,12 +7,14 @@
 use serde::Serialize;
 use wisteriahitch_types::{ConfigVersion, DaemonId, Incarnation, TimeUs};
 
-use super::news_queue::NewsQueue;
-use super::{Member, MemberState, MembershipCommand, MembershipEvent, MembershipSettings, News};
+use super::membership_update_queue::MembershipUpdateQueue;
+use super::{
+    Member, MemberState, MembershipCommand, MembershipEvent, MembershipSettings, MembershipUpdate,
+};
 
-/// Holds what this daemon knows of the others, and decides whom to probe and what to tell.
+/// Membership view of this daemon. Decides which members to probe and which updates to send.
 ///
-/// Nothing rests on it for safety: a wrong belief makes the fleet slower, never wrong.
+/// Safety never depends on membership: a wrong view makes the fleet slower but never incorrect.
 ///
 /// ```
 /// use rand_chacha::{ChaCha8Rng, rand_core::SeedableRng};
@@ -30,7 +32,7 @@
 /// let me = Member {
 ///     daemon: "entry-1".parse()?,
 ///     incarnation: Incarnation::new(7),
-///     news_number: 1,
+///     update_number: 1,
 ///     state: MemberState::Alive,
 ///     addresses,
 ///     availability_zone: "colombo-a".parse()?,
@@ -51,52 +53,69 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
+    /// Incarnation of this daemon.
     pub(super) me: Incarnation,
+    /// All known members, including this daemon, and dead and departed members until they expire.
     pub(super) members: BTreeMap<Incarnation, Member>,
-    pub(super) queue: NewsQueue,
+    #[serde(rename = "queue")]
+    pub(super) update_queue: MembershipUpdateQueue,
+    /// Number of probe rounds since the start.
     pub(super) rounds: u64,
     pub(super) next_round_at_us: TimeUs,
+    /// Members still to be probed in the current shuffled order; probed from the end.
     pub(super) probe_order: Vec<Incarnation>,
-    /// Members whose direct probe failed, with the number of helpers that haven't answered yet.
-    pub(super) indirect: BTreeMap<Incarnation, usize>,
+    /// Members whose direct probe failed, with the number of peers that have not yet answered the
+    /// request for an indirect probe.
+    #[serde(rename = "indirect")]
+    pub(super) pending_indirect_probes: BTreeMap<Incarnation, usize>,
+    /// VMs of the platform's list, with whether each is leaving.
     pub(super) vm_addresses: BTreeMap<IpAddr, bool>,
-    pub(super) lost_turn: usize,
-    pub(super) round_news_bytes: usize,
+    /// Index of the next rediscovery address to probe, modulo their number.
+    #[serde(rename = "lost_turn")]
+    pub(super) next_rediscovery_index: usize,
+    /// Bytes of updates sent since the start of the round.
+    #[serde(rename = "round_news_bytes")]
+    pub(super) round_update_bytes: usize,
+    /// Last incarnation received by the sync of the member list; `None` if no sync is in progress.
     pub(super) sync_after: Option<Incarnation>,
+    /// Whether this daemon has served a page of the member list in this round.
     pub(super) is_sync_served: bool,
-    pub(super) told_load_permille: u32,
-    pub(super) told_load_at_us: TimeUs,
+    /// Load in the last update that was published because of a load change.
+    #[serde(rename = "told_load_permille")]
+    pub(super) published_load_permille: u32,
+    #[serde(rename = "told_load_at_us")]
+    pub(super) load_published_at_us: TimeUs,
     #[serde(skip)]
     pub(super) rng: ChaCha8Rng,
 }
 
 impl Membership {
-    /// Starts with `me` alone; `rng` decides whom to probe.
+    /// Creates a view that contains only `me`. `rng` selects the members to probe.
     pub fn new(settings: MembershipSettings, me: Member, rng: ChaCha8Rng) -> Self {
         let incarnation = me.incarnation;
-        let mut queue = NewsQueue::default();
-        queue.push(incarnation);
+        let mut update_queue = MembershipUpdateQueue::default();
+        update_queue.push(incarnation);
         Self {
             settings,
             me: incarnation,
             members: BTreeMap::from([(incarnation, me)]),
-            queue,
+            update_queue,
             rounds: 0,
             next_round_at_us: TimeUs::ZERO,
             probe_order: Vec::new(),
-            indirect: BTreeMap::new(),
+            pending_indirect_probes: BTreeMap::new(),
             vm_addresses: BTreeMap::new(),
-            lost_turn: 0,
-            round_news_bytes: 0,
+            next_rediscovery_index: 0,
+            round_update_bytes: 0,
             sync_after: Some(Incarnation::new(0)),
             is_sync_served: false,
-            told_load_permille: 0,
-            told_load_at_us: TimeUs::ZERO,
+            published_load_permille: 0,
+            load_published_at_us: TimeUs::ZERO,
             rng,
         }
     }
 
-    /// Takes an event at `now` and returns what is to be done.
+    /// Processes an event at time `now` and returns the actions to perform.
     pub fn handle(&mut self, event: MembershipEvent, now: TimeUs) -> Vec<MembershipCommand> {
         let mut commands = Vec::new();
         match event {
@@ -105,90 +124,93 @@
                 address,
                 meant_for,
                 answered_by,
-                news,
+                updates,
             } => {
-                self.take_all(&news, Some(answered_by), now, &mut commands);
-                self.settle_probe(address, meant_for, answered_by, now, &mut commands);
-                self.advance_sync(&news);
+                self.apply_updates(&updates, Some(answered_by), now, &mut commands);
+                self.handle_probe_answer(address, meant_for, answered_by, now, &mut commands);
+                self.advance_sync(&updates);
             }
             MembershipEvent::ProbeFailed { meant_for } => {
-                self.probe_failed(meant_for, now, &mut commands);
+                self.handle_probe_failure(meant_for, now, &mut commands);
             }
             MembershipEvent::IndirectAnswered {
                 target,
                 is_reached,
-                news,
+                updates,
             } => {
-                self.take_all(&news, None, now, &mut commands);
-                self.indirect_answered(target, is_reached, now, &mut commands);
+                self.apply_updates(&updates, None, now, &mut commands);
+                self.handle_indirect_answer(target, is_reached, now, &mut commands);
             }
-            MembershipEvent::VmList(vms) => self.take_vm_list(&vms),
-            MembershipEvent::Load(permille) => self.take_load(permille, now),
-            MembershipEvent::ConfigApplied(version) => self.take_config(version),
-            MembershipEvent::Drain => self.announce(MemberState::Draining, now, &mut commands),
-            MembershipEvent::Leave => self.announce(MemberState::Left, now, &mut commands),
+            MembershipEvent::VmList(vms) => self.apply_vm_list(&vms),
+            MembershipEvent::Load(permille) => self.record_load(permille, now),
+            MembershipEvent::ConfigApplied(version) => self.record_config_version(version),
+            MembershipEvent::Drain => {
+                self.announce_state(MemberState::Draining, now, &mut commands)
+            }
+            MembershipEvent::Leave => self.announce_state(MemberState::Left, now, &mut commands),
         }
         commands
     }
 
-    /// Takes the news of a probe that `sender` sent, and returns the news to answer with.
+    /// Applies the updates of a probe from `sender` and returns the updates to answer with.
     ///
-    /// With `sync_after` the sender asks for the page of the member list that follows it; one
-    /// page is given between two rounds, so that many newcomers can't use up the bytes.
+    /// With `sync_after` the sender requests the page of the member list that follows this
+    /// incarnation. At most one page is served per probe round, so that many starting daemons
+    /// cannot use up the byte budget.
     pub fn answer_probe(
         &mut self,
         sender: Incarnation,
-        news: &[News],
+        updates: &[MembershipUpdate],
         sync_after: Option<Incarnation>,
         now: TimeUs,
-    ) -> (Vec<News>, Vec<MembershipCommand>) {
+    ) -> (Vec<MembershipUpdate>, Vec<MembershipCommand>) {
         let mut commands = Vec::new();
-        self.take_all(news, Some(sender), now, &mut commands);
+        self.apply_updates(updates, Some(sender), now, &mut commands);
         let reply = match sync_after {
-            Some(after) if self.can_serve_sync() => self.sync_page(after),
-            _ => self.pick_news(Some(sender)),
+            Some(after) if self.can_serve_sync() => self.build_sync_page(after),
+            _ => self.select_updates(Some(sender)),
         };
         (reply, commands)
     }
 
-    /// Returns this daemon as the others are told of it.
+    /// Returns this daemon's own entry as it is published to the others.
     pub fn me(&self) -> &Member {
         &self.members[&self.me]
     }
 
-    /// Returns a member by its incarnation, also one that is dead or has left.
+    /// Returns a member by its incarnation, including dead and departed members.
     pub fn by_incarnation(&self, incarnation: Incarnation) -> Option<&Member> {
         self.members.get(&incarnation)
     }
 
-    /// Returns the present incarnation of a daemon, if one is known.
+    /// Returns the present incarnation of a daemon, or `None` if none is known.
     pub fn by_daemon(&self, daemon: &DaemonId) -> Option<&Member> {
         self.present().find(|member| member.daemon == *daemon)
     }
 
-    /// Returns every member, in the order of the incarnations.
+    /// Returns all members in the order of their incarnations, including dead and departed members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the members that are neither dead nor have left, this daemon among them.
+    /// Returns the members that are neither dead nor departed, including this daemon.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.state.is_present())
     }
 
-    /// Returns the members that are present, without this daemon.
+    /// Returns the present members without this daemon.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         let me = self.me;
         self.present()
             .filter(move |member| member.incarnation != me)
     }
 
-    /// Returns the members that are alive and stay, this daemon among them: those that share work.
+    /// Returns the members that share work: alive and not on a leaving VM, including this daemon.
     pub fn workers(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.is_entry())
+        self.members().filter(|member| member.accepts_callers())
     }
 
-    /// Returns the highest version of the configuration that a present peer was heard to have.
+    /// Returns the highest configuration version that any present peer is known to have in force.
     pub fn highest_peer_config(&self) -> Option<ConfigVersion> {
         self.peers().map(|member| member.config_version).max()
     }
--- a/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
+++ b/crates/wisteriahitch-core/src/fleet/orders/confirmation.rs
@@ -1,21 +1,23 @@
-//! Whether an order has done what it was to do.
+//! Confirmation of orders by endpoint reports.
 
 use serde::Serialize;
 use wisteriahitch_types::TimeUs;
 
 use super::{EndpointOrder, EndpointReport};
 
-/// Follows one order until reports show its effect.
+/// An order that is waiting for reports that confirm its effect.
 ///
-/// An endpoint that ignores fencing numbers may run an older order after this one. One report
-/// could fall between the two; so two different reports in a row must agree.
+/// An endpoint that ignores fencing numbers may execute an older order after this one. A single
+/// report could fall between the two, so several different reports in a row must confirm the order.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Confirmation {
     pub(super) order: EndpointOrder,
     pub(super) started_at_us: TimeUs,
-    /// Whether the endpoint has answered; reports from before don't count.
+    /// Whether the endpoint has answered the order; earlier reports do not count.
     pub(super) is_answered: bool,
-    agreeing: u32,
+    #[serde(rename = "agreeing")]
+    consecutive_confirmations: u32,
+    /// `made_at_ms` of the last recorded report.
     last_made_at_ms: Option<u64>,
 }
 
@@ -25,22 +27,23 @@
             order,
             started_at_us: now,
             is_answered: false,
-            agreeing: 0,
+            consecutive_confirmations: 0,
             last_made_at_ms: None,
         }
     }
 
-    /// Takes a report over and returns whether enough have agreed.
-    pub(super) fn take(&mut self, report: &EndpointReport, wanted_reads: u32) -> bool {
+    /// Records a report and returns whether enough reports have confirmed the order. A report with
+    /// the same `made_at_ms` as the last one is ignored.
+    pub(super) fn record_report(&mut self, report: &EndpointReport, required_reports: u32) -> bool {
         if !self.is_answered || self.last_made_at_ms == Some(report.made_at_ms) {
             return false;
         }
         self.last_made_at_ms = Some(report.made_at_ms);
-        self.agreeing = match is_done(&self.order, report) {
-            true => self.agreeing + 1,
+        self.consecutive_confirmations = match is_done(&self.order, report) {
+            true => self.consecutive_confirmations + 1,
             false => 0,
         };
-        self.agreeing >= wanted_reads
+        self.consecutive_confirmations >= required_reports
     }
 }
 
--- a/crates/wisteriahitch-core/tests/all/fleet.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet.rs
@@ -1,25 +1,25 @@
-//! What the tests of the fleet share.
+//! Helpers shared by the fleet tests.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use wisteriahitch_core::fleet::{
-    Member, MemberAddresses, MemberState, Membership, MembershipSettings, News,
+    Member, MemberAddresses, MemberState, Membership, MembershipSettings, MembershipUpdate,
 };
 use wisteriahitch_types::{ConfigVersion, Incarnation, TimeUs};
 
-/// Seed of every generated run of the fleet, so that a failure comes back.
+/// Seed of all generated runs of the fleet tests, so that failures are reproducible.
 pub(crate) const SEED: u64 = 0x5eed;
 
-/// Zones of the daemons by turns.
+/// Availability zones, assigned to the daemons round-robin.
 pub(crate) const ZONES: [&str; 3] = ["colombo-a", "colombo-b", "negombo-c"];
 
-/// Builds daemon number `index` in its life number `life`; both together give the incarnation.
-pub(crate) fn member(index: u16, life: u64) -> Member {
+/// Builds daemon `index` after `restart` restarts; the two numbers determine the incarnation.
+pub(crate) fn member(index: u16, restart: u64) -> Member {
     let address = |port: u16| ([127, 0, 0, 1], port).into();
     Member {
         daemon: format!("entry-{index}").parse().unwrap(),
-        incarnation: incarnation(index, life),
-        news_number: 1,
+        incarnation: incarnation(index, restart),
+        update_number: 1,
         state: MemberState::Alive,
         addresses: MemberAddresses {
             caller: address(10_000 + index),
@@ -34,41 +34,52 @@
     }
 }
 
-pub(crate) fn incarnation(index: u16, life: u64) -> Incarnation {
-    Incarnation::new(1 + u64::from(index) + life * 100_000)
+pub(crate) fn incarnation(index: u16, restart: u64) -> Incarnation {
+    Incarnation::new(1 + u64::from(index) + restart * 100_000)
 }
 
-/// Builds the membership of daemon `index`, which knows the first daemon's address alone.
-pub(crate) fn membership(index: u16, life: u64) -> Membership {
+/// Builds the membership of daemon `index`, which knows only the address of daemon 0.
+pub(crate) fn membership(index: u16, restart: u64) -> Membership {
     let settings = MembershipSettings {
         seeds: vec![member(0, 0).addresses.peer],
         ..MembershipSettings::default()
     };
-    let seed = incarnation(index, life).get();
+    let seed = incarnation(index, restart).get();
     Membership::new(
         settings,
-        member(index, life),
+        member(index, restart),
         ChaCha8Rng::seed_from_u64(seed),
     )
 }
 
-/// Builds the membership of daemon 0 that knows the daemons below `count`.
+/// Builds the membership of daemon 0, which knows all daemons below `count`.
 pub(crate) fn membership_of(count: u16) -> Membership {
     let mut members = membership(0, 0);
     for index in 1..count {
         let peer = member(index, 0);
-        members.answer_probe(peer.incarnation, &[News::of(&peer)], None, TimeUs::ZERO);
+        members.answer_probe(
+            peer.incarnation,
+            &[MembershipUpdate::of(&peer)],
+            None,
+            TimeUs::ZERO,
+        );
     }
     members
 }
 
-/// Builds the membership of daemon `index` in its life `life` that knows all of `count` daemons.
-pub(crate) fn full_membership(index: u16, lives: &[u64]) -> Membership {
-    let mut members = membership(index, lives[usize::from(index)]);
-    for (other, life) in lives.iter().enumerate() {
-        let peer = member(other as u16, *life);
+/// Builds the membership of daemon `index`, which knows all daemons. `restarts` has the number of
+/// restarts of each daemon.
+pub(crate) fn full_membership(index: u16, restarts: &[u64]) -> Membership {
+    let mut members = membership(index, restarts[usize::from(index)]);
+    for (other, restart) in restarts.iter().enumerate() {
+        let peer = member(other as u16, *restart);
         if peer.incarnation != members.me().incarnation {
-            members.answer_probe(peer.incarnation, &[News::of(&peer)], None, TimeUs::ZERO);
+            members.answer_probe(
+                peer.incarnation,
+                &[MembershipUpdate::of(&peer)],
+                None,
+                TimeUs::ZERO,
+            );
         }
     }
     members
--- a/crates/wisteriahitch-core/tests/all/fleet_drain.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_drain.rs
@@ -1,4 +1,4 @@
-//! A daemon that shuts down cuts off nobody.
+//! Tests of graceful shutdown: no caller is cut off.
 
 use wisteriahitch_core::fleet::{Drain, DrainPhase, OpenWork};
 use wisteriahitch_types::{DurationUs, TimeUs};
@@ -15,14 +15,14 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "answers that name it are still kept",
+        name: "callers may still have entry lists that name the daemon",
         after_ms: 9_999,
         requests: 0,
         tickets: 0,
         phase: DrainPhase::Draining,
     },
     Case {
-        name: "a request is under way",
+        name: "a request is in progress",
         after_ms: 60_000,
         requests: 1,
         tickets: 0,
@@ -36,7 +36,7 @@
         phase: DrainPhase::Draining,
     },
     Case {
-        name: "nothing is left",
+        name: "no open work is left",
         after_ms: 10_000,
         requests: 0,
         tickets: 0,
@@ -44,9 +44,8 @@
     },
 ];
 
-/// Symptom: callers meet a closed port at each restart.
-/// Sequence: a daemon is told to stop while callers still hold its address, requests or tickets.
-/// Cause: it exits as soon as it has nothing to do at the moment.
+/// Failure: callers get connection errors at each restart. A daemon is stopped while callers still
+/// hold its address, requests or tickets, and exits as soon as it is idle.
 #[test]
 fn a_daemon_stays_until_nobody_needs_it() {
     for case in CASES {
--- a/crates/wisteriahitch-core/tests/all/fleet_leases.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_leases.rs
@@ -1,4 +1,5 @@
-//! Orders of two daemons never overlap, whatever is lost, late or paused.
+//! Tests of leases: orders of two daemons never overlap, whatever messages are lost or late and
+//! whatever daemons are paused.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use wisteriahitch_core::fleet::{
     LeaseCommand, LeaseEvent, LeaseGroup, LeaseHolder, LeaseObject, LeasePhase, LeaseSettings,
-    LeaseTable, MemberState, Membership, MembershipEvent, News, OrderGrant, WriteFailure,
+    LeaseTable, MemberState, Membership, MembershipEvent, MembershipUpdate, OrderGrant,
+    WriteFailure,
 };
 use wisteriahitch_types::{Code, DurationUs, FenceNumber, TimeUs};
 
@@ -35,12 +37,12 @@
 }
 
 #[derive(Clone)]
-enum Flight {
+enum InFlight {
     Write(usize, LeaseObject, u64),
     Event(usize, LeaseEvent),
 }
 
-/// One order as it went out, in the site's time.
+/// One order that was sent, with times of the site's clock.
 #[derive(Clone, Copy, Debug)]
 struct SentOrder {
     daemon: usize,
@@ -52,22 +54,22 @@
 struct Node {
     leases: LeaseTable,
     members: Membership,
-    /// What this daemon's clock is ahead of the site's time.
-    ahead_us: u64,
-    is_frozen: bool,
+    /// How far this daemon's clock is ahead of the site's clock.
+    clock_offset_us: u64,
+    is_paused: bool,
 }
 
 struct Site {
     nodes: Vec<Node>,
     store: Store,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     orders: Vec<SentOrder>,
     now_us: u64,
     group: LeaseGroup,
 }
 
 impl Site {
-    /// Starts and runs until a daemon holds the lease, which is returned too.
+    /// Runs a new site until a daemon holds the lease; returns the site and the holder.
     fn with_holder() -> (Self, usize) {
         let mut site = Self::new();
         site.run(5_000);
@@ -80,7 +82,7 @@
             service: "assistant".parse().unwrap(),
             shard: 0,
         };
-        let lives = vec![0; DAEMONS];
+        let restarts = vec![0; DAEMONS];
         let node = |index: usize| {
             let me = member(index as u16, 0);
             let holder = LeaseHolder {
@@ -88,18 +90,18 @@
                 incarnation: me.incarnation,
             };
             let mut leases = LeaseTable::new(holder, LeaseSettings::default());
-            leases.want([group.clone()]);
+            leases.set_groups([group.clone()]);
             Node {
                 leases,
-                members: full_membership(index as u16, &lives),
-                ahead_us: 1_000_000_000 * index as u64,
-                is_frozen: false,
+                members: full_membership(index as u16, &restarts),
+                clock_offset_us: 1_000_000_000 * index as u64,
+                is_paused: false,
             }
         };
         Self {
             nodes: (0..DAEMONS).map(node).collect(),
             store: Store::default(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             orders: Vec::new(),
             now_us: 0,
             group,
@@ -107,10 +109,10 @@
     }
 
     fn clock(&self, index: usize) -> TimeUs {
-        TimeUs::new(self.now_us + self.nodes[index].ahead_us)
+        TimeUs::new(self.now_us + self.nodes[index].clock_offset_us)
     }
 
-    fn feed(&mut self, index: usize, event: LeaseEvent) {
+    fn handle_event(&mut self, index: usize, event: LeaseEvent) {
         let now = self.clock(index);
         let node = &mut self.nodes[index];
         for command in node.leases.handle(event, now, &node.members) {
@@ -118,29 +120,31 @@
                 LeaseCommand::Read(group) => {
                     let object = self.store.object.clone();
                     let read = LeaseEvent::Read { group, object };
-                    self.flights.push(Flight::Event(index, read));
+                    self.in_flight.push(InFlight::Event(index, read));
                 }
                 LeaseCommand::Write {
                     object, expected, ..
-                } => self.flights.push(Flight::Write(index, object, expected)),
+                } => self
+                    .in_flight
+                    .push(InFlight::Write(index, object, expected)),
             }
         }
     }
 
     fn tick(&mut self, index: usize) {
-        if !self.nodes[index].is_frozen {
-            self.feed(index, LeaseEvent::Tick);
+        if !self.nodes[index].is_paused {
+            self.handle_event(index, LeaseEvent::Tick);
         }
     }
 
-    fn land(&mut self, place: usize, is_answer_lost: bool) {
-        let flight = self.flights.swap_remove(place);
-        match flight {
-            Flight::Event(index, event) if self.nodes[index].is_frozen => {
-                self.flights.push(Flight::Event(index, event));
+    fn deliver(&mut self, message_index: usize, is_answer_lost: bool) {
+        let message = self.in_flight.swap_remove(message_index);
+        match message {
+            InFlight::Event(index, event) if self.nodes[index].is_paused => {
+                self.in_flight.push(InFlight::Event(index, event));
             }
-            Flight::Event(index, event) => self.feed(index, event),
-            Flight::Write(index, object, expected) => {
+            InFlight::Event(index, event) => self.handle_event(index, event),
+            InFlight::Write(index, object, expected) => {
                 let write_number = object.write_number;
                 let written = self.store.write(object, expected);
                 let group = self.group.clone();
@@ -161,28 +165,28 @@
                         failure: WriteFailure::Conflict,
                     },
                 };
-                self.flights.push(Flight::Event(index, event));
+                self.in_flight.push(InFlight::Event(index, event));
             }
         }
     }
 
-    /// Tells the sender that its write's answer is lost, while the write itself is still under way.
-    fn delay(&mut self, place: usize) {
-        if let Flight::Write(index, object, _) = &self.flights[place] {
+    /// Reports a lost answer to the sender of a write while the write itself is still in flight.
+    fn report_answer_lost(&mut self, message_index: usize) {
+        if let InFlight::Write(index, object, _) = &self.in_flight[message_index] {
             let event = LeaseEvent::WriteFailed {
                 group: self.group.clone(),
                 write_number: object.write_number,
                 failure: WriteFailure::Lost,
             };
             let index = *index;
-            self.flights.push(Flight::Event(index, event));
+            self.in_flight.push(InFlight::Event(index, event));
         }
     }
 
     fn order(&mut self, index: usize) -> Result<OrderGrant, Code> {
         let now = self.clock(index);
         let group = self.group.clone();
-        let grant = self.nodes[index].leases.try_order(&group, now)?;
+        let grant = self.nodes[index].leases.try_grant_order(&group, now)?;
         let order = SentOrder {
             daemon: index,
             from: self.now_us,
@@ -203,27 +207,27 @@
     }
 
     fn suspect(&mut self, index: usize, subject: usize) {
-        let mut accused = member(subject as u16, 0);
-        accused.state = MemberState::Suspect;
+        let mut suspected = member(subject as u16, 0);
+        suspected.state = MemberState::Suspect;
         let event = MembershipEvent::IndirectAnswered {
-            target: accused.incarnation,
+            target: suspected.incarnation,
             is_reached: false,
-            news: vec![News::of(&accused)],
+            updates: vec![MembershipUpdate::of(&suspected)],
         };
         let now = self.clock(index);
         self.nodes[index].members.handle(event, now);
     }
 
-    fn leave_alone(&mut self, index: usize) {
-        self.forgive(index);
+    fn suspect_all_peers(&mut self, index: usize) {
+        self.reset_membership(index);
         for subject in (0..DAEMONS).filter(|subject| *subject != index) {
             self.suspect(index, subject);
         }
     }
 
-    fn forgive(&mut self, index: usize) {
-        let lives = vec![0; DAEMONS];
-        self.nodes[index].members = full_membership(index as u16, &lives);
+    fn reset_membership(&mut self, index: usize) {
+        let restarts = vec![0; DAEMONS];
+        self.nodes[index].members = full_membership(index as u16, &restarts);
     }
 
     fn run(&mut self, ms: u64) {
@@ -232,17 +236,17 @@
             for index in 0..DAEMONS {
                 self.tick(index);
             }
-            for place in (0..self.flights.len()).rev() {
-                self.land(place, false);
+            for message_index in (0..self.in_flight.len()).rev() {
+                self.deliver(message_index, false);
             }
-            for place in (0..self.flights.len()).rev() {
-                self.land(place, false);
+            for message_index in (0..self.in_flight.len()).rev() {
+                self.deliver(message_index, false);
             }
         }
     }
 
     fn holder(&self) -> Option<usize> {
-        (0..DAEMONS).find(|index| self.nodes[*index].leases.held().next().is_some())
+        (0..DAEMONS).find(|index| self.nodes[*index].leases.held_groups().next().is_some())
     }
 }
 
@@ -251,15 +255,15 @@
     Run(u64),
     Pass(u64),
     Tick(usize),
-    Land(usize),
+    Deliver(usize),
     LoseAnswer(usize),
     Delay(usize),
     Order(usize),
     Done(usize),
-    Freeze(usize, bool),
+    Pause(usize, bool),
     Suspect(usize, usize),
-    Forgive(usize),
-    Alone(usize),
+    ResetMembership(usize),
+    SuspectAllPeers(usize),
 }
 
 struct Reference;
@@ -279,15 +283,15 @@
             6 => prop_oneof![Just(200), Just(1_000), Just(4_000), Just(16_000)]
                 .prop_map(Step::Pass),
             8 => daemon().prop_map(Step::Tick),
-            12 => any::<usize>().prop_map(Step::Land),
+            12 => any::<usize>().prop_map(Step::Deliver),
             2 => any::<usize>().prop_map(Step::LoseAnswer),
             2 => any::<usize>().prop_map(Step::Delay),
             6 => daemon().prop_map(Step::Order),
             3 => daemon().prop_map(Step::Done),
-            2 => (daemon(), any::<bool>()).prop_map(|(i, on)| Step::Freeze(i, on)),
+            2 => (daemon(), any::<bool>()).prop_map(|(i, on)| Step::Pause(i, on)),
             1 => (daemon(), daemon()).prop_map(|(a, b)| Step::Suspect(a, b)),
-            1 => daemon().prop_map(Step::Forgive),
-            1 => daemon().prop_map(Step::Alone),
+            1 => daemon().prop_map(Step::ResetMembership),
+            1 => daemon().prop_map(Step::SuspectAllPeers),
         ]
         .boxed()
     }
@@ -302,35 +306,39 @@
     type Reference = Reference;
 
     fn init_test((): &()) -> Site {
-        // Each daemon believes itself alone at first, so that all of them contend.
+        // Each daemon suspects all others at first, so that all of them contend for the lease.
         let mut site = Site::new();
         for index in 0..DAEMONS {
-            site.leave_alone(index);
+            site.suspect_all_peers(index);
         }
         site
     }
 
     fn apply(mut site: Site, (): &(), step: Step) -> Site {
-        let count = site.flights.len();
+        let count = site.in_flight.len();
         match step {
             Step::Run(ms) => site.run(ms),
             Step::Pass(ms) => site.now_us += ms * 1_000,
             Step::Tick(index) => site.tick(index),
-            Step::Land(place) if count > 0 => site.land(place % count, false),
-            Step::LoseAnswer(place) if count > 0 => site.land(place % count, true),
-            Step::Delay(place) if count > 0 => site.delay(place % count),
-            // A frozen daemon that goes on gives its order before any timer has fired.
+            Step::Deliver(message_index) if count > 0 => site.deliver(message_index % count, false),
+            Step::LoseAnswer(message_index) if count > 0 => {
+                site.deliver(message_index % count, true)
+            }
+            Step::Delay(message_index) if count > 0 => {
+                site.report_answer_lost(message_index % count)
+            }
+            // A paused daemon that resumes gives its order before any timer has fired.
             Step::Order(index) => {
                 let _ = site.order(index);
             }
             Step::Done(index) => {
                 let done = LeaseEvent::OrderDone(site.group.clone());
-                site.feed(index, done);
+                site.handle_event(index, done);
             }
-            Step::Freeze(index, on) => site.nodes[index].is_frozen = on,
+            Step::Pause(index, on) => site.nodes[index].is_paused = on,
             Step::Suspect(index, subject) if index != subject => site.suspect(index, subject),
-            Step::Forgive(index) => site.forgive(index),
-            Step::Alone(index) => site.leave_alone(index),
+            Step::ResetMembership(index) => site.reset_membership(index),
+            Step::SuspectAllPeers(index) => site.suspect_all_peers(index),
             _ => {}
         }
         site
@@ -338,15 +346,15 @@
 
     fn teardown(mut site: Site, (): ()) {
         for index in 0..DAEMONS {
-            site.nodes[index].is_frozen = false;
-            site.forgive(index);
+            site.nodes[index].is_paused = false;
+            site.reset_membership(index);
             for _ in 0..200 {
                 let done = LeaseEvent::OrderDone(site.group.clone());
-                site.feed(index, done);
+                site.handle_event(index, done);
             }
         }
         site.run(120_000);
-        let holder = site.holder().expect("somebody holds the lease in the end");
+        let holder = site.holder().expect("a daemon holds the lease in the end");
         let members = &site.nodes[holder].members;
         let responsible = LeaseTable::responsible(&site.group, members);
         assert_eq!(responsible, Some(members.me().incarnation));
@@ -357,17 +365,17 @@
 prop_state_machine! {
     #![proptest_config(generated(300, SEED))]
 
-    /// Symptom: two daemons give an endpoint contradicting orders at the same time.
-    /// Sequence: writes and answers are lost or late, daemons pause, and views of membership
-    /// differ, while each that believes it holds the lease gives orders.
-    /// Cause: a lease that is held by the memory of one and by the clock of another.
+    /// Failure: two daemons give an endpoint contradicting orders at the same time. Writes and
+    /// answers are lost or late, daemons are paused, and membership views differ, while every
+    /// daemon that believes that it holds the lease gives orders. The lease is held by one daemon's
+    /// state but expires by another daemon's clock.
     #[test]
     fn orders_of_two_holders_never_overlap(sequential 1..200 => Leases);
 }
 
-/// Symptom: a daemon gives an order under a lease that another one holds by now.
-/// Sequence: the holder is paused for longer than its term and goes on in the middle of its work.
-/// Cause: its timers haven't run, so nothing has told it that the lease lapsed.
+/// Failure: a daemon gives an order under a lease that another daemon holds by now. The holder is
+/// paused for longer than its term and resumes in the middle of its work, before its timers could
+/// expire the lease.
 #[test]
 fn a_paused_holder_gives_no_order() {
     let (mut site, holder) = Site::with_holder();
@@ -376,26 +384,25 @@
     assert_eq!(site.order(holder), Err(Code::LeaseLapsed));
 }
 
-/// Symptom: orders go on although nobody can say who holds the lease.
-/// Sequence: the store goes away while the lease is held.
-/// Cause: without renewals the term runs out.
+/// Failure: orders continue although the holder of the lease is unknown. The store becomes
+/// unavailable while the lease is held, so it is not renewed and its term ends.
 #[test]
 fn without_the_store_orders_end_with_the_term() {
     let (mut site, holder) = Site::with_holder();
     for _ in 0..200 {
         site.now_us += 100_000;
         site.tick(holder);
-        for flight in std::mem::take(&mut site.flights) {
+        for message in std::mem::take(&mut site.in_flight) {
             let group = site.group.clone();
-            let event = match flight {
-                Flight::Write(_, object, _) => LeaseEvent::WriteFailed {
+            let event = match message {
+                InFlight::Write(_, object, _) => LeaseEvent::WriteFailed {
                     group,
                     write_number: object.write_number,
                     failure: WriteFailure::Unavailable,
                 },
-                Flight::Event(..) => LeaseEvent::ReadFailed(group),
+                InFlight::Event(..) => LeaseEvent::ReadFailed(group),
             };
-            site.feed(holder, event);
+            site.handle_event(holder, event);
         }
     }
     assert_eq!(site.order(holder), Err(Code::LeaseLapsed));
@@ -404,9 +411,8 @@
     assert!(site.order(holder).is_ok());
 }
 
-/// Symptom: an order outlives the lease under which it was given.
-/// Sequence: an order is given shortly before the term ends.
-/// Cause: a time-out that doesn't look at what is left.
+/// Failure: an order outlives its lease. It is given shortly before the term ends, with a timeout
+/// that ignores the remaining term.
 #[test]
 fn an_order_gets_less_time_than_the_lease_has_left() {
     let (mut site, holder) = Site::with_holder();
@@ -441,15 +447,15 @@
         phase: LeasePhase::Held,
     },
     LossCase {
-        name: "the write got lost itself",
+        name: "the write was lost",
         is_effective: false,
         phase: LeasePhase::Vacant,
     },
 ];
 
-/// Symptom: a daemon holds a lease and doesn't know, or believes to hold one that it lacks.
-/// Sequence: the answer to the write that takes the lease is lost; the object is read back.
-/// Cause: a lost answer says nothing about the write.
+/// Failure: a daemon holds a lease without knowing it, or believes that it holds one that it does
+/// not. The answer to the acquiring write is lost, which does not tell whether the write took
+/// effect; only reading the object back does.
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
     for case in LOSS_CASES {
@@ -462,26 +468,26 @@
             })
             .unwrap();
         site.tick(index);
-        site.land(0, false);
+        site.deliver(0, false);
         site.tick(index);
-        site.delay(0);
-        let write = site.flights.remove(0);
-        let Flight::Write(_, object, expected) = write else {
-            panic!("a write was expected");
+        site.report_answer_lost(0);
+        let write = site.in_flight.remove(0);
+        let InFlight::Write(_, object, expected) = write else {
+            panic!("expected a pending write");
         };
         if case.is_effective {
             site.store.write(object, expected);
         }
-        site.land(0, false);
+        site.deliver(0, false);
         site.tick(index);
-        site.land(0, false);
+        site.deliver(0, false);
         let status = &site.nodes[index].leases.status()[0];
         assert_eq!(status.phase, case.phase, "{}", case.name);
     }
 }
 
 #[test]
-fn endpoints_are_shared_by_service_and_shard() {
+fn endpoints_are_grouped_by_service_and_shard() {
     let service = "assistant".parse().unwrap();
     let mut counts: BTreeMap<LeaseGroup, usize> = BTreeMap::new();
     for number in 0..400 {
@@ -499,8 +505,8 @@
     assert!(settings.order_timeout_us + settings.margin_us < DurationUs::from_ms(10_000));
 }
 
-/// Returns the daemon that all agree on, after it has read that there is no object yet and sent
-/// the write that takes the lease.
+/// Returns the responsible daemon after it has read that there is no object yet and has sent the
+/// acquiring write.
 fn first_write(site: &mut Site) -> usize {
     let members = &site.nodes[0].members;
     let responsible = LeaseTable::responsible(&site.group, members);
@@ -508,62 +514,61 @@
         .find(|index| responsible == Some(site.nodes[*index].members.me().incarnation))
         .unwrap();
     site.tick(index);
-    site.land(0, false);
+    site.deliver(0, false);
     site.tick(index);
-    assert!(matches!(site.flights[0], Flight::Write(..)));
+    assert!(matches!(site.in_flight[0], InFlight::Write(..)));
     index
 }
 
-/// Symptom: two daemons hold the lease at once.
-/// Sequence: the write takes effect at once, but its answer comes 14 seconds later.
-/// Cause: the term is counted from the answer, while the others count from the write.
+/// Failure: two daemons hold the lease at the same time. A write takes effect immediately but its
+/// answer arrives 14 seconds later, and the term is counted from the answer, while the other
+/// daemons count it from the write.
 #[test]
 fn the_term_counts_from_the_sending_of_the_write() {
     let mut site = Site::new();
     let index = first_write(&mut site);
-    site.land(0, false);
+    site.deliver(0, false);
     site.now_us += 14_000_000;
-    site.land(0, false);
+    site.deliver(0, false);
     let grant = site.order(index).unwrap();
     assert_eq!(grant.timeout_us, DurationUs::from_ms(500));
     site.now_us += 1_000_000;
     assert_eq!(site.order(index), Err(Code::LeaseLapsed));
 }
 
-/// Symptom: two daemons hold the lease at once.
-/// Sequence: a write is slow, is read back without effect and given up; a second one is sent; then
-/// the first one takes effect and is answered.
-/// Cause: the answer counts for the second write, whose term began later.
+/// Failure: two daemons hold the lease at the same time. A slow write is abandoned because a read
+/// shows no effect, and a second write is sent. Then the first one takes effect and is answered,
+/// and the answer is counted for the second write, whose term began later.
 #[test]
 fn an_answer_to_an_earlier_write_counts_for_nothing() {
     let mut site = Site::new();
     let index = first_write(&mut site);
-    let slow = site.flights.remove(0);
+    let slow = site.in_flight.remove(0);
     site.now_us += 5_000_000;
     site.tick(index);
-    site.land(0, false);
+    site.deliver(0, false);
     site.tick(index);
     assert!(
-        matches!(site.flights[0], Flight::Write(..)),
-        "the second write"
+        matches!(site.in_flight[0], InFlight::Write(..)),
+        "the second write is in flight"
     );
-    site.flights.push(slow);
-    site.land(1, false);
-    site.land(1, false);
+    site.in_flight.push(slow);
+    site.deliver(1, false);
+    site.deliver(1, false);
     assert_eq!(
         site.nodes[index].leases.status()[0].phase,
         LeasePhase::Vacant
     );
 }
 
-/// Symptom: an order of the holder before arrives after one of the new holder.
-/// Sequence: a holder is no longer responsible while its order is under way.
-/// Cause: it gives the lease up, and a released lease is taken without a wait.
+/// Failure: an order of the previous holder arrives after an order of the new one. A holder is no
+/// longer responsible while its order is in progress; it releases the lease, and a released lease
+/// is acquired without a wait.
 #[test]
 fn a_lease_is_not_released_while_an_order_is_under_way() {
     let (mut site, holder) = Site::with_holder();
     site.order(holder).unwrap();
-    site.nodes[holder].leases.want([]);
+    site.nodes[holder].leases.set_groups([]);
     let object_holder = |site: &Site| {
         let (object, _) = site.store.object.clone().unwrap();
         object.holder.map(|holder| holder.incarnation)
@@ -572,21 +577,21 @@
     site.run(4_000);
     assert_eq!(object_holder(&site), Some(me));
     let done = LeaseEvent::OrderDone(site.group.clone());
-    site.feed(holder, done);
+    site.handle_event(holder, done);
     site.run(2_000);
     assert_eq!(object_holder(&site), None);
 }
 
-/// Symptom: an order of the holder before arrives after one of the new holder.
-/// Sequence: an order is given up at once and counts as done; the lease is given up.
-/// Cause: an order that nobody waits for any more may still be on its way.
+/// Failure: an order of the previous holder arrives after an order of the new one. The order was
+/// abandoned and counted as done, and the lease was released, but the order may still be in
+/// transit.
 #[test]
 fn a_lease_is_not_released_right_after_an_order() {
     let (mut site, holder) = Site::with_holder();
     site.order(holder).unwrap();
     let done = LeaseEvent::OrderDone(site.group.clone());
-    site.feed(holder, done);
-    site.nodes[holder].leases.want([]);
+    site.handle_event(holder, done);
+    site.nodes[holder].leases.set_groups([]);
     let is_held = |site: &Site| site.store.object.as_ref().unwrap().0.holder.is_some();
     site.run(2_900);
     assert!(is_held(&site));
@@ -594,14 +599,14 @@
     assert!(!is_held(&site));
 }
 
-/// Symptom: an order of the holder before arrives after one of the new holder.
-/// Sequence: the holder is paused right after an order; its lease runs out and another takes it.
-/// Cause: the new holder begins at once.
+/// Failure: an order of the previous holder arrives after an order of the new one. The holder is
+/// paused right after an order, its lease expires, and the daemon that acquires it gives orders
+/// immediately.
 #[test]
 fn a_new_holder_waits_for_the_orders_before() {
     let (mut site, before) = Site::with_holder();
     site.order(before).unwrap();
-    site.nodes[before].is_frozen = true;
+    site.nodes[before].is_paused = true;
     for index in (0..DAEMONS).filter(|index| *index != before) {
         site.suspect(index, before);
     }
@@ -625,11 +630,11 @@
 }
 
 #[test]
-fn the_lease_of_loads_follows_the_one_who_is_to_load() {
+fn the_rollout_lease_follows_the_rollout_owner() {
     let mut site = Site::new();
     site.group = LeaseGroup::RolloutSlot(0);
     for node in &mut site.nodes {
-        node.leases.want([LeaseGroup::RolloutSlot(0)]);
+        node.leases.set_groups([LeaseGroup::RolloutSlot(0)]);
     }
     for owner in [2, 0] {
         let incarnation = site.nodes[owner].members.me().incarnation;
@@ -640,6 +645,6 @@
         assert_eq!(site.holder(), Some(owner));
         assert!(site.order(owner).is_ok());
         let done = LeaseEvent::OrderDone(LeaseGroup::RolloutSlot(0));
-        site.feed(owner, done);
+        site.handle_event(owner, done);
     }
 }
--- a/crates/wisteriahitch-core/tests/all/fleet_membership.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_membership.rs
@@ -1,52 +1,52 @@
-//! Membership converges, bounds its bytes and lists the right addresses.
+//! Tests of membership: it converges, limits its traffic and lists the right addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use wisteriahitch_core::fleet::{
-    MemberState, Membership, MembershipCommand, MembershipEvent, News, VmNotice,
+    ListedVm, MemberState, Membership, MembershipCommand, MembershipEvent, MembershipUpdate,
 };
 use wisteriahitch_types::{ConfigVersion, DurationUs, Incarnation, TimeUs};
 
 use crate::fleet::{SEED, ZONES, incarnation, member, membership, membership_of};
 use crate::generated::generated;
 
-/// Twice `max_round_news_bytes`, which nothing exceeds.
+/// Twice `max_round_update_bytes`: the limit that is never exceeded.
 const HARD_ROUND_BYTES: usize = 4_096;
 const ROUND_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Daemons whose probes are carried at once, without a network of their own.
+/// Daemons connected by a simulated network that delivers probes immediately.
 struct Fleet {
     nodes: BTreeMap<u16, Membership>,
-    lives: BTreeMap<u16, u64>,
-    /// Pairs that can't reach each other.
-    cut: BTreeSet<(u16, u16)>,
+    restarts: BTreeMap<u16, u64>,
+    /// Pairs of daemons that cannot reach each other.
+    partitioned_pairs: BTreeSet<(u16, u16)>,
     now: TimeUs,
-    /// Bytes of news that each has sent since its own last round.
-    sent: BTreeMap<u16, usize>,
-    most_round_bytes: usize,
+    /// Bytes of updates that each daemon has sent since its last round.
+    sent_bytes: BTreeMap<u16, usize>,
+    max_round_bytes_seen: usize,
 }
 
 impl Fleet {
     fn new(count: u16) -> Self {
         Self {
             nodes: (0..count).map(|i| (i, membership(i, 0))).collect(),
-            lives: (0..count).map(|i| (i, 0)).collect(),
-            cut: BTreeSet::new(),
+            restarts: (0..count).map(|i| (i, 0)).collect(),
+            partitioned_pairs: BTreeSet::new(),
             now: TimeUs::ZERO,
-            sent: BTreeMap::new(),
-            most_round_bytes: 0,
+            sent_bytes: BTreeMap::new(),
+            max_round_bytes_seen: 0,
         }
     }
 
-    fn cut(&mut self, side: &[u16], other: &[u16]) {
-        for (a, b) in side
+    fn partition(&mut self, left: &[u16], right: &[u16]) {
+        for (a, b) in left
             .iter()
-            .flat_map(|a| other.iter().map(move |b| (*a, *b)))
+            .flat_map(|a| right.iter().map(move |b| (*a, *b)))
         {
-            self.cut.insert((a, b));
-            self.cut.insert((b, a));
+            self.partitioned_pairs.insert((a, b));
+            self.partitioned_pairs.insert((b, a));
         }
     }
 
@@ -55,48 +55,48 @@
     }
 
     fn start(&mut self, index: u16) {
-        let life = self.lives.entry(index).or_default();
-        *life += 1;
-        self.nodes.insert(index, membership(index, *life));
+        let restart = self.restarts.entry(index).or_default();
+        *restart += 1;
+        self.nodes.insert(index, membership(index, *restart));
     }
 
     fn run(&mut self, rounds: usize) {
         for _ in 0..rounds {
             self.now = self.now + ROUND_US;
             for index in self.nodes.keys().copied().collect::<Vec<_>>() {
-                let sent = self.sent.insert(index, 0).unwrap_or(0);
-                self.most_round_bytes = self.most_round_bytes.max(sent);
-                let commands = self.feed(index, MembershipEvent::Tick);
-                self.carry(index, commands);
+                let sent_bytes = self.sent_bytes.insert(index, 0).unwrap_or(0);
+                self.max_round_bytes_seen = self.max_round_bytes_seen.max(sent_bytes);
+                let commands = self.handle_event(index, MembershipEvent::Tick);
+                self.execute(index, commands);
             }
         }
     }
 
-    fn feed(&mut self, index: u16, event: MembershipEvent) -> Vec<MembershipCommand> {
+    fn handle_event(&mut self, index: u16, event: MembershipEvent) -> Vec<MembershipCommand> {
         let now = self.now;
         let node = self.nodes.get_mut(&index);
         node.map_or(Vec::new(), |node| node.handle(event, now))
     }
 
-    fn carry(&mut self, from: u16, commands: Vec<MembershipCommand>) {
+    fn execute(&mut self, from: u16, commands: Vec<MembershipCommand>) {
         for command in commands {
             let event = match command {
                 MembershipCommand::Probe {
                     address,
                     meant_for,
-                    news,
+                    updates,
                     sync_after,
                 } => {
-                    *self.sent.entry(from).or_default() += size(&news);
+                    *self.sent_bytes.entry(from).or_default() += size(&updates);
                     let to = address.port() - 20_000;
-                    match self.deliver(from, to, &news, sync_after) {
-                        Some((answered_by, news)) => {
-                            *self.sent.entry(to).or_default() += size(&news);
+                    match self.deliver(from, to, &updates, sync_after) {
+                        Some((answered_by, updates)) => {
+                            *self.sent_bytes.entry(to).or_default() += size(&updates);
                             MembershipEvent::ProbeAnswered {
                                 address,
                                 meant_for,
                                 answered_by,
-                                news,
+                                updates,
                             }
                         }
                         None => MembershipEvent::ProbeFailed { meant_for },
@@ -114,38 +114,38 @@
                     MembershipEvent::IndirectAnswered {
                         target,
                         is_reached: is_asked && is_there && self.can_reach(via, to),
-                        news: Vec::new(),
+                        updates: Vec::new(),
                     }
                 }
                 MembershipCommand::Changed { .. } => continue,
             };
-            let more = self.feed(from, event);
-            self.carry(from, more);
+            let more = self.handle_event(from, event);
+            self.execute(from, more);
         }
     }
 
     fn can_reach(&self, from: u16, to: u16) -> bool {
-        self.nodes.contains_key(&to) && !self.cut.contains(&(from, to))
+        self.nodes.contains_key(&to) && !self.partitioned_pairs.contains(&(from, to))
     }
 
     fn deliver(
         &mut self,
         from: u16,
         to: u16,
-        news: &[News],
+        updates: &[MembershipUpdate],
         sync_after: Option<Incarnation>,
-    ) -> Option<(Incarnation, Vec<News>)> {
+    ) -> Option<(Incarnation, Vec<MembershipUpdate>)> {
         if !self.can_reach(from, to) {
             return None;
         }
         let sender = self.nodes[&from].me().incarnation;
         let now = self.now;
         let node = self.nodes.get_mut(&to)?;
-        let (news, _) = node.answer_probe(sender, news, sync_after, now);
-        Some((node.me().incarnation, news))
+        let (updates, _) = node.answer_probe(sender, updates, sync_after, now);
+        Some((node.me().incarnation, updates))
     }
 
-    /// Returns whether every daemon lists exactly the running ones as alive.
+    /// Returns whether every daemon lists exactly the running daemons as alive.
     fn has_converged(&self) -> bool {
         let running: BTreeSet<Incarnation> =
             self.nodes.values().map(|n| n.me().incarnation).collect();
@@ -166,8 +166,8 @@
     }
 }
 
-fn size(news: &[News]) -> usize {
-    news.iter().map(News::size_bytes).sum()
+fn size(updates: &[MembershipUpdate]) -> usize {
+    updates.iter().map(MembershipUpdate::size_bytes).sum()
 }
 
 #[test]
@@ -178,11 +178,10 @@
     }
 }
 
-/// Symptom: callers are sent to a daemon that has died.
-/// Sequence: a daemon is killed without a word; the others go on probing.
-/// Cause: nobody tells of a crash; only unanswered probes show it.
+/// Failure: callers are sent to a crashed daemon. A crash is not announced; only unanswered probes
+/// reveal it.
 #[test]
-fn a_killed_daemon_leaves_every_list() {
+fn a_crashed_daemon_is_removed_from_every_list() {
     let mut fleet = Fleet::new(9);
     assert!(fleet.run_until_converged(60));
     fleet.kill(4);
@@ -194,9 +193,9 @@
     }
 }
 
-/// Symptom: a ticket of a dead daemon is asked for at its successor.
-/// Sequence: a daemon dies and another one starts at its address before anybody noticed.
-/// Cause: the address answers probes, but as another incarnation.
+/// Failure: a ticket of a crashed daemon is looked up at its successor. A daemon crashes and
+/// another one starts at its address before the crash is detected, so the address still answers
+/// probes, but with another incarnation.
 #[test]
 fn a_successor_at_the_same_address_replaces_the_dead_incarnation() {
     let mut fleet = Fleet::new(6);
@@ -209,29 +208,27 @@
     assert_eq!(known.incarnation, incarnation(3, 1));
 }
 
-/// Symptom: after a partition heals, each half goes on without the other.
-/// Sequence: two halves lose each other until each believes the other dead; the cut ends.
-/// Cause: nobody probes the dead, and the dead can't refute what they don't hear.
+/// Failure: after a partition heals, the two halves stay separate. Each half believes the other
+/// dead, dead members are not probed, and they cannot refute updates that they do not receive.
 #[test]
-fn halves_find_each_other_after_a_partition() {
+fn halves_rejoin_after_a_partition() {
     let mut fleet = Fleet::new(8);
     assert!(fleet.run_until_converged(60));
-    fleet.cut(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+    fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
     fleet.run(40);
     assert_eq!(fleet.nodes[&0].workers().count(), 4);
     assert_eq!(fleet.nodes[&7].workers().count(), 4);
-    fleet.cut.clear();
+    fleet.partitioned_pairs.clear();
     assert!(fleet.run_until_converged(60));
 }
 
-/// Symptom: a healthy daemon is thrown out because one other can't reach it.
-/// Sequence: one link is cut; the prober asks others, who reach the daemon.
-/// Cause: a failed probe may be the prober's own link.
+/// Failure: a healthy daemon is removed because one peer cannot reach it. The failed probe is
+/// caused by the prober's own link; other peers still reach the daemon.
 #[test]
 fn one_broken_link_raises_no_suspicion() {
     let mut fleet = Fleet::new(6);
     assert!(fleet.run_until_converged(60));
-    fleet.cut(&[1], &[2]);
+    fleet.partition(&[1], &[2]);
     for _ in 0..40 {
         fleet.run(1);
         assert!(fleet.has_converged());
@@ -239,7 +236,7 @@
 }
 
 #[test]
-fn generated_kills_starts_and_cuts_end_in_agreement() {
+fn membership_converges_after_random_crashes_restarts_and_partitions() {
     let config = generated(24, SEED);
     let step = (0_u8..4, 1_u16..8, 1_u16..8, 0_usize..6);
     let steps = prop::collection::vec(step, 1..20);
@@ -250,21 +247,21 @@
                 match kind {
                     0 => fleet.kill(a),
                     1 => fleet.start(a),
-                    2 => fleet.cut(&[a], &[b]),
-                    _ => fleet.cut.clear(),
+                    2 => fleet.partition(&[a], &[b]),
+                    _ => fleet.partitioned_pairs.clear(),
                 }
                 fleet.run(rounds);
             }
-            fleet.cut.clear();
+            fleet.partitioned_pairs.clear();
             prop_assert!(fleet.run_until_converged(120));
             Ok(())
         })
         .unwrap();
 }
 
-/// Symptom: control traffic grows with the fleet until it crowds out callers.
-/// Sequence: a large fleet starts at once, and then a zone of it dies at once.
-/// Cause: there is news of every member at the same time.
+/// Failure: control traffic grows with the fleet until it displaces callers' traffic. A large fleet
+/// starts at once and then a whole zone dies at once, so there are updates about all members at the
+/// same time.
 #[test]
 fn bytes_of_a_round_stay_bounded() {
     let mut fleet = Fleet::new(120);
@@ -273,7 +270,7 @@
         fleet.kill(index);
     }
     assert!(fleet.run_until_converged(150));
-    assert!(fleet.most_round_bytes <= HARD_ROUND_BYTES);
+    assert!(fleet.max_round_bytes_seen <= HARD_ROUND_BYTES);
 }
 
 struct EntryCase {
@@ -291,7 +288,7 @@
     EntryCase {
         name: "its VM is leaving",
         event: || {
-            MembershipEvent::VmList(vec![VmNotice {
+            MembershipEvent::VmList(vec![ListedVm {
                 address: member(2, 0).addresses.peer.ip(),
                 is_leaving: true,
             }])
@@ -299,36 +296,36 @@
         is_listed: false,
     },
     EntryCase {
-        name: "it drains",
-        event: || told(MemberState::Draining),
+        name: "it is draining",
+        event: || update_event(MemberState::Draining),
         is_listed: false,
     },
     EntryCase {
         name: "it is suspect",
-        event: || told(MemberState::Suspect),
+        event: || update_event(MemberState::Suspect),
         is_listed: false,
     },
     EntryCase {
         name: "it has left",
-        event: || told(MemberState::Left),
+        event: || update_event(MemberState::Left),
         is_listed: false,
     },
 ];
 
-fn told(state: MemberState) -> MembershipEvent {
+fn update_event(state: MemberState) -> MembershipEvent {
     let mut subject = member(2, 0);
     subject.state = state;
-    subject.news_number += 1;
+    subject.update_number += 1;
     MembershipEvent::ProbeAnswered {
         address: member(1, 0).addresses.peer,
         meant_for: None,
         answered_by: member(1, 0).incarnation,
-        news: vec![News::of(&subject)],
+        updates: vec![MembershipUpdate::of(&subject)],
     }
 }
 
 #[test]
-fn entries_leave_out_whoever_goes() {
+fn entries_omit_departing_members() {
     let workspace = "kandy-1".parse().unwrap();
     for case in ENTRY_CASES {
         let mut members = membership_of(4);
@@ -339,32 +336,43 @@
     }
 }
 
-/// Symptom: all callers come to one daemon at the same moment.
-/// Sequence: many callers ask for entries at once and use the first.
-/// Cause: an order that is the same for everybody.
+/// Failure: all callers connect to the same daemon. Many callers request entries at the same time
+/// and use the first one of a list whose order is the same for everyone.
 #[test]
 fn entries_are_spread_by_zone_and_load() {
     let mut members = membership_of(6);
-    let mut busy = member(3, 0);
-    busy.load_permille = 900;
-    members.answer_probe(busy.incarnation, &[News::of(&busy)], None, TimeUs::ZERO);
+    let mut loaded_peer = member(3, 0);
+    loaded_peer.load_permille = 900;
+    members.answer_probe(
+        loaded_peer.incarnation,
+        &[MembershipUpdate::of(&loaded_peer)],
+        None,
+        TimeUs::ZERO,
+    );
     let zone = ZONES[0].parse().unwrap();
     let workspace = "kandy-1".parse().unwrap();
-    let mut firsts: BTreeMap<Incarnation, u32> = BTreeMap::new();
+    let mut first_entry_counts: BTreeMap<Incarnation, u32> = BTreeMap::new();
     for seed in 0..4_000 {
         let entries = members.entries(Some(&zone), &workspace, seed);
         assert_eq!(entries.len(), 6);
-        *firsts.entry(entries[0].incarnation).or_default() += 1;
+        *first_entry_counts
+            .entry(entries[0].incarnation)
+            .or_default() += 1;
     }
-    let count = |index| firsts.get(&incarnation(index, 0)).copied().unwrap_or(0);
-    // Daemons 0 and 3 are in the caller's zone, 3 is busy, 1 is elsewhere and idle.
-    assert!(count(0) > 2 * count(1), "{firsts:?}");
-    assert!(count(1) > count(3), "{firsts:?}");
-    assert!(firsts.len() == 6, "{firsts:?}");
+    let count = |index| {
+        first_entry_counts
+            .get(&incarnation(index, 0))
+            .copied()
+            .unwrap_or(0)
+    };
+    // Daemons 0 and 3 are in the caller's zone, 3 is busy; 1 is in another zone and idle.
+    assert!(count(0) > 2 * count(1), "{first_entry_counts:?}");
+    assert!(count(1) > count(3), "{first_entry_counts:?}");
+    assert!(first_entry_counts.len() == 6, "{first_entry_counts:?}");
 }
 
 #[test]
-fn a_large_fleet_gives_each_workspace_its_own_few() {
+fn a_large_fleet_restricts_each_workspace_to_a_fixed_subset() {
     let members = membership_of(100);
     let set = |workspace: &str, seed| -> BTreeSet<Incarnation> {
         let workspace = workspace.parse().unwrap();
@@ -385,19 +393,19 @@
     );
     let later = TimeUs::new(60_000_000);
     members.handle(MembershipEvent::Load(400), later);
-    let before = members.me().news_number;
+    let before = members.me().update_number;
     members.handle(MembershipEvent::Drain, later);
-    let (news, _) = members.answer_probe(incarnation(1, 0), &[], None, later);
-    let own = &news[0];
+    let (updates, _) = members.answer_probe(incarnation(1, 0), &[], None, later);
+    let own = &updates[0];
     assert_eq!(own.incarnation, incarnation(0, 0));
     assert_eq!(own.config_version, ConfigVersion::new(5));
     assert_eq!(own.load_permille, 400);
     assert_eq!(own.state, MemberState::Draining);
-    assert_eq!(own.news_number, before + 1);
+    assert_eq!(own.update_number, before + 1);
 }
 
 #[test]
-fn the_dump_shows_a_member() {
+fn a_member_serializes_under_stable_names() {
     let text = serde_json::to_string(&member(1, 0)).unwrap();
     expect_test::expect![[r#"{"daemon":"entry-1","incarnation":2,"news_number":1,"state":"alive","addresses":{"caller":"127.0.0.1:10001","peer":"127.0.0.1:20001","operator":"127.0.0.1:30001"},"availability_zone":"colombo-b","config_version":0,"load_permille":0,"changed_at_us":0,"is_vm_leaving":false}"#]].assert_eq(&text);
 }
--- a/crates/wisteriahitch-core/tests/all/fleet_orders.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_orders.rs
@@ -1,22 +1,23 @@
-//! Rollouts load a few at a time, keep enough ready, and go back on failure.
+//! Tests of order planning: rollouts load a few endpoints at a time, keep enough of them ready, and
+//! roll back on failure.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use wisteriahitch_core::fleet::{
-    Blocked, EndpointOrder, EndpointReport, ModelOnEndpoint, OrderPlanner, PlannedOrder,
-    PlannerSettings, RolloutPhase, RolloutProgress, SiteView, WantedEndpoint, WantedModel,
-    WantedState,
+    BlockReason, DesiredEndpoint, DesiredModel, DesiredState, EndpointOrder, EndpointReport,
+    ModelOnEndpoint, OrderPlanner, PlannedOrder, PlannerSettings, RolloutPhase, RolloutProgress,
+    SiteView,
 };
 use wisteriahitch_types::{EndpointId, ModelName, TimeUs};
 
 use crate::fleet::SEED;
 use crate::generated::generated;
 
-/// Runners that load in two steps of time.
+/// Simulated runners whose loads take two time steps.
 struct Site {
-    wanted: WantedState,
+    desired: DesiredState,
     reports: BTreeMap<EndpointId, EndpointReport>,
     owned: BTreeSet<EndpointId>,
     load_slots: u32,
@@ -24,9 +25,9 @@
     planner: OrderPlanner,
     now: TimeUs,
     /// Version that no runner can load.
-    broken: Option<&'static str>,
-    most_loading: usize,
-    least_ready: usize,
+    broken_version: Option<&'static str>,
+    max_loading_seen: usize,
+    min_ready_seen: usize,
 }
 
 fn model() -> ModelName {
@@ -56,35 +57,35 @@
             ..EndpointReport::default()
         };
         let mut site = Self {
-            wanted: WantedState::default(),
+            desired: DesiredState::default(),
             reports: (0..count).map(|n| (id(n), report())).collect(),
             owned: (0..count).map(id).collect(),
             load_slots: 2,
             loading: BTreeMap::new(),
             planner: OrderPlanner::new(PlannerSettings::default()),
             now: TimeUs::ZERO,
-            broken: None,
-            most_loading: 0,
-            least_ready: count,
+            broken_version: None,
+            max_loading_seen: 0,
+            min_ready_seen: count,
         };
-        site.want(version, &[]);
+        site.set_desired(version, &[]);
         site
     }
 
-    fn want(&mut self, version: &str, adapters: &[&str]) {
-        let wanted = WantedEndpoint {
+    fn set_desired(&mut self, version: &str, adapters: &[&str]) {
+        let desired = DesiredEndpoint {
             service: "assistant".parse().unwrap(),
-            models: vec![WantedModel {
+            models: vec![DesiredModel {
                 model: model(),
                 weight_version: version.parse().unwrap(),
                 adapters: adapters.iter().map(|a| a.parse().unwrap()).collect(),
             }],
         };
-        self.wanted = WantedState {
+        self.desired = DesiredState {
             endpoints: self
                 .reports
                 .keys()
-                .map(|id| (id.clone(), wanted.clone()))
+                .map(|id| (id.clone(), desired.clone()))
                 .collect(),
             rollout_parallel: 2,
         };
@@ -92,7 +93,7 @@
 
     fn plan(&mut self) -> Vec<PlannedOrder> {
         let site = SiteView {
-            wanted: &self.wanted,
+            desired: &self.desired,
             reports: &self.reports,
             owned: &self.owned,
             load_slots: self.load_slots,
@@ -102,7 +103,7 @@
 
     fn progress(&self) -> RolloutProgress {
         let site = SiteView {
-            wanted: &self.wanted,
+            desired: &self.desired,
             reports: &self.reports,
             owned: &self.owned,
             load_slots: self.load_slots,
@@ -110,19 +111,19 @@
         self.planner.progress(site).remove(0)
     }
 
-    fn obey(&mut self, planned: PlannedOrder) {
+    fn execute(&mut self, planned: PlannedOrder) {
         let PlannedOrder { endpoint, order } = planned;
-        let broken = self.broken;
+        let broken_version = self.broken_version;
         let report = self.reports.get_mut(&endpoint).unwrap();
-        let is_good = match order {
+        let is_success = match order {
             EndpointOrder::LoadModel { weight_version, .. } => {
-                let is_good = Some(weight_version.as_str()) != broken;
-                if is_good {
+                let is_success = Some(weight_version.as_str()) != broken_version;
+                if is_success {
                     report.models[0].weight_version = weight_version;
                     report.models[0].is_ready = false;
                     self.loading.insert(endpoint.clone(), 2);
                 }
-                is_good
+                is_success
             }
             EndpointOrder::LoadAdapter { adapter, .. } => {
                 report.models[0].adapters.push(adapter);
@@ -141,28 +142,28 @@
                 true
             }
         };
-        self.planner.order_done(&endpoint, is_good, self.now);
+        self.planner.order_done(&endpoint, is_success, self.now);
     }
 
     fn step(&mut self) {
         self.now = TimeUs::new(self.now.get() + 1_000_000);
         for planned in self.plan() {
-            self.obey(planned);
+            self.execute(planned);
         }
         let ready = self
             .reports
             .values()
             .filter(|r| r.is_ready_for(&model()))
             .count();
-        self.most_loading = self.most_loading.max(self.loading.len());
-        self.least_ready = self.least_ready.min(ready);
+        self.max_loading_seen = self.max_loading_seen.max(self.loading.len());
+        self.min_ready_seen = self.min_ready_seen.min(ready);
         for (id, report) in &mut self.reports {
             report.made_at_ms += 1;
-            let Some(left) = self.loading.get_mut(id) else {
+            let Some(steps_left) = self.loading.get_mut(id) else {
                 continue;
             };
-            *left -= 1;
-            if *left == 0 {
+            *steps_left -= 1;
+            if *steps_left == 0 {
                 report.models[0].is_ready = true;
                 self.loading.remove(id);
             }
@@ -184,103 +185,101 @@
     let mut site = Site::new(9, "v1");
     site.run(3);
     assert!(site.plan().is_empty());
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.step();
     assert_eq!(
         site.loading.len(),
         1,
-        "the first one shows that the version works"
+        "a single runner must confirm the version first"
     );
     site.run(60);
     assert_eq!(site.versions(), BTreeSet::from(["v2".to_owned()]));
-    assert_eq!(site.most_loading, 2);
-    assert_eq!(site.least_ready, 7);
+    assert_eq!(site.max_loading_seen, 2);
+    assert_eq!(site.min_ready_seen, 7);
     assert_eq!(site.progress().phase, RolloutPhase::Done);
     assert_eq!(site.progress().done, 9);
 }
 
-/// Symptom: a broken version takes a whole site out of service.
-/// Sequence: loading the new version fails at runner after runner.
-/// Cause: nobody stops the rollout.
+/// Failure: a broken version takes a whole site out of service. Loading it fails at one runner
+/// after another and the rollout is not stopped.
 #[test]
 fn a_rollout_that_fails_stops_and_goes_back() {
     let mut site = Site::new(6, "v1");
     site.run(2);
-    site.broken = Some("v2");
-    site.want("v2", &[]);
+    site.broken_version = Some("v2");
+    site.set_desired("v2", &[]);
     site.run(40);
     assert_eq!(site.versions(), BTreeSet::from(["v1".to_owned()]));
     let progress = site.progress();
     assert_eq!(progress.phase, RolloutPhase::Stopped);
     assert_eq!(progress.failures, 2);
     assert_eq!(progress.done, 6);
-    site.want("v3", &[]);
+    site.set_desired("v3", &[]);
     site.run(60);
     assert_eq!(site.versions(), BTreeSet::from(["v3".to_owned()]));
 }
 
-/// Symptom: runners that went to the broken version stay there.
-/// Sequence: some runners load the new version; then loading it fails elsewhere.
-/// Cause: a stop alone leaves the site in two versions.
+/// Failure: runners that loaded a broken version keep it. Some runners load the new version before
+/// loading fails at others, and stopping the rollout alone leaves the site with two versions.
 #[test]
 fn runners_that_had_the_new_version_go_back_too() {
     let mut site = Site::new(6, "v1");
     site.run(2);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.run(8);
     assert_eq!(site.versions().len(), 2);
-    site.broken = Some("v2");
+    site.broken_version = Some("v2");
     site.run(60);
     assert_eq!(site.versions(), BTreeSet::from(["v1".to_owned()]));
     assert_eq!(site.progress().phase, RolloutPhase::Stopped);
 }
 
-struct SpareCase {
+struct LoadCase {
     name: &'static str,
     count: usize,
     change: fn(&mut Site),
     planned: usize,
-    blocked: Option<Blocked>,
+    blocked: Option<BlockReason>,
 }
 
-const SPARE_CASES: &[SpareCase] = &[
-    SpareCase {
+const LOAD_CASES: &[LoadCase] = &[
+    LoadCase {
         name: "idle runners",
         count: 4,
         change: |_| {},
         planned: 1,
-        blocked: Some(Blocked::FirstNotConfirmed),
+        blocked: Some(BlockReason::FirstNotConfirmed),
     },
-    SpareCase {
-        name: "all needed for the load but one",
+    LoadCase {
+        name: "all runners but one needed for the load",
         count: 3,
         change: |site| site.reports.values_mut().for_each(|r| r.open_requests = 7),
         planned: 1,
-        blocked: Some(Blocked::FirstNotConfirmed),
+        blocked: Some(BlockReason::FirstNotConfirmed),
     },
-    SpareCase {
-        name: "the last ready one",
+    LoadCase {
+        name: "the last ready runner",
         count: 2,
         change: |site| site.reports.get_mut(&id(0)).unwrap().is_leaving = true,
         planned: 0,
-        blocked: Some(Blocked::NeededForLoad),
+        blocked: Some(BlockReason::NeededForLoad),
     },
-    SpareCase {
-        name: "the only one, busy",
+    LoadCase {
+        name: "a single busy runner",
         count: 1,
         change: |site| site.reports.get_mut(&id(0)).unwrap().open_requests = 1,
         planned: 0,
-        blocked: Some(Blocked::NeededForLoad),
+        blocked: Some(BlockReason::NeededForLoad),
     },
-    SpareCase {
-        name: "the only one, idle",
+    LoadCase {
+        name: "a single idle runner",
         count: 1,
         change: |_| {},
         planned: 1,
         blocked: None,
     },
-    SpareCase {
-        name: "two load elsewhere",
+    LoadCase {
+        name: "two runners of another owner are loading",
         count: 6,
         change: |site| {
             for number in 0..2 {
@@ -291,30 +290,30 @@
             site.owned = (2..6).map(id).collect();
         },
         planned: 0,
-        blocked: Some(Blocked::TooManyLoading),
+        blocked: Some(BlockReason::TooManyLoading),
     },
-    SpareCase {
-        name: "no lease of loads",
+    LoadCase {
+        name: "no rollout lease",
         count: 3,
         change: |site| site.load_slots = 0,
         planned: 0,
-        blocked: Some(Blocked::NoLease),
+        blocked: Some(BlockReason::NoLease),
     },
-    SpareCase {
-        name: "no lease",
+    LoadCase {
+        name: "no lease of the endpoints",
         count: 3,
         change: |site| site.owned.clear(),
         planned: 0,
-        blocked: Some(Blocked::NoLease),
+        blocked: Some(BlockReason::NoLease),
     },
 ];
 
 #[test]
-fn a_runner_is_taken_only_where_it_can_be_spared() {
-    for case in SPARE_CASES {
+fn a_runner_loads_only_where_its_capacity_is_not_needed() {
+    for case in LOAD_CASES {
         let mut site = Site::new(case.count, "v1");
         site.run(2);
-        site.want("v2", &[]);
+        site.set_desired("v2", &[]);
         (case.change)(&mut site);
         let planned = site.plan();
         assert_eq!(planned.len(), case.planned, "{}", case.name);
@@ -324,14 +323,14 @@
     }
 }
 
-/// Symptom: an endpoint that ignores fencing numbers ends with an older order's version.
-/// Sequence: a late order of the holder before runs after ours was reported once.
-/// Cause: one report that agrees is taken for the end.
+/// Failure: an endpoint that ignores fencing numbers ends with the version of an older order. A
+/// late order of the previous holder is executed after one report has confirmed the new order, and
+/// a single confirming report is taken as final.
 #[test]
 fn one_agreeing_report_is_not_enough() {
     let mut site = Site::new(1, "v1");
     site.run(2);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     let planned = site.plan();
     let endpoint = planned[0].endpoint.clone();
     site.planner.order_done(&endpoint, true, site.now);
@@ -340,15 +339,15 @@
         report.made_at_ms += 1;
         report.models = vec![loaded(version)];
         site.plan();
-        site.planner.is_changing(&id(0))
+        site.planner.has_unconfirmed_order(&id(0))
     };
     assert!(report(&mut site, "v2"));
-    assert!(report(&mut site, "v1"), "the late order");
+    assert!(report(&mut site, "v1"), "the late order undoes the version");
     assert!(report(&mut site, "v2"));
     site.plan();
     assert!(
-        site.planner.is_changing(&id(0)),
-        "the same report counts once"
+        site.planner.has_unconfirmed_order(&id(0)),
+        "a repeated report must not count twice"
     );
     assert!(!report(&mut site, "v2"));
 }
@@ -356,17 +355,17 @@
 #[test]
 fn adapters_follow_the_configuration() {
     let mut site = Site::new(3, "v1");
-    site.want("v1", &["parts", "warranty"]);
+    site.set_desired("v1", &["parts", "warranty"]);
     site.run(20);
     let adapters = |site: &Site| site.reports[&id(1)].models[0].adapters.len();
     assert_eq!(adapters(&site), 2);
-    site.want("v1", &["parts"]);
+    site.set_desired("v1", &["parts"]);
     site.run(20);
     assert_eq!(adapters(&site), 1);
 }
 
 #[test]
-fn generated_sites_keep_the_bounds_and_arrive() {
+fn generated_rollouts_finish_within_their_limits() {
     let config = generated(200, SEED);
     let busy = prop::collection::vec(0_u64..8, 2..12);
     TestRunner::new(config)
@@ -377,38 +376,37 @@
                 site.reports.get_mut(&id(number)).unwrap().open_requests = *open;
             }
             site.run(2);
-            site.want("v2", &[]);
+            site.set_desired("v2", &[]);
             site.run(changes_at);
-            site.want("v3", &["parts"]);
+            site.set_desired("v3", &["parts"]);
             site.run(20 * count + 40);
             prop_assert_eq!(site.versions(), BTreeSet::from(["v3".to_owned()]));
-            prop_assert!(site.most_loading <= 2);
-            prop_assert!(site.least_ready >= (count / 2).max(1).min(count - 1));
+            prop_assert!(site.max_loading_seen <= 2);
+            prop_assert!(site.min_ready_seen >= (count / 2).max(1).min(count - 1));
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn progress_is_shown() {
+fn progress_serializes_under_stable_names() {
     let mut site = Site::new(2, "v1");
     site.run(2);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.plan();
     let text = serde_json::to_string(&site.progress()).unwrap();
     expect_test::expect![[r#"{"model":"hist-7b","from":"v1","to":"v2","phase":"running","total":2,"done":0,"loading":["runner-0"],"failures":0,"blocked":[["runner-1","first_not_confirmed"]]}"#]].assert_eq(&text);
 }
 
-/// Symptom: a rollout stands still although runners wait for it.
-/// Sequence: the first runner in the list is needed for the load; others could go.
-/// Cause: the right to load stays with the owner of the one that can't.
+/// Failure: a rollout stalls although runners could load. The first runner in the list is needed
+/// for the current load, and the right to load stays with the owner of that runner.
 #[test]
-fn the_next_to_load_can_be_spared() {
+fn the_next_runner_to_load_is_one_that_is_not_needed() {
     let mut site = Site::new(3, "v1");
     site.run(2);
     let view = |site: &Site| {
         let view = SiteView {
-            wanted: &site.wanted,
+            desired: &site.desired,
             reports: &site.reports,
             owned: &site.owned,
             load_slots: site.load_slots,
@@ -416,7 +414,7 @@
         site.planner.next_to_load(view).cloned()
     };
     assert_eq!(view(&site), None);
-    site.want("v2", &[]);
+    site.set_desired("v2", &[]);
     site.owned.clear();
     site.plan();
     assert_eq!(view(&site), Some(id(0)));
--- a/crates/wisteriahitch-relay/src/shell/lease.rs
+++ b/crates/wisteriahitch-relay/src/shell/lease.rs
@@ -53,7 +53,7 @@
         // A new holder waits for this time if the previous lease wasn't released.
         order_timeout_us: handover_delay(settings),
         margin_us: LEASE_MARGIN_US,
-        read_us: LEASE_READ_INTERVAL_US,
+        read_interval_us: LEASE_READ_INTERVAL_US,
     };
     LeaseTable::new(holder, settings)
 }
@@ -65,7 +65,7 @@
     let me = Member {
         daemon: shared.settings.id.clone(),
         incarnation: shared.incarnation,
-        news_number: 1,
+        update_number: 1,
         state: MemberState::Alive,
         addresses: MemberAddresses {
             caller: listen.callers,
--- a/crates/wisteriahitch-relay/src/shell/orders.rs
+++ b/crates/wisteriahitch-relay/src/shell/orders.rs
@@ -42,7 +42,7 @@
     let mut is_late = false;
     loop {
         let outdated = outdated_engines(&shared);
-        let has_lease = shared.leases.lock().held().next().is_some();
+        let has_lease = shared.leases.lock().held_groups().next().is_some();
         let is_busy = !outdated.is_empty() || has_lease;
         if is_busy {
             advance_rollout(&shared, &members, &outdated);
@@ -109,11 +109,11 @@
         // A holder keeps the lease as long as there is work, even if another daemon ranks first by
         // hash now, and also while it shuts down. Each handover costs seconds in which no order may
         // be given, and the daemon serves for a few more seconds in any case.
-        let is_held = leases.held().next().is_some();
+        let is_held = leases.held_groups().next().is_some();
         let is_candidate = lease_candidates(shared, now).contains(&shared.incarnation);
         let is_mine = !outdated.is_empty() && (is_held || is_candidate);
         let wanted = is_mine.then_some(LEASE_GROUP);
-        leases.want(wanted);
+        leases.set_groups(wanted);
         leases.set_rollout_owner(is_mine.then_some(shared.incarnation));
         leases.handle(LeaseEvent::Tick, now, members)
     };
@@ -124,7 +124,7 @@
             command,
         ));
     }
-    let is_held = shared.leases.lock().held().next().is_some();
+    let is_held = shared.leases.lock().held_groups().next().is_some();
     if !is_held {
         shared.rollout.lock().clear();
         return;
@@ -287,7 +287,10 @@
     let address = address_of(shared, endpoint);
     // The fence of this grant goes into the order. The grant that counts is requested again once
     // the connection is open.
-    let grant = shared.leases.lock().try_order(&LEASE_GROUP, shared.now());
+    let grant = shared
+        .leases
+        .lock()
+        .try_grant_order(&LEASE_GROUP, shared.now());
     let (Some(address), Ok(grant)) = (address, grant) else {
         shared
             .rollout
@@ -298,7 +301,7 @@
     let order = order(address, grant.fence);
     let permit = || {
         let mut leases = shared.leases.lock();
-        let fresh_grant = leases.try_order(&LEASE_GROUP, shared.now()).ok()?;
+        let fresh_grant = leases.try_grant_order(&LEASE_GROUP, shared.now()).ok()?;
         leases.handle(LeaseEvent::OrderDone(LEASE_GROUP), shared.now(), members);
         (fresh_grant.fence >= grant.fence).then(|| Duration::from(fresh_grant.timeout_us))
     };
