--- a/crates/wisteriahitch-core/src/once/answer.rs
+++ b/crates/wisteriahitch-core/src/once/answer.rs
@@ -8,7 +8,7 @@
 
 /// Holds the whole answer to a request that ran, as its repeat will get it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Value of the `content-type` header, if there was one.
@@ -17,7 +17,7 @@
     pub body: Vec<u8>,
 }
 
-impl KeptAnswer {
+impl StoredAnswer {
     /// Returns the memory that keeping the answer costs.
     pub fn cost_bytes(&self) -> ByteCount {
         ByteCount::new(self.body.len() as u64 + ENTRY_OVERHEAD_BYTES)
--- a/crates/wisteriahitch-core/src/once/claim/batcher.rs
+++ b/crates/wisteriahitch-core/src/once/claim/batcher.rs
@@ -7,7 +7,7 @@
 use super::request::ClaimRequest;
 use super::work::{Phase, ShardWork};
 use super::{ClaimCommand, ClaimLimits, ClaimShard, ClaimState, ClaimTime, UndecidedCause};
-use crate::once::{ClaimHolder, ClaimNonce, ClaimSnapshot, Fingerprint, OnceKey};
+use crate::once::{ClaimHolder, ClaimNonce, ClaimSnapshot, Fingerprint, IdempotencyKey};
 
 /// Claims callers' keys in the object store, many with one write.
 ///
@@ -18,7 +18,7 @@
     pub(super) holder: ClaimHolder,
     pub(super) limits: ClaimLimits,
     pub(super) shards: BTreeMap<ClaimShard, ShardWork>,
-    pub(super) away_until: TimeUs,
+    pub(super) unavailable_until: TimeUs,
 }
 
 impl ClaimBatcher {
@@ -28,7 +28,7 @@
             holder,
             limits,
             shards: BTreeMap::new(),
-            away_until: TimeUs::ZERO,
+            unavailable_until: TimeUs::ZERO,
         }
     }
 
@@ -37,17 +37,17 @@
     /// Tickets need no claim; one that is passed here is answered as undecided.
     pub fn claim(
         &mut self,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         fingerprint: Fingerprint,
         nonce: ClaimNonce,
         time: ClaimTime,
     ) -> Vec<ClaimCommand> {
-        let OnceKey::Claimed { hash, .. } = key else {
+        let IdempotencyKey::Claimed { hash, .. } = key else {
             return vec![undecided(key, UndecidedCause::Contended)];
         };
         // Nobody can decide while the platform is away, and holding requests for it would fill
         // the daemon with work that waits for one dead service.
-        if time.now < self.away_until {
+        if time.now < self.unavailable_until {
             return vec![undecided(key, UndecidedCause::PlatformAway)];
         }
         let shard = ClaimShard::of(hash);
@@ -56,89 +56,96 @@
             hash: *hash,
             fingerprint,
             nonce,
-            since: time.now,
-            tries: 0,
+            requested_at: time.now,
+            write_attempts: 0,
         };
-        self.work(shard).push(request);
-        self.start(shard).into_iter().collect()
+        self.shard_work(shard).push(request);
+        self.start_read(shard).into_iter().collect()
     }
 
     /// Writes down that a claimed request ran, or that it was refused and will not run.
     ///
     /// This is for repeats at other daemons after this one has died; safety doesn't rest on it.
-    pub fn settle(
+    pub fn record_outcome(
         &mut self,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         nonce: ClaimNonce,
         state: ClaimState,
         time: ClaimTime,
     ) -> Vec<ClaimCommand> {
-        let OnceKey::Claimed { hash, .. } = key else {
+        let IdempotencyKey::Claimed { hash, .. } = key else {
             return Vec::new();
         };
         if state == ClaimState::Claimed {
             return Vec::new();
         }
         let shard = ClaimShard::of(hash);
-        let max_outcomes = self.limits.max_outcomes;
-        self.work(shard)
-            .push_outcome(*hash, nonce, state, max_outcomes);
-        if time.now < self.away_until {
+        let max_pending_outcomes = self.limits.max_pending_outcomes;
+        self.shard_work(shard)
+            .push_outcome(*hash, nonce, state, max_pending_outcomes);
+        if time.now < self.unavailable_until {
             return Vec::new();
         }
-        self.start(shard).into_iter().collect()
+        self.start_read(shard).into_iter().collect()
     }
 
     /// Goes on with a shard after the wait that [`ClaimCommand::Retry`] asked for.
     pub fn retry(&mut self, shard: ClaimShard) -> Vec<ClaimCommand> {
-        let work = self.work(shard);
+        let work = self.shard_work(shard);
         if matches!(work.phase, Phase::BackingOff) {
             work.phase = Phase::Idle;
         }
-        self.start(shard).into_iter().collect()
+        self.start_read(shard).into_iter().collect()
     }
 
     /// Gives up requests that waited too long, and takes up outcomes left over from an outage.
     pub fn tick(&mut self, time: ClaimTime) -> Vec<ClaimCommand> {
-        let hold_us = self.limits.hold_us.get();
-        let limit = TimeUs::new(time.now.get().saturating_sub(hold_us));
-        let late = self.shards.values_mut().map(|w| w.take_older_than(limit));
-        let late: Vec<ClaimRequest> = late.flatten().collect();
-        let mut commands = all_undecided(&late, UndecidedCause::HeldTooLong);
-        if time.now >= self.away_until {
+        let timeout_us = self.limits.claim_timeout_us.get();
+        let earliest = TimeUs::new(time.now.get().saturating_sub(timeout_us));
+        let timed_out = self
+            .shards
+            .values_mut()
+            .map(|w| w.remove_requested_before(earliest));
+        let timed_out: Vec<ClaimRequest> = timed_out.flatten().collect();
+        let mut commands = all_undecided(&timed_out, UndecidedCause::HeldTooLong);
+        if time.now >= self.unavailable_until {
             let shards: Vec<ClaimShard> = self.shards.keys().copied().collect();
-            commands.extend(shards.into_iter().filter_map(|shard| self.start(shard)));
+            commands.extend(
+                shards
+                    .into_iter()
+                    .filter_map(|shard| self.start_read(shard)),
+            );
         }
         commands
     }
 
     /// Returns when the platform will be tried again, for the caller's retry time.
-    pub fn away_until(&self) -> TimeUs {
-        self.away_until
+    pub fn unavailable_until(&self) -> TimeUs {
+        self.unavailable_until
     }
 
     /// Returns whether something is being claimed or written down that the platform can take now.
     ///
     /// A draining process waits for it, but not for a platform that is away.
-    pub fn has_open_work(&self, now: TimeUs) -> bool {
-        now >= self.away_until && !self.shards.is_empty()
+    pub fn has_pending_work(&self, now: TimeUs) -> bool {
+        now >= self.unavailable_until && !self.shards.is_empty()
     }
 
     /// Returns what a dump shows.
     pub fn snapshot(&self) -> ClaimSnapshot {
         let shards = self.shards.iter();
         ClaimSnapshot {
-            away_until_us: self.away_until,
+            away_until_us: self.unavailable_until,
             shards: shards.map(|(shard, work)| work.snapshot(*shard)).collect(),
         }
     }
 
-    pub(super) fn work(&mut self, shard: ClaimShard) -> &mut ShardWork {
+    pub(super) fn shard_work(&mut self, shard: ClaimShard) -> &mut ShardWork {
         self.shards.entry(shard).or_default()
     }
 
-    pub(super) fn start(&mut self, shard: ClaimShard) -> Option<ClaimCommand> {
-        let work = self.work(shard);
+    pub(super) fn start_read(&mut self, shard: ClaimShard) -> Option<ClaimCommand> {
+        let work = self.shard_work(shard);
         if !work.is_idle() {
             return None;
         }
@@ -151,7 +158,7 @@
     }
 }
 
-pub(super) fn undecided(key: &OnceKey, cause: UndecidedCause) -> ClaimCommand {
+pub(super) fn undecided(key: &IdempotencyKey, cause: UndecidedCause) -> ClaimCommand {
     ClaimCommand::Undecided(key.clone(), cause)
 }
 
--- a/crates/wisteriahitch-core/src/once/claim/command.rs
+++ b/crates/wisteriahitch-core/src/once/claim/command.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{ClaimObject, ClaimShard, ClaimVersion};
-use crate::once::{OnceKey, StandingClaim};
+use crate::once::{ExistingClaim, IdempotencyKey};
 
 /// Says why a claim could not be decided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -43,11 +43,11 @@
         tries: u32,
     },
     /// Our claim on the key stands.
-    Written(OnceKey),
+    Written(IdempotencyKey),
     /// Another claim on the key stands.
-    Lost(OnceKey, StandingClaim),
+    Lost(IdempotencyKey, ExistingClaim),
     /// Nobody knows whose claim on the key stands, nor whether ours was written.
-    Undecided(OnceKey, UndecidedCause),
+    Undecided(IdempotencyKey, UndecidedCause),
 }
 
 /// Reports how a read ended.
--- a/crates/wisteriahitch-core/src/once/claim/object.rs
+++ b/crates/wisteriahitch-core/src/once/claim/object.rs
@@ -7,7 +7,9 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{ByteCount, DaemonId, Incarnation, KeyHash, WorkspaceId};
 
-use crate::once::{ClaimHolder, ClaimNonce, ClaimOutcome, Fingerprint, KeptAnswer, StandingClaim};
+use crate::once::{
+    ClaimHolder, ClaimNonce, ClaimOutcome, ExistingClaim, Fingerprint, StoredAnswer,
+};
 
 /// Bytes of an entry's JSON for names of fields and hashes, at most.
 const ENTRY_FIXED_BYTES: usize = 200;
@@ -40,9 +42,9 @@
 impl ClaimState {
     /// Builds the state for a request that ran; the body is left out when it is longer than
     /// `answer_bytes` or isn't text.
-    pub fn finished(answer: &KeptAnswer, answer_bytes: ByteCount) -> Self {
+    pub fn finished(answer: &StoredAnswer, max_answer_bytes: ByteCount) -> Self {
         let text = str::from_utf8(&answer.body).ok();
-        let is_small = |text: &&str| escaped_len(text) as u64 <= answer_bytes.get();
+        let is_small = |text: &&str| escaped_len(text) as u64 <= max_answer_bytes.get();
         Self::Finished {
             status: answer.status,
             content_type: answer.content_type.clone(),
@@ -53,14 +55,14 @@
     /// Returns what the state tells a caller.
     pub fn outcome(&self) -> ClaimOutcome {
         match self {
-            ClaimState::Claimed => ClaimOutcome::Open,
+            ClaimState::Claimed => ClaimOutcome::Pending,
             ClaimState::Refused => ClaimOutcome::Refused,
             ClaimState::Finished { body: None, .. } => ClaimOutcome::Finished(None),
             ClaimState::Finished {
                 status,
                 content_type,
                 body: Some(body),
-            } => ClaimOutcome::Finished(Some(Arc::new(KeptAnswer {
+            } => ClaimOutcome::Finished(Some(Arc::new(StoredAnswer {
                 status: *status,
                 content_type: content_type.clone(),
                 body: body.clone().into_bytes(),
@@ -105,7 +107,7 @@
 
 impl ClaimEntry {
     /// Returns whether this is the very claim that a life of a process made under `nonce`.
-    pub fn is_own(&self, incarnation: Incarnation, nonce: ClaimNonce) -> bool {
+    pub fn is_claim_by(&self, incarnation: Incarnation, nonce: ClaimNonce) -> bool {
         self.incarnation == incarnation && self.nonce == nonce
     }
 
@@ -115,7 +117,7 @@
     }
 
     /// Returns the length of the entry's JSON, at most.
-    pub fn size_bytes(&self) -> ByteCount {
+    pub fn json_bytes_bound(&self) -> ByteCount {
         let names_len = self.workspace.as_str().len() + self.owner.as_str().len();
         let numbers = [self.incarnation.get(), self.nonce.get(), self.claimed_at_ms];
         let numbers_len: usize = numbers.into_iter().map(decimal_len).sum();
@@ -125,8 +127,8 @@
     }
 
     /// Returns what a caller at another daemon is told of the claim.
-    pub(crate) fn standing(&self) -> StandingClaim {
-        StandingClaim {
+    pub(crate) fn to_existing_claim(&self) -> ExistingClaim {
+        ExistingClaim {
             holder: ClaimHolder {
                 owner: self.owner.clone(),
                 incarnation: self.incarnation,
@@ -147,19 +149,22 @@
 
 impl ClaimObject {
     /// Returns the length of the object's JSON, at most.
-    pub fn size_bytes(&self) -> ByteCount {
-        self.entries.values().map(ClaimEntry::size_bytes).sum()
+    pub fn json_bytes_bound(&self) -> ByteCount {
+        self.entries
+            .values()
+            .map(ClaimEntry::json_bytes_bound)
+            .sum()
     }
 
     /// Returns the part of the length that one workspace's claims take.
     pub fn workspace_bytes(&self, workspace: &WorkspaceId) -> ByteCount {
         let entries = self.entries.values();
         let own = entries.filter(|entry| entry.workspace == *workspace);
-        own.map(ClaimEntry::size_bytes).sum()
+        own.map(ClaimEntry::json_bytes_bound).sum()
     }
 
     /// Drops claims that are as old as `retention_ms`.
-    pub fn drop_old(&mut self, retention_ms: u64, wall_ms: u64) {
+    pub fn remove_expired(&mut self, retention_ms: u64, wall_ms: u64) {
         self.entries
             .retain(|_, entry| entry.is_younger_than(retention_ms, wall_ms));
     }
--- a/crates/wisteriahitch-core/src/once/claim/request.rs
+++ b/crates/wisteriahitch-core/src/once/claim/request.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{KeyHash, TimeUs};
 
-use crate::once::{ClaimNonce, Fingerprint, OnceKey};
+use crate::once::{ClaimNonce, Fingerprint, IdempotencyKey};
 
 /// Counts the platform's writes; an object carries the number of its last one.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -34,10 +34,10 @@
 /// Holds a request whose claim is being decided.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimRequest {
-    pub(crate) key: OnceKey,
+    pub(crate) key: IdempotencyKey,
     pub(crate) hash: KeyHash,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) nonce: ClaimNonce,
-    pub(crate) since: TimeUs,
-    pub(crate) tries: u32,
+    pub(crate) requested_at: TimeUs,
+    pub(crate) write_attempts: u32,
 }
--- a/crates/wisteriahitch-core/src/once/claim/results.rs
+++ b/crates/wisteriahitch-core/src/once/claim/results.rs
@@ -4,7 +4,7 @@
 
 use super::batcher::{all_undecided, undecided};
 use super::request::ClaimRequest;
-use super::work::{Phase, Standing};
+use super::work::{ClaimStatus, Phase};
 use super::{
     ClaimBatcher, ClaimCommand, ClaimObject, ClaimShard, ClaimTime, ClaimVersion, ReadResult,
     UndecidedCause, WriteResult,
@@ -18,7 +18,7 @@
         result: ReadResult,
         time: ClaimTime,
     ) -> Vec<ClaimCommand> {
-        if !matches!(self.work(shard).phase, Phase::Reading) {
+        if !matches!(self.shard_work(shard).phase, Phase::Reading) {
             return Vec::new();
         }
         match result {
@@ -26,7 +26,7 @@
                 self.advance(shard, Some(version), Arc::new(object), time)
             }
             ReadResult::Missing => self.advance(shard, None, Arc::default(), time),
-            ReadResult::Unavailable => self.give_up(shard, time),
+            ReadResult::Unavailable => self.handle_outage(shard, time),
         }
     }
 
@@ -37,19 +37,19 @@
         result: WriteResult,
         time: ClaimTime,
     ) -> Vec<ClaimCommand> {
-        let Phase::Writing(content) = self.work(shard).phase.clone() else {
+        let Phase::Writing(content) = self.shard_work(shard).phase.clone() else {
             return Vec::new();
         };
         match result {
             WriteResult::Written(version) => {
-                self.work(shard).conflicts = 0;
+                self.shard_work(shard).conflicts = 0;
                 self.advance(shard, Some(version), content, time)
             }
             WriteResult::Conflict => self.back_off(shard),
             // The write may have taken effect or still may. Only a later version of the object
             // shows it, by the nonce; until then neither claim nor refusal is certain.
             WriteResult::AnswerLost => self.read_back(shard),
-            WriteResult::Unavailable => self.give_up(shard, time),
+            WriteResult::Unavailable => self.handle_outage(shard, time),
         }
     }
 
@@ -62,14 +62,14 @@
         time: ClaimTime,
     ) -> Vec<ClaimCommand> {
         let (holder, limits) = (self.holder.clone(), self.limits);
-        let work = self.work(shard);
+        let work = self.shard_work(shard);
         let decided = work.resolve(&object, holder.incarnation, &limits, time);
-        let mut commands: Vec<ClaimCommand> = decided.into_iter().map(decide).collect();
+        let mut commands: Vec<ClaimCommand> = decided.into_iter().map(decision_command).collect();
         if !work.has_work() {
             self.shards.remove(&shard);
             return commands;
         }
-        let (content, refused) = work.build(&object, &holder, &limits, time);
+        let (content, refused) = work.build_content(&object, &holder, &limits, time);
         commands.extend(all_undecided(&refused, UndecidedCause::ShardFull));
         if !work.has_work() {
             self.shards.remove(&shard);
@@ -86,44 +86,44 @@
     }
 
     fn back_off(&mut self, shard: ClaimShard) -> Vec<ClaimCommand> {
-        let max_tries = self.limits.max_tries;
-        let work = self.work(shard);
+        let max_write_attempts = self.limits.max_write_attempts;
+        let work = self.shard_work(shard);
         work.conflicts += 1;
         work.phase = Phase::BackingOff;
         let tries = work.conflicts;
-        let tired = work.take_tired(max_tries);
-        let mut commands = all_undecided(&tired, UndecidedCause::Contended);
+        let exhausted = work.record_failed_write(max_write_attempts);
+        let mut commands = all_undecided(&exhausted, UndecidedCause::Contended);
         commands.push(ClaimCommand::Retry { shard, tries });
         commands
     }
 
     fn read_back(&mut self, shard: ClaimShard) -> Vec<ClaimCommand> {
-        let max_tries = self.limits.max_tries;
-        let work = self.work(shard);
+        let max_write_attempts = self.limits.max_write_attempts;
+        let work = self.shard_work(shard);
         work.phase = Phase::Idle;
-        let tired = work.take_tired(max_tries);
-        let mut commands = all_undecided(&tired, UndecidedCause::Contended);
+        let exhausted = work.record_failed_write(max_write_attempts);
+        let mut commands = all_undecided(&exhausted, UndecidedCause::Contended);
         // Outcomes alone wait for the next tick: nobody waits for them, and a platform that loses
         // every answer would otherwise be called without a pause.
         if work.has_requests() {
-            commands.extend(self.start(shard));
+            commands.extend(self.start_read(shard));
         }
         commands
     }
 
-    fn give_up(&mut self, shard: ClaimShard, time: ClaimTime) -> Vec<ClaimCommand> {
-        self.away_until = time.now + self.limits.away_us;
-        let work = self.work(shard);
+    fn handle_outage(&mut self, shard: ClaimShard, time: ClaimTime) -> Vec<ClaimCommand> {
+        self.unavailable_until = time.now + self.limits.outage_backoff_us;
+        let work = self.shard_work(shard);
         work.phase = Phase::Idle;
-        let waiting = work.take_all();
-        all_undecided(&waiting, UndecidedCause::PlatformAway)
+        let requests = work.take_requests();
+        all_undecided(&requests, UndecidedCause::PlatformAway)
     }
 }
 
-fn decide((request, standing): (ClaimRequest, Standing)) -> ClaimCommand {
-    match standing {
-        Standing::Ours => ClaimCommand::Written(request.key),
-        Standing::Other(claim) => ClaimCommand::Lost(request.key, claim),
-        Standing::Absent => undecided(&request.key, UndecidedCause::Contended),
+fn decision_command((request, status): (ClaimRequest, ClaimStatus)) -> ClaimCommand {
+    match status {
+        ClaimStatus::Ours => ClaimCommand::Written(request.key),
+        ClaimStatus::Other(claim) => ClaimCommand::Lost(request.key, claim),
+        ClaimStatus::Absent => undecided(&request.key, UndecidedCause::Contended),
     }
 }
--- a/crates/wisteriahitch-core/src/once/claim/work.rs
+++ b/crates/wisteriahitch-core/src/once/claim/work.rs
@@ -7,7 +7,7 @@
 
 use super::request::ClaimRequest;
 use super::{ClaimEntry, ClaimLimits, ClaimObject, ClaimShard, ClaimState, ClaimTime};
-use crate::once::{ClaimHolder, ClaimNonce, ShardSnapshot, StandingClaim};
+use crate::once::{ClaimHolder, ClaimNonce, ExistingClaim, ShardSnapshot};
 
 /// Says which platform call of the shard is under way.
 #[derive(Clone, Debug, Default)]
@@ -36,15 +36,15 @@
 
 /// Holds an outcome that is to be written down with its claim.
 #[derive(Clone, Debug)]
-struct Outcome {
+struct PendingOutcome {
     nonce: ClaimNonce,
     state: ClaimState,
 }
 
 /// Says how a request's claim stands in a version of the object.
-pub(crate) enum Standing {
+pub(crate) enum ClaimStatus {
     Ours,
-    Other(StandingClaim),
+    Other(ExistingClaim),
     Absent,
 }
 
@@ -57,8 +57,8 @@
 pub(crate) struct ShardWork {
     pub(crate) phase: Phase,
     pub(crate) conflicts: u32,
-    waiting: Vec<ClaimRequest>,
-    outcomes: BTreeMap<KeyHash, Outcome>,
+    requests: Vec<ClaimRequest>,
+    outcomes: BTreeMap<KeyHash, PendingOutcome>,
 }
 
 impl ShardWork {
@@ -67,25 +67,25 @@
     }
 
     pub(crate) fn has_work(&self) -> bool {
-        !self.waiting.is_empty() || !self.outcomes.is_empty()
+        !self.requests.is_empty() || !self.outcomes.is_empty()
     }
 
     pub(crate) fn has_requests(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.requests.is_empty()
     }
 
     pub(crate) fn snapshot(&self, shard: ClaimShard) -> ShardSnapshot {
         ShardSnapshot {
             shard,
             call: self.phase.name(),
-            requests: self.waiting.len(),
+            requests: self.requests.len(),
             outcomes: self.outcomes.len(),
         }
     }
 
     pub(crate) fn push(&mut self, request: ClaimRequest) {
-        self.waiting.retain(|other| other.hash != request.hash);
-        self.waiting.push(request);
+        self.requests.retain(|other| other.hash != request.hash);
+        self.requests.push(request);
     }
 
     /// Takes in an outcome, unless as many as may are waiting.
@@ -94,27 +94,27 @@
         hash: KeyHash,
         nonce: ClaimNonce,
         state: ClaimState,
-        max_outcomes: usize,
+        max_pending_outcomes: usize,
     ) {
-        if self.outcomes.len() < max_outcomes {
-            self.outcomes.insert(hash, Outcome { nonce, state });
+        if self.outcomes.len() < max_pending_outcomes {
+            self.outcomes.insert(hash, PendingOutcome { nonce, state });
         }
     }
 
-    pub(crate) fn take_all(&mut self) -> Vec<ClaimRequest> {
-        std::mem::take(&mut self.waiting)
+    pub(crate) fn take_requests(&mut self) -> Vec<ClaimRequest> {
+        std::mem::take(&mut self.requests)
     }
 
-    pub(crate) fn take_older_than(&mut self, limit: TimeUs) -> Vec<ClaimRequest> {
-        self.take_if(|request| request.since < limit)
+    pub(crate) fn remove_requested_before(&mut self, earliest: TimeUs) -> Vec<ClaimRequest> {
+        self.remove_matching(|request| request.requested_at < earliest)
     }
 
     /// Counts a failed write for each request, and takes out those that had enough.
-    pub(crate) fn take_tired(&mut self, max_tries: u32) -> Vec<ClaimRequest> {
-        for request in &mut self.waiting {
-            request.tries += 1;
+    pub(crate) fn record_failed_write(&mut self, max_write_attempts: u32) -> Vec<ClaimRequest> {
+        for request in &mut self.requests {
+            request.write_attempts += 1;
         }
-        self.take_if(|request| request.tries >= max_tries)
+        self.remove_matching(|request| request.write_attempts >= max_write_attempts)
     }
 
     /// Takes out the requests whose claim a version of the object decides.
@@ -124,26 +124,28 @@
         own: Incarnation,
         limits: &ClaimLimits,
         time: ClaimTime,
-    ) -> Vec<(ClaimRequest, Standing)> {
+    ) -> Vec<(ClaimRequest, ClaimStatus)> {
         self.outcomes.retain(|hash, outcome| {
             let entry = object.entries.get(hash);
-            entry.is_some_and(|e| e.is_own(own, outcome.nonce) && e.state == ClaimState::Claimed)
+            entry.is_some_and(|e| {
+                e.is_claim_by(own, outcome.nonce) && e.state == ClaimState::Claimed
+            })
         });
         let (open, decided) = self
-            .take_all()
+            .take_requests()
             .into_iter()
             .map(|request| {
-                let standing = find_standing(object, &request, own, limits, time);
-                (request, standing)
+                let status = find_claim_status(object, &request, own, limits, time);
+                (request, status)
             })
-            .partition(|(_, standing)| matches!(standing, Standing::Absent));
-        let open: Vec<(ClaimRequest, Standing)> = open;
-        self.waiting = open.into_iter().map(|(request, _)| request).collect();
+            .partition(|(_, status)| matches!(status, ClaimStatus::Absent));
+        let open: Vec<(ClaimRequest, ClaimStatus)> = open;
+        self.requests = open.into_iter().map(|(request, _)| request).collect();
         decided
     }
 
     /// Builds the next content, and takes out the requests for which it has no room.
-    pub(crate) fn build(
+    pub(crate) fn build_content(
         &mut self,
         base: &ClaimObject,
         holder: &ClaimHolder,
@@ -151,20 +153,20 @@
         time: ClaimTime,
     ) -> (ClaimObject, Vec<ClaimRequest>) {
         let mut content = base.clone();
-        content.drop_old(limits.retention_ms, time.wall_ms);
-        let mut size_bytes = content.size_bytes();
+        content.remove_expired(limits.retention_ms, time.wall_ms);
+        let mut size_bytes = content.json_bytes_bound();
         let mut workspace_bytes: BTreeMap<WorkspaceId, ByteCount> = BTreeMap::new();
-        let mut too_many = Vec::new();
-        for request in &self.waiting {
+        let mut rejected = Vec::new();
+        for request in &self.requests {
             let entry = new_entry(request, holder, time);
-            let entry_bytes = entry.size_bytes();
+            let entry_bytes = entry.json_bytes_bound();
             let workspace = request.key.workspace();
             let own_bytes = workspace_bytes
                 .entry(workspace.clone())
                 .or_insert_with(|| content.workspace_bytes(workspace));
-            let is_full = size_bytes + entry_bytes > limits.object_bytes;
-            if is_full || *own_bytes + entry_bytes > limits.workspace_bytes {
-                too_many.push(request.hash);
+            let is_full = size_bytes + entry_bytes > limits.max_object_bytes;
+            if is_full || *own_bytes + entry_bytes > limits.max_workspace_bytes {
+                rejected.push(request.hash);
                 continue;
             }
             size_bytes += entry_bytes;
@@ -172,53 +174,53 @@
             content.entries.insert(request.hash, entry);
         }
         self.write_outcomes(&mut content, limits);
-        let refused = self.take_if(|request| too_many.contains(&request.hash));
+        let refused = self.remove_matching(|request| rejected.contains(&request.hash));
         (content, refused)
     }
 
     fn write_outcomes(&self, content: &mut ClaimObject, limits: &ClaimLimits) {
-        let mut size_bytes = content.size_bytes();
+        let mut size_bytes = content.json_bytes_bound();
         for (hash, outcome) in &self.outcomes {
             let Some(entry) = content.entries.get_mut(hash) else {
                 continue;
             };
-            let before_bytes = entry.size_bytes();
+            let before_bytes = entry.json_bytes_bound();
             entry.state = outcome.state.clone();
-            let grown_bytes = size_bytes - before_bytes + entry.size_bytes();
-            if grown_bytes > limits.object_bytes {
+            let grown_bytes = size_bytes - before_bytes + entry.json_bytes_bound();
+            if grown_bytes > limits.max_object_bytes {
                 entry.state = without_body(&outcome.state);
             }
-            size_bytes = size_bytes - before_bytes + entry.size_bytes();
+            size_bytes = size_bytes - before_bytes + entry.json_bytes_bound();
         }
     }
 
-    fn take_if(&mut self, is_taken: impl Fn(&ClaimRequest) -> bool) -> Vec<ClaimRequest> {
-        let (taken, kept) = self.take_all().into_iter().partition(is_taken);
-        self.waiting = kept;
-        taken
+    fn remove_matching(&mut self, is_match: impl Fn(&ClaimRequest) -> bool) -> Vec<ClaimRequest> {
+        let (removed, remaining) = self.take_requests().into_iter().partition(is_match);
+        self.requests = remaining;
+        removed
     }
 }
 
-fn find_standing(
+fn find_claim_status(
     object: &ClaimObject,
     request: &ClaimRequest,
     own: Incarnation,
     limits: &ClaimLimits,
     time: ClaimTime,
-) -> Standing {
+) -> ClaimStatus {
     let Some(entry) = object.entries.get(&request.hash) else {
-        return Standing::Absent;
+        return ClaimStatus::Absent;
     };
-    let is_own = entry.is_own(own, request.nonce);
+    let is_own = entry.is_claim_by(own, request.nonce);
     // Our own claim counts for the promised time alone: past it another daemon whose clock is
     // ahead may drop it at any moment and claim the key for itself.
-    if is_own && entry.is_younger_than(limits.promised_ms, time.wall_ms) {
-        return Standing::Ours;
+    if is_own && entry.is_younger_than(limits.guarantee_ms, time.wall_ms) {
+        return ClaimStatus::Ours;
     }
     if is_own || entry.is_younger_than(limits.retention_ms, time.wall_ms) {
-        return Standing::Other(entry.standing());
+        return ClaimStatus::Other(entry.to_existing_claim());
     }
-    Standing::Absent
+    ClaimStatus::Absent
 }
 
 fn new_entry(request: &ClaimRequest, holder: &ClaimHolder, time: ClaimTime) -> ClaimEntry {
--- a/crates/wisteriahitch-core/src/once/decision.rs
+++ b/crates/wisteriahitch-core/src/once/decision.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{Code, DaemonId, Incarnation, Meaning};
 
-use super::KeptAnswer;
+use super::StoredAnswer;
 
 /// Names one caller that waits at this daemon for the answer to a key.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 /// Says what becomes of a request that carries a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// The request may run: call [`KeyedTable::dispatched`](super::KeyedTable::dispatched) right
+    /// The request may run: call [`IdempotencyTable::try_dispatch`](super::IdempotencyTable::try_dispatch) right
     /// before its first byte leaves, or refuse it before that.
     Run,
     /// The key has to be claimed in the object store first, under this nonce.
@@ -69,7 +69,7 @@
     /// An earlier copy is under way; its answer will be delivered.
     Wait,
     /// The request has run, and this is its answer.
-    Answer(Arc<KeptAnswer>),
+    Answer(Arc<StoredAnswer>),
     /// Another daemon decides for the key: pass the request to it once.
     Forward(ClaimHolder),
     /// The request is refused with this code.
--- a/crates/wisteriahitch-core/src/once/entry.rs
+++ b/crates/wisteriahitch-core/src/once/entry.rs
@@ -4,33 +4,33 @@
 use wisteriahitch_types::{ByteCount, Code};
 
 use super::answer::ENTRY_OVERHEAD_BYTES;
-use super::life::{Event, KeyLife, KeyState, UnknownCause};
-use super::{ClaimNonce, ClaimState, Decision, Delivery, Fingerprint, OnceKey, WaiterId};
+use super::key_state_machine::{Event, KeyState, KeyStateMachine, UnknownCause};
+use super::{ClaimNonce, ClaimState, Decision, Delivery, Fingerprint, IdempotencyKey, WaiterId};
 
 /// Holds what a process knows of one key.
 pub(crate) struct Entry {
-    life: StateMachine<KeyLife>,
+    machine: StateMachine<KeyStateMachine>,
     fingerprint: Fingerprint,
     nonce: ClaimNonce,
     waiters: Vec<WaiterId>,
     /// Names the entry's place among the kept ones; an older place is void.
-    pub(crate) settlement: Option<u64>,
+    pub(crate) settle_sequence: Option<u64>,
 }
 
 impl Entry {
-    pub(crate) fn new(key: &OnceKey, fingerprint: Fingerprint, nonce: ClaimNonce) -> Self {
-        let is_ticket = matches!(key, OnceKey::Ticket { .. });
+    pub(crate) fn new(key: &IdempotencyKey, fingerprint: Fingerprint, nonce: ClaimNonce) -> Self {
+        let is_ticket = matches!(key, IdempotencyKey::Ticket { .. });
         Self {
-            life: KeyLife::new(is_ticket).state_machine(),
+            machine: KeyStateMachine::new(is_ticket).state_machine(),
             fingerprint,
             nonce,
             waiters: Vec::new(),
-            settlement: None,
+            settle_sequence: None,
         }
     }
 
     pub(crate) fn submit(&mut self, waiter: WaiterId) -> Decision {
-        self.life.handle(&Event::Submit);
+        self.machine.handle(&Event::Submit);
         self.begin(waiter)
     }
 
@@ -43,27 +43,27 @@
         if fingerprint != self.fingerprint {
             return Decision::Refuse(self.mismatch_code());
         }
-        let was_unknown = matches!(self.life.state(), KeyState::Unknown { .. });
-        self.life.handle(&Event::Repeat);
+        let was_unknown = matches!(self.machine.state(), KeyState::Unknown { .. });
+        self.machine.handle(&Event::Repeat);
         if self.is_settled() {
             return self.outcome();
         }
         if !was_unknown {
             return self.wait(waiter, max_waiters);
         }
-        self.settlement = None;
+        self.settle_sequence = None;
         self.begin(waiter)
     }
 
     /// Passes an event to the life cycle and says whether it changed the state.
     pub(crate) fn handle(&mut self, event: &Event) -> bool {
         let before = self.state_name();
-        self.life.handle(event);
+        self.machine.handle(event);
         self.state_name() != before
     }
 
     /// Names the caller whose copy is to run, if one still waits.
-    pub(crate) fn runner(&self) -> Option<WaiterId> {
+    pub(crate) fn first_waiter(&self) -> Option<WaiterId> {
         self.waiters.first().copied()
     }
 
@@ -92,34 +92,34 @@
         self.nonce
     }
 
-    pub(crate) fn waiters(&self) -> usize {
+    pub(crate) fn waiter_count(&self) -> usize {
         self.waiters.len()
     }
 
     pub(crate) fn is_deciding(&self) -> bool {
-        matches!(self.life.state(), KeyState::Deciding {})
+        matches!(self.machine.state(), KeyState::Deciding {})
     }
 
     pub(crate) fn is_settled(&self) -> bool {
         matches!(
-            self.life.state(),
+            self.machine.state(),
             KeyState::Finished { .. } | KeyState::Refused { .. } | KeyState::Unknown { .. }
         )
     }
 
     /// Returns what may be written down of the outcome; nothing while it is not certain.
-    pub(crate) fn outcome_to_write(&self, answer_bytes: ByteCount) -> Option<ClaimState> {
-        match self.life.state() {
+    pub(crate) fn outcome_to_write(&self, max_answer_bytes: ByteCount) -> Option<ClaimState> {
+        match self.machine.state() {
             KeyState::Finished {
                 answer: Some(answer),
-            } => Some(ClaimState::finished(answer, answer_bytes)),
+            } => Some(ClaimState::finished(answer, max_answer_bytes)),
             KeyState::Refused { .. } => Some(ClaimState::Refused),
             _ => None,
         }
     }
 
     pub(crate) fn cost_bytes(&self) -> ByteCount {
-        match self.life.state() {
+        match self.machine.state() {
             KeyState::Finished {
                 answer: Some(answer),
             } => answer.cost_bytes(),
@@ -128,7 +128,7 @@
     }
 
     pub(crate) fn state_name(&self) -> &'static str {
-        match self.life.state() {
+        match self.machine.state() {
             KeyState::Fresh {} => "Fresh",
             KeyState::Deciding {} => "Deciding",
             KeyState::Claimed {} => "Claimed",
@@ -145,7 +145,7 @@
     /// daemon and runs there. `not run` would then be untrue, so it is said only once the key is
     /// known to stand for this entry's request.
     fn mismatch_code(&self) -> Code {
-        match self.life.state() {
+        match self.machine.state() {
             KeyState::Fresh {} | KeyState::Deciding {} => Code::ClaimUndecided,
             KeyState::Unknown {
                 cause: UnknownCause::Undecided(_) | UnknownCause::HeldElsewhere,
@@ -172,7 +172,7 @@
     }
 
     fn outcome(&self) -> Decision {
-        match self.life.state() {
+        match self.machine.state() {
             KeyState::Finished {
                 answer: Some(answer),
             } => Decision::Answer(answer.clone()),
--- a/crates/wisteriahitch-core/src/once/standing_claim.rs
+++ b/crates/wisteriahitch-core/src/once/existing_claim.rs
@@ -4,22 +4,22 @@
 
 use wisteriahitch_types::{Code, Incarnation};
 
-use super::{ClaimHolder, Decision, Fingerprint, KeptAnswer};
+use super::{ClaimHolder, Decision, Fingerprint, StoredAnswer};
 
 /// Says what a claim tells of its request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
     /// The request may be running, or its holder has died.
-    Open,
+    Pending,
     /// The request ran; the answer is there if it was small enough to be written down.
-    Finished(Option<Arc<KeptAnswer>>),
+    Finished(Option<Arc<StoredAnswer>>),
     /// The request was refused, and the key is used up.
     Refused,
 }
 
 /// Holds a claim that was there before ours.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StandingClaim {
+pub struct ExistingClaim {
     /// Daemon that decides for the key.
     pub holder: ClaimHolder,
     /// Request that the key stands for.
@@ -28,7 +28,7 @@
     pub outcome: ClaimOutcome,
 }
 
-impl StandingClaim {
+impl ExistingClaim {
     /// Decides for a caller that came with the same key to another daemon.
     pub(crate) fn decide(&self, fingerprint: Fingerprint, own: Incarnation) -> Decision {
         if fingerprint != self.fingerprint {
--- a/crates/wisteriahitch-core/src/once/issuer.rs
+++ b/crates/wisteriahitch-core/src/once/issuer.rs
@@ -5,13 +5,13 @@
 use wisteriahitch_types::{Code, DurationUs, Incarnation, TimeUs, WorkspaceId};
 
 use super::ticket::MAC_LEN;
-use super::{OnceKey, Ticket, TicketSerial};
+use super::{IdempotencyKey, Ticket, TicketSerial};
 
 /// Most unused tickets of one workspace, so that one that hoards can't keep out the others.
-const MAX_LIVE_PER_WORKSPACE: usize = 1_024;
+const MAX_UNUSED_PER_WORKSPACE: usize = 1_024;
 
 /// Most unused tickets of all workspaces, which bounds the issuer's memory.
-const MAX_LIVE: usize = 65_536;
+const MAX_UNUSED: usize = 65_536;
 
 const ISSUER_LABEL: &[u8] = b"wt1 issuer";
 const WORKSPACE_LABEL: &[u8] = b"wt1 workspace";
@@ -36,7 +36,7 @@
     next_serial: u64,
     is_stopped: bool,
     unused: BTreeMap<(TimeUs, TicketSerial), WorkspaceId>,
-    unused_of_workspace: HashMap<WorkspaceId, usize>,
+    unused_by_workspace: HashMap<WorkspaceId, usize>,
 }
 
 impl TicketIssuer {
@@ -48,7 +48,7 @@
             next_serial: 0,
             is_stopped: false,
             unused: BTreeMap::new(),
-            unused_of_workspace: HashMap::new(),
+            unused_by_workspace: HashMap::new(),
         }
     }
 
@@ -63,8 +63,8 @@
     ) -> Vec<Ticket> {
         self.tick(now);
         let expires_us = now + lifetime;
-        let room = self.room_for(workspace).min(count);
-        (0..room)
+        let quota = self.remaining_quota(workspace).min(count);
+        (0..quota)
             .map(|_| self.issue_one(workspace, expires_us))
             .collect()
     }
@@ -77,7 +77,7 @@
     ///
     /// [`Code::TicketHolderLost`] if another life of a process issued it, [`Code::BadKey`] if
     /// nobody did, [`Code::ForeignTicket`] if it was issued to another workspace.
-    pub fn verify(&self, ticket: &Ticket, workspace: &WorkspaceId) -> Result<OnceKey, Code> {
+    pub fn verify(&self, ticket: &Ticket, workspace: &WorkspaceId) -> Result<IdempotencyKey, Code> {
         if ticket.incarnation != self.incarnation {
             return Err(Code::TicketHolderLost);
         }
@@ -90,7 +90,7 @@
         ) {
             return Err(Code::ForeignTicket);
         }
-        Ok(OnceKey::Ticket {
+        Ok(IdempotencyKey::Ticket {
             workspace: workspace.clone(),
             incarnation: ticket.incarnation,
             serial: ticket.serial,
@@ -99,24 +99,24 @@
     }
 
     /// Notes that a ticket has been used, so that draining no longer waits for it.
-    pub fn note_used(&mut self, key: &OnceKey) {
-        if let OnceKey::Ticket {
+    pub fn mark_used(&mut self, key: &IdempotencyKey) {
+        if let IdempotencyKey::Ticket {
             serial, expires_us, ..
         } = key
         {
             let removed = self.unused.remove(&(*expires_us, *serial));
-            self.forget(removed);
+            self.decrement_unused(removed);
         }
     }
 
     /// Returns whether a ticket may still come for the first time; a draining daemon stays for it.
-    pub fn has_live_tickets(&self, now: TimeUs) -> bool {
+    pub fn has_redeemable_tickets(&self, now: TimeUs) -> bool {
         let newest = self.unused.last_key_value();
         newest.is_some_and(|((expires_us, _), _)| *expires_us > now)
     }
 
     /// Returns how many issued tickets have not been used, for a dump.
-    pub fn unused(&self) -> usize {
+    pub fn unused_count(&self) -> usize {
         self.unused.len()
     }
 
@@ -137,21 +137,21 @@
                 break;
             }
             let workspace = oldest.remove();
-            self.forget(Some(workspace));
+            self.decrement_unused(Some(workspace));
         }
     }
 
-    fn room_for(&self, workspace: &WorkspaceId) -> usize {
+    fn remaining_quota(&self, workspace: &WorkspaceId) -> usize {
         if self.is_stopped {
             return 0;
         }
-        let held = self
-            .unused_of_workspace
+        let count = self
+            .unused_by_workspace
             .get(workspace)
             .copied()
             .unwrap_or(0);
-        let own_room = MAX_LIVE_PER_WORKSPACE.saturating_sub(held);
-        own_room.min(MAX_LIVE.saturating_sub(self.unused.len()))
+        let workspace_quota = MAX_UNUSED_PER_WORKSPACE.saturating_sub(count);
+        workspace_quota.min(MAX_UNUSED.saturating_sub(self.unused.len()))
     }
 
     fn issue_one(&mut self, workspace: &WorkspaceId, expires_us: TimeUs) -> Ticket {
@@ -168,18 +168,18 @@
         ticket.workspace_mac = self.workspace_mac(&ticket, workspace);
         self.unused.insert((expires_us, serial), workspace.clone());
         *self
-            .unused_of_workspace
+            .unused_by_workspace
             .entry(workspace.clone())
             .or_default() += 1;
         ticket
     }
 
-    fn forget(&mut self, workspace: Option<WorkspaceId>) {
+    fn decrement_unused(&mut self, workspace: Option<WorkspaceId>) {
         let Some(workspace) = workspace else { return };
-        if let Some(held) = self.unused_of_workspace.get_mut(&workspace) {
-            *held -= 1;
-            if *held == 0 {
-                self.unused_of_workspace.remove(&workspace);
+        if let Some(count) = self.unused_by_workspace.get_mut(&workspace) {
+            *count -= 1;
+            if *count == 0 {
+                self.unused_by_workspace.remove(&workspace);
             }
         }
     }
--- a/crates/wisteriahitch-core/src/once/key.rs
+++ b/crates/wisteriahitch-core/src/once/key.rs
@@ -15,7 +15,7 @@
 /// The workspace is part of every key, so that two workspaces never meet in one entry.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OnceKey {
+pub enum IdempotencyKey {
     /// A ticket of this process, already verified.
     Ticket {
         /// Workspace that it was issued to.
@@ -36,7 +36,7 @@
     },
 }
 
-impl OnceKey {
+impl IdempotencyKey {
     /// Builds the key for an idempotency key that the caller brings.
     ///
     /// # Errors
@@ -61,7 +61,8 @@
     /// Returns the workspace that the key belongs to.
     pub fn workspace(&self) -> &WorkspaceId {
         match self {
-            OnceKey::Ticket { workspace, .. } | OnceKey::Claimed { workspace, .. } => workspace,
+            IdempotencyKey::Ticket { workspace, .. }
+            | IdempotencyKey::Claimed { workspace, .. } => workspace,
         }
     }
 
@@ -73,8 +74,8 @@
     /// Returns when a ticket can no longer be used for the first time.
     pub(crate) fn expiry(&self) -> Option<TimeUs> {
         match self {
-            OnceKey::Ticket { expires_us, .. } => Some(*expires_us),
-            OnceKey::Claimed { .. } => None,
+            IdempotencyKey::Ticket { expires_us, .. } => Some(*expires_us),
+            IdempotencyKey::Claimed { .. } => None,
         }
     }
 }
--- a/crates/wisteriahitch-core/src/once/life.rs
+++ b/crates/wisteriahitch-core/src/once/key_state_machine.rs
@@ -2,7 +2,7 @@
 //!
 //! States and events have the names of the models `specs/at_most_once_ticket.pml` and
 //! `specs/at_most_once_claim.pml`, so that they can be read side by side; the models' `Restart` is
-//! a new [`KeyedTable`](super::KeyedTable). What an event does not change in a state, it leaves alone: a late answer, a second
+//! a new [`IdempotencyTable`](super::IdempotencyTable). What an event does not change in a state, it leaves alone: a late answer, a second
 //! dispatch or a refusal after dispatch has no effect here, whatever the shell asks for.
 
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use statig::prelude::*;
 use wisteriahitch_types::{Code, Meaning};
 
-use super::KeptAnswer;
+use super::StoredAnswer;
 
 /// Reports what happened to a key.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     /// The first byte is about to leave for an endpoint.
     Dispatch,
     /// The endpoint's whole answer is here.
-    Answer(Arc<KeptAnswer>),
+    Answer(Arc<StoredAnswer>),
     /// What became of it can't be found out any more.
     Lost(Code),
     /// The decider refuses before dispatch, or the endpoint itself said that it did not run it.
@@ -48,12 +48,12 @@
 
 /// Carries one key from its first copy to its outcome.
 #[derive(Debug)]
-pub(crate) struct KeyLife {
+pub(crate) struct KeyStateMachine {
     /// Whether this process decides for the key without asking the object store.
     is_ticket: bool,
 }
 
-impl KeyLife {
+impl KeyStateMachine {
     pub(crate) fn new(is_ticket: bool) -> Self {
         Self { is_ticket }
     }
@@ -64,7 +64,7 @@
     visibility = "pub(crate)",
     state(name = "KeyState", derive(Clone, Debug))
 )]
-impl KeyLife {
+impl KeyStateMachine {
     #[state]
     fn fresh(&self, event: &Event) -> Outcome<KeyState> {
         match event {
@@ -120,7 +120,7 @@
     }
 
     #[state]
-    fn finished(answer: &mut Option<Arc<KeptAnswer>>, event: &Event) -> Outcome<KeyState> {
+    fn finished(answer: &mut Option<Arc<StoredAnswer>>, event: &Event) -> Outcome<KeyState> {
         if let Event::Expire = event {
             *answer = None;
         }
--- a/crates/wisteriahitch-core/src/once/snapshot.rs
+++ b/crates/wisteriahitch-core/src/once/snapshot.rs
@@ -5,13 +5,13 @@
 use serde::Serialize;
 use wisteriahitch_types::{ByteCount, TimeUs};
 
-use super::{ClaimShard, OnceKey};
+use super::{ClaimShard, IdempotencyKey};
 
 /// Holds one key that is under way.
 #[derive(Clone, Debug, Serialize)]
 pub struct EntrySnapshot {
     /// Key.
-    pub key: OnceKey,
+    pub key: IdempotencyKey,
     /// State of its life cycle.
     pub state: &'static str,
     /// Callers that wait for it.
--- a/crates/wisteriahitch-core/src/once/table.rs
+++ b/crates/wisteriahitch-core/src/once/table.rs
@@ -9,11 +9,11 @@
 use wisteriahitch_types::{ByteCount, Code, Incarnation, TimeUs};
 
 use super::entry::Entry;
-use super::keeper::Keeper;
-use super::life::Event;
+use super::key_state_machine::Event;
+use super::retention_queue::RetentionQueue;
 use super::{
-    ClaimNonce, ClaimState, Decision, Delivery, EntrySnapshot, Fingerprint, KeptAnswer, OnceKey,
-    TableLimits, TableSnapshot, WaiterId,
+    ClaimNonce, ClaimState, Decision, Delivery, EntrySnapshot, Fingerprint, IdempotencyKey,
+    StoredAnswer, TableLimits, TableSnapshot, WaiterId,
 };
 
 /// Lets each key start at most one dispatch in this process, and keeps outcomes for repeats.
@@ -25,7 +25,7 @@
 /// ```
 /// use std::sync::Arc;
 /// use wisteriahitch_core::once::{
-///     Decision, Fingerprint, KeptAnswer, KeyedTable, TableLimits, TicketIssuer, TicketSecret,
+///     Decision, Fingerprint, StoredAnswer, IdempotencyTable, TableLimits, TicketIssuer, TicketSecret,
 ///     WaiterId,
 /// };
 /// use wisteriahitch_types::{Code, DurationUs, Incarnation, TimeUs, WorkspaceId};
@@ -34,7 +34,7 @@
 /// let incarnation = Incarnation::new(7);
 /// let workspace: WorkspaceId = "kandy".parse().unwrap();
 /// let mut issuer = TicketIssuer::new(incarnation, TicketSecret::new([1; 32]));
-/// let mut table = KeyedTable::new(incarnation, TableLimits::default());
+/// let mut table = IdempotencyTable::new(incarnation, TableLimits::default());
 ///
 /// let tickets = issuer.issue(&workspace, 1, now, DurationUs::from_ms(60_000));
 /// let key = issuer.verify(&tickets[0], &workspace)?;
@@ -42,15 +42,15 @@
 ///
 /// // The first copy runs, the second one waits for the same answer.
 /// assert_eq!(table.submit(&key, booking, WaiterId::new(1), now), Decision::Run);
-/// issuer.note_used(&key);
+/// issuer.mark_used(&key);
 /// assert_eq!(table.submit(&key, booking, WaiterId::new(2), now), Decision::Wait);
 ///
 /// // Bytes may leave only if the table agrees, and it does so once.
-/// assert!(table.dispatched(&key));
-/// assert!(!table.dispatched(&key));
+/// assert!(table.try_dispatch(&key));
+/// assert!(!table.try_dispatch(&key));
 ///
-/// let answer = KeptAnswer { status: 201, content_type: None, body: b"booked".to_vec() };
-/// let delivery = table.finished(&key, Arc::new(answer.clone()), now);
+/// let answer = StoredAnswer { status: 201, content_type: None, body: b"booked".to_vec() };
+/// let delivery = table.record_answer(&key, Arc::new(answer.clone()), now);
 /// assert_eq!(delivery.waiters, [WaiterId::new(1), WaiterId::new(2)]);
 ///
 /// // A late repeat gets the same answer, another request under this key gets none.
@@ -61,40 +61,40 @@
 /// assert_eq!(misuse, Decision::Refuse(Code::KeyReused));
 /// # Ok::<(), Code>(())
 /// ```
-pub struct KeyedTable {
+pub struct IdempotencyTable {
     incarnation: Incarnation,
     limits: TableLimits,
-    entries: BTreeMap<OnceKey, Entry>,
-    keeper: Keeper,
+    entries: BTreeMap<IdempotencyKey, Entry>,
+    retained: RetentionQueue,
     /// Used tickets whose outcome is no longer kept, until they could not be used any more.
-    tombstones: BTreeSet<(TimeUs, OnceKey)>,
+    tombstones: BTreeSet<(TimeUs, IdempotencyKey)>,
     next_nonce: u64,
-    last_seen: TimeUs,
+    latest_now: TimeUs,
 }
 
-impl KeyedTable {
+impl IdempotencyTable {
     /// Builds the empty table of one life of a process.
     pub fn new(incarnation: Incarnation, limits: TableLimits) -> Self {
         Self {
             incarnation,
             limits,
             entries: BTreeMap::new(),
-            keeper: Keeper::default(),
+            retained: RetentionQueue::default(),
             tombstones: BTreeSet::new(),
             next_nonce: 1,
-            last_seen: TimeUs::ZERO,
+            latest_now: TimeUs::ZERO,
         }
     }
 
     /// Takes in a copy of a keyed request and decides what becomes of it.
     pub fn submit(
         &mut self,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         fingerprint: Fingerprint,
         waiter: WaiterId,
         now: TimeUs,
     ) -> Decision {
-        self.last_seen = now;
+        self.latest_now = now;
         if let Some(entry) = self.entries.get_mut(key) {
             return entry.repeat(fingerprint, waiter, self.limits.max_waiters);
         }
@@ -115,47 +115,52 @@
     ///
     /// Without `true` no byte may leave.
     #[must_use]
-    pub fn dispatched(&mut self, key: &OnceKey) -> bool {
+    pub fn try_dispatch(&mut self, key: &IdempotencyKey) -> bool {
         let entry = self.entries.get_mut(key);
         entry.is_some_and(|entry| entry.handle(&Event::Dispatch))
     }
 
     /// Notes the endpoint's whole answer.
-    pub fn finished(&mut self, key: &OnceKey, answer: Arc<KeptAnswer>, now: TimeUs) -> Delivery {
+    pub fn record_answer(
+        &mut self,
+        key: &IdempotencyKey,
+        answer: Arc<StoredAnswer>,
+        now: TimeUs,
+    ) -> Delivery {
         let delivery = self.settle(key, &Event::Answer(answer), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
     /// Notes that the outcome can't be found out any more; `code` says why.
     ///
     /// Before the dispatch, such as when the caller that was to run has gone, this gives the key
     /// back: nothing ran, and the next copy may.
-    pub fn lost(&mut self, key: &OnceKey, code: Code, now: TimeUs) -> Delivery {
+    pub fn record_lost(&mut self, key: &IdempotencyKey, code: Code, now: TimeUs) -> Delivery {
         let delivery = self.settle(key, &Event::Lost(code), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
     /// Refuses the key's request before its dispatch, which uses the key up.
     ///
     /// The callers get `code` only where this process decides for the key and has sent nothing;
     /// otherwise they hear that the outcome is unknown.
-    pub fn refused(&mut self, key: &OnceKey, code: Code, now: TimeUs) -> Delivery {
+    pub fn record_refusal(&mut self, key: &IdempotencyKey, code: Code, now: TimeUs) -> Delivery {
         let code = match code {
             Code::EndpointRefused => Code::NoEndpoint,
             other => other,
         };
         let delivery = self.settle(key, &Event::Refuse(code), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
     /// Notes the endpoint's own word that it did not run the request, which uses the key up.
-    pub fn endpoint_refused(&mut self, key: &OnceKey, now: TimeUs) -> Delivery {
+    pub fn record_endpoint_refusal(&mut self, key: &IdempotencyKey, now: TimeUs) -> Delivery {
         let delivery = self.settle(key, &Event::Refuse(Code::EndpointRefused), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
     /// Forgets a caller that went away; the run itself goes on.
-    pub fn remove_waiter(&mut self, key: &OnceKey, waiter: WaiterId) {
+    pub fn remove_waiter(&mut self, key: &IdempotencyKey, waiter: WaiterId) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.remove_waiter(waiter);
         }
@@ -168,24 +173,24 @@
     /// which has run.
     pub fn outcome_to_write(
         &self,
-        key: &OnceKey,
-        answer_bytes: ByteCount,
+        key: &IdempotencyKey,
+        max_answer_bytes: ByteCount,
     ) -> Option<(ClaimNonce, ClaimState)> {
-        let OnceKey::Claimed { .. } = key else {
+        let IdempotencyKey::Claimed { .. } = key else {
             return None;
         };
         let entry = self.entries.get(key)?;
-        let state = entry.outcome_to_write(answer_bytes)?;
+        let state = entry.outcome_to_write(max_answer_bytes)?;
         Some((entry.nonce(), state))
     }
 
     /// Returns the nonce of the key's claim.
-    pub fn nonce(&self, key: &OnceKey) -> Option<ClaimNonce> {
+    pub fn nonce(&self, key: &IdempotencyKey) -> Option<ClaimNonce> {
         self.entries.get(key).map(Entry::nonce)
     }
 
     /// Returns how many keys are under way, which a draining process waits for.
-    pub fn under_way(&self) -> usize {
+    pub fn unsettled_count(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| !entry.is_settled()).count()
     }
@@ -199,36 +204,38 @@
         let under_way = self.entries.iter().filter(|(_, e)| !e.is_settled());
         TableSnapshot {
             keys_by_state,
-            kept_bytes: self.keeper.cost_bytes(),
-            under_way: under_way.map(|(key, entry)| show(key, entry)).collect(),
+            kept_bytes: self.retained.cost_bytes(),
+            under_way: under_way
+                .map(|(key, entry)| entry_snapshot(key, entry))
+                .collect(),
         }
     }
 
-    fn settle(&mut self, key: &OnceKey, event: &Event, now: TimeUs) -> Option<Delivery> {
+    fn settle(&mut self, key: &IdempotencyKey, event: &Event, now: TimeUs) -> Option<Delivery> {
         let entry = self.entries.get_mut(key)?;
         if !entry.handle(event) {
             return None;
         }
         let delivery = entry.deliver();
         if entry.is_settled() {
-            entry.settlement = Some(self.keeper.put(key, entry.cost_bytes(), now));
+            entry.settle_sequence = Some(self.retained.push(key, entry.cost_bytes(), now));
         }
-        self.keep_within_bounds(now);
+        self.enforce_memory_limit(now);
         Some(delivery)
     }
 }
 
-fn nobody() -> Delivery {
+fn no_delivery() -> Delivery {
     Delivery {
         waiters: Vec::new(),
         decision: Decision::Wait,
     }
 }
 
-fn show(key: &OnceKey, entry: &Entry) -> EntrySnapshot {
+fn entry_snapshot(key: &IdempotencyKey, entry: &Entry) -> EntrySnapshot {
     EntrySnapshot {
         key: key.clone(),
         state: entry.state_name(),
-        waiters: entry.waiters(),
+        waiters: entry.waiter_count(),
     }
 }
--- a/crates/wisteriahitch-core/src/once/table/claims.rs
+++ b/crates/wisteriahitch-core/src/once/table/claims.rs
@@ -2,28 +2,28 @@
 
 use wisteriahitch_types::{Code, TimeUs};
 
-use super::KeyedTable;
-use crate::once::life::Event;
-use crate::once::{Decision, Delivery, OnceKey, StandingClaim};
+use super::IdempotencyTable;
+use crate::once::key_state_machine::Event;
+use crate::once::{Decision, Delivery, ExistingClaim, IdempotencyKey};
 
-impl KeyedTable {
+impl IdempotencyTable {
     /// Notes that our claim on the key stands, and names the caller whose copy runs.
     ///
     /// Returns nothing where the key wasn't being decided, or where all callers have left: then
     /// the next copy finds our claim and runs.
-    pub fn claim_written(&mut self, key: &OnceKey) -> Option<Delivery> {
+    pub fn record_claim_written(&mut self, key: &IdempotencyKey) -> Option<Delivery> {
         let entry = self.entries.get_mut(key)?;
         if !entry.is_deciding() {
             return None;
         }
-        let Some(runner) = entry.runner() else {
+        let Some(first_waiter) = entry.first_waiter() else {
             // A claimed key without a caller would count as under way for ever, and keep a
             // draining process from its end.
-            self.settle(key, &Event::Lost(Code::CallerGone), self.last_seen);
+            self.settle(key, &Event::Lost(Code::CallerGone), self.latest_now);
             return None;
         };
         entry.handle(&Event::ClaimWritten).then(|| Delivery {
-            waiters: vec![runner],
+            waiters: vec![first_waiter],
             decision: Decision::Run,
         })
     }
@@ -32,7 +32,11 @@
     ///
     /// The key is forgotten at once, so that each repeat reads the claim again: its holder may
     /// have died since, or have written down the answer.
-    pub fn claim_lost(&mut self, key: &OnceKey, claim: &StandingClaim) -> Option<Delivery> {
+    pub fn record_claim_lost(
+        &mut self,
+        key: &IdempotencyKey,
+        claim: &ExistingClaim,
+    ) -> Option<Delivery> {
         let entry = self.entries.get_mut(key)?;
         if !entry.handle(&Event::ClaimLost) {
             return None;
@@ -44,7 +48,11 @@
     }
 
     /// Notes that the object store couldn't decide; a repeat will ask it again.
-    pub fn claim_undecided(&mut self, key: &OnceKey, now: TimeUs) -> Option<Delivery> {
+    pub fn record_claim_undecided(
+        &mut self,
+        key: &IdempotencyKey,
+        now: TimeUs,
+    ) -> Option<Delivery> {
         self.settle(key, &Event::Lost(Code::ClaimUndecided), now)
     }
 }
--- a/crates/wisteriahitch-core/src/once/table/retention.rs
+++ b/crates/wisteriahitch-core/src/once/table/retention.rs
@@ -2,62 +2,63 @@
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-use super::KeyedTable;
+use super::IdempotencyTable;
 use crate::once::entry::Entry;
-use crate::once::keeper::Place;
-use crate::once::life::Event;
+use crate::once::key_state_machine::Event;
+use crate::once::retention_queue::RetainedKey;
 
-impl KeyedTable {
+impl IdempotencyTable {
     /// Forgets outcomes whose time or room has run out.
     pub fn tick(&mut self, now: TimeUs) {
-        self.last_seen = now;
-        let since_start_us = DurationUs::new(now.get());
-        if since_start_us > self.limits.kept_us {
-            let limit = TimeUs::new((since_start_us - self.limits.kept_us).get());
-            while let Some(place) = self.keeper.take_older_than(limit) {
-                self.expire(&place, now);
+        self.latest_now = now;
+        let uptime_us = DurationUs::new(now.get());
+        if uptime_us > self.limits.outcome_ttl_us {
+            let settled_before = TimeUs::new((uptime_us - self.limits.outcome_ttl_us).get());
+            while let Some(expired) = self.retained.pop_older_than(settled_before) {
+                self.expire(&expired, now);
             }
         }
-        self.keep_within_bounds(now);
-        self.drop_tombstones(now);
+        self.enforce_memory_limit(now);
+        self.remove_expired_tombstones(now);
     }
 
-    pub(super) fn keep_within_bounds(&mut self, now: TimeUs) {
-        while let Some(place) = self.keeper.take_over(self.limits.kept_bytes) {
-            self.expire(&place, now);
+    pub(super) fn enforce_memory_limit(&mut self, now: TimeUs) {
+        while let Some(expired) = self.retained.pop_over_limit(self.limits.max_settled_bytes) {
+            self.expire(&expired, now);
         }
     }
 
-    fn expire(&mut self, place: &Place, now: TimeUs) {
-        let Some(entry) = self.entries.get_mut(&place.key) else {
+    fn expire(&mut self, expired: &RetainedKey, now: TimeUs) {
+        let Some(entry) = self.entries.get_mut(&expired.key) else {
             return;
         };
-        if entry.settlement != Some(place.settlement) {
+        if entry.settle_sequence != Some(expired.settle_sequence) {
             return;
         }
         entry.handle(&Event::Expire);
-        entry.settlement = None;
-        match place.key.expiry() {
+        entry.settle_sequence = None;
+        match expired.key.expiry() {
             // Forgetting a used ticket that could still be accepted would make it fresh, and its
             // next copy would run the request again.
             Some(expires_us) if now < expires_us => {
-                self.tombstones.insert((expires_us, place.key.clone()));
+                self.tombstones.insert((expires_us, expired.key.clone()));
             }
             _ => {
-                self.entries.remove(&place.key);
+                self.entries.remove(&expired.key);
             }
         }
     }
 
-    fn drop_tombstones(&mut self, now: TimeUs) {
+    fn remove_expired_tombstones(&mut self, now: TimeUs) {
         while let Some((expires_us, key)) = self.tombstones.pop_first() {
             if now < expires_us {
                 self.tombstones.insert((expires_us, key));
                 break;
             }
             // A ticket that was given back may run again; it has a place of its own once it ends.
-            let is_dead = |entry: &Entry| entry.is_settled() && entry.settlement.is_none();
-            if self.entries.get(&key).is_some_and(is_dead) {
+            let is_tombstone =
+                |entry: &Entry| entry.is_settled() && entry.settle_sequence.is_none();
+            if self.entries.get(&key).is_some_and(is_tombstone) {
                 self.entries.remove(&key);
             }
         }
--- a/crates/wisteriahitch-core/src/stream/check.rs
+++ b/crates/wisteriahitch-core/src/stream/check.rs
@@ -3,7 +3,7 @@
 use statig::blocking::{IntoStateMachineExt, StateMachine};
 use wisteriahitch_types::{AttemptNumber, Code, EndpointId, RequestId, WeightVersion};
 
-use super::life::{Event, StreamLife, StreamState};
+use super::stream_state_machine::{Event, StreamState, StreamStateMachine};
 use super::{
     BreakDecision, DropCounts, DropReason, HeadVerdict, StreamBreak, StreamHead, StreamToken,
     TokenVerdict,
@@ -60,7 +60,7 @@
     weight_version: WeightVersion,
     attempt: AttemptNumber,
     next_position: u64,
-    life: StateMachine<StreamLife>,
+    machine: StateMachine<StreamStateMachine>,
     dropped: DropCounts,
 }
 
@@ -73,7 +73,7 @@
             weight_version,
             attempt: FIRST_ATTEMPT,
             next_position: 0,
-            life: StreamLife.state_machine(),
+            machine: StreamStateMachine.state_machine(),
             dropped: DropCounts::default(),
         }
     }
@@ -81,13 +81,13 @@
     /// Starts at a later token, for a caller that has the earlier ones already.
     ///
     /// Such an answer can't be restarted: other weights or chance would give another beginning.
-    pub fn resumed_by_caller(mut self, position: u64) -> Self {
+    pub fn with_start_position(mut self, position: u64) -> Self {
         self.next_position = position;
         self
     }
 
     /// Counts on from an earlier answer's attempts, so that what is left of them is dropped.
-    pub fn starting_with(mut self, attempt: AttemptNumber) -> Self {
+    pub fn with_first_attempt(mut self, attempt: AttemptNumber) -> Self {
         self.attempt = attempt;
         self
     }
@@ -95,35 +95,35 @@
     /// Checks the head of an endpoint's answer, before the first byte goes on.
     pub fn on_head(&mut self, head: &StreamHead) -> HeadVerdict {
         if let Some(reason) = self.find_mismatch(&head.request, head.attempt) {
-            return HeadVerdict::Drop(self.drop_for(reason));
+            return HeadVerdict::Drop(self.count_drop(reason));
         }
         if self.state() != (StreamState::AwaitingHead {}) {
-            return HeadVerdict::Drop(self.drop_for(DropReason::AfterEnd));
+            return HeadVerdict::Drop(self.count_drop(DropReason::AfterEnd));
         }
         // The weights may be swapped between decision and run. Going on would mix two versions
         // in one answer, or use blocks of one with the other.
         if head.weight_version != self.weight_version {
-            self.life.handle(&Event::Break);
+            self.machine.handle(&Event::Break);
             return HeadVerdict::WrongVersion;
         }
-        self.life.handle(&Event::Head);
+        self.machine.handle(&Event::Head);
         HeadVerdict::Pass
     }
 
     /// Checks a token.
     pub fn on_token(&mut self, token: &StreamToken) -> TokenVerdict {
-        if let Some(reason) = self.find_token_fault(token) {
-            return TokenVerdict::Drop(self.drop_for(reason));
+        if let Some(reason) = self.find_drop_reason(token) {
+            return TokenVerdict::Drop(self.count_drop(reason));
         }
         if token.position > self.next_position {
-            self.life.handle(&Event::Break);
+            self.machine.handle(&Event::Break);
             return TokenVerdict::Missing;
         }
         self.next_position += 1;
         if !token.is_last {
             return TokenVerdict::Pass;
         }
-        self.life.handle(&Event::Last);
+        self.machine.handle(&Event::Last);
         TokenVerdict::PassLast
     }
 
@@ -135,10 +135,10 @@
         if self.has_ended() {
             return None;
         }
-        self.life.handle(&Event::Break);
+        self.machine.handle(&Event::Break);
         let decision = self.decide_break(broken);
         match decision {
-            BreakDecision::Incomplete(_) => self.life.handle(&Event::GiveUp),
+            BreakDecision::Incomplete(_) => self.machine.handle(&Event::GiveUp),
             _ => self.begin_attempt(),
         }
         Some(decision)
@@ -147,7 +147,7 @@
     /// Names where a restarted attempt runs, since the weights are checked against that decision.
     ///
     /// Has no effect once a token has passed: the rest must come from where the beginning came.
-    pub fn moved_to(&mut self, endpoint: EndpointId, weight_version: WeightVersion) {
+    pub fn set_target(&mut self, endpoint: EndpointId, weight_version: WeightVersion) {
         if self.has_reached_caller() || self.state() != (StreamState::AwaitingHead {}) {
             return;
         }
@@ -166,12 +166,12 @@
     }
 
     /// Returns whether every token has been passed on.
-    pub fn is_whole(&self) -> bool {
-        self.state() == (StreamState::Whole {})
+    pub fn is_complete(&self) -> bool {
+        self.state() == (StreamState::Complete {})
     }
 
     /// Returns what was dropped so far.
-    pub fn dropped(&self) -> &DropCounts {
+    pub fn drop_counts(&self) -> &DropCounts {
         &self.dropped
     }
 
@@ -194,7 +194,7 @@
 
     fn begin_attempt(&mut self) {
         self.attempt = self.attempt.next();
-        self.life.handle(&Event::Attempt);
+        self.machine.handle(&Event::Attempt);
     }
 
     fn incomplete_code(&self, code: Code) -> Code {
@@ -211,7 +211,7 @@
     fn has_ended(&self) -> bool {
         matches!(
             self.state(),
-            StreamState::Whole {} | StreamState::Incomplete {}
+            StreamState::Complete {} | StreamState::Incomplete {}
         )
     }
 
@@ -222,7 +222,7 @@
         (attempt != self.attempt).then_some(DropReason::OtherAttempt)
     }
 
-    fn find_token_fault(&self, token: &StreamToken) -> Option<DropReason> {
+    fn find_drop_reason(&self, token: &StreamToken) -> Option<DropReason> {
         if let Some(reason) = self.find_mismatch(&token.request, token.attempt) {
             return Some(reason);
         }
@@ -236,12 +236,12 @@
         }
     }
 
-    fn drop_for(&mut self, reason: DropReason) -> DropReason {
+    fn count_drop(&mut self, reason: DropReason) -> DropReason {
         self.dropped.add(reason);
         reason
     }
 
     fn state(&self) -> StreamState {
-        *self.life.state()
+        *self.machine.state()
     }
 }
--- a/crates/wisteriahitch-core/src/stream/mod.rs
+++ b/crates/wisteriahitch-core/src/stream/mod.rs
@@ -5,7 +5,7 @@
 
 mod broken;
 mod check;
-mod life;
+mod stream_state_machine;
 mod token;
 mod verdict;
 
--- a/crates/wisteriahitch-core/src/stream/life.rs
+++ b/crates/wisteriahitch-core/src/stream/stream_state_machine.rs
@@ -22,14 +22,14 @@
 
 /// Carries a stream from its first attempt to its end.
 #[derive(Debug)]
-pub(crate) struct StreamLife;
+pub(crate) struct StreamStateMachine;
 
 #[state_machine(
     initial = "StreamState::awaiting_head()",
     visibility = "pub(crate)",
     state(name = "StreamState", derive(Clone, Copy, Debug, Eq, PartialEq))
 )]
-impl StreamLife {
+impl StreamStateMachine {
     #[state]
     fn awaiting_head(event: &Event) -> Outcome<StreamState> {
         match event {
@@ -42,7 +42,7 @@
     #[state]
     fn streaming(event: &Event) -> Outcome<StreamState> {
         match event {
-            Event::Last => Transition(StreamState::whole()),
+            Event::Last => Transition(StreamState::complete()),
             Event::Break => Transition(StreamState::broken()),
             Event::GiveUp => Transition(StreamState::incomplete()),
             _ => Handled,
@@ -59,7 +59,7 @@
     }
 
     #[state]
-    fn whole() -> Outcome<StreamState> {
+    fn complete() -> Outcome<StreamState> {
         Handled
     }
 
--- a/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_configuration.rs
@@ -12,7 +12,7 @@
 use wisteriahitch_types::{Code, ConfigVersion, DurationUs, Incarnation, TimeUs};
 
 use crate::fleet::{SEED, full_membership, incarnation, membership_of};
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 const DAEMONS: usize = 5;
 const STEP_US: DurationUs = DurationUs::from_ms(250);
@@ -435,7 +435,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(generated(200, SEED))]
+    #![proptest_config(seeded_config(200, SEED))]
 
     /// Symptom: rules that were in force are replaced by older ones.
     /// Sequence: versions are accepted while daemons die and start, the store goes away, and
--- a/crates/wisteriahitch-core/tests/all/fleet_leases.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_leases.rs
@@ -11,7 +11,7 @@
 use wisteriahitch_types::{Code, DurationUs, FenceNumber, TimeUs};
 
 use crate::fleet::{SEED, full_membership, member};
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 const DAEMONS: usize = 3;
 
@@ -355,7 +355,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(generated(300, SEED))]
+    #![proptest_config(seeded_config(300, SEED))]
 
     /// Symptom: two daemons give an endpoint contradicting orders at the same time.
     /// Sequence: writes and answers are lost or late, daemons pause, and views of membership
--- a/crates/wisteriahitch-core/tests/all/fleet_membership.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_membership.rs
@@ -10,7 +10,7 @@
 use wisteriahitch_types::{ConfigVersion, DurationUs, Incarnation, TimeUs};
 
 use crate::fleet::{SEED, ZONES, incarnation, member, membership, membership_of};
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 /// Twice `max_round_news_bytes`, which nothing exceeds.
 const HARD_ROUND_BYTES: usize = 4_096;
@@ -240,7 +240,7 @@
 
 #[test]
 fn generated_kills_starts_and_cuts_end_in_agreement() {
-    let config = generated(24, SEED);
+    let config = seeded_config(24, SEED);
     let step = (0_u8..4, 1_u16..8, 1_u16..8, 0_usize..6);
     let steps = prop::collection::vec(step, 1..20);
     TestRunner::new(config)
--- a/crates/wisteriahitch-core/tests/all/fleet_orders.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_orders.rs
@@ -12,7 +12,7 @@
 use wisteriahitch_types::{EndpointId, ModelName, TimeUs};
 
 use crate::fleet::SEED;
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 /// Runners that load in two steps of time.
 struct Site {
@@ -367,7 +367,7 @@
 
 #[test]
 fn generated_sites_keep_the_bounds_and_arrive() {
-    let config = generated(200, SEED);
+    let config = seeded_config(200, SEED);
     let busy = prop::collection::vec(0_u64..8, 2..12);
     TestRunner::new(config)
         .run(&(busy, 0_usize..12), |(busy, changes_at)| {
--- a/crates/wisteriahitch-core/tests/all/fleet_submission.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_submission.rs
@@ -10,7 +10,7 @@
 use wisteriahitch_types::{ConfigVersion, SubmissionId};
 
 use crate::fleet::SEED;
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 /// What the store does with the next call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -141,7 +141,7 @@
         1 => Just(Fate::Race),
     ];
     let fates = prop::collection::vec(fate, 0..30);
-    let config = generated(2_000, SEED);
+    let config = seeded_config(2_000, SEED);
     TestRunner::new(config)
         .run(&(fates, prop::option::of(0_u64..3)), |(fates, expected)| {
             let id: SubmissionId = "mine".parse().unwrap();
--- a/crates/wisteriahitch-core/tests/all/generated.rs
+++ b/crates/wisteriahitch-core/tests/all/generated.rs
@@ -3,7 +3,7 @@
 use proptest::test_runner::{Config, RngSeed};
 
 /// Returns how `cases` runs are generated: always from the same seed, and with no files written.
-pub(crate) fn generated(cases: u32, seed: u64) -> Config {
+pub(crate) fn seeded_config(cases: u32, seed: u64) -> Config {
     Config {
         cases,
         rng_seed: RngSeed::Fixed(seed),
--- a/crates/wisteriahitch-core/tests/all/once_claim.rs
+++ b/crates/wisteriahitch-core/tests/all/once_claim.rs
@@ -4,8 +4,8 @@
 
 use wisteriahitch_core::once::{
     ClaimBatcher, ClaimCommand, ClaimEntry, ClaimHolder, ClaimLimits, ClaimNonce, ClaimObject,
-    ClaimOutcome, ClaimShard, ClaimState, ClaimTime, ClaimVersion, Fingerprint, KeptAnswer,
-    OnceKey, ReadResult, UndecidedCause, WriteResult,
+    ClaimOutcome, ClaimShard, ClaimState, ClaimTime, ClaimVersion, Fingerprint, IdempotencyKey,
+    ReadResult, StoredAnswer, UndecidedCause, WriteResult,
 };
 use wisteriahitch_types::{ByteCount, DurationUs, Incarnation, KeyHash, TimeUs, WorkspaceId};
 
@@ -36,23 +36,23 @@
     ClaimBatcher::new(holder(5), ClaimLimits::default())
 }
 
-fn key(text: &str) -> OnceKey {
-    OnceKey::try_claimed(&workspace(), text).unwrap()
+fn key(text: &str) -> IdempotencyKey {
+    IdempotencyKey::try_claimed(&workspace(), text).unwrap()
 }
 
-fn hash(key: &OnceKey) -> KeyHash {
+fn hash(key: &IdempotencyKey) -> KeyHash {
     match key {
-        OnceKey::Claimed { hash, .. } => *hash,
-        OnceKey::Ticket { .. } => panic!("a claimed key"),
+        IdempotencyKey::Claimed { hash, .. } => *hash,
+        IdempotencyKey::Ticket { .. } => panic!("a claimed key"),
     }
 }
 
-fn shard(key: &OnceKey) -> ClaimShard {
+fn shard(key: &IdempotencyKey) -> ClaimShard {
     ClaimShard::of(&hash(key))
 }
 
 /// Gives keys that all belong to one shard.
-fn keys_of_one_shard(count: usize) -> Vec<OnceKey> {
+fn keys_of_one_shard(count: usize) -> Vec<IdempotencyKey> {
     let wanted = shard(&key("order-0"));
     let keys = (0..).map(|number| key(&format!("order-{number}")));
     keys.filter(|key| shard(key) == wanted)
@@ -60,14 +60,14 @@
         .collect()
 }
 
-fn print() -> Fingerprint {
+fn fingerprint() -> Fingerprint {
     Fingerprint::new(&workspace(), "POST", "/orders", b"12 kg")
 }
 
 fn entry(incarnation: u64, nonce: ClaimNonce, claimed_at_ms: u64) -> ClaimEntry {
     ClaimEntry {
         workspace: workspace(),
-        fingerprint: print(),
+        fingerprint: fingerprint(),
         owner: "entry-1".parse().unwrap(),
         incarnation: Incarnation::new(incarnation),
         nonce,
@@ -77,7 +77,7 @@
     }
 }
 
-fn object(key: &OnceKey, entry: ClaimEntry) -> ClaimObject {
+fn object(key: &IdempotencyKey, entry: ClaimEntry) -> ClaimObject {
     ClaimObject {
         entries: [(hash(key), entry)].into(),
     }
@@ -108,12 +108,12 @@
     let mut batcher = batcher();
     let keys = keys_of_one_shard(3);
     let shard = shard(&keys[0]);
-    let first = batcher.claim(&keys[0], print(), NONCE, at(0));
+    let first = batcher.claim(&keys[0], fingerprint(), NONCE, at(0));
     assert_eq!(first, [ClaimCommand::Read(shard)]);
-    assert_eq!(batcher.claim(&keys[1], print(), NONCE, at(0)), []);
+    assert_eq!(batcher.claim(&keys[1], fingerprint(), NONCE, at(0)), []);
     let (expected, content) = group(&batcher.on_read(shard, ReadResult::Missing, at(1)));
     assert_eq!((expected, content.entries.len()), (None, 2));
-    assert_eq!(batcher.claim(&keys[2], print(), NONCE, at(1)), []);
+    assert_eq!(batcher.claim(&keys[2], fingerprint(), NONCE, at(1)), []);
     let mut commands = batcher.on_write(shard, written(7), at(2));
     let next = commands.split_off(2);
     let decided = [&keys[0], &keys[1]].map(|key| ClaimCommand::Written(key.clone()));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_read_shows_whose_claim_stands() {
+fn a_read_decides_whose_claim_is_valid() {
     struct Case {
         name: &'static str,
         entry: ClaimEntry,
@@ -178,7 +178,7 @@
     for case in cases {
         let mut batcher = batcher();
         let key = key("k");
-        batcher.claim(&key, print(), NONCE, at(0));
+        batcher.claim(&key, fingerprint(), NONCE, at(0));
         let commands = batcher.on_read(shard(&key), found(3, object(&key, case.entry)), at(0));
         let is_written = commands == [ClaimCommand::Written(key.clone())];
         let is_lost = matches!(commands[..], [ClaimCommand::Lost(..)]);
@@ -193,26 +193,26 @@
 /// Symptom: a claim that stands is taken for lost, or one that was lost for standing. Sequence:
 /// the platform writes, its answer gets lost. Cause: only the object itself shows what happened.
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_lost_write_response_is_resolved_by_reading_back() {
     struct Case {
         name: &'static str,
-        shown: Option<ClaimEntry>,
+        stored: Option<ClaimEntry>,
         expected: fn(&ClaimCommand) -> bool,
     }
     let cases = [
         Case {
             name: "it took effect",
-            shown: Some(entry(5, NONCE, WALL_MS)),
+            stored: Some(entry(5, NONCE, WALL_MS)),
             expected: |command| matches!(command, ClaimCommand::Written(_)),
         },
         Case {
             name: "another daemon won",
-            shown: Some(entry(6, NONCE, WALL_MS)),
+            stored: Some(entry(6, NONCE, WALL_MS)),
             expected: |command| matches!(command, ClaimCommand::Lost(..)),
         },
         Case {
             name: "it did not take effect",
-            shown: None,
+            stored: None,
             expected: |command| matches!(command, ClaimCommand::WriteGroup { .. }),
         },
     ];
@@ -220,12 +220,12 @@
         let mut batcher = batcher();
         let key = key("k");
         let shard = shard(&key);
-        batcher.claim(&key, print(), NONCE, at(0));
+        batcher.claim(&key, fingerprint(), NONCE, at(0));
         batcher.on_read(shard, ReadResult::Missing, at(0));
         let commands = batcher.on_write(shard, WriteResult::AnswerLost, at(0));
         assert_eq!(commands, [ClaimCommand::Read(shard)], "{}", case.name);
-        let shown = case.shown.map(|entry| object(&key, entry));
-        let result = shown.map_or(ReadResult::Missing, |object| found(4, object));
+        let stored = case.stored.map(|entry| object(&key, entry));
+        let result = stored.map_or(ReadResult::Missing, |object| found(4, object));
         let commands = batcher.on_read(shard, result, at(0));
         assert!(
             commands.iter().all(case.expected),
@@ -237,12 +237,12 @@
 }
 
 #[test]
-fn tries_are_bounded() {
+fn write_attempts_are_bounded() {
     for result in [WriteResult::Conflict, WriteResult::AnswerLost] {
         let mut batcher = batcher();
         let key = key("k");
         let shard = shard(&key);
-        let mut commands = batcher.claim(&key, print(), NONCE, at(0));
+        let mut commands = batcher.claim(&key, fingerprint(), NONCE, at(0));
         let mut writes = 0;
         while let Some(command) = commands.pop() {
             commands = match command {
@@ -271,11 +271,11 @@
 /// Symptom: requests pile up while the platform is away. Sequence: each one waits for a call that
 /// can't succeed. Cause: nobody can decide, so the truthful answer is known at once.
 #[test]
-fn an_outage_is_answered_at_once() {
+fn claims_fail_fast_while_the_platform_is_unavailable() {
     let mut batcher = batcher();
     let (first, second) = (key("a"), key("b"));
-    batcher.claim(&first, print(), NONCE, at(0));
-    let away = |key: &OnceKey| {
+    batcher.claim(&first, fingerprint(), NONCE, at(0));
+    let away = |key: &IdempotencyKey| {
         [ClaimCommand::Undecided(
             key.clone(),
             UndecidedCause::PlatformAway,
@@ -284,46 +284,46 @@
     let commands = batcher.on_read(shard(&first), ReadResult::Unavailable, at(0));
     assert_eq!(commands, away(&first));
     assert_eq!(
-        batcher.claim(&second, print(), NONCE, at(499)),
+        batcher.claim(&second, fingerprint(), NONCE, at(499)),
         away(&second)
     );
-    let probe = batcher.claim(&second, print(), NONCE, at(500));
-    assert_eq!(probe, [ClaimCommand::Read(shard(&second))]);
+    let next_read = batcher.claim(&second, fingerprint(), NONCE, at(500));
+    assert_eq!(next_read, [ClaimCommand::Read(shard(&second))]);
 }
 
 #[test]
-fn a_slow_platform_holds_no_request_for_long() {
+fn claims_time_out_on_a_slow_platform() {
     let mut batcher = batcher();
     let key = key("k");
     let shard = shard(&key);
-    batcher.claim(&key, print(), NONCE, at(0));
+    batcher.claim(&key, fingerprint(), NONCE, at(0));
     batcher.on_read(shard, ReadResult::Missing, at(0));
     assert_eq!(batcher.tick(at(2_000)), []);
     let late = ClaimCommand::Undecided(key.clone(), UndecidedCause::HeldTooLong);
     assert_eq!(batcher.tick(at(2_001)), [late]);
     // The write lands after all; whoever asks again meets that very claim.
     assert_eq!(batcher.on_write(shard, written(4), at(2_500)), []);
-    batcher.claim(&key, print(), NONCE, at(3_000));
-    let shown = object(&key, entry(5, NONCE, WALL_MS));
-    let commands = batcher.on_read(shard, found(4, shown), at(3_000));
+    batcher.claim(&key, fingerprint(), NONCE, at(3_000));
+    let stored = object(&key, entry(5, NONCE, WALL_MS));
+    let commands = batcher.on_read(shard, found(4, stored), at(3_000));
     assert_eq!(commands, [ClaimCommand::Written(key)]);
 }
 
 /// Symptom: no workspace can claim keys any more. Sequence: one of them claims without end.
 /// Cause: an object has room for so many claims, and they stay for the whole retention.
 #[test]
-fn a_workspace_fills_its_own_part_of_an_object_alone() {
-    let entry_bytes = entry(5, NONCE, WALL_MS).size_bytes().get();
+fn a_workspace_cannot_exceed_its_quota_of_a_claim_object() {
+    let entry_bytes = entry(5, NONCE, WALL_MS).json_bytes_bound().get();
     let limits = ClaimLimits {
-        object_bytes: ByteCount::new(entry_bytes * 3),
-        workspace_bytes: ByteCount::new(entry_bytes * 2),
+        max_object_bytes: ByteCount::new(entry_bytes * 3),
+        max_workspace_bytes: ByteCount::new(entry_bytes * 2),
         ..ClaimLimits::default()
     };
     let mut batcher = ClaimBatcher::new(holder(5), limits);
     let keys = keys_of_one_shard(3);
     let shard = shard(&keys[0]);
     for key in &keys {
-        batcher.claim(key, print(), NONCE, at(0));
+        batcher.claim(key, fingerprint(), NONCE, at(0));
     }
     let mut commands = batcher.on_read(shard, ReadResult::Missing, at(0));
     let full = ClaimCommand::Undecided(keys[2].clone(), UndecidedCause::ShardFull);
@@ -332,46 +332,46 @@
 }
 
 #[test]
-fn outcomes_are_written_with_their_claims() {
+fn outcomes_are_written_to_their_claim_entries() {
     struct Case {
         name: &'static str,
         body: Vec<u8>,
-        shown: Option<&'static str>,
+        stored: Option<&'static str>,
     }
     let cases = [
         Case {
             name: "small text",
             body: b"booked".to_vec(),
-            shown: Some("booked"),
+            stored: Some("booked"),
         },
         Case {
             name: "large",
             body: vec![b'x'; 8_193],
-            shown: None,
+            stored: None,
         },
         Case {
             name: "not text",
             body: vec![0xff],
-            shown: None,
+            stored: None,
         },
     ];
     for case in cases {
         let mut batcher = batcher();
         let key = key("k");
         let shard = shard(&key);
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: 201,
             content_type: None,
             body: case.body,
         };
-        let state = ClaimState::finished(&answer, ClaimLimits::default().answer_bytes);
-        let read = batcher.settle(&key, NONCE, state.clone(), at(0));
+        let state = ClaimState::finished(&answer, ClaimLimits::default().max_answer_bytes);
+        let read = batcher.record_outcome(&key, NONCE, state.clone(), at(0));
         assert_eq!(read, [ClaimCommand::Read(shard)]);
         let before = object(&key, entry(5, NONCE, WALL_MS));
         let (_, content) = group(&batcher.on_read(shard, found(3, before), at(0)));
-        let shown = content.entries[&hash(&key)].state.outcome();
-        let expected = case.shown.map(|_| Arc::new(answer));
-        assert_eq!(shown, ClaimOutcome::Finished(expected), "{}", case.name);
+        let stored = content.entries[&hash(&key)].state.outcome();
+        let expected = case.stored.map(|_| Arc::new(answer));
+        assert_eq!(stored, ClaimOutcome::Finished(expected), "{}", case.name);
         assert_eq!(
             batcher.on_write(shard, written(4), at(0)),
             [],
@@ -382,20 +382,20 @@
 }
 
 #[test]
-fn outcomes_of_others_claims_are_not_touched() {
+fn outcomes_never_overwrite_claims_of_other_daemons() {
     let mut batcher = batcher();
     let key = key("k");
-    batcher.settle(&key, NONCE, ClaimState::Refused, at(0));
+    batcher.record_outcome(&key, NONCE, ClaimState::Refused, at(0));
     let other = object(&key, entry(6, NONCE, WALL_MS));
     assert_eq!(batcher.on_read(shard(&key), found(3, other), at(0)), []);
 }
 
 #[test]
-fn outcomes_wait_for_the_end_of_an_outage() {
+fn outcomes_are_written_after_an_outage() {
     let mut batcher = batcher();
     let key = key("k");
     let shard = shard(&key);
-    batcher.settle(&key, NONCE, ClaimState::Refused, at(0));
+    batcher.record_outcome(&key, NONCE, ClaimState::Refused, at(0));
     assert_eq!(batcher.on_read(shard, ReadResult::Unavailable, at(0)), []);
     assert_eq!(batcher.tick(at(499)), []);
     let shown = serde_json::to_string(&batcher.snapshot().shards).unwrap();
@@ -433,7 +433,7 @@
         let object = object(&key("k"), entry.clone());
         let json = serde_json::to_string(&object).unwrap();
         assert!(
-            json.len() as u64 <= object.size_bytes().get(),
+            json.len() as u64 <= object.json_bytes_bound().get(),
             "{} {json}",
             json.len()
         );
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn shards_have_names_of_their_own() {
+fn shard_object_names_are_unique() {
     let names: std::collections::BTreeSet<_> = ClaimShard::all().map(|s| s.to_string()).collect();
     assert_eq!(names.len(), 256);
     assert!(names.contains("claims-007"));
--- a/crates/wisteriahitch-core/tests/all/once_model.rs
+++ b/crates/wisteriahitch-core/tests/all/once_model.rs
@@ -8,17 +8,17 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-use crate::generated::generated;
-use crate::once_world::{DAEMONS, End, Fate, OWN_KEYS, TICKET_LIFETIME, World};
+use crate::generated::seeded_config;
+use crate::once_world::{CallOutcome, DAEMONS, OWN_KEYS, RunOutcome, TICKET_LIFETIME, World};
 
-const CASES_VARIABLE: &str = "WISTERIAHITCH_MODEL_CASES";
-const USUAL_CASES: u32 = 400;
+const CASES_ENV: &str = "WISTERIAHITCH_MODEL_CASES";
+const DEFAULT_CASES: u32 = 400;
 const SEED: u64 = 4_711;
 
 fn config() -> ProptestConfig {
-    let wanted = std::env::var(CASES_VARIABLE).ok();
+    let wanted = std::env::var(CASES_ENV).ok();
     let wanted = wanted.and_then(|text| text.parse().ok());
-    generated(wanted.unwrap_or(USUAL_CASES), SEED)
+    seeded_config(wanted.unwrap_or(DEFAULT_CASES), SEED)
 }
 
 /// What may happen next.
@@ -38,9 +38,9 @@
     },
     PlatformCall {
         daemon: usize,
-        fate: Fate,
+        outcome: CallOutcome,
     },
-    LandLateWrite {
+    ApplyLateWrite {
         pick: usize,
     },
     Dispatch {
@@ -51,21 +51,21 @@
         daemon: usize,
         pick: usize,
     },
-    TurnAway {
+    RefuseInAnyState {
         daemon: usize,
         index: usize,
     },
-    GiveBack {
+    Release {
         daemon: usize,
         pick: usize,
     },
-    Leave {
+    DisconnectWaiter {
         pick: usize,
     },
     End {
         daemon: usize,
         pick: usize,
-        end: End,
+        end: RunOutcome,
     },
     Restart {
         daemon: usize,
@@ -75,11 +75,11 @@
     },
 }
 
-/// A ticket as its rules see it: good at one life of one daemon, once, for a while.
+/// A ticket as its rules see it: good at one incarnation of one daemon, once, for a while.
 #[derive(Clone, Debug)]
 struct ModelTicket {
     daemon: usize,
-    life: u64,
+    incarnation: u64,
     expires_us: TimeUs,
     is_used: bool,
 }
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default)]
 struct Model {
     now: TimeUs,
-    lives: [u64; DAEMONS],
+    incarnations: [u64; DAEMONS],
     tickets: Vec<ModelTicket>,
     /// Whether the newest copy of a ticket is to run.
     runs_ticket: bool,
@@ -98,7 +98,7 @@
     fn issue(&mut self, daemon: usize) {
         self.tickets.push(ModelTicket {
             daemon,
-            life: self.lives[daemon],
+            incarnation: self.incarnations[daemon],
             expires_us: self.now + TICKET_LIFETIME,
             is_used: false,
         });
@@ -106,28 +106,28 @@
 
     fn submit_ticket(&mut self, index: usize) {
         let ticket = &mut self.tickets[index];
-        let is_alive = ticket.life == self.lives[ticket.daemon];
+        let is_same_incarnation = ticket.incarnation == self.incarnations[ticket.daemon];
         let is_in_time = self.now < ticket.expires_us;
-        self.runs_ticket = is_alive && is_in_time && !ticket.is_used;
+        self.runs_ticket = is_same_incarnation && is_in_time && !ticket.is_used;
         ticket.is_used |= self.runs_ticket;
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        20 => Just(Fate::Works),
-        1 => Just(Fate::AppliedAnswerLost),
-        1 => Just(Fate::NotAppliedAnswerLost),
-        1 => Just(Fate::LandsLater),
-        1 => Just(Fate::Unavailable),
+        20 => Just(CallOutcome::Succeeds),
+        1 => Just(CallOutcome::AppliedAnswerLost),
+        1 => Just(CallOutcome::NotAppliedAnswerLost),
+        1 => Just(CallOutcome::AppliedLater),
+        1 => Just(CallOutcome::Unavailable),
     ]
 }
 
-fn end() -> impl Strategy<Value = End> {
+fn end() -> impl Strategy<Value = RunOutcome> {
     prop_oneof![
-        Just(End::Answer),
-        Just(End::Lost),
-        Just(End::EndpointRefuses)
+        Just(RunOutcome::Answer),
+        Just(RunOutcome::Lost),
+        Just(RunOutcome::EndpointRefuses)
     ]
 }
 
@@ -150,18 +150,18 @@
         2 => daemon().prop_map(|daemon| Step::Issue { daemon }),
         8 => (daemon(), 0..OWN_KEYS, 0..2_u8)
             .prop_map(|(daemon, index, body)| Step::SubmitOwn { daemon, index, body }),
-        24 => (daemon(), fate()).prop_map(|(daemon, fate)| Step::PlatformCall { daemon, fate }),
-        1 => pick().prop_map(|pick| Step::LandLateWrite { pick }),
+        24 => (daemon(), outcome()).prop_map(|(daemon, outcome)| Step::PlatformCall { daemon, outcome }),
+        1 => pick().prop_map(|pick| Step::ApplyLateWrite { pick }),
         8 => (daemon(), pick()).prop_map(|(daemon, pick)| Step::Dispatch { daemon, pick }),
         1 => (daemon(), pick()).prop_map(|(daemon, pick)| Step::Refuse { daemon, pick }),
         1 => (daemon(), 0..OWN_KEYS)
-            .prop_map(|(daemon, index)| Step::TurnAway { daemon, index }),
+            .prop_map(|(daemon, index)| Step::RefuseInAnyState { daemon, index }),
         4 => (daemon(), pick(), end())
             .prop_map(|(daemon, pick, end)| Step::End { daemon, pick, end }),
         1 => daemon().prop_map(|daemon| Step::Restart { daemon }),
         1 => (daemon(), pick())
-            .prop_map(|(daemon, pick)| Step::GiveBack { daemon, pick }),
-        1 => (0..64_usize).prop_map(|pick| Step::Leave { pick }),
+            .prop_map(|(daemon, pick)| Step::Release { daemon, pick }),
+        1 => (0..64_usize).prop_map(|pick| Step::DisconnectWaiter { pick }),
         3 => span().prop_map(|span| Step::Tick { span }),
     ];
     if tickets == 0 {
@@ -195,7 +195,7 @@
         match step {
             Step::Issue { daemon } => model.issue(*daemon),
             Step::SubmitTicket { index, .. } => model.submit_ticket(*index),
-            Step::Restart { daemon } => model.lives[*daemon] += 1,
+            Step::Restart { daemon } => model.incarnations[*daemon] += 1,
             Step::Tick { span } => model.now = model.now + *span,
             _ => {}
         }
@@ -225,13 +225,13 @@
                 index,
                 body,
             } => world.submit_own(daemon, index, body),
-            Step::PlatformCall { daemon, fate } => world.platform_call(daemon, fate),
-            Step::LandLateWrite { pick } => world.land_late_write(pick),
+            Step::PlatformCall { daemon, outcome } => world.platform_call(daemon, outcome),
+            Step::ApplyLateWrite { pick } => world.apply_late_write(pick),
             Step::Dispatch { daemon, pick } => world.dispatch(daemon, pick),
             Step::Refuse { daemon, pick } => world.refuse(daemon, pick),
-            Step::TurnAway { daemon, index } => world.turn_away(daemon, index),
-            Step::GiveBack { daemon, pick } => world.give_back(daemon, pick),
-            Step::Leave { pick } => world.leave(pick),
+            Step::RefuseInAnyState { daemon, index } => world.refuse_in_any_state(daemon, index),
+            Step::Release { daemon, pick } => world.release(daemon, pick),
+            Step::DisconnectWaiter { pick } => world.disconnect_waiter(pick),
             Step::End { daemon, pick, end } => world.end(daemon, pick, end),
             Step::Restart { daemon } => world.restart(daemon),
             Step::Tick { span } => world.tick(span),
--- a/crates/wisteriahitch-core/tests/all/once_table.rs
+++ b/crates/wisteriahitch-core/tests/all/once_table.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use wisteriahitch_core::once::{
-    ClaimHolder, ClaimNonce, ClaimOutcome, ClaimState, Decision, Delivery, Fingerprint, KeptAnswer,
-    KeyedTable, OnceKey, StandingClaim, TableLimits, TicketIssuer, TicketSecret, WaiterId,
-    undecided_code,
+    ClaimHolder, ClaimNonce, ClaimOutcome, ClaimState, Decision, Delivery, ExistingClaim,
+    Fingerprint, IdempotencyKey, IdempotencyTable, StoredAnswer, TableLimits, TicketIssuer,
+    TicketSecret, WaiterId, undecided_code,
 };
 use wisteriahitch_types::{ByteCount, Code, DurationUs, Incarnation, Meaning, TimeUs, WorkspaceId};
 
@@ -17,7 +17,7 @@
     "kandy".parse().unwrap()
 }
 
-fn print(body: &str) -> Fingerprint {
+fn fingerprint(body: &str) -> Fingerprint {
     Fingerprint::new(&kandy(), "POST", "/bookings", body.as_bytes())
 }
 
@@ -25,40 +25,40 @@
     WaiterId::new(number)
 }
 
-fn answer(len: usize) -> Arc<KeptAnswer> {
-    Arc::new(KeptAnswer {
+fn answer(len: usize) -> Arc<StoredAnswer> {
+    Arc::new(StoredAnswer {
         status: 201,
         content_type: None,
         body: vec![b'x'; len],
     })
 }
 
-fn ticket_key() -> OnceKey {
+fn ticket_key() -> IdempotencyKey {
     let mut issuer = TicketIssuer::new(OWN, TicketSecret::new([9; 32]));
     let tickets = issuer.issue(&kandy(), 1, START, LIFETIME);
     issuer.verify(&tickets[0], &kandy()).unwrap()
 }
 
-fn claimed_key(text: &str) -> OnceKey {
-    OnceKey::try_claimed(&kandy(), text).unwrap()
+fn claimed_key(text: &str) -> IdempotencyKey {
+    IdempotencyKey::try_claimed(&kandy(), text).unwrap()
 }
 
-fn table() -> KeyedTable {
-    KeyedTable::new(OWN, TableLimits::default())
+fn table() -> IdempotencyTable {
+    IdempotencyTable::new(OWN, TableLimits::default())
 }
 
-fn submit(table: &mut KeyedTable, key: &OnceKey, number: u64) -> Decision {
-    table.submit(key, print("bay 3"), waiter(number), START)
+fn submit(table: &mut IdempotencyTable, key: &IdempotencyKey, number: u64) -> Decision {
+    table.submit(key, fingerprint("bay 3"), waiter(number), START)
 }
 
-fn standing(incarnation: u64, body: &str, outcome: ClaimOutcome) -> StandingClaim {
-    StandingClaim {
+fn standing(incarnation: u64, body: &str, outcome: ClaimOutcome) -> ExistingClaim {
+    ExistingClaim {
         holder: ClaimHolder {
             owner: "entry-2".parse().unwrap(),
             incarnation: Incarnation::new(incarnation),
             address: "127.0.0.1:7000".parse().unwrap(),
         },
-        fingerprint: print(body),
+        fingerprint: fingerprint(body),
         outcome,
     }
 }
@@ -76,16 +76,16 @@
     EndpointRefuses,
 }
 
-fn apply(table: &mut KeyedTable, key: &OnceKey, step: Step) {
+fn apply(table: &mut IdempotencyTable, key: &IdempotencyKey, step: Step) {
     match step {
         Step::Submit => drop(submit(table, key, 1)),
-        Step::ClaimWritten => drop(table.claim_written(key)),
-        Step::Undecided => drop(table.claim_undecided(key, START)),
-        Step::Dispatch => drop(table.dispatched(key)),
-        Step::Finish => drop(table.finished(key, answer(1), START)),
-        Step::Lose(code) => drop(table.lost(key, code, START)),
-        Step::Refuse(code) => drop(table.refused(key, code, START)),
-        Step::EndpointRefuses => drop(table.endpoint_refused(key, START)),
+        Step::ClaimWritten => drop(table.record_claim_written(key)),
+        Step::Undecided => drop(table.record_claim_undecided(key, START)),
+        Step::Dispatch => drop(table.try_dispatch(key)),
+        Step::Finish => drop(table.record_answer(key, answer(1), START)),
+        Step::Lose(code) => drop(table.record_lost(key, code, START)),
+        Step::Refuse(code) => drop(table.record_refusal(key, code, START)),
+        Step::EndpointRefuses => drop(table.record_endpoint_refusal(key, START)),
     }
 }
 
@@ -97,18 +97,18 @@
     may_dispatch: bool,
 }
 
-fn check_repeat(case: &Case, key: &OnceKey) {
+fn check_repeat(case: &Case, key: &IdempotencyKey) {
     let mut table = table();
     case.steps
         .iter()
         .for_each(|step| apply(&mut table, key, *step));
     assert_eq!(submit(&mut table, key, 2), case.repeat, "{}", case.name);
-    assert_eq!(table.dispatched(key), case.may_dispatch, "{}", case.name);
-    assert!(!table.dispatched(key), "{}: second dispatch", case.name);
+    assert_eq!(table.try_dispatch(key), case.may_dispatch, "{}", case.name);
+    assert!(!table.try_dispatch(key), "{}: second dispatch", case.name);
 }
 
 #[test]
-fn a_repeat_of_a_ticket_meets_its_outcome() {
+fn a_repeated_ticket_gets_the_recorded_outcome() {
     use Step::*;
     let cases = [
         Case {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_repeat_after_dispatch_never_hears_not_run_from_the_daemon() {
+fn a_repeat_after_dispatch_never_gets_not_run_from_the_daemon() {
     use Step::*;
     let cases = [
         Case {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_claimed_key_meets_its_outcome() {
+fn a_repeated_claimed_key_gets_the_recorded_outcome() {
     use Step::*;
     let cases = [
         Case {
@@ -237,11 +237,11 @@
 /// when it has to turn the copy away; another copy wins the claim elsewhere. Cause: only the one
 /// who decides for a key knows that it will not run.
 #[test]
-fn not_run_is_not_said_before_the_key_is_decided() {
+fn not_run_is_not_returned_before_the_claim_is_decided() {
     let mut table = table();
     let key = claimed_key("k");
     submit(&mut table, &key, 1);
-    let delivery = table.refused(&key, Code::QueueFull, START);
+    let delivery = table.record_refusal(&key, Code::QueueFull, START);
     let expected = Delivery {
         waiters: vec![waiter(1)],
         decision: Decision::Refuse(Code::ClaimUndecided),
@@ -256,7 +256,7 @@
 /// requests with one key reach two daemons; here the first is still being decided, there the
 /// second wins. Cause: a key stands for a request only once the claim says which.
 #[test]
-fn reuse_is_refused_once_the_key_is_decided() {
+fn key_reuse_is_refused_only_after_the_claim_is_decided() {
     struct Case {
         name: &'static str,
         is_ticket: bool,
@@ -292,21 +292,21 @@
         let mut table = table();
         submit(&mut table, &key, 1);
         if case.is_decided {
-            table.claim_written(&key);
+            table.record_claim_written(&key);
         }
-        let other = table.submit(&key, print("bay 4"), waiter(2), START);
+        let other = table.submit(&key, fingerprint("bay 4"), waiter(2), START);
         assert_eq!(other, Decision::Refuse(case.expected), "{}", case.name);
     }
 }
 
 #[test]
-fn a_lost_claim_tells_what_the_standing_one_says() {
+fn a_lost_claim_returns_the_outcome_of_the_existing_one() {
     struct Case {
         name: &'static str,
-        claim: StandingClaim,
+        claim: ExistingClaim,
         expected: Decision,
     }
-    let open = standing(6, "bay 3", ClaimOutcome::Open);
+    let open = standing(6, "bay 3", ClaimOutcome::Pending);
     let cases = [
         Case {
             name: "open elsewhere",
@@ -315,7 +315,7 @@
         },
         Case {
             name: "own forgotten one",
-            claim: standing(5, "bay 3", ClaimOutcome::Open),
+            claim: standing(5, "bay 3", ClaimOutcome::Pending),
             expected: Decision::Refuse(Code::AnswerGone),
         },
         Case {
@@ -330,7 +330,7 @@
         },
         Case {
             name: "another request",
-            claim: standing(6, "bay 4", ClaimOutcome::Open),
+            claim: standing(6, "bay 4", ClaimOutcome::Pending),
             expected: Decision::Refuse(Code::KeyReused),
         },
     ];
@@ -338,10 +338,10 @@
         let mut table = table();
         let key = claimed_key("k");
         submit(&mut table, &key, 1);
-        let delivery = table.claim_lost(&key, &case.claim).unwrap();
+        let delivery = table.record_claim_lost(&key, &case.claim).unwrap();
         assert_eq!(delivery.decision, case.expected, "{}", case.name);
         assert_eq!(delivery.waiters, [waiter(1)], "{}", case.name);
-        assert!(!table.dispatched(&key), "{}", case.name);
+        assert!(!table.try_dispatch(&key), "{}", case.name);
         let again = submit(&mut table, &key, 2);
         assert!(matches!(again, Decision::Claim(_)), "{}", case.name);
     }
@@ -350,7 +350,7 @@
 /// Symptom: a booking is made twice. Sequence: the ticket is used, the outcome's time or room runs
 /// out, a late copy comes. Cause: a forgotten key looks like a fresh one.
 #[test]
-fn a_used_ticket_never_becomes_fresh() {
+fn a_used_ticket_is_never_accepted_as_unused() {
     struct Case {
         name: &'static str,
         limits: TableLimits,
@@ -362,7 +362,7 @@
         Case {
             name: "time ran out first",
             limits: TableLimits {
-                kept_us: DurationUs::from_ms(1),
+                outcome_ttl_us: DurationUs::from_ms(1),
                 ..base
             },
             later: START + DurationUs::from_ms(2),
@@ -371,7 +371,7 @@
         Case {
             name: "room ran out",
             limits: TableLimits {
-                kept_bytes: ByteCount::ZERO,
+                max_settled_bytes: ByteCount::ZERO,
                 ..base
             },
             later: START,
@@ -380,7 +380,7 @@
         Case {
             name: "ticket expired too",
             limits: TableLimits {
-                kept_us: DurationUs::from_ms(1),
+                outcome_ttl_us: DurationUs::from_ms(1),
                 ..base
             },
             later: START + LIFETIME,
@@ -388,36 +388,36 @@
         },
     ];
     for case in cases {
-        let mut table = KeyedTable::new(OWN, case.limits);
+        let mut table = IdempotencyTable::new(OWN, case.limits);
         let key = ticket_key();
         submit(&mut table, &key, 1);
-        assert!(table.dispatched(&key));
-        table.finished(&key, answer(9), START);
+        assert!(table.try_dispatch(&key));
+        table.record_answer(&key, answer(9), START);
         table.tick(case.later);
-        let late = table.submit(&key, print("bay 3"), waiter(2), case.later);
+        let late = table.submit(&key, fingerprint("bay 3"), waiter(2), case.later);
         assert_eq!(late, Decision::Refuse(case.expected), "{}", case.name);
         assert_eq!(case.expected.meaning(), Meaning::OutcomeUnknown);
-        assert!(!table.dispatched(&key), "{}", case.name);
+        assert!(!table.try_dispatch(&key), "{}", case.name);
     }
 }
 
 #[test]
-fn a_ticket_that_expired_unused_is_not_taken() {
+fn an_expired_unused_ticket_is_refused() {
     let expiry = START + LIFETIME;
-    let late = table().submit(&ticket_key(), print("bay 3"), waiter(1), expiry);
+    let late = table().submit(&ticket_key(), fingerprint("bay 3"), waiter(1), expiry);
     assert_eq!(late, Decision::Refuse(Code::TicketExpired));
 }
 
 #[test]
-fn a_kept_answer_outlives_its_ticket() {
+fn a_stored_answer_outlives_its_ticket() {
     let mut table = table();
     let key = ticket_key();
     submit(&mut table, &key, 1);
-    assert!(table.dispatched(&key));
-    table.finished(&key, answer(9), START);
+    assert!(table.try_dispatch(&key));
+    table.record_answer(&key, answer(9), START);
     let later = START + LIFETIME + LIFETIME;
     table.tick(later);
-    let repeat = table.submit(&key, print("bay 3"), waiter(2), later);
+    let repeat = table.submit(&key, fingerprint("bay 3"), waiter(2), later);
     assert_eq!(repeat, Decision::Answer(answer(9)));
 }
 
@@ -425,38 +425,38 @@
 /// by others' answers, a repeat runs, and the ticket expires during the run. Cause: the tombstone
 /// of the first time took the running key with it.
 #[test]
-fn a_running_key_is_not_forgotten_with_its_tombstone() {
+fn a_running_key_survives_the_expiry_of_its_tombstone() {
     let limits = TableLimits {
-        kept_bytes: ByteCount::ZERO,
+        max_settled_bytes: ByteCount::ZERO,
         ..TableLimits::default()
     };
-    let mut table = KeyedTable::new(OWN, limits);
+    let mut table = IdempotencyTable::new(OWN, limits);
     let key = ticket_key();
     submit(&mut table, &key, 1);
-    table.lost(&key, Code::CallerGone, START);
+    table.record_lost(&key, Code::CallerGone, START);
     assert_eq!(submit(&mut table, &key, 2), Decision::Run);
-    assert!(table.dispatched(&key));
+    assert!(table.try_dispatch(&key));
     table.tick(START + LIFETIME);
-    let delivery = table.finished(&key, answer(9), START + LIFETIME);
+    let delivery = table.record_answer(&key, answer(9), START + LIFETIME);
     assert_eq!(delivery.waiters, [waiter(2)]);
 }
 
 /// Symptom: repeats of small customers get `answer gone`. Sequence: one workspace's calls give
 /// large answers. Cause: room was taken from the oldest answer, whoever it belonged to.
 #[test]
-fn a_workspace_with_large_answers_gives_up_its_own() {
+fn large_answers_evict_only_answers_of_their_workspace() {
     let limits = TableLimits {
-        kept_bytes: ByteCount::new(10_000),
+        max_settled_bytes: ByteCount::new(10_000),
         ..TableLimits::default()
     };
-    let mut table = KeyedTable::new(OWN, limits);
+    let mut table = IdempotencyTable::new(OWN, limits);
     let mut finish = |workspace: &str, text: &str, len: usize| {
         let workspace = workspace.parse().unwrap();
-        let key = OnceKey::try_claimed(&workspace, text).unwrap();
+        let key = IdempotencyKey::try_claimed(&workspace, text).unwrap();
         submit(&mut table, &key, 1);
-        table.claim_written(&key);
-        assert!(table.dispatched(&key));
-        table.finished(&key, answer(len), START);
+        table.record_claim_written(&key);
+        assert!(table.try_dispatch(&key));
+        table.record_answer(&key, answer(len), START);
         key
     };
     let small = finish("galle", "k", 10);
@@ -478,16 +478,16 @@
 /// written, and never comes back. Cause: the claimed key waited for a next copy and counted as
 /// under way.
 #[test]
-fn a_claim_that_nobody_waits_for_runs_for_the_next_copy() {
+fn a_claim_without_waiters_runs_for_the_next_copy() {
     let mut table = table();
     let key = claimed_key("k");
     submit(&mut table, &key, 1);
     table.remove_waiter(&key, waiter(1));
-    assert_eq!(table.claim_written(&key), None);
-    assert_eq!(table.under_way(), 0);
-    assert!(!table.dispatched(&key));
+    assert_eq!(table.record_claim_written(&key), None);
+    assert_eq!(table.unsettled_count(), 0);
+    assert!(!table.try_dispatch(&key));
     assert!(matches!(submit(&mut table, &key, 2), Decision::Claim(_)));
-    let delivery = table.claim_written(&key).unwrap();
+    let delivery = table.record_claim_written(&key).unwrap();
     assert_eq!(delivery.waiters, [waiter(2)]);
 }
 
@@ -495,7 +495,7 @@
 /// refuses after dispatch, the table takes that for a lost outcome, and `refused` is written down
 /// with the claim all the same. Cause: what is written was taken from the shell's wish.
 #[test]
-fn what_is_written_down_is_what_the_table_knows() {
+fn outcome_to_write_returns_only_certain_outcomes() {
     use Step::*;
     struct Case {
         name: &'static str,
@@ -558,7 +558,7 @@
         max_waiters: 2,
         ..TableLimits::default()
     };
-    let mut table = KeyedTable::new(OWN, limits);
+    let mut table = IdempotencyTable::new(OWN, limits);
     let key = ticket_key();
     let decisions = [1, 2, 3].map(|number| submit(&mut table, &key, number));
     let full = Decision::Refuse(Code::ClaimUndecided);
@@ -566,14 +566,14 @@
 }
 
 #[test]
-fn the_dump_counts_keys_by_state_and_shows_no_answer() {
+fn the_snapshot_counts_keys_by_state_and_shows_no_answer() {
     let mut table = table();
     let (done, open) = (ticket_key(), claimed_key("k"));
     submit(&mut table, &done, 1);
-    assert!(table.dispatched(&done));
-    table.finished(&done, answer(3), START);
+    assert!(table.try_dispatch(&done));
+    table.record_answer(&done, answer(3), START);
     submit(&mut table, &open, 2);
-    assert_eq!(table.under_way(), 1);
+    assert_eq!(table.unsettled_count(), 1);
     let shown = serde_json::to_string(&table.snapshot()).unwrap();
     assert!(
         shown.contains(r#""keys_by_state":{"Deciding":1,"Finished":1}"#),
--- a/crates/wisteriahitch-core/tests/all/once_ticket.rs
+++ b/crates/wisteriahitch-core/tests/all/once_ticket.rs
@@ -1,6 +1,6 @@
 //! Tickets: their text, who may use them, and when an issuer may leave.
 
-use wisteriahitch_core::once::{OnceKey, Ticket, TicketIssuer, TicketSecret};
+use wisteriahitch_core::once::{IdempotencyKey, Ticket, TicketIssuer, TicketSecret};
 use wisteriahitch_types::{Code, DurationUs, Incarnation, KeyHash, TimeUs, WorkspaceId};
 
 const LIFETIME: DurationUs = DurationUs::from_ms(60_000);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn verification_tells_who_issued_it_and_for_whom() {
+fn verify_checks_the_issuer_and_the_workspace() {
     struct Case {
         name: &'static str,
         workspace: &'static str,
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn draining_waits_for_unused_tickets_alone() {
+fn draining_waits_only_for_unused_tickets() {
     let mut issuer = issuer(5);
     let tickets = issuer.issue(&workspace("kandy"), 2, START, LIFETIME);
     issuer.stop();
@@ -135,9 +135,9 @@
     );
     for (ticket, remains) in tickets.iter().zip([true, false]) {
         let key = issuer.verify(ticket, &workspace("kandy")).unwrap();
-        issuer.note_used(&key);
-        issuer.note_used(&key);
-        assert_eq!(issuer.has_live_tickets(START), remains);
+        issuer.mark_used(&key);
+        issuer.mark_used(&key);
+        assert_eq!(issuer.has_redeemable_tickets(START), remains);
     }
 }
 
@@ -146,14 +146,14 @@
     let mut issuer = issuer(5);
     first_ticket(&mut issuer);
     let expiry = START + LIFETIME;
-    assert!(issuer.has_live_tickets(TimeUs::new(expiry.get() - 1)));
-    assert!(!issuer.has_live_tickets(expiry));
+    assert!(issuer.has_redeemable_tickets(TimeUs::new(expiry.get() - 1)));
+    assert!(!issuer.has_redeemable_tickets(expiry));
 }
 
 /// Symptom: one workspace gets no tickets. Sequence: another asks for very many and uses none.
 /// Cause: unused tickets are held in memory, so they are bounded, and the bound was shared.
 #[test]
-fn a_hoarding_workspace_leaves_room_for_others() {
+fn unused_tickets_are_limited_per_workspace() {
     let mut issuer = issuer(5);
     let hoarded = issuer.issue(&workspace("kandy"), 1_000_000, START, LIFETIME);
     assert_eq!(hoarded.len(), 1_024);
@@ -168,17 +168,17 @@
     );
 }
 
-fn hash(key: &OnceKey) -> KeyHash {
+fn hash(key: &IdempotencyKey) -> KeyHash {
     match key {
-        OnceKey::Claimed { hash, .. } => *hash,
-        OnceKey::Ticket { .. } => panic!("a claimed key"),
+        IdempotencyKey::Claimed { hash, .. } => *hash,
+        IdempotencyKey::Ticket { .. } => panic!("a claimed key"),
     }
 }
 
 #[test]
 fn claimed_keys_are_checked_and_bound_to_the_workspace() {
-    let kandy = OnceKey::try_claimed(&workspace("kandy"), "order-1").unwrap();
-    let galle = OnceKey::try_claimed(&workspace("galle"), "order-1").unwrap();
+    let kandy = IdempotencyKey::try_claimed(&workspace("kandy"), "order-1").unwrap();
+    let galle = IdempotencyKey::try_claimed(&workspace("galle"), "order-1").unwrap();
     assert_ne!(hash(&kandy), hash(&galle));
     let long = "k".repeat(256);
     for text in [
@@ -188,7 +188,7 @@
         "wt1-looks-like-a-ticket",
         long.as_str(),
     ] {
-        let refused = OnceKey::try_claimed(&workspace("kandy"), text);
+        let refused = IdempotencyKey::try_claimed(&workspace("kandy"), text);
         assert_eq!(refused, Err(Code::BadKey), "{text}");
     }
 }
--- a/crates/wisteriahitch-core/tests/all/once_world.rs
+++ b/crates/wisteriahitch-core/tests/all/once_world.rs
@@ -8,8 +8,8 @@
 
 use wisteriahitch_core::once::{
     ClaimBatcher, ClaimCommand, ClaimHolder, ClaimLimits, ClaimObject, ClaimShard, ClaimTime,
-    ClaimVersion, Decision, Delivery, Fingerprint, KeptAnswer, KeyedTable, OnceKey, ReadResult,
-    TableLimits, Ticket, TicketIssuer, TicketSecret, WaiterId, WriteResult,
+    ClaimVersion, Decision, Delivery, Fingerprint, IdempotencyKey, IdempotencyTable, ReadResult,
+    StoredAnswer, TableLimits, Ticket, TicketIssuer, TicketSecret, WaiterId, WriteResult,
 };
 use wisteriahitch_types::{ByteCount, Code, DurationUs, Incarnation, Meaning, TimeUs, WorkspaceId};
 
@@ -18,33 +18,33 @@
 pub(crate) const TICKET_LIFETIME: DurationUs = DurationUs::from_ms(60_000);
 const WALL_START_MS: u64 = 1_000 * 3_600_000;
 const ANSWER_BYTES: ByteCount = ByteCount::new(8_192);
-const SKEW_MS: u64 = 2 * 3_600_000;
+const WALL_CLOCK_SKEW_MS: u64 = 2 * 3_600_000;
 
 /// What happens to a platform call.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Fate {
-    Works,
+pub(crate) enum CallOutcome {
+    Succeeds,
     AppliedAnswerLost,
     NotAppliedAnswerLost,
-    LandsLater,
+    AppliedLater,
     Unavailable,
 }
 
 /// How a dispatched request ends.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum End {
+pub(crate) enum RunOutcome {
     Answer,
     Lost,
     EndpointRefuses,
 }
 
 /// One copy of a request: its key and which of two bodies it carries.
-pub(crate) type RequestCopy = (OnceKey, u8);
+pub(crate) type RequestCopy = (IdempotencyKey, u8);
 
 struct Daemon {
-    life: u64,
+    incarnation_number: u64,
     issuer: TicketIssuer,
-    table: KeyedTable,
+    table: IdempotencyTable,
     batcher: ClaimBatcher,
     calls: VecDeque<ClaimCommand>,
     granted: Vec<RequestCopy>,
@@ -52,11 +52,11 @@
 }
 
 impl Daemon {
-    fn new(index: usize, life: u64) -> Self {
-        let incarnation = Incarnation::new(life);
+    fn new(index: usize, incarnation_number: u64) -> Self {
+        let incarnation = Incarnation::new(incarnation_number);
         let limits = TableLimits {
-            kept_us: DurationUs::from_ms(300_000),
-            kept_bytes: ByteCount::new(2_000),
+            outcome_ttl_us: DurationUs::from_ms(300_000),
+            max_settled_bytes: ByteCount::new(2_000),
             max_waiters: 4,
         };
         let holder = ClaimHolder {
@@ -65,9 +65,12 @@
             address: "127.0.0.1:7000".parse().unwrap(),
         };
         Self {
-            life,
-            issuer: TicketIssuer::new(incarnation, TicketSecret::new([life as u8; 32])),
-            table: KeyedTable::new(incarnation, limits),
+            incarnation_number,
+            issuer: TicketIssuer::new(
+                incarnation,
+                TicketSecret::new([incarnation_number as u8; 32]),
+            ),
+            table: IdempotencyTable::new(incarnation, limits),
             batcher: ClaimBatcher::new(holder, ClaimLimits::default()),
             calls: VecDeque::new(),
             granted: Vec::new(),
@@ -107,24 +110,24 @@
 /// What endpoints ran and callers heard.
 #[derive(Default)]
 struct History {
-    dispatched: BTreeMap<OnceKey, u8>,
-    endpoint_refused: BTreeSet<OnceKey>,
-    answers: BTreeMap<OnceKey, Vec<u8>>,
-    told_not_run: BTreeSet<RequestCopy>,
+    dispatched: BTreeMap<IdempotencyKey, u8>,
+    endpoint_refused: BTreeSet<IdempotencyKey>,
+    answers: BTreeMap<IdempotencyKey, Vec<u8>>,
+    reported_not_run: BTreeSet<RequestCopy>,
 }
 
 impl History {
-    fn dispatch(&mut self, copy: &RequestCopy) {
+    fn record_dispatch(&mut self, copy: &RequestCopy) {
         let earlier = self.dispatched.insert(copy.0.clone(), copy.1);
         assert_eq!(earlier, None, "a second dispatch of {copy:?}");
-        let is_promised = self.told_not_run.contains(copy);
+        let is_promised = self.reported_not_run.contains(copy);
         assert!(
             !is_promised,
             "dispatched after `not run` was said: {copy:?}"
         );
     }
 
-    fn tell(&mut self, copy: &RequestCopy, code: Code) {
+    fn record_refusal(&mut self, copy: &RequestCopy, code: Code) {
         if code.meaning() != Meaning::NotRun {
             return;
         }
@@ -134,10 +137,10 @@
             !has_run,
             "`not run` ({code}) was said after dispatch: {copy:?}"
         );
-        self.told_not_run.insert(copy.clone());
+        self.reported_not_run.insert(copy.clone());
     }
 
-    fn answer(&self, copy: &RequestCopy, answer: &KeptAnswer) {
+    fn check_answer(&self, copy: &RequestCopy, answer: &StoredAnswer) {
         assert_eq!(
             self.dispatched.get(&copy.0),
             Some(&copy.1),
@@ -157,7 +160,7 @@
     history: History,
     tickets: Vec<Ticket>,
     copies: BTreeMap<WaiterId, RequestCopy>,
-    last_life: u64,
+    last_incarnation: u64,
     now: TimeUs,
     /// Whether the newest copy of a ticket was let run.
     pub(crate) has_run_ticket: bool,
@@ -168,16 +171,16 @@
 }
 
 /// Gives the callers' own keys: one text in two workspaces, and one more in the first one's shard.
-fn own_key(index: usize) -> OnceKey {
-    let key = |number| OnceKey::try_claimed(&workspace("kandy"), &format!("order-{number}"));
-    let shard = |key: &OnceKey| match key {
-        OnceKey::Claimed { hash, .. } => ClaimShard::of(hash),
-        OnceKey::Ticket { .. } => panic!("a claimed key"),
+fn own_key(index: usize) -> IdempotencyKey {
+    let key = |number| IdempotencyKey::try_claimed(&workspace("kandy"), &format!("order-{number}"));
+    let shard = |key: &IdempotencyKey| match key {
+        IdempotencyKey::Claimed { hash, .. } => ClaimShard::of(hash),
+        IdempotencyKey::Ticket { .. } => panic!("a claimed key"),
     };
     let first = key(0).unwrap();
     match index {
         0 => first,
-        1 => OnceKey::try_claimed(&workspace("galle"), "order-0").unwrap(),
+        1 => IdempotencyKey::try_claimed(&workspace("galle"), "order-0").unwrap(),
         _ => {
             let mut others = (1..).map(|number| key(number).unwrap());
             others.find(|other| shard(other) == shard(&first)).unwrap()
@@ -187,14 +190,18 @@
 
 impl World {
     pub(crate) fn new() -> Self {
-        let lives = 1..=DAEMONS as u64;
+        let incarnations = 1..=DAEMONS as u64;
         Self {
-            daemons: lives.map(|life| Daemon::new(life as usize, life)).collect(),
+            daemons: incarnations
+                .map(|incarnation_number| {
+                    Daemon::new(incarnation_number as usize, incarnation_number)
+                })
+                .collect(),
             platform: Platform::default(),
             history: History::default(),
             tickets: Vec::new(),
             copies: BTreeMap::new(),
-            last_life: DAEMONS as u64,
+            last_incarnation: DAEMONS as u64,
             now: TimeUs::ZERO,
             has_run_ticket: false,
         }
@@ -209,7 +216,7 @@
     pub(crate) fn submit_ticket(&mut self, index: usize, body: u8) {
         self.has_run_ticket = false;
         let ticket = self.tickets[index];
-        let Some(daemon) = self.find_life(ticket.incarnation()) else {
+        let Some(daemon) = self.find_daemon(ticket.incarnation()) else {
             return;
         };
         let verified = self.daemons[daemon]
@@ -223,7 +230,7 @@
         self.submit(daemon, (own_key(index), body), true);
     }
 
-    pub(crate) fn platform_call(&mut self, daemon: usize, fate: Fate) {
+    pub(crate) fn platform_call(&mut self, daemon: usize, outcome: CallOutcome) {
         let Some(call) = self.daemons[daemon].calls.pop_front() else {
             return;
         };
@@ -232,8 +239,8 @@
         let batcher = &mut self.daemons[daemon].batcher;
         let commands = match call {
             ClaimCommand::Read(shard) => {
-                let result = match fate {
-                    Fate::Works => platform.read(shard),
+                let result = match outcome {
+                    CallOutcome::Succeeds => platform.read(shard),
                     _ => ReadResult::Unavailable,
                 };
                 batcher.on_read(shard, result, time)
@@ -243,16 +250,16 @@
                 expected,
                 content,
             } => {
-                let result = write_with(platform, fate, (shard, expected, content));
+                let result = write_with(platform, outcome, (shard, expected, content));
                 batcher.on_write(shard, result, time)
             }
             ClaimCommand::Retry { shard, .. } => batcher.retry(shard),
             other => panic!("not a call: {other:?}"),
         };
-        self.carry_out(daemon, commands);
+        self.execute(daemon, commands);
     }
 
-    pub(crate) fn land_late_write(&mut self, pick: usize) {
+    pub(crate) fn apply_late_write(&mut self, pick: usize) {
         let writes = &mut self.platform.late_writes;
         if !writes.is_empty() {
             let write = writes.swap_remove(pick % writes.len());
@@ -263,37 +270,37 @@
     /// Asks to dispatch a granted copy; a shell that asks again by mistake must not be let.
     pub(crate) fn dispatch(&mut self, daemon: usize, pick: usize) {
         let node = &mut self.daemons[daemon];
-        let Some(copy) = take(&mut node.granted, pick) else {
+        let Some(copy) = remove_at(&mut node.granted, pick) else {
             return;
         };
-        if node.table.dispatched(&copy.0) {
-            self.history.dispatch(&copy);
+        if node.table.try_dispatch(&copy.0) {
+            self.history.record_dispatch(&copy);
             node.granted.push(copy.clone());
             node.running.push(copy);
         }
     }
 
     pub(crate) fn refuse(&mut self, daemon: usize, pick: usize) {
-        if let Some(copy) = take(&mut self.daemons[daemon].granted, pick) {
+        if let Some(copy) = remove_at(&mut self.daemons[daemon].granted, pick) {
             self.refuse_key(daemon, &copy.0);
         }
     }
 
     /// Gives a granted copy back. Tickets are left out, since the model couldn't tell that one
     /// may run again.
-    pub(crate) fn give_back(&mut self, daemon: usize, pick: usize) {
+    pub(crate) fn release(&mut self, daemon: usize, pick: usize) {
         let node = &mut self.daemons[daemon];
-        let Some((key, _)) = take(&mut node.granted, pick) else {
+        let Some((key, _)) = remove_at(&mut node.granted, pick) else {
             return;
         };
-        if let OnceKey::Claimed { .. } = key {
-            let delivery = node.table.lost(&key, Code::CallerGone, self.now);
+        if let IdempotencyKey::Claimed { .. } = key {
+            let delivery = node.table.record_lost(&key, Code::CallerGone, self.now);
             self.deliver(&delivery);
         }
     }
 
     /// Lets the caller of a random copy go away.
-    pub(crate) fn leave(&mut self, pick: usize) {
+    pub(crate) fn disconnect_waiter(&mut self, pick: usize) {
         let picked = self.copies.iter().nth(pick % self.copies.len().max(1));
         if let Some((waiter, (key, _))) = picked {
             let daemons = self.daemons.iter_mut();
@@ -302,27 +309,27 @@
     }
 
     /// Turns a caller's own key away in whatever state it is.
-    pub(crate) fn turn_away(&mut self, daemon: usize, index: usize) {
+    pub(crate) fn refuse_in_any_state(&mut self, daemon: usize, index: usize) {
         self.refuse_key(daemon, &own_key(index));
     }
 
-    pub(crate) fn end(&mut self, daemon: usize, pick: usize, end: End) {
-        let Some((key, body)) = take(&mut self.daemons[daemon].running, pick) else {
+    pub(crate) fn end(&mut self, daemon: usize, pick: usize, end: RunOutcome) {
+        let Some((key, body)) = remove_at(&mut self.daemons[daemon].running, pick) else {
             return;
         };
         let table = &mut self.daemons[daemon].table;
         let delivery = match end {
-            End::Lost => table.lost(&key, Code::EndpointLost, self.now),
-            End::EndpointRefuses => {
+            RunOutcome::Lost => table.record_lost(&key, Code::EndpointLost, self.now),
+            RunOutcome::EndpointRefuses => {
                 self.history.endpoint_refused.insert(key.clone());
-                table.endpoint_refused(&key, self.now)
+                table.record_endpoint_refusal(&key, self.now)
             }
-            End::Answer => {
+            RunOutcome::Answer => {
                 let answer = make_answer(&key, body);
                 self.history
                     .answers
                     .insert(key.clone(), answer.body.clone());
-                table.finished(&key, Arc::new(answer), self.now)
+                table.record_answer(&key, Arc::new(answer), self.now)
             }
         };
         self.deliver(&delivery);
@@ -330,10 +337,10 @@
     }
 
     pub(crate) fn restart(&mut self, daemon: usize) {
-        self.last_life += 1;
-        let reborn = Daemon::new(daemon, self.last_life);
-        let dead = std::mem::replace(&mut self.daemons[daemon], reborn);
-        for call in dead.calls {
+        self.last_incarnation += 1;
+        let restarted = Daemon::new(daemon, self.last_incarnation);
+        let stopped = std::mem::replace(&mut self.daemons[daemon], restarted);
+        for call in stopped.calls {
             if let ClaimCommand::WriteGroup {
                 shard,
                 expected,
@@ -352,7 +359,7 @@
             self.daemons[daemon].table.tick(self.now);
             self.daemons[daemon].issuer.tick(self.now);
             let commands = self.daemons[daemon].batcher.tick(time);
-            self.carry_out(daemon, commands);
+            self.execute(daemon, commands);
         }
     }
 
@@ -370,16 +377,16 @@
         match node.table.submit(key, print, waiter, self.now) {
             Decision::Claim(nonce) => {
                 let commands = node.batcher.claim(key, print, nonce, time);
-                self.carry_out(daemon, commands);
+                self.execute(daemon, commands);
             }
             Decision::Run => {
-                node.issuer.note_used(key);
-                self.has_run_ticket = matches!(key, OnceKey::Ticket { .. });
+                node.issuer.mark_used(key);
+                self.has_run_ticket = matches!(key, IdempotencyKey::Ticket { .. });
                 node.granted.push(copy);
             }
             Decision::Wait => {}
-            Decision::Answer(answer) => self.history.answer(&copy, &answer),
-            Decision::Refuse(code) => self.history.tell(&copy, code),
+            Decision::Answer(answer) => self.history.check_answer(&copy, &answer),
+            Decision::Refuse(code) => self.history.record_refusal(&copy, code),
             Decision::Forward(holder) => self.forward(&holder, waiter, copy, may_forward),
         }
     }
@@ -391,40 +398,40 @@
         copy: RequestCopy,
         may_forward: bool,
     ) {
-        match self.find_life(holder.incarnation) {
+        match self.find_daemon(holder.incarnation) {
             Some(daemon) if may_forward => self.submit_as(daemon, waiter, copy, false),
-            _ => self.history.tell(&copy, Code::ClaimHeldElsewhere),
+            _ => self.history.record_refusal(&copy, Code::ClaimHeldElsewhere),
         }
     }
 
-    fn refuse_key(&mut self, daemon: usize, key: &OnceKey) {
+    fn refuse_key(&mut self, daemon: usize, key: &IdempotencyKey) {
         let delivery = self.daemons[daemon]
             .table
-            .refused(key, Code::NoEndpoint, self.now);
+            .record_refusal(key, Code::NoEndpoint, self.now);
         self.deliver(&delivery);
         self.write_outcome(daemon, key);
     }
 
-    fn write_outcome(&mut self, daemon: usize, key: &OnceKey) {
+    fn write_outcome(&mut self, daemon: usize, key: &IdempotencyKey) {
         let time = self.time(daemon);
         let node = &mut self.daemons[daemon];
         if let Some((nonce, state)) = node.table.outcome_to_write(key, ANSWER_BYTES) {
-            let commands = node.batcher.settle(key, nonce, state, time);
-            self.carry_out(daemon, commands);
+            let commands = node.batcher.record_outcome(key, nonce, state, time);
+            self.execute(daemon, commands);
         }
     }
 
-    fn carry_out(&mut self, daemon: usize, commands: Vec<ClaimCommand>) {
+    fn execute(&mut self, daemon: usize, commands: Vec<ClaimCommand>) {
         for command in commands {
             let table = &mut self.daemons[daemon].table;
             let delivery = match command {
                 ClaimCommand::Written(key) => {
-                    let delivery = table.claim_written(&key);
+                    let delivery = table.record_claim_written(&key);
                     self.grant(daemon, delivery.iter().flat_map(|d| &d.waiters));
                     None
                 }
-                ClaimCommand::Lost(key, claim) => table.claim_lost(&key, &claim),
-                ClaimCommand::Undecided(key, _) => table.claim_undecided(&key, self.now),
+                ClaimCommand::Lost(key, claim) => table.record_claim_lost(&key, &claim),
+                ClaimCommand::Undecided(key, _) => table.record_claim_undecided(&key, self.now),
                 call => {
                     self.daemons[daemon].calls.push_back(call);
                     None
@@ -443,17 +450,17 @@
         for waiter in &delivery.waiters {
             let copy = self.copies[waiter].clone();
             match &delivery.decision {
-                Decision::Answer(answer) => self.history.answer(&copy, answer),
-                Decision::Refuse(code) => self.history.tell(&copy, *code),
+                Decision::Answer(answer) => self.history.check_answer(&copy, answer),
+                Decision::Refuse(code) => self.history.record_refusal(&copy, *code),
                 Decision::Forward(holder) => self.forward(holder, *waiter, copy, true),
                 other => panic!("not an outcome: {other:?}"),
             }
         }
     }
 
-    fn find_life(&self, incarnation: Incarnation) -> Option<usize> {
+    fn find_daemon(&self, incarnation: Incarnation) -> Option<usize> {
         let mut daemons = self.daemons.iter();
-        daemons.position(|daemon| daemon.life == incarnation.get())
+        daemons.position(|daemon| daemon.incarnation_number == incarnation.get())
     }
 
     /// Gives a daemon's clocks; the second one's wall clock is ahead.
@@ -461,31 +468,31 @@
         let elapsed_ms = self.now.get() / 1_000;
         ClaimTime {
             now: self.now,
-            wall_ms: WALL_START_MS + elapsed_ms + SKEW_MS * daemon as u64,
+            wall_ms: WALL_START_MS + elapsed_ms + WALL_CLOCK_SKEW_MS * daemon as u64,
         }
     }
 }
 
-fn write_with(platform: &mut Platform, fate: Fate, write: Write) -> WriteResult {
-    match fate {
-        Fate::Works => return platform.write(write),
-        Fate::Unavailable => return WriteResult::Unavailable,
-        Fate::AppliedAnswerLost => drop(platform.write(write)),
-        Fate::LandsLater => platform.late_writes.push(write),
-        Fate::NotAppliedAnswerLost => {}
+fn write_with(platform: &mut Platform, outcome: CallOutcome, write: Write) -> WriteResult {
+    match outcome {
+        CallOutcome::Succeeds => return platform.write(write),
+        CallOutcome::Unavailable => return WriteResult::Unavailable,
+        CallOutcome::AppliedAnswerLost => drop(platform.write(write)),
+        CallOutcome::AppliedLater => platform.late_writes.push(write),
+        CallOutcome::NotAppliedAnswerLost => {}
     }
     WriteResult::AnswerLost
 }
 
-fn make_answer(key: &OnceKey, body: u8) -> KeptAnswer {
-    KeptAnswer {
+fn make_answer(key: &IdempotencyKey, body: u8) -> StoredAnswer {
+    StoredAnswer {
         status: 201,
         content_type: None,
         body: format!("{key:?} {body}").into_bytes(),
     }
 }
 
-fn take(copies: &mut Vec<RequestCopy>, pick: usize) -> Option<RequestCopy> {
+fn remove_at(copies: &mut Vec<RequestCopy>, pick: usize) -> Option<RequestCopy> {
     if copies.is_empty() {
         return None;
     }
--- a/crates/wisteriahitch-core/tests/all/route_admission.rs
+++ b/crates/wisteriahitch-core/tests/all/route_admission.rs
@@ -9,7 +9,7 @@
     ByteCount, Code, DurationUs, RequestId, ServiceName, TimeUs, TokenCount, TokenRate, WorkspaceId,
 };
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 use crate::route_fixture::{START, after_ms};
 
 fn service() -> ServiceName {
@@ -186,7 +186,7 @@
 }
 
 proptest! {
-    #![proptest_config(generated(64, 9))]
+    #![proptest_config(seeded_config(64, 9))]
 
     /// While two workspaces always wait, their work over weight differs by no more than one
     /// request of each, which is the bound of start-time fair queueing; so none starves.
--- a/crates/wisteriahitch-core/tests/all/route_directory.rs
+++ b/crates/wisteriahitch-core/tests/all/route_directory.rs
@@ -6,7 +6,7 @@
 use wisteriahitch_core::route::{Directory, Piece, PieceChain, shard_owner};
 use wisteriahitch_types::{BlockKey, DaemonId, Tier, TokenCount};
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 use crate::route_fixture::{chain, endpoint, store, words};
 
 const KEYS: u8 = 24;
@@ -148,7 +148,7 @@
 }
 
 proptest! {
-    #![proptest_config(generated(128, 5))]
+    #![proptest_config(seeded_config(128, 5))]
 
     #[test]
     fn answers_like_a_plain_map(events in proptest::collection::vec(event(), 1..60)) {
--- a/crates/wisteriahitch-core/tests/all/route_endpoint.rs
+++ b/crates/wisteriahitch-core/tests/all/route_endpoint.rs
@@ -7,7 +7,7 @@
 };
 use wisteriahitch_types::{BlockKey, DurationUs, TimeUs, TokenCount};
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 use crate::route_fixture::{START, after_ms, configuration, endpoint, idle, request, router};
 
 const EXPECTED: DurationUs = DurationUs::from_ms(100);
@@ -434,7 +434,7 @@
 }
 
 proptest! {
-    #![proptest_config(generated(ProptestConfig::default().cases, 13))]
+    #![proptest_config(seeded_config(ProptestConfig::default().cases, 13))]
 
     /// Whatever the order of reports, late ones among them, and of the sources: once a life is
     /// said to be leaving, its endpoint is not chosen before its own report of a later life.
--- a/crates/wisteriahitch-core/tests/all/route_pieces.rs
+++ b/crates/wisteriahitch-core/tests/all/route_pieces.rs
@@ -4,7 +4,7 @@
 use wisteriahitch_core::route::{ChainScope, Piece, PieceChain, piece_chain};
 use wisteriahitch_types::{AdapterName, TokenCount};
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 use crate::route_fixture::words;
 
 #[derive(Clone, Copy)]
@@ -100,7 +100,7 @@
 }
 
 proptest! {
-    #![proptest_config(generated(ProptestConfig::default().cases, 3))]
+    #![proptest_config(seeded_config(ProptestConfig::default().cases, 3))]
 
     /// Two prompts share exactly the keys of the whole pieces before their first difference.
     #[test]
--- a/crates/wisteriahitch-core/tests/all/stream.rs
+++ b/crates/wisteriahitch-core/tests/all/stream.rs
@@ -7,7 +7,7 @@
 };
 use wisteriahitch_types::{AttemptNumber, Code, EndpointId, WeightVersion};
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 fn version(name: &str) -> WeightVersion {
     name.parse().unwrap()
@@ -98,7 +98,7 @@
         let mut check = streaming(2);
         assert_eq!(check.on_token(&case.token), case.expected, "{}", case.name);
         if let TokenVerdict::Drop(reason) = case.expected {
-            assert_eq!(check.dropped().get(reason), 1, "{}", case.name);
+            assert_eq!(check.drop_counts().get(reason), 1, "{}", case.name);
             assert_eq!(
                 check.on_token(&token("r-1", 1, 2)),
                 TokenVerdict::Pass,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_gap_is_asked_for_again() {
+fn a_gap_is_requested_again() {
     // Symptom: a caller is told that its answer is incomplete although the engine has all of it.
     // Sequence of events: a token of another request comes in place of the next one, which is
     // dropped; the one after it leaves a gap. Cause: a gap ends the answer, not the attempt.
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_break_resumes_restarts_or_is_told() {
+fn a_break_resumes_restarts_or_ends_the_answer() {
     struct Case {
         name: &'static str,
         passed: u64,
@@ -250,7 +250,7 @@
 /// second begins, then the first one's connection delivers what it still held. Cause: both carry
 /// the same request id, and only the attempt tells them apart.
 #[test]
-fn an_older_attempt_that_speaks_late_is_dropped() {
+fn late_tokens_of_an_earlier_attempt_are_dropped() {
     let mut check = streaming(2);
     assert!(check.on_break(&broken(Some("v1"))).is_some());
     let late = TokenVerdict::Drop(DropReason::OtherAttempt);
@@ -261,13 +261,13 @@
     assert_eq!(check.on_token(&token("r-1", 1, 2)), late);
     assert_eq!(check.on_token(&token("r-1", 2, 2)), TokenVerdict::Pass);
     assert_eq!(check.on_token(&token("r-1", 2, 3)), TokenVerdict::PassLast);
-    assert!(check.is_whole());
+    assert!(check.is_complete());
     assert_eq!(check.on_break(&broken(None)), None);
-    assert_eq!(check.dropped().get(DropReason::OtherAttempt), 2);
+    assert_eq!(check.drop_counts().get(DropReason::OtherAttempt), 2);
 }
 
 #[test]
-fn a_restart_is_checked_against_its_own_decision() {
+fn a_restart_is_checked_against_its_own_endpoint_and_weights() {
     let mut check = check();
     assert_eq!(
         check.on_head(&head("r-1", 1, "v2")),
@@ -278,10 +278,10 @@
         decision,
         Some(BreakDecision::RestartInvisible { .. })
     ));
-    check.moved_to("runner-2".parse().unwrap(), version("v2"));
+    check.set_target("runner-2".parse().unwrap(), version("v2"));
     assert_eq!(check.on_head(&head("r-1", 2, "v2")), HeadVerdict::Pass);
     assert_eq!(check.on_token(&token("r-1", 2, 0)), TokenVerdict::Pass);
-    check.moved_to("runner-3".parse().unwrap(), version("v3"));
+    check.set_target("runner-3".parse().unwrap(), version("v3"));
     assert!(
         check.on_break(&broken(Some("v3")))
             == Some(BreakDecision::Incomplete(Code::StreamIncomplete))
@@ -289,8 +289,8 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_gets_the_rest_alone() {
-    let mut check = check().resumed_by_caller(2);
+fn a_resuming_caller_gets_only_the_remaining_tokens() {
+    let mut check = check().with_start_position(2);
     assert_eq!(check.on_head(&head("r-1", 1, "v1")), HeadVerdict::Pass);
     let known = TokenVerdict::Drop(DropReason::Duplicate);
     assert_eq!(check.on_token(&token("r-1", 1, 1)), known);
@@ -302,11 +302,11 @@
 }
 
 proptest! {
-    #![proptest_config(generated(ProptestConfig::default().cases, 4_711))]
+    #![proptest_config(seeded_config(ProptestConfig::default().cases, 4_711))]
 
     /// Whatever comes in whatever order, the caller gets the answer's beginning, each token once.
     #[test]
-    fn what_passes_is_the_beginning_of_the_answer(
+    fn passed_tokens_are_a_prefix_of_the_answer(
         parts in prop::collection::vec((0..4_u8, 1..4_u64, 0..5_u64, 0..8_u8), 0..60),
     ) {
         let mut check = streaming(0);
@@ -328,6 +328,6 @@
         }
         let expected: Vec<u64> = (0..passed.len() as u64).collect();
         prop_assert_eq!(&passed, &expected);
-        prop_assert_eq!(check.is_whole(), passed.len() == 4);
+        prop_assert_eq!(check.is_complete(), passed.len() == 4);
     }
 }
--- a/crates/wisteriahitch-node/src/caller/keyed.rs
+++ b/crates/wisteriahitch-node/src/caller/keyed.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use http::{HeaderName, HeaderValue, Response, StatusCode, header};
-use wisteriahitch_core::once::{Decision, Fingerprint, KeptAnswer, OnceKey, Ticket};
+use wisteriahitch_core::once::{Decision, Fingerprint, IdempotencyKey, StoredAnswer, Ticket};
 use wisteriahitch_types::{Code, DurationUs, Meaning, RequestId};
 use wisteriahitch_wire::service::ServiceResponse;
 
@@ -30,7 +30,7 @@
 }
 
 /// What a copy of a keyed request ends with.
-pub(crate) type Outcome = Result<Arc<KeptAnswer>, Refusal>;
+pub(crate) type Outcome = Result<Arc<StoredAnswer>, Refusal>;
 
 /// Answers a keyed call.
 ///
@@ -51,7 +51,8 @@
 async fn decide_key(shared: Arc<Shared>, keyed: KeyedCall) -> Outcome {
     let KeyedCall { call, key } = keyed;
     if !Ticket::is_ticket_text(&key) {
-        let key = OnceKey::try_claimed(&call.identity.workspace, &key).map_err(Refusal::new)?;
+        let key =
+            IdempotencyKey::try_claimed(&call.identity.workspace, &key).map_err(Refusal::new)?;
         return submit(&shared, call, key, ForwardPolicy::Allowed).await;
     }
     let ticket: Ticket = key.parse().map_err(|_| Refusal::new(Code::BadKey))?;
@@ -98,7 +99,7 @@
 pub(crate) async fn submit(
     shared: &Arc<Shared>,
     call: PlainCall,
-    key: OnceKey,
+    key: IdempotencyKey,
     forwarding: ForwardPolicy,
 ) -> Outcome {
     let fingerprint = Fingerprint::new(
@@ -131,11 +132,11 @@
 }
 
 /// Runs the request, which the table lets happen once, and tells every copy of the outcome.
-async fn run(shared: &Arc<Shared>, call: PlainCall, key: OnceKey) -> Outcome {
+async fn run(shared: &Arc<Shared>, call: PlainCall, key: IdempotencyKey) -> Outcome {
     let settlement = shared.open_settlement(key.clone());
     let is_dispatched = AtomicBool::new(false);
     let may_send = || {
-        let is_allowed = shared.once.lock().table.dispatched(&key);
+        let is_allowed = shared.once.lock().table.try_dispatch(&key);
         is_dispatched.store(is_allowed, Ordering::Release);
         is_allowed
     };
@@ -168,9 +169,9 @@
     }
 }
 
-fn keep(response: &ServiceResponse) -> KeptAnswer {
+fn keep(response: &ServiceResponse) -> StoredAnswer {
     let content_type = response.headers.get(header::CONTENT_TYPE);
-    KeptAnswer {
+    StoredAnswer {
         status: response.status.as_u16(),
         content_type: content_type
             .and_then(|value| value.to_str().ok())
@@ -200,7 +201,7 @@
 }
 
 /// Renders a kept answer, the same for the first copy and for each repeat.
-fn render(answer: &KeptAnswer, request_id: &RequestId) -> Response<ResponseBody> {
+fn render(answer: &StoredAnswer, request_id: &RequestId) -> Response<ResponseBody> {
     const KEPT: HeaderName = HeaderName::from_static("x-wisteriahitch-keyed");
     let mut response = Response::new(full_body(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
--- a/crates/wisteriahitch-node/src/dispatch/completion_failure.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_failure.rs
@@ -54,7 +54,7 @@
                 self.tried.push(endpoint);
                 let next = self.plan_elsewhere()?;
                 self.check
-                    .moved_to(next.choice.endpoint.clone(), next.weight_version.clone());
+                    .set_target(next.choice.endpoint.clone(), next.weight_version.clone());
                 Ok(next)
             }
             Some(BreakDecision::Incomplete(code)) => {
--- a/crates/wisteriahitch-node/src/dispatch/completion_run.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_run.rs
@@ -75,8 +75,8 @@
     );
     if let Some(resumption) = &call.resumption {
         check = check
-            .resumed_by_caller(resumption.position)
-            .starting_with(resumption.attempt);
+            .with_start_position(resumption.position)
+            .with_first_attempt(resumption.attempt);
     }
     let mut run = Run {
         shared,
@@ -113,7 +113,7 @@
     }
 
     fn count_dropped(&self) {
-        for (reason, count) in self.check.dropped().iter() {
+        for (reason, count) in self.check.drop_counts().iter() {
             let label = reason.to_string();
             self.shared
                 .metrics
--- a/crates/wisteriahitch-node/src/peering/forward.rs
+++ b/crates/wisteriahitch-node/src/peering/forward.rs
@@ -6,7 +6,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use wisteriahitch_config::RequestFacts;
-use wisteriahitch_core::once::{ClaimHolder, KeptAnswer, OnceKey, Ticket};
+use wisteriahitch_core::once::{ClaimHolder, IdempotencyKey, StoredAnswer, Ticket};
 use wisteriahitch_peer::{
     ForwardMeaning, ForwardReply, ForwardRequest, Header, KeyKind, PeerErrorKind,
 };
@@ -42,10 +42,10 @@
     pub(crate) async fn forward_claim(
         &self,
         call: &PlainCall,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         holder: &ClaimHolder,
     ) -> Outcome {
-        let OnceKey::Claimed { hash, .. } = key else {
+        let IdempotencyKey::Claimed { hash, .. } = key else {
             return Err(ask_again(Code::Internal));
         };
         let request =
@@ -128,7 +128,7 @@
         KeyKind::Claim => {
             let hash = key.parse().map_err(|_| Refusal::new(Code::BadKey))?;
             let workspace = call.identity.workspace.clone();
-            let key = OnceKey::Claimed { workspace, hash };
+            let key = IdempotencyKey::Claimed { workspace, hash };
             submit(shared, call, key, ForwardPolicy::Forbidden).await
         }
         KeyKind::Unspecified => Err(ask_again(Code::BadKey)),
@@ -226,7 +226,7 @@
             .iter()
             .find(|header| header.name == CONTENT_TYPE);
         let content_type = header.map(|header| String::from_utf8_lossy(&header.value).into_owned());
-        return Ok(Arc::new(KeptAnswer {
+        return Ok(Arc::new(StoredAnswer {
             status: u16::try_from(reply.status).unwrap_or(0),
             content_type,
             body: reply.body.to_vec(),
--- a/crates/wisteriahitch-node/src/state/claims.rs
+++ b/crates/wisteriahitch-node/src/state/claims.rs
@@ -6,7 +6,7 @@
 use chrono::Utc;
 use wisteriahitch_core::once::{
     ClaimCommand, ClaimNonce, ClaimObject, ClaimShard, ClaimState, ClaimTime, ClaimVersion,
-    Fingerprint, OnceKey, ReadResult, WriteResult,
+    Fingerprint, IdempotencyKey, ReadResult, WriteResult,
 };
 use wisteriahitch_wire::platform::{
     Object, ObjectKind, ObjectVersion, PlatformError, PlatformErrorKind,
@@ -24,7 +24,7 @@
     /// Asks for a claim on a key.
     pub(crate) fn claim(
         self: &Arc<Self>,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         fingerprint: Fingerprint,
         nonce: ClaimNonce,
     ) {
@@ -36,12 +36,16 @@
     /// Writes down what became of a claimed request, for repeats that come after this process.
     pub(crate) fn settle_claim(
         self: &Arc<Self>,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         nonce: ClaimNonce,
         state: ClaimState,
     ) {
         let time = self.claim_time();
-        let commands = self.once.lock().claims.settle(key, nonce, state, time);
+        let commands = self
+            .once
+            .lock()
+            .claims
+            .record_outcome(key, nonce, state, time);
         self.run_claims(commands);
     }
 
@@ -67,7 +71,7 @@
                 ClaimCommand::Lost(key, standing) => {
                     let now = self.clock.now();
                     let mut once = self.once.lock();
-                    if let Some(delivery) = once.table.claim_lost(&key, &standing) {
+                    if let Some(delivery) = once.table.record_claim_lost(&key, &standing) {
                         once.deliver(&key, delivery, now);
                     }
                 }
@@ -75,7 +79,7 @@
                     log::warn!("a claim is undecided: {cause:?}");
                     let now = self.clock.now();
                     let mut once = self.once.lock();
-                    if let Some(delivery) = once.table.claim_undecided(&key, now) {
+                    if let Some(delivery) = once.table.record_claim_undecided(&key, now) {
                         once.deliver(&key, delivery, now);
                     }
                 }
@@ -86,10 +90,10 @@
         }
     }
 
-    fn note_claim_written(&self, key: &OnceKey) {
+    fn note_claim_written(&self, key: &IdempotencyKey) {
         let now = self.clock.now();
         let mut once = self.once.lock();
-        if let Some(delivery) = once.table.claim_written(key) {
+        if let Some(delivery) = once.table.record_claim_written(key) {
             once.deliver(key, delivery, now);
         }
     }
--- a/crates/wisteriahitch-node/src/state/drain.rs
+++ b/crates/wisteriahitch-node/src/state/drain.rs
@@ -119,11 +119,11 @@
     /// else once this process has ended.
     fn open_work(&self, now: TimeUs) -> OpenWork {
         let once = self.once.lock();
-        let under_way = once.table.under_way() as u64;
-        let claims = u64::from(once.claims.has_open_work(now));
+        let under_way = once.table.unsettled_count() as u64;
+        let claims = u64::from(once.claims.has_pending_work(now));
         OpenWork {
             requests: self.fleet.drain.accepted.load(Ordering::Acquire) + under_way + claims,
-            tickets: u64::from(once.issuer.has_live_tickets(now)),
+            tickets: u64::from(once.issuer.has_redeemable_tickets(now)),
         }
     }
 }
--- a/crates/wisteriahitch-node/src/state/once.rs
+++ b/crates/wisteriahitch-node/src/state/once.rs
@@ -5,8 +5,8 @@
 
 use tokio::sync::oneshot;
 use wisteriahitch_core::once::{
-    ClaimBatcher, ClaimHolder, ClaimLimits, Decision, Delivery, Fingerprint, KeptAnswer,
-    KeyedTable, OnceKey, TableLimits, TicketIssuer, TicketSecret, WaiterId,
+    ClaimBatcher, ClaimHolder, ClaimLimits, Decision, Delivery, Fingerprint, IdempotencyKey,
+    IdempotencyTable, StoredAnswer, TableLimits, TicketIssuer, TicketSecret, WaiterId,
 };
 use wisteriahitch_types::{Code, TimeUs};
 
@@ -17,7 +17,7 @@
     /// Tickets of this process.
     pub(crate) issuer: TicketIssuer,
     /// Keys that it knows.
-    pub(crate) table: KeyedTable,
+    pub(crate) table: IdempotencyTable,
     /// Claims that are being written.
     pub(crate) claims: ClaimBatcher,
     waiters: HashMap<WaiterId, oneshot::Sender<Decision>>,
@@ -38,7 +38,7 @@
         let incarnation = holder.incarnation;
         Self {
             issuer: TicketIssuer::new(incarnation, TicketSecret::new(rand::random())),
-            table: KeyedTable::new(incarnation, TableLimits::default()),
+            table: IdempotencyTable::new(incarnation, TableLimits::default()),
             claims: ClaimBatcher::new(holder, ClaimLimits::default()),
             waiters: HashMap::new(),
             next_waiter: 0,
@@ -50,8 +50,8 @@
     /// Each waits in a task of its own, with its body, also after its caller has left. While the
     /// platform is slow, callers that leave and come back would fill the memory with them. Nothing
     /// is known of the key, so its refusal says just that.
-    fn is_crowded(&self, key: &OnceKey, room: usize) -> bool {
-        let needs_claim = matches!(key, OnceKey::Claimed { .. });
+    fn is_crowded(&self, key: &IdempotencyKey, room: usize) -> bool {
+        let needs_claim = matches!(key, IdempotencyKey::Claimed { .. });
         needs_claim && self.waiters.len() >= room && self.table.nonce(key).is_none()
     }
 
@@ -67,7 +67,7 @@
     ///
     /// A copy that was told to run and whose task has ended gives its key back: otherwise the key
     /// would stay claimed, and every repeat would wait for a run that never comes.
-    pub(crate) fn deliver(&mut self, key: &OnceKey, delivery: Delivery, now: TimeUs) {
+    pub(crate) fn deliver(&mut self, key: &IdempotencyKey, delivery: Delivery, now: TimeUs) {
         let mut is_run_lost = false;
         for waiter in delivery.waiters {
             let sender = self.waiters.remove(&waiter);
@@ -75,7 +75,7 @@
             is_run_lost |= !is_told && delivery.decision == Decision::Run;
         }
         if is_run_lost {
-            let next = self.table.lost(key, Code::CallerGone, now);
+            let next = self.table.record_lost(key, Code::CallerGone, now);
             self.deliver(key, next, now);
         }
     }
@@ -85,7 +85,7 @@
     /// Brings a copy of a keyed request to the table.
     pub(crate) fn submit_key(
         self: &Arc<Self>,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         fingerprint: Fingerprint,
     ) -> WaitedDecision {
         let now = self.clock.now();
@@ -95,7 +95,7 @@
         }
         let (waiter, receiver) = once.open_waiter();
         let decision = once.table.submit(key, fingerprint, waiter, now);
-        once.issuer.note_used(key);
+        once.issuer.mark_used(key);
         match decision {
             Decision::Wait => WaitedDecision::Later(receiver),
             Decision::Claim(nonce) => {
@@ -111,7 +111,7 @@
     }
 
     /// Opens the record of how a key's run ends.
-    pub(crate) fn open_settlement(self: &Arc<Self>, key: OnceKey) -> Settlement {
+    pub(crate) fn open_settlement(self: &Arc<Self>, key: IdempotencyKey) -> Settlement {
         Settlement {
             shared: Arc::clone(self),
             key,
@@ -126,35 +126,35 @@
 /// repeat would wait without an answer.
 pub(crate) struct Settlement {
     shared: Arc<Shared>,
-    key: OnceKey,
+    key: IdempotencyKey,
     is_settled: bool,
 }
 
 impl Settlement {
     /// Notes the whole answer, and returns what the copy that ran gets.
-    pub(crate) fn finish(self, answer: Arc<KeptAnswer>) -> Decision {
-        self.settle(|once, key, now| once.table.finished(key, answer, now))
+    pub(crate) fn finish(self, answer: Arc<StoredAnswer>) -> Decision {
+        self.settle(|once, key, now| once.table.record_answer(key, answer, now))
     }
 
     /// Notes that the request is refused before its dispatch, and returns what its copy gets.
     pub(crate) fn refuse(self, code: Code) -> Decision {
-        self.settle(|once, key, now| once.table.refused(key, code, now))
+        self.settle(|once, key, now| once.table.record_refusal(key, code, now))
     }
 
     /// Notes that no endpoint ran the request after its dispatch, by the endpoint's own word or
     /// because no byte of it left.
     pub(crate) fn refuse_by_endpoint(self) -> Decision {
-        self.settle(|once, key, now| once.table.endpoint_refused(key, now))
+        self.settle(|once, key, now| once.table.record_endpoint_refusal(key, now))
     }
 
     /// Notes that nobody knows whether the request ran.
     pub(crate) fn lose(self, code: Code) -> Decision {
-        self.settle(|once, key, now| once.table.lost(key, code, now))
+        self.settle(|once, key, now| once.table.record_lost(key, code, now))
     }
 
     fn settle(
         mut self,
-        step: impl FnOnce(&mut OnceState, &OnceKey, TimeUs) -> Delivery,
+        step: impl FnOnce(&mut OnceState, &IdempotencyKey, TimeUs) -> Delivery,
     ) -> Decision {
         self.is_settled = true;
         let now = self.shared.clock.now();
@@ -163,7 +163,7 @@
         let decision = delivery.decision.clone();
         // Only the table knows what is certain: a refusal that came too late, written down from
         // this run's own view, would let other daemons say `not run` of a request that ran.
-        let limit = ClaimLimits::default().answer_bytes;
+        let limit = ClaimLimits::default().max_answer_bytes;
         let outcome = once.table.outcome_to_write(&self.key, limit);
         once.deliver(&self.key, delivery, now);
         drop(once);
@@ -181,7 +181,7 @@
         }
         let now = self.shared.clock.now();
         let mut once = self.shared.once.lock();
-        let delivery = once.table.lost(&self.key, Code::Internal, now);
+        let delivery = once.table.record_lost(&self.key, Code::Internal, now);
         once.deliver(&self.key, delivery, now);
     }
 }
--- a/crates/wisteriahitch/examples/ticket.rs
+++ b/crates/wisteriahitch/examples/ticket.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, ensure};
 use wisteriahitch::core::once::{
-    Decision, Fingerprint, KeptAnswer, KeyedTable, TableLimits, TicketIssuer, TicketSecret,
+    Decision, Fingerprint, IdempotencyTable, StoredAnswer, TableLimits, TicketIssuer, TicketSecret,
     WaiterId,
 };
 use wisteriahitch::types::{Code, DurationUs, Incarnation, TimeUs, WorkspaceId};
@@ -19,7 +19,7 @@
     let incarnation = Incarnation::new(7);
     let workspace: WorkspaceId = "kandy-central".parse()?;
     let mut issuer = TicketIssuer::new(incarnation, TicketSecret::new([1; 32]));
-    let mut table = KeyedTable::new(incarnation, TableLimits::default());
+    let mut table = IdempotencyTable::new(incarnation, TableLimits::default());
 
     let tickets = issuer.issue(&workspace, 1, NOW, LIFETIME_US);
     let ticket = tickets.first().context("no ticket was issued")?;
@@ -31,16 +31,16 @@
     let booking = Fingerprint::new(&workspace, "POST", "/bookings", b"bay 3");
     let first = table.submit(&key, booking, WaiterId::new(1), NOW);
     ensure!(first == Decision::Run, "the first copy must run: {first:?}");
-    issuer.note_used(&key);
-    ensure!(table.dispatched(&key), "the first copy may be sent");
+    issuer.mark_used(&key);
+    ensure!(table.try_dispatch(&key), "the first copy may be sent");
     println!("redeemed: the first copy runs");
 
-    let answer = Arc::new(KeptAnswer {
+    let answer = Arc::new(StoredAnswer {
         status: 201,
         content_type: None,
         body: b"booked".to_vec(),
     });
-    table.finished(&key, Arc::clone(&answer), NOW);
+    table.record_answer(&key, Arc::clone(&answer), NOW);
     let repeat = table.submit(&key, booking, WaiterId::new(2), NOW);
     ensure!(repeat == Decision::Answer(answer), "a repeat: {repeat:?}");
     println!("repeated: the same answer, and nothing runs");
