--- a/crates/wisteriahitch-core/src/once/claim/object.rs
+++ b/crates/wisteriahitch-core/src/once/claim/object.rs
@@ -107,7 +107,7 @@
 
 impl ClaimEntry {
     /// Returns whether this is the claim that `incarnation` made with `nonce`.
-    pub fn is_claim_by(&self, incarnation: Incarnation, nonce: ClaimNonce) -> bool {
+    pub fn is_own(&self, incarnation: Incarnation, nonce: ClaimNonce) -> bool {
         self.incarnation == incarnation && self.nonce == nonce
     }
 
--- a/crates/wisteriahitch-core/src/once/claim/work.rs
+++ b/crates/wisteriahitch-core/src/once/claim/work.rs
@@ -130,9 +130,7 @@
     ) -> Vec<(ClaimRequest, ClaimStatus)> {
         self.outcomes.retain(|hash, outcome| {
             let entry = object.entries.get(hash);
-            entry.is_some_and(|e| {
-                e.is_claim_by(own, outcome.nonce) && e.state == ClaimState::Claimed
-            })
+            entry.is_some_and(|e| e.is_own(own, outcome.nonce) && e.state == ClaimState::Claimed)
         });
         let (open, decided) = self
             .take_requests()
@@ -214,7 +212,7 @@
     let Some(entry) = object.entries.get(&request.hash) else {
         return ClaimStatus::Absent;
     };
-    let is_own = entry.is_claim_by(own, request.nonce);
+    let is_own = entry.is_own(own, request.nonce);
     // This daemon's own claim is valid only for the guaranteed time. After that, another daemon
     // whose clock is ahead may remove it at any moment and claim the key for itself.
     if is_own && entry.is_younger_than(limits.guarantee_ms, time.wall_ms) {
--- a/crates/wisteriahitch-core/src/once/table/claims.rs
+++ b/crates/wisteriahitch-core/src/once/table/claims.rs
@@ -12,7 +12,7 @@
     ///
     /// Returns `None` if the key was not waiting for a claim, or if all callers have left. In the
     /// latter case the next copy finds the claim and runs.
-    pub fn record_claim_written(&mut self, key: &IdempotencyKey) -> Option<Delivery> {
+    pub fn claim_written(&mut self, key: &IdempotencyKey) -> Option<Delivery> {
         let entry = self.entries.get_mut(key)?;
         if !entry.is_deciding() {
             return None;
@@ -34,11 +34,7 @@
     ///
     /// The key is removed from the table, so that each repeat reads the claim again: its holder may
     /// have died since, or may have written the answer.
-    pub fn record_claim_lost(
-        &mut self,
-        key: &IdempotencyKey,
-        claim: &ExistingClaim,
-    ) -> Option<Delivery> {
+    pub fn claim_lost(&mut self, key: &IdempotencyKey, claim: &ExistingClaim) -> Option<Delivery> {
         let entry = self.entries.get_mut(key)?;
         if !entry.handle(&Event::ClaimLost) {
             return None;
@@ -50,11 +46,7 @@
     }
 
     /// Records that the claim could not be decided. A repeat tries again.
-    pub fn record_claim_undecided(
-        &mut self,
-        key: &IdempotencyKey,
-        now: TimeUs,
-    ) -> Option<Delivery> {
+    pub fn claim_undecided(&mut self, key: &IdempotencyKey, now: TimeUs) -> Option<Delivery> {
         self.settle(key, &Event::Lost(Code::ClaimUndecided), now)
     }
 }
--- a/crates/wisteriahitch-core/tests/all/once_table.rs
+++ b/crates/wisteriahitch-core/tests/all/once_table.rs
@@ -79,8 +79,8 @@
 fn apply(table: &mut IdempotencyTable, key: &IdempotencyKey, step: Step) {
     match step {
         Step::Submit => drop(submit(table, key, 1)),
-        Step::ClaimWritten => drop(table.record_claim_written(key)),
-        Step::Undecided => drop(table.record_claim_undecided(key, START)),
+        Step::ClaimWritten => drop(table.claim_written(key)),
+        Step::Undecided => drop(table.claim_undecided(key, START)),
         Step::Dispatch => drop(table.try_dispatch(key)),
         Step::Finish => drop(table.record_answer(key, answer(1), START)),
         Step::Lose(code) => drop(table.record_lost(key, code, START)),
@@ -292,7 +292,7 @@
         let mut table = table();
         submit(&mut table, &key, 1);
         if case.is_decided {
-            table.record_claim_written(&key);
+            table.claim_written(&key);
         }
         let other = table.submit(&key, fingerprint("bay 4"), waiter(2), START);
         assert_eq!(other, Decision::Refuse(case.expected), "{}", case.name);
@@ -338,7 +338,7 @@
         let mut table = table();
         let key = claimed_key("k");
         submit(&mut table, &key, 1);
-        let delivery = table.record_claim_lost(&key, &case.claim).unwrap();
+        let delivery = table.claim_lost(&key, &case.claim).unwrap();
         assert_eq!(delivery.decision, case.expected, "{}", case.name);
         assert_eq!(delivery.waiters, [waiter(1)], "{}", case.name);
         assert!(!table.try_dispatch(&key), "{}", case.name);
@@ -455,7 +455,7 @@
         let workspace = workspace.parse().unwrap();
         let key = IdempotencyKey::try_claimed(&workspace, text).unwrap();
         submit(&mut table, &key, 1);
-        table.record_claim_written(&key);
+        table.claim_written(&key);
         assert!(table.try_dispatch(&key));
         table.record_answer(&key, answer(len), START);
         key
@@ -484,11 +484,11 @@
     let key = claimed_key("k");
     submit(&mut table, &key, 1);
     table.remove_waiter(&key, waiter(1));
-    assert_eq!(table.record_claim_written(&key), None);
+    assert_eq!(table.claim_written(&key), None);
     assert_eq!(table.unsettled_count(), 0);
     assert!(!table.try_dispatch(&key));
     assert!(matches!(submit(&mut table, &key, 2), Decision::Claim(_)));
-    let delivery = table.record_claim_written(&key).unwrap();
+    let delivery = table.claim_written(&key).unwrap();
     assert_eq!(delivery.waiters, [waiter(2)]);
 }
 
--- a/crates/wisteriahitch-core/tests/all/once_world.rs
+++ b/crates/wisteriahitch-core/tests/all/once_world.rs
@@ -429,12 +429,12 @@
             let table = &mut self.daemons[daemon].table;
             let delivery = match command {
                 ClaimCommand::Written(key) => {
-                    let delivery = table.record_claim_written(&key);
+                    let delivery = table.claim_written(&key);
                     self.grant(daemon, delivery.iter().flat_map(|d| &d.waiters));
                     None
                 }
-                ClaimCommand::Lost(key, claim) => table.record_claim_lost(&key, &claim),
-                ClaimCommand::Undecided(key, _) => table.record_claim_undecided(&key, self.now),
+                ClaimCommand::Lost(key, claim) => table.claim_lost(&key, &claim),
+                ClaimCommand::Undecided(key, _) => table.claim_undecided(&key, self.now),
                 call => {
                     self.daemons[daemon].calls.push_back(call);
                     None
--- a/crates/wisteriahitch-node/src/state/claims.rs
+++ b/crates/wisteriahitch-node/src/state/claims.rs
@@ -71,7 +71,7 @@
                 ClaimCommand::Lost(key, standing) => {
                     let now = self.clock.now();
                     let mut once = self.once.lock();
-                    if let Some(delivery) = once.table.record_claim_lost(&key, &standing) {
+                    if let Some(delivery) = once.table.claim_lost(&key, &standing) {
                         once.deliver(&key, delivery, now);
                     }
                 }
@@ -79,7 +79,7 @@
                     log::warn!("a claim is undecided: {cause:?}");
                     let now = self.clock.now();
                     let mut once = self.once.lock();
-                    if let Some(delivery) = once.table.record_claim_undecided(&key, now) {
+                    if let Some(delivery) = once.table.claim_undecided(&key, now) {
                         once.deliver(&key, delivery, now);
                     }
                 }
@@ -93,7 +93,7 @@
     fn note_claim_written(&self, key: &IdempotencyKey) {
         let now = self.clock.now();
         let mut once = self.once.lock();
-        if let Some(delivery) = once.table.record_claim_written(key) {
+        if let Some(delivery) = once.table.claim_written(key) {
             once.deliver(key, delivery, now);
         }
     }
