--- a/crates/wisteriahitch-core/src/once/limits.rs
+++ b/crates/wisteriahitch-core/src/once/limits.rs
@@ -1,23 +1,23 @@
-//! Bounds for the table of keys.
+//! Limits of the table of keys.
 
 use wisteriahitch_types::{ByteCount, DurationUs};
 
-/// Bounds what the table holds.
+/// Limits of an [`IdempotencyTable`](super::IdempotencyTable).
 #[derive(Clone, Copy, Debug)]
 pub struct TableLimits {
-    /// How long the outcome of a key is kept for its repeat.
-    pub kept_us: DurationUs,
-    /// Most memory that settled keys take.
-    pub kept_bytes: ByteCount,
-    /// Most callers that wait for one key.
+    /// How long the outcome of a key is stored for repeats, counted from when it was settled.
+    pub outcome_ttl_us: DurationUs,
+    /// Maximum memory of settled keys and their stored answers.
+    pub max_settled_bytes: ByteCount,
+    /// Maximum number of callers that wait for the outcome of one key.
     pub max_waiters: usize,
 }
 
 impl Default for TableLimits {
     fn default() -> Self {
         Self {
-            kept_us: DurationUs::from_ms(24 * 3_600_000),
-            kept_bytes: ByteCount::new(8 << 20),
+            outcome_ttl_us: DurationUs::from_ms(24 * 3_600_000),
+            max_settled_bytes: ByteCount::new(8 << 20),
             max_waiters: 64,
         }
     }
--- a/crates/wisteriahitch-core/src/once/table.rs
+++ b/crates/wisteriahitch-core/src/once/table.rs
@@ -1,4 +1,4 @@
-//! All keys that a process knows.
+//! The table of all keys that a process handles.
 
 mod claims;
 mod retention;
@@ -9,23 +9,23 @@
 use wisteriahitch_types::{ByteCount, Code, Incarnation, TimeUs};
 
 use super::entry::Entry;
-use super::keeper::Keeper;
-use super::life::Event;
+use super::key_state_machine::Event;
+use super::retention_queue::RetentionQueue;
 use super::{
-    ClaimNonce, ClaimState, Decision, Delivery, EntrySnapshot, Fingerprint, KeptAnswer, OnceKey,
-    TableLimits, TableSnapshot, WaiterId,
+    ClaimNonce, ClaimState, Decision, Delivery, EntrySnapshot, Fingerprint, IdempotencyKey,
+    StoredAnswer, TableLimits, TableSnapshot, WaiterId,
 };
 
-/// Lets each key start at most one dispatch in this process, and keeps outcomes for repeats.
+/// Permits at most one dispatch per key in this process and stores outcomes for repeats.
 ///
-/// A keyed request is passed to [`submit`](Self::submit), whatever it is; the table answers what to
-/// do. Each later call reports what became of it and returns who is to hear of it. Calls that make
-/// no sense in the key's state change nothing.
+/// Pass every request that carries a key to [`submit`](Self::submit), which returns how to handle
+/// it. The other methods record what happened to the request afterwards and return the callers to
+/// notify. Calls that do not apply to the state of the key have no effect.
 ///
 /// ```
 /// use std::sync::Arc;
 /// use wisteriahitch_core::once::{
-///     Decision, Fingerprint, KeptAnswer, KeyedTable, TableLimits, TicketIssuer, TicketSecret,
+///     Decision, Fingerprint, StoredAnswer, IdempotencyTable, TableLimits, TicketIssuer, TicketSecret,
 ///     WaiterId,
 /// };
 /// use wisteriahitch_types::{Code, DurationUs, Incarnation, TimeUs, WorkspaceId};
@@ -34,23 +34,23 @@
 /// let incarnation = Incarnation::new(7);
 /// let workspace: WorkspaceId = "kandy".parse().unwrap();
 /// let mut issuer = TicketIssuer::new(incarnation, TicketSecret::new([1; 32]));
-/// let mut table = KeyedTable::new(incarnation, TableLimits::default());
+/// let mut table = IdempotencyTable::new(incarnation, TableLimits::default());
 ///
 /// let tickets = issuer.issue(&workspace, 1, now, DurationUs::from_ms(60_000));
 /// let key = issuer.verify(&tickets[0], &workspace)?;
 /// let booking = Fingerprint::new(&workspace, "POST", "/bookings", b"bay 3");
 ///
-/// // The first copy runs, the second one waits for the same answer.
+/// // The first copy runs; the second one waits for the same answer.
 /// assert_eq!(table.submit(&key, booking, WaiterId::new(1), now), Decision::Run);
-/// issuer.note_used(&key);
+/// issuer.mark_used(&key);
 /// assert_eq!(table.submit(&key, booking, WaiterId::new(2), now), Decision::Wait);
 ///
-/// // Bytes may leave only if the table agrees, and it does so once.
-/// assert!(table.dispatched(&key));
-/// assert!(!table.dispatched(&key));
+/// // Bytes may be sent only with the permission of the table, which it grants once.
+/// assert!(table.try_dispatch(&key));
+/// assert!(!table.try_dispatch(&key));
 ///
-/// let answer = KeptAnswer { status: 201, content_type: None, body: b"booked".to_vec() };
-/// let delivery = table.finished(&key, Arc::new(answer.clone()), now);
+/// let answer = StoredAnswer { status: 201, content_type: None, body: b"booked".to_vec() };
+/// let delivery = table.record_answer(&key, Arc::new(answer.clone()), now);
 /// assert_eq!(delivery.waiters, [WaiterId::new(1), WaiterId::new(2)]);
 ///
 /// // A late repeat gets the same answer, another request under this key gets none.
@@ -61,45 +61,46 @@
 /// assert_eq!(misuse, Decision::Refuse(Code::KeyReused));
 /// # Ok::<(), Code>(())
 /// ```
-pub struct KeyedTable {
+pub struct IdempotencyTable {
     incarnation: Incarnation,
     limits: TableLimits,
-    entries: BTreeMap<OnceKey, Entry>,
-    keeper: Keeper,
-    /// Used tickets whose outcome is no longer kept, until they could not be used any more.
-    tombstones: BTreeSet<(TimeUs, OnceKey)>,
+    entries: BTreeMap<IdempotencyKey, Entry>,
+    retained: RetentionQueue,
+    /// Used tickets whose outcome was evicted, by expiry. They stay until the ticket expires, so
+    /// that a later copy is not taken for a first use.
+    tombstones: BTreeSet<(TimeUs, IdempotencyKey)>,
     next_nonce: u64,
-    last_seen: TimeUs,
+    latest_now: TimeUs,
 }
 
-impl KeyedTable {
-    /// Builds the empty table of one life of a process.
+impl IdempotencyTable {
+    /// Creates the empty table of one incarnation.
     pub fn new(incarnation: Incarnation, limits: TableLimits) -> Self {
         Self {
             incarnation,
             limits,
             entries: BTreeMap::new(),
-            keeper: Keeper::default(),
+            retained: RetentionQueue::default(),
             tombstones: BTreeSet::new(),
             next_nonce: 1,
-            last_seen: TimeUs::ZERO,
+            latest_now: TimeUs::ZERO,
         }
     }
 
-    /// Takes in a copy of a keyed request and decides what becomes of it.
+    /// Registers a copy of a request and decides how it is handled.
     pub fn submit(
         &mut self,
-        key: &OnceKey,
+        key: &IdempotencyKey,
         fingerprint: Fingerprint,
         waiter: WaiterId,
         now: TimeUs,
     ) -> Decision {
-        self.last_seen = now;
+        self.latest_now = now;
         if let Some(entry) = self.entries.get_mut(key) {
             return entry.repeat(fingerprint, waiter, self.limits.max_waiters);
         }
-        // Used tickets are forgotten only after their expiry, so one that is unknown and has expired
-        // may be a used one: it must never look fresh.
+        // Used tickets are removed only after they expire. An expired ticket that is not in the
+        // table may therefore have been used and must not be accepted as unused.
         if key.is_expired(now) {
             return Decision::Refuse(Code::TicketExpired);
         }
@@ -111,86 +112,93 @@
         decision
     }
 
-    /// Asks for the one permission to send the key's request to an endpoint.
+    /// Requests the single permission to send the request of a key to an endpoint.
     ///
-    /// Without `true` no byte may leave.
+    /// No byte may be sent unless this returns `true`.
     #[must_use]
-    pub fn dispatched(&mut self, key: &OnceKey) -> bool {
+    pub fn try_dispatch(&mut self, key: &IdempotencyKey) -> bool {
         let entry = self.entries.get_mut(key);
         entry.is_some_and(|entry| entry.handle(&Event::Dispatch))
     }
 
-    /// Notes the endpoint's whole answer.
-    pub fn finished(&mut self, key: &OnceKey, answer: Arc<KeptAnswer>, now: TimeUs) -> Delivery {
+    /// Records the complete answer of the endpoint.
+    pub fn record_answer(
+        &mut self,
+        key: &IdempotencyKey,
+        answer: Arc<StoredAnswer>,
+        now: TimeUs,
+    ) -> Delivery {
         let delivery = self.settle(key, &Event::Answer(answer), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
-    /// Notes that the outcome can't be found out any more; `code` says why.
+    /// Records that the outcome can no longer be determined; `code` gives the cause.
     ///
-    /// Before the dispatch, such as when the caller that was to run has gone, this gives the key
-    /// back: nothing ran, and the next copy may.
-    pub fn lost(&mut self, key: &OnceKey, code: Code, now: TimeUs) -> Delivery {
+    /// Before the dispatch, for example when the caller whose copy was to run left, this releases
+    /// the key: nothing ran, and the next copy may run.
+    pub fn record_lost(&mut self, key: &IdempotencyKey, code: Code, now: TimeUs) -> Delivery {
         let delivery = self.settle(key, &Event::Lost(code), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
-    /// Refuses the key's request before its dispatch, which uses the key up.
+    /// Records that this daemon refuses the request before its dispatch. The key cannot be used
+    /// again.
     ///
-    /// The callers get `code` only where this process decides for the key and has sent nothing;
-    /// otherwise they hear that the outcome is unknown.
-    pub fn refused(&mut self, key: &OnceKey, code: Code, now: TimeUs) -> Delivery {
+    /// The callers receive `code` only if this process owns the key and has sent nothing. Otherwise
+    /// they are told that the outcome is unknown.
+    pub fn record_refusal(&mut self, key: &IdempotencyKey, code: Code, now: TimeUs) -> Delivery {
         let code = match code {
             Code::EndpointRefused => Code::NoEndpoint,
             other => other,
         };
         let delivery = self.settle(key, &Event::Refuse(code), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
-    /// Notes the endpoint's own word that it did not run the request, which uses the key up.
-    pub fn endpoint_refused(&mut self, key: &OnceKey, now: TimeUs) -> Delivery {
+    /// Records that the endpoint reported not to have run the request. The key cannot be used
+    /// again.
+    pub fn record_endpoint_refusal(&mut self, key: &IdempotencyKey, now: TimeUs) -> Delivery {
         let delivery = self.settle(key, &Event::Refuse(Code::EndpointRefused), now);
-        delivery.unwrap_or_else(nobody)
+        delivery.unwrap_or_else(no_delivery)
     }
 
-    /// Forgets a caller that went away; the run itself goes on.
-    pub fn remove_waiter(&mut self, key: &OnceKey, waiter: WaiterId) {
+    /// Removes a caller that disconnected. The request itself keeps running.
+    pub fn remove_waiter(&mut self, key: &IdempotencyKey, waiter: WaiterId) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.remove_waiter(waiter);
         }
     }
 
-    /// Returns what is to be written down with the key's claim, and under which nonce; nothing
-    /// for a ticket, or while the outcome is not certain.
+    /// Returns the outcome to write to the claim of a key, and the nonce of that claim.
     ///
-    /// Whatever else is written could tell a repeat at another daemon that a request was not run
-    /// which has run.
+    /// Returns `None` for a ticket, and while the outcome is not certain. An uncertain outcome in
+    /// the object store could tell a repeat at another daemon that a request was not run although
+    /// it was.
     pub fn outcome_to_write(
         &self,
-        key: &OnceKey,
-        answer_bytes: ByteCount,
+        key: &IdempotencyKey,
+        max_answer_bytes: ByteCount,
     ) -> Option<(ClaimNonce, ClaimState)> {
-        let OnceKey::Claimed { .. } = key else {
+        let IdempotencyKey::Claimed { .. } = key else {
             return None;
         };
         let entry = self.entries.get(key)?;
-        let state = entry.outcome_to_write(answer_bytes)?;
+        let state = entry.outcome_to_write(max_answer_bytes)?;
         Some((entry.nonce(), state))
     }
 
-    /// Returns the nonce of the key's claim.
-    pub fn nonce(&self, key: &OnceKey) -> Option<ClaimNonce> {
+    /// Returns the nonce of this daemon's claim on the key; `None` if the table has no such key.
+    pub fn nonce(&self, key: &IdempotencyKey) -> Option<ClaimNonce> {
         self.entries.get(key).map(Entry::nonce)
     }
 
-    /// Returns how many keys are under way, which a draining process waits for.
-    pub fn under_way(&self) -> usize {
+    /// Returns the number of keys that are not settled. A draining process waits until it is zero.
+    pub fn unsettled_count(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| !entry.is_settled()).count()
     }
 
-    /// Returns what a dump shows.
+    /// Returns the state of the table for diagnostics.
     pub fn snapshot(&self) -> TableSnapshot {
         let mut keys_by_state = BTreeMap::new();
         for entry in self.entries.values() {
@@ -199,36 +207,38 @@
         let under_way = self.entries.iter().filter(|(_, e)| !e.is_settled());
         TableSnapshot {
             keys_by_state,
-            kept_bytes: self.keeper.cost_bytes(),
-            under_way: under_way.map(|(key, entry)| show(key, entry)).collect(),
+            kept_bytes: self.retained.cost_bytes(),
+            under_way: under_way
+                .map(|(key, entry)| entry_snapshot(key, entry))
+                .collect(),
         }
     }
 
-    fn settle(&mut self, key: &OnceKey, event: &Event, now: TimeUs) -> Option<Delivery> {
+    fn settle(&mut self, key: &IdempotencyKey, event: &Event, now: TimeUs) -> Option<Delivery> {
         let entry = self.entries.get_mut(key)?;
         if !entry.handle(event) {
             return None;
         }
         let delivery = entry.deliver();
         if entry.is_settled() {
-            entry.settlement = Some(self.keeper.put(key, entry.cost_bytes(), now));
+            entry.settle_sequence = Some(self.retained.push(key, entry.cost_bytes(), now));
         }
-        self.keep_within_bounds(now);
+        self.enforce_memory_limit(now);
         Some(delivery)
     }
 }
 
-fn nobody() -> Delivery {
+fn no_delivery() -> Delivery {
     Delivery {
         waiters: Vec::new(),
         decision: Decision::Wait,
     }
 }
 
-fn show(key: &OnceKey, entry: &Entry) -> EntrySnapshot {
+fn entry_snapshot(key: &IdempotencyKey, entry: &Entry) -> EntrySnapshot {
     EntrySnapshot {
         key: key.clone(),
         state: entry.state_name(),
-        waiters: entry.waiters(),
+        waiters: entry.waiter_count(),
     }
 }
--- a/crates/wisteriahitch-core/src/stream/check.rs
+++ b/crates/wisteriahitch-core/src/stream/check.rs
@@ -1,9 +1,9 @@
-//! Decides for each part of an endpoint's answer whether the caller gets it.
+//! Decides for each head and token of an endpoint's answer whether it is passed to the caller.
 
 use statig::blocking::{IntoStateMachineExt, StateMachine};
 use wisteriahitch_types::{AttemptNumber, Code, EndpointId, RequestId, WeightVersion};
 
-use super::life::{Event, StreamLife, StreamState};
+use super::stream_state_machine::{Event, StreamState, StreamStateMachine};
 use super::{
     BreakDecision, DropCounts, DropReason, HeadVerdict, StreamBreak, StreamHead, StreamToken,
     TokenVerdict,
@@ -11,7 +11,7 @@
 
 const FIRST_ATTEMPT: AttemptNumber = AttemptNumber::new(1);
 
-/// Lets each token of one request pass to its caller once and in order.
+/// Passes each token of one request to its caller once and in order.
 ///
 /// ```
 /// use wisteriahitch_core::stream::{
@@ -38,7 +38,7 @@
 /// assert_eq!(check.on_head(&head(1)), HeadVerdict::Pass);
 /// assert_eq!(check.on_token(&token(1, 0)), TokenVerdict::Pass);
 ///
-/// // The connection breaks; the same endpoint gives the rest.
+/// // The connection breaks; the same endpoint sends the remaining tokens.
 /// let decision = check.on_break(&StreamBreak {
 ///     code: Code::EndpointLost,
 ///     endpoint_version: Some(version.clone()),
@@ -48,7 +48,7 @@
 /// assert!(matches!(decision, Some(BreakDecision::Resume { position: 1, .. })));
 /// assert_eq!(check.on_head(&head(2)), HeadVerdict::Pass);
 ///
-/// // What the first attempt had still under way is dropped.
+/// // Tokens of the first attempt that arrive late are dropped.
 /// let late = check.on_token(&token(1, 1));
 /// assert_eq!(late, TokenVerdict::Drop(DropReason::OtherAttempt));
 /// assert_eq!(check.on_token(&token(2, 1)), TokenVerdict::PassLast);
@@ -60,12 +60,12 @@
     weight_version: WeightVersion,
     attempt: AttemptNumber,
     next_position: u64,
-    life: StateMachine<StreamLife>,
+    machine: StateMachine<StreamStateMachine>,
     dropped: DropCounts,
 }
 
 impl StreamCheck {
-    /// Builds the check for a request that was decided for an endpoint with these weights.
+    /// Creates the check for a request that was routed to an endpoint with this weight version.
     pub fn new(request: RequestId, endpoint: EndpointId, weight_version: WeightVersion) -> Self {
         Self {
             request,
@@ -73,81 +73,85 @@
             weight_version,
             attempt: FIRST_ATTEMPT,
             next_position: 0,
-            life: StreamLife.state_machine(),
+            machine: StreamStateMachine.state_machine(),
             dropped: DropCounts::default(),
         }
     }
 
-    /// Starts at a later token, for a caller that has the earlier ones already.
+    /// Starts at a later token, for a caller that has already received the earlier ones.
     ///
-    /// Such an answer can't be restarted: other weights or chance would give another beginning.
-    pub fn resumed_by_caller(mut self, position: u64) -> Self {
+    /// Such an answer cannot be restarted: with other weights, or by sampling, it would begin
+    /// differently.
+    pub fn with_start_position(mut self, position: u64) -> Self {
         self.next_position = position;
         self
     }
 
-    /// Counts on from an earlier answer's attempts, so that what is left of them is dropped.
-    pub fn starting_with(mut self, attempt: AttemptNumber) -> Self {
+    /// Sets the number of the first attempt, above those of an earlier answer to the same request,
+    /// so that late tokens of its attempts are dropped.
+    pub fn with_first_attempt(mut self, attempt: AttemptNumber) -> Self {
         self.attempt = attempt;
         self
     }
 
-    /// Checks the head of an endpoint's answer, before the first byte goes on.
+    /// Checks the head of an endpoint's answer before any of it is passed on.
     pub fn on_head(&mut self, head: &StreamHead) -> HeadVerdict {
         if let Some(reason) = self.find_mismatch(&head.request, head.attempt) {
-            return HeadVerdict::Drop(self.drop_for(reason));
+            return HeadVerdict::Drop(self.count_drop(reason));
         }
         if self.state() != (StreamState::AwaitingHead {}) {
-            return HeadVerdict::Drop(self.drop_for(DropReason::AfterEnd));
+            return HeadVerdict::Drop(self.count_drop(DropReason::AfterEnd));
         }
-        // The weights may be swapped between decision and run. Going on would mix two versions
-        // in one answer, or use blocks of one with the other.
+        // The endpoint may swap its weights between the routing decision and the run. Continuing
+        // would mix two versions in one answer, or use cached blocks of one with the other.
         if head.weight_version != self.weight_version {
-            self.life.handle(&Event::Break);
+            self.machine.handle(&Event::Break);
             return HeadVerdict::WrongVersion;
         }
-        self.life.handle(&Event::Head);
+        self.machine.handle(&Event::Head);
         HeadVerdict::Pass
     }
 
-    /// Checks a token.
+    /// Checks a token of an endpoint's answer.
     pub fn on_token(&mut self, token: &StreamToken) -> TokenVerdict {
-        if let Some(reason) = self.find_token_fault(token) {
-            return TokenVerdict::Drop(self.drop_for(reason));
+        if let Some(reason) = self.find_drop_reason(token) {
+            return TokenVerdict::Drop(self.count_drop(reason));
         }
         if token.position > self.next_position {
-            self.life.handle(&Event::Break);
+            self.machine.handle(&Event::Break);
             return TokenVerdict::Missing;
         }
         self.next_position += 1;
         if !token.is_last {
             return TokenVerdict::Pass;
         }
-        self.life.handle(&Event::Last);
+        self.machine.handle(&Event::Last);
         TokenVerdict::PassLast
     }
 
-    /// Decides how to go on after the current attempt broke.
+    /// Decides how to continue after the current attempt broke.
     ///
-    /// Returns nothing once the answer is whole or has been given up: a connection that closes
-    /// then means nothing.
+    /// Returns `None` if the answer is already complete or was ended as incomplete: a connection
+    /// that closes after that has no consequences.
     pub fn on_break(&mut self, broken: &StreamBreak) -> Option<BreakDecision> {
         if self.has_ended() {
             return None;
         }
-        self.life.handle(&Event::Break);
+        self.machine.handle(&Event::Break);
         let decision = self.decide_break(broken);
         match decision {
-            BreakDecision::Incomplete(_) => self.life.handle(&Event::GiveUp),
+            BreakDecision::Incomplete(_) => self.machine.handle(&Event::GiveUp),
             _ => self.begin_attempt(),
         }
         Some(decision)
     }
 
-    /// Names where a restarted attempt runs, since the weights are checked against that decision.
+    /// Sets the endpoint and weight version of a restarted attempt, which its head is checked
+    /// against.
     ///
-    /// Has no effect once a token has passed: the rest must come from where the beginning came.
-    pub fn moved_to(&mut self, endpoint: EndpointId, weight_version: WeightVersion) {
+    /// Has no effect once a token was passed on: the remaining tokens must come from the endpoint
+    /// and weights that produced the first ones.
+    pub fn set_target(&mut self, endpoint: EndpointId, weight_version: WeightVersion) {
         if self.has_reached_caller() || self.state() != (StreamState::AwaitingHead {}) {
             return;
         }
@@ -155,23 +159,23 @@
         self.weight_version = weight_version;
     }
 
-    /// Returns the attempt that is current.
+    /// Returns the number of the current attempt.
     pub fn attempt(&self) -> AttemptNumber {
         self.attempt
     }
 
-    /// Returns the position of the next token for the caller.
+    /// Returns the position of the next token to pass on.
     pub fn next_position(&self) -> u64 {
         self.next_position
     }
 
-    /// Returns whether every token has been passed on.
-    pub fn is_whole(&self) -> bool {
-        self.state() == (StreamState::Whole {})
+    /// Returns whether all tokens, including the last one, have been passed on.
+    pub fn is_complete(&self) -> bool {
+        self.state() == (StreamState::Complete {})
     }
 
-    /// Returns what was dropped so far.
-    pub fn dropped(&self) -> &DropCounts {
+    /// Returns how many heads and tokens were dropped so far, by reason.
+    pub fn drop_counts(&self) -> &DropCounts {
         &self.dropped
     }
 
@@ -194,7 +198,7 @@
 
     fn begin_attempt(&mut self) {
         self.attempt = self.attempt.next();
-        self.life.handle(&Event::Attempt);
+        self.machine.handle(&Event::Attempt);
     }
 
     fn incomplete_code(&self, code: Code) -> Code {
@@ -211,7 +215,7 @@
     fn has_ended(&self) -> bool {
         matches!(
             self.state(),
-            StreamState::Whole {} | StreamState::Incomplete {}
+            StreamState::Complete {} | StreamState::Incomplete {}
         )
     }
 
@@ -222,7 +226,7 @@
         (attempt != self.attempt).then_some(DropReason::OtherAttempt)
     }
 
-    fn find_token_fault(&self, token: &StreamToken) -> Option<DropReason> {
+    fn find_drop_reason(&self, token: &StreamToken) -> Option<DropReason> {
         if let Some(reason) = self.find_mismatch(&token.request, token.attempt) {
             return Some(reason);
         }
@@ -236,12 +240,12 @@
         }
     }
 
-    fn drop_for(&mut self, reason: DropReason) -> DropReason {
+    fn count_drop(&mut self, reason: DropReason) -> DropReason {
         self.dropped.add(reason);
         reason
     }
 
     fn state(&self) -> StreamState {
-        *self.life.state()
+        *self.machine.state()
     }
 }
--- a/crates/wisteriahitch-core/tests/all/fleet_leases.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_leases.rs
@@ -13,7 +13,7 @@
 use wisteriahitch_types::{Code, DurationUs, FenceNumber, TimeUs};
 
 use crate::fleet::{SEED, full_membership, member};
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 const DAEMONS: usize = 3;
 
@@ -363,7 +363,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(generated(300, SEED))]
+    #![proptest_config(seeded_config(300, SEED))]
 
     /// Failure: two daemons give an endpoint contradicting orders at the same time. Writes and
     /// answers are lost or late, daemons are paused, and membership views differ, while every
--- a/crates/wisteriahitch-core/tests/all/fleet_orders.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_orders.rs
@@ -13,7 +13,7 @@
 use wisteriahitch_types::{EndpointId, ModelName, TimeUs};
 
 use crate::fleet::SEED;
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 /// Simulated runners whose loads take two time steps.
 struct Site {
@@ -366,7 +366,7 @@
 
 #[test]
 fn generated_rollouts_finish_within_their_limits() {
-    let config = generated(200, SEED);
+    let config = seeded_config(200, SEED);
     let busy = prop::collection::vec(0_u64..8, 2..12);
     TestRunner::new(config)
         .run(&(busy, 0_usize..12), |(busy, changes_at)| {
--- a/crates/wisteriahitch-core/tests/all/fleet_submission.rs
+++ b/crates/wisteriahitch-core/tests/all/fleet_submission.rs
@@ -10,7 +10,7 @@
 use wisteriahitch_types::{ConfigVersion, SubmissionId};
 
 use crate::fleet::SEED;
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 /// Behaviour of the store for the next call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -152,7 +152,7 @@
         1 => Just(StoreBehavior::Race),
     ];
     let behaviors = prop::collection::vec(behavior, 0..30);
-    let config = generated(2_000, SEED);
+    let config = seeded_config(2_000, SEED);
     TestRunner::new(config)
         .run(
             &(behaviors, prop::option::of(0_u64..3)),
--- a/crates/wisteriahitch-core/tests/all/once_table.rs
+++ b/crates/wisteriahitch-core/tests/all/once_table.rs
@@ -1,11 +1,11 @@
-//! The table of keys: one dispatch a key, truthful refusals, kept answers.
+//! Tests of the table of keys: one dispatch per key, correct refusals, stored answers.
 
 use std::sync::Arc;
 
 use wisteriahitch_core::once::{
-    ClaimHolder, ClaimNonce, ClaimOutcome, ClaimState, Decision, Delivery, Fingerprint, KeptAnswer,
-    KeyedTable, OnceKey, StandingClaim, TableLimits, TicketIssuer, TicketSecret, WaiterId,
-    undecided_code,
+    ClaimHolder, ClaimNonce, ClaimOutcome, ClaimState, Decision, Delivery, ExistingClaim,
+    Fingerprint, IdempotencyKey, IdempotencyTable, StoredAnswer, TableLimits, TicketIssuer,
+    TicketSecret, WaiterId, undecided_code,
 };
 use wisteriahitch_types::{ByteCount, Code, DurationUs, Incarnation, Meaning, TimeUs, WorkspaceId};
 
@@ -17,7 +17,7 @@
     "kandy".parse().unwrap()
 }
 
-fn print(body: &str) -> Fingerprint {
+fn fingerprint(body: &str) -> Fingerprint {
     Fingerprint::new(&kandy(), "POST", "/bookings", body.as_bytes())
 }
 
@@ -25,45 +25,45 @@
     WaiterId::new(number)
 }
 
-fn answer(len: usize) -> Arc<KeptAnswer> {
-    Arc::new(KeptAnswer {
+fn answer(len: usize) -> Arc<StoredAnswer> {
+    Arc::new(StoredAnswer {
         status: 201,
         content_type: None,
         body: vec![b'x'; len],
     })
 }
 
-fn ticket_key() -> OnceKey {
+fn ticket_key() -> IdempotencyKey {
     let mut issuer = TicketIssuer::new(OWN, TicketSecret::new([9; 32]));
     let tickets = issuer.issue(&kandy(), 1, START, LIFETIME);
     issuer.verify(&tickets[0], &kandy()).unwrap()
 }
 
-fn claimed_key(text: &str) -> OnceKey {
-    OnceKey::try_claimed(&kandy(), text).unwrap()
+fn claimed_key(text: &str) -> IdempotencyKey {
+    IdempotencyKey::try_claimed(&kandy(), text).unwrap()
 }
 
-fn table() -> KeyedTable {
-    KeyedTable::new(OWN, TableLimits::default())
+fn table() -> IdempotencyTable {
+    IdempotencyTable::new(OWN, TableLimits::default())
 }
 
-fn submit(table: &mut KeyedTable, key: &OnceKey, number: u64) -> Decision {
-    table.submit(key, print("bay 3"), waiter(number), START)
+fn submit(table: &mut IdempotencyTable, key: &IdempotencyKey, number: u64) -> Decision {
+    table.submit(key, fingerprint("bay 3"), waiter(number), START)
 }
 
-fn standing(incarnation: u64, body: &str, outcome: ClaimOutcome) -> StandingClaim {
-    StandingClaim {
+fn existing_claim(incarnation: u64, body: &str, outcome: ClaimOutcome) -> ExistingClaim {
+    ExistingClaim {
         holder: ClaimHolder {
             owner: "entry-2".parse().unwrap(),
             incarnation: Incarnation::new(incarnation),
             address: "127.0.0.1:7000".parse().unwrap(),
         },
-        fingerprint: print(body),
+        fingerprint: fingerprint(body),
         outcome,
     }
 }
 
-/// Steps that a shell takes with one key.
+/// A call on the table for one key.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Submit,
@@ -76,20 +76,20 @@
     EndpointRefuses,
 }
 
-fn apply(table: &mut KeyedTable, key: &OnceKey, step: Step) {
+fn apply(table: &mut IdempotencyTable, key: &IdempotencyKey, step: Step) {
     match step {
         Step::Submit => drop(submit(table, key, 1)),
         Step::ClaimWritten => drop(table.claim_written(key)),
         Step::Undecided => drop(table.claim_undecided(key, START)),
-        Step::Dispatch => drop(table.dispatched(key)),
-        Step::Finish => drop(table.finished(key, answer(1), START)),
-        Step::Lose(code) => drop(table.lost(key, code, START)),
-        Step::Refuse(code) => drop(table.refused(key, code, START)),
-        Step::EndpointRefuses => drop(table.endpoint_refused(key, START)),
+        Step::Dispatch => drop(table.try_dispatch(key)),
+        Step::Finish => drop(table.record_answer(key, answer(1), START)),
+        Step::Lose(code) => drop(table.record_lost(key, code, START)),
+        Step::Refuse(code) => drop(table.record_refusal(key, code, START)),
+        Step::EndpointRefuses => drop(table.record_endpoint_refusal(key, START)),
     }
 }
 
-/// A repeat that comes after some steps with the first copy.
+/// A repeat that arrives after `steps` were applied to the key.
 struct Case {
     name: &'static str,
     steps: &'static [Step],
@@ -97,22 +97,22 @@
     may_dispatch: bool,
 }
 
-fn check_repeat(case: &Case, key: &OnceKey) {
+fn check_repeat(case: &Case, key: &IdempotencyKey) {
     let mut table = table();
     case.steps
         .iter()
         .for_each(|step| apply(&mut table, key, *step));
     assert_eq!(submit(&mut table, key, 2), case.repeat, "{}", case.name);
-    assert_eq!(table.dispatched(key), case.may_dispatch, "{}", case.name);
-    assert!(!table.dispatched(key), "{}: second dispatch", case.name);
+    assert_eq!(table.try_dispatch(key), case.may_dispatch, "{}", case.name);
+    assert!(!table.try_dispatch(key), "{}: second dispatch", case.name);
 }
 
 #[test]
-fn a_repeat_of_a_ticket_meets_its_outcome() {
+fn a_repeated_ticket_gets_the_recorded_outcome() {
     use Step::*;
     let cases = [
         Case {
-            name: "ticket under way",
+            name: "ticket not dispatched yet",
             steps: &[Submit],
             repeat: Decision::Wait,
             may_dispatch: true,
@@ -130,13 +130,13 @@
             may_dispatch: false,
         },
         Case {
-            name: "ticket given back before dispatch",
+            name: "ticket released before dispatch",
             steps: &[Submit, Lose(Code::CallerGone)],
             repeat: Decision::Run,
             may_dispatch: true,
         },
         Case {
-            name: "refused by the decider",
+            name: "refused by the daemon",
             steps: &[Submit, Refuse(Code::QueueFull)],
             repeat: Decision::Refuse(Code::KeyRefused),
             may_dispatch: false,
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_repeat_after_dispatch_never_hears_not_run_from_the_daemon() {
+fn a_repeat_after_dispatch_never_gets_not_run_from_the_daemon() {
     use Step::*;
     let cases = [
         Case {
@@ -164,7 +164,7 @@
             may_dispatch: false,
         },
         Case {
-            name: "endpoint's word claimed by the daemon",
+            name: "endpoint refusal reported by the daemon",
             steps: &[Submit, Dispatch, Refuse(Code::EndpointRefused)],
             repeat: Decision::Refuse(Code::Internal),
             may_dispatch: false,
@@ -176,13 +176,13 @@
             may_dispatch: false,
         },
         Case {
-            name: "lost stays lost when the answer comes late",
+            name: "lost, then a late answer",
             steps: &[Submit, Dispatch, Lose(Code::EndpointTimeout), Finish],
             repeat: Decision::Refuse(Code::EndpointTimeout),
             may_dispatch: false,
         },
         Case {
-            name: "lost with a code that promises too much",
+            name: "lost with a not-run code",
             steps: &[Submit, Dispatch, Lose(Code::NoEndpoint)],
             repeat: Decision::Refuse(Code::Internal),
             may_dispatch: false,
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_claimed_key_meets_its_outcome() {
+fn a_repeated_claimed_key_gets_the_recorded_outcome() {
     use Step::*;
     let cases = [
         Case {
@@ -204,25 +204,25 @@
             may_dispatch: false,
         },
         Case {
-            name: "claim stands",
+            name: "claim written",
             steps: &[Submit, ClaimWritten],
             repeat: Decision::Wait,
             may_dispatch: true,
         },
         Case {
-            name: "late word on a claim that was given up",
+            name: "claim written after it was reported undecided",
             steps: &[Submit, Undecided, ClaimWritten, Dispatch],
             repeat: Decision::Claim(ClaimNonce::new(1)),
             may_dispatch: false,
         },
         Case {
-            name: "claim given back before dispatch",
+            name: "claim released before dispatch",
             steps: &[Submit, ClaimWritten, Lose(Code::CallerGone)],
             repeat: Decision::Claim(ClaimNonce::new(1)),
             may_dispatch: false,
         },
         Case {
-            name: "given up, then asked again",
+            name: "undecided, then submitted again",
             steps: &[Submit, Undecided, Submit, ClaimWritten],
             repeat: Decision::Wait,
             may_dispatch: true,
@@ -233,15 +233,15 @@
         .for_each(|case| check_repeat(case, &claimed_key("k")));
 }
 
-/// Symptom: a caller hears `not run`, and the request runs. Sequence: the daemon is still deciding
-/// when it has to turn the copy away; another copy wins the claim elsewhere. Cause: only the one
-/// who decides for a key knows that it will not run.
+/// Guards against reporting `not run` for a request that runs. The daemon refuses a copy while its
+/// claim is still undecided, and another copy wins the claim at another daemon. Only the holder of
+/// the claim knows that the request will not run.
 #[test]
-fn not_run_is_not_said_before_the_key_is_decided() {
+fn not_run_is_not_returned_before_the_claim_is_decided() {
     let mut table = table();
     let key = claimed_key("k");
     submit(&mut table, &key, 1);
-    let delivery = table.refused(&key, Code::QueueFull, START);
+    let delivery = table.record_refusal(&key, Code::QueueFull, START);
     let expected = Delivery {
         waiters: vec![waiter(1)],
         decision: Decision::Refuse(Code::ClaimUndecided),
@@ -252,11 +252,11 @@
     }
 }
 
-/// Symptom: a caller hears `key reused, not run`, and its request runs. Sequence: copies of two
-/// requests with one key reach two daemons; here the first is still being decided, there the
-/// second wins. Cause: a key stands for a request only once the claim says which.
+/// Guards against reporting `key reused, not run` for a request that runs. Two requests with the
+/// same key reach two daemons: here the claim of the first is undecided, there the second wins. A
+/// key belongs to a request only once the claim is decided.
 #[test]
-fn reuse_is_refused_once_the_key_is_decided() {
+fn key_reuse_is_refused_only_after_the_claim_is_decided() {
     struct Case {
         name: &'static str,
         is_ticket: bool,
@@ -294,43 +294,43 @@
         if case.is_decided {
             table.claim_written(&key);
         }
-        let other = table.submit(&key, print("bay 4"), waiter(2), START);
+        let other = table.submit(&key, fingerprint("bay 4"), waiter(2), START);
         assert_eq!(other, Decision::Refuse(case.expected), "{}", case.name);
     }
 }
 
 #[test]
-fn a_lost_claim_tells_what_the_standing_one_says() {
+fn a_lost_claim_returns_the_outcome_of_the_existing_one() {
     struct Case {
         name: &'static str,
-        claim: StandingClaim,
+        claim: ExistingClaim,
         expected: Decision,
     }
-    let open = standing(6, "bay 3", ClaimOutcome::Open);
+    let pending = existing_claim(6, "bay 3", ClaimOutcome::Pending);
     let cases = [
         Case {
-            name: "open elsewhere",
-            expected: Decision::Forward(open.holder.clone()),
-            claim: open,
+            name: "pending at another daemon",
+            expected: Decision::Forward(pending.holder.clone()),
+            claim: pending,
         },
         Case {
-            name: "own forgotten one",
-            claim: standing(5, "bay 3", ClaimOutcome::Open),
+            name: "own evicted one",
+            claim: existing_claim(5, "bay 3", ClaimOutcome::Pending),
             expected: Decision::Refuse(Code::AnswerGone),
         },
         Case {
             name: "finished with answer",
-            claim: standing(6, "bay 3", ClaimOutcome::Finished(Some(answer(2)))),
+            claim: existing_claim(6, "bay 3", ClaimOutcome::Finished(Some(answer(2)))),
             expected: Decision::Answer(answer(2)),
         },
         Case {
             name: "refused",
-            claim: standing(6, "bay 3", ClaimOutcome::Refused),
+            claim: existing_claim(6, "bay 3", ClaimOutcome::Refused),
             expected: Decision::Refuse(Code::KeyRefused),
         },
         Case {
             name: "another request",
-            claim: standing(6, "bay 4", ClaimOutcome::Open),
+            claim: existing_claim(6, "bay 4", ClaimOutcome::Pending),
             expected: Decision::Refuse(Code::KeyReused),
         },
     ];
@@ -341,16 +341,17 @@
         let delivery = table.claim_lost(&key, &case.claim).unwrap();
         assert_eq!(delivery.decision, case.expected, "{}", case.name);
         assert_eq!(delivery.waiters, [waiter(1)], "{}", case.name);
-        assert!(!table.dispatched(&key), "{}", case.name);
+        assert!(!table.try_dispatch(&key), "{}", case.name);
         let again = submit(&mut table, &key, 2);
         assert!(matches!(again, Decision::Claim(_)), "{}", case.name);
     }
 }
 
-/// Symptom: a booking is made twice. Sequence: the ticket is used, the outcome's time or room runs
-/// out, a late copy comes. Cause: a forgotten key looks like a fresh one.
+/// Guards against running a booking twice. The ticket is used, its outcome is evicted because of
+/// its age or the memory limit, and a late copy arrives. A key that was removed looks like an
+/// unused one.
 #[test]
-fn a_used_ticket_never_becomes_fresh() {
+fn a_used_ticket_is_never_accepted_as_unused() {
     struct Case {
         name: &'static str,
         limits: TableLimits,
@@ -360,27 +361,27 @@
     let base = TableLimits::default();
     let cases = [
         Case {
-            name: "time ran out first",
+            name: "evicted by age",
             limits: TableLimits {
-                kept_us: DurationUs::from_ms(1),
+                outcome_ttl_us: DurationUs::from_ms(1),
                 ..base
             },
             later: START + DurationUs::from_ms(2),
             expected: Code::AnswerGone,
         },
         Case {
-            name: "room ran out",
+            name: "evicted by memory",
             limits: TableLimits {
-                kept_bytes: ByteCount::ZERO,
+                max_settled_bytes: ByteCount::ZERO,
                 ..base
             },
             later: START,
             expected: Code::AnswerGone,
         },
         Case {
-            name: "ticket expired too",
+            name: "evicted and expired",
             limits: TableLimits {
-                kept_us: DurationUs::from_ms(1),
+                outcome_ttl_us: DurationUs::from_ms(1),
                 ..base
             },
             later: START + LIFETIME,
@@ -388,75 +389,75 @@
         },
     ];
     for case in cases {
-        let mut table = KeyedTable::new(OWN, case.limits);
+        let mut table = IdempotencyTable::new(OWN, case.limits);
         let key = ticket_key();
         submit(&mut table, &key, 1);
-        assert!(table.dispatched(&key));
-        table.finished(&key, answer(9), START);
+        assert!(table.try_dispatch(&key));
+        table.record_answer(&key, answer(9), START);
         table.tick(case.later);
-        let late = table.submit(&key, print("bay 3"), waiter(2), case.later);
+        let late = table.submit(&key, fingerprint("bay 3"), waiter(2), case.later);
         assert_eq!(late, Decision::Refuse(case.expected), "{}", case.name);
         assert_eq!(case.expected.meaning(), Meaning::OutcomeUnknown);
-        assert!(!table.dispatched(&key), "{}", case.name);
+        assert!(!table.try_dispatch(&key), "{}", case.name);
     }
 }
 
 #[test]
-fn a_ticket_that_expired_unused_is_not_taken() {
+fn an_expired_unused_ticket_is_refused() {
     let expiry = START + LIFETIME;
-    let late = table().submit(&ticket_key(), print("bay 3"), waiter(1), expiry);
+    let late = table().submit(&ticket_key(), fingerprint("bay 3"), waiter(1), expiry);
     assert_eq!(late, Decision::Refuse(Code::TicketExpired));
 }
 
 #[test]
-fn a_kept_answer_outlives_its_ticket() {
+fn a_stored_answer_outlives_its_ticket() {
     let mut table = table();
     let key = ticket_key();
     submit(&mut table, &key, 1);
-    assert!(table.dispatched(&key));
-    table.finished(&key, answer(9), START);
+    assert!(table.try_dispatch(&key));
+    table.record_answer(&key, answer(9), START);
     let later = START + LIFETIME + LIFETIME;
     table.tick(later);
-    let repeat = table.submit(&key, print("bay 3"), waiter(2), later);
+    let repeat = table.submit(&key, fingerprint("bay 3"), waiter(2), later);
     assert_eq!(repeat, Decision::Answer(answer(9)));
 }
 
-/// Symptom: a caller waits without an end. Sequence: a ticket is given back, its place is taken
-/// by others' answers, a repeat runs, and the ticket expires during the run. Cause: the tombstone
-/// of the first time took the running key with it.
+/// Guards against a caller waiting for ever. A ticket is released, its outcome is evicted by
+/// others' answers, a repeat runs, and the ticket expires during the run. Removing the tombstone of
+/// the first copy must not remove the running key.
 #[test]
-fn a_running_key_is_not_forgotten_with_its_tombstone() {
+fn a_running_key_survives_the_expiry_of_its_tombstone() {
     let limits = TableLimits {
-        kept_bytes: ByteCount::ZERO,
+        max_settled_bytes: ByteCount::ZERO,
         ..TableLimits::default()
     };
-    let mut table = KeyedTable::new(OWN, limits);
+    let mut table = IdempotencyTable::new(OWN, limits);
     let key = ticket_key();
     submit(&mut table, &key, 1);
-    table.lost(&key, Code::CallerGone, START);
+    table.record_lost(&key, Code::CallerGone, START);
     assert_eq!(submit(&mut table, &key, 2), Decision::Run);
-    assert!(table.dispatched(&key));
+    assert!(table.try_dispatch(&key));
     table.tick(START + LIFETIME);
-    let delivery = table.finished(&key, answer(9), START + LIFETIME);
+    let delivery = table.record_answer(&key, answer(9), START + LIFETIME);
     assert_eq!(delivery.waiters, [waiter(2)]);
 }
 
-/// Symptom: repeats of small customers get `answer gone`. Sequence: one workspace's calls give
-/// large answers. Cause: room was taken from the oldest answer, whoever it belonged to.
+/// Guards against repeats of small customers getting `answer gone` because another workspace has
+/// large answers, which happened when the oldest answer of any workspace was evicted.
 #[test]
-fn a_workspace_with_large_answers_gives_up_its_own() {
+fn large_answers_evict_only_answers_of_their_workspace() {
     let limits = TableLimits {
-        kept_bytes: ByteCount::new(10_000),
+        max_settled_bytes: ByteCount::new(10_000),
         ..TableLimits::default()
     };
-    let mut table = KeyedTable::new(OWN, limits);
+    let mut table = IdempotencyTable::new(OWN, limits);
     let mut finish = |workspace: &str, text: &str, len: usize| {
         let workspace = workspace.parse().unwrap();
-        let key = OnceKey::try_claimed(&workspace, text).unwrap();
+        let key = IdempotencyKey::try_claimed(&workspace, text).unwrap();
         submit(&mut table, &key, 1);
         table.claim_written(&key);
-        assert!(table.dispatched(&key));
-        table.finished(&key, answer(len), START);
+        assert!(table.try_dispatch(&key));
+        table.record_answer(&key, answer(len), START);
         key
     };
     let small = finish("galle", "k", 10);
@@ -474,28 +475,28 @@
     ));
 }
 
-/// Symptom: a draining daemon never exits. Sequence: a caller leaves while its claim is being
-/// written, and never comes back. Cause: the claimed key waited for a next copy and counted as
-/// under way.
+/// Guards against a draining daemon that never exits. A caller leaves while its claim is being
+/// written and does not return; the claimed key must not count as unsettled while it waits for a
+/// next copy.
 #[test]
-fn a_claim_that_nobody_waits_for_runs_for_the_next_copy() {
+fn a_claim_without_waiters_runs_for_the_next_copy() {
     let mut table = table();
     let key = claimed_key("k");
     submit(&mut table, &key, 1);
     table.remove_waiter(&key, waiter(1));
     assert_eq!(table.claim_written(&key), None);
-    assert_eq!(table.under_way(), 0);
-    assert!(!table.dispatched(&key));
+    assert_eq!(table.unsettled_count(), 0);
+    assert!(!table.try_dispatch(&key));
     assert!(matches!(submit(&mut table, &key, 2), Decision::Claim(_)));
     let delivery = table.claim_written(&key).unwrap();
     assert_eq!(delivery.waiters, [waiter(2)]);
 }
 
-/// Symptom: a repeat at another daemon hears `not run` of a request that ran. Sequence: the holder
-/// refuses after dispatch, the table takes that for a lost outcome, and `refused` is written down
-/// with the claim all the same. Cause: what is written was taken from the shell's wish.
+/// Guards against a repeat at another daemon getting `not run` for a request that ran. The holder
+/// refuses after the dispatch and the table records a lost outcome, but `refused` is written to the
+/// claim. The outcome must come from the table, not from the operation that was requested.
 #[test]
-fn what_is_written_down_is_what_the_table_knows() {
+fn outcome_to_write_returns_only_certain_outcomes() {
     use Step::*;
     struct Case {
         name: &'static str,
@@ -510,7 +511,7 @@
     let refused = Some(ClaimState::Refused);
     let cases = [
         Case {
-            name: "under way",
+            name: "dispatched",
             steps: &[Submit, ClaimWritten, Dispatch],
             expected: None,
         },
@@ -558,7 +559,7 @@
         max_waiters: 2,
         ..TableLimits::default()
     };
-    let mut table = KeyedTable::new(OWN, limits);
+    let mut table = IdempotencyTable::new(OWN, limits);
     let key = ticket_key();
     let decisions = [1, 2, 3].map(|number| submit(&mut table, &key, number));
     let full = Decision::Refuse(Code::ClaimUndecided);
@@ -566,14 +567,14 @@
 }
 
 #[test]
-fn the_dump_counts_keys_by_state_and_shows_no_answer() {
+fn the_snapshot_counts_keys_by_state_and_shows_no_answer() {
     let mut table = table();
     let (done, open) = (ticket_key(), claimed_key("k"));
     submit(&mut table, &done, 1);
-    assert!(table.dispatched(&done));
-    table.finished(&done, answer(3), START);
+    assert!(table.try_dispatch(&done));
+    table.record_answer(&done, answer(3), START);
     submit(&mut table, &open, 2);
-    assert_eq!(table.under_way(), 1);
+    assert_eq!(table.unsettled_count(), 1);
     let shown = serde_json::to_string(&table.snapshot()).unwrap();
     assert!(
         shown.contains(r#""keys_by_state":{"Deciding":1,"Finished":1}"#),
--- a/crates/wisteriahitch-core/tests/all/route_endpoint.rs
+++ b/crates/wisteriahitch-core/tests/all/route_endpoint.rs
@@ -8,7 +8,7 @@
 };
 use wisteriahitch_types::{BlockKey, DurationUs, TimeUs, TokenCount};
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 use crate::route_fixture::{
     START, after_ms, configuration, endpoint, idle_report, request, router,
 };
@@ -455,7 +455,7 @@
 }
 
 proptest! {
-    #![proptest_config(generated(ProptestConfig::default().cases, 13))]
+    #![proptest_config(seeded_config(ProptestConfig::default().cases, 13))]
 
     /// For any order of reports, stale ones included, and of announcements: once an instance is
     /// announced as leaving, its endpoint is not chosen before its own report of a later instance.
--- a/crates/wisteriahitch-core/tests/all/stream.rs
+++ b/crates/wisteriahitch-core/tests/all/stream.rs
@@ -1,4 +1,4 @@
-//! Token streams: what passes, what is dropped, and what follows a break.
+//! Tests of token streams: passed tokens, dropped tokens, and the decision after a break.
 
 use proptest::prelude::*;
 use wisteriahitch_core::stream::{
@@ -7,7 +7,7 @@
 };
 use wisteriahitch_types::{AttemptNumber, Code, EndpointId, WeightVersion};
 
-use crate::generated::generated;
+use crate::generated::seeded_config;
 
 fn version(name: &str) -> WeightVersion {
     name.parse().unwrap()
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns a check whose first attempt has passed `passed` tokens on.
+/// Returns a check whose first attempt has passed on `passed` tokens.
 fn streaming(passed: u64) -> StreamCheck {
     let mut check = check();
     assert_eq!(check.on_head(&head("r-1", 1, "v1")), HeadVerdict::Pass);
@@ -74,7 +74,7 @@
             expected: TokenVerdict::Pass,
         },
         Case {
-            name: "crossed",
+            name: "of another request",
             token: token("r-2", 1, 2),
             expected: TokenVerdict::Drop(DropReason::OtherRequest),
         },
@@ -84,7 +84,7 @@
             expected: TokenVerdict::Drop(DropReason::OtherAttempt),
         },
         Case {
-            name: "twice",
+            name: "duplicate",
             token: token("r-1", 1, 1),
             expected: TokenVerdict::Drop(DropReason::Duplicate),
         },
@@ -98,7 +98,7 @@
         let mut check = streaming(2);
         assert_eq!(check.on_token(&case.token), case.expected, "{}", case.name);
         if let TokenVerdict::Drop(reason) = case.expected {
-            assert_eq!(check.dropped().get(reason), 1, "{}", case.name);
+            assert_eq!(check.drop_counts().get(reason), 1, "{}", case.name);
             assert_eq!(
                 check.on_token(&token("r-1", 1, 2)),
                 TokenVerdict::Pass,
@@ -110,10 +110,10 @@
 }
 
 #[test]
-fn a_gap_is_asked_for_again() {
-    // Symptom: a caller is told that its answer is incomplete although the engine has all of it.
-    // Sequence of events: a token of another request comes in place of the next one, which is
-    // dropped; the one after it leaves a gap. Cause: a gap ends the answer, not the attempt.
+fn a_gap_is_requested_again() {
+    // Guards against a caller being told that its answer is incomplete although the engine has all
+    // of it. A token of another request arrives in place of the next one and is dropped, so the
+    // following token leaves a gap. A gap must end only the attempt, not the answer.
     let mut check = streaming(2);
     assert_eq!(check.on_token(&token("r-1", 1, 3)), TokenVerdict::Missing);
     let after = TokenVerdict::Drop(DropReason::AfterEnd);
@@ -136,12 +136,12 @@
     }
     let cases = [
         Case {
-            name: "awaited",
+            name: "expected",
             head: head("r-1", 1, "v1"),
             expected: HeadVerdict::Pass,
         },
         Case {
-            name: "crossed",
+            name: "of another request",
             head: head("r-2", 1, "v1"),
             expected: HeadVerdict::Drop(DropReason::OtherRequest),
         },
@@ -151,7 +151,7 @@
             expected: HeadVerdict::Drop(DropReason::OtherAttempt),
         },
         Case {
-            name: "swapped weights",
+            name: "other weight version",
             head: head("r-1", 1, "v2"),
             expected: HeadVerdict::WrongVersion,
         },
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_break_resumes_restarts_or_is_told() {
+fn a_break_resumes_restarts_or_ends_the_answer() {
     struct Case {
         name: &'static str,
         passed: u64,
@@ -180,30 +180,30 @@
         weight_version: version("v1"),
     };
     let restart = BreakDecision::RestartInvisible { attempt };
-    let once = StreamBreak {
+    let no_restart = StreamBreak {
         may_restart: false,
         ..broken(None)
     };
-    let spent = StreamBreak {
+    let no_budget = StreamBreak {
         may_retry: false,
         ..broken(Some("v1"))
     };
-    let told = BreakDecision::Incomplete;
+    let incomplete = BreakDecision::Incomplete;
     let cases = [
         Case {
-            name: "same place",
+            name: "same endpoint and weights",
             passed: 2,
             broken: broken(Some("v1")),
             expected: resume(2),
         },
         Case {
-            name: "nothing out",
+            name: "no token passed on",
             passed: 0,
             broken: broken(Some("v1")),
             expected: resume(0),
         },
         Case {
-            name: "endpoint gone",
+            name: "endpoint unavailable",
             passed: 0,
             broken: broken(None),
             expected: restart.clone(),
@@ -215,28 +215,28 @@
             expected: restart,
         },
         Case {
-            name: "endpoint gone after a token",
+            name: "endpoint unavailable after a token",
             passed: 1,
             broken: broken(None),
-            expected: told(Code::StreamIncomplete),
+            expected: incomplete(Code::StreamIncomplete),
         },
         Case {
             name: "new weights after a token",
             passed: 1,
             broken: broken(Some("v2")),
-            expected: told(Code::StreamIncomplete),
+            expected: incomplete(Code::StreamIncomplete),
         },
         Case {
             name: "may not be repeated",
             passed: 0,
-            broken: once,
-            expected: told(Code::EndpointLost),
+            broken: no_restart,
+            expected: incomplete(Code::EndpointLost),
         },
         Case {
-            name: "no budget",
+            name: "no retry budget",
             passed: 1,
-            broken: spent,
-            expected: told(Code::StreamIncomplete),
+            broken: no_budget,
+            expected: incomplete(Code::StreamIncomplete),
         },
     ];
     for case in cases {
@@ -246,11 +246,11 @@
     }
 }
 
-/// Symptom: a caller sees a token twice. Sequence: the first attempt breaks after token 1, the
-/// second begins, then the first one's connection delivers what it still held. Cause: both carry
-/// the same request id, and only the attempt tells them apart.
+/// Guards against a caller receiving a token twice. The first attempt breaks after token 1, the
+/// second begins, and then the connection of the first delivers buffered tokens. Both attempts
+/// carry the same request id; only the attempt number distinguishes them.
 #[test]
-fn an_older_attempt_that_speaks_late_is_dropped() {
+fn late_tokens_of_an_earlier_attempt_are_dropped() {
     let mut check = streaming(2);
     assert!(check.on_break(&broken(Some("v1"))).is_some());
     let late = TokenVerdict::Drop(DropReason::OtherAttempt);
@@ -261,13 +261,13 @@
     assert_eq!(check.on_token(&token("r-1", 1, 2)), late);
     assert_eq!(check.on_token(&token("r-1", 2, 2)), TokenVerdict::Pass);
     assert_eq!(check.on_token(&token("r-1", 2, 3)), TokenVerdict::PassLast);
-    assert!(check.is_whole());
+    assert!(check.is_complete());
     assert_eq!(check.on_break(&broken(None)), None);
-    assert_eq!(check.dropped().get(DropReason::OtherAttempt), 2);
+    assert_eq!(check.drop_counts().get(DropReason::OtherAttempt), 2);
 }
 
 #[test]
-fn a_restart_is_checked_against_its_own_decision() {
+fn a_restart_is_checked_against_its_own_endpoint_and_weights() {
     let mut check = check();
     assert_eq!(
         check.on_head(&head("r-1", 1, "v2")),
@@ -278,10 +278,10 @@
         decision,
         Some(BreakDecision::RestartInvisible { .. })
     ));
-    check.moved_to("runner-2".parse().unwrap(), version("v2"));
+    check.set_target("runner-2".parse().unwrap(), version("v2"));
     assert_eq!(check.on_head(&head("r-1", 2, "v2")), HeadVerdict::Pass);
     assert_eq!(check.on_token(&token("r-1", 2, 0)), TokenVerdict::Pass);
-    check.moved_to("runner-3".parse().unwrap(), version("v3"));
+    check.set_target("runner-3".parse().unwrap(), version("v3"));
     assert!(
         check.on_break(&broken(Some("v3")))
             == Some(BreakDecision::Incomplete(Code::StreamIncomplete))
@@ -289,11 +289,11 @@
 }
 
 #[test]
-fn a_caller_that_comes_back_gets_the_rest_alone() {
-    let mut check = check().resumed_by_caller(2);
+fn a_resuming_caller_gets_only_the_remaining_tokens() {
+    let mut check = check().with_start_position(2);
     assert_eq!(check.on_head(&head("r-1", 1, "v1")), HeadVerdict::Pass);
-    let known = TokenVerdict::Drop(DropReason::Duplicate);
-    assert_eq!(check.on_token(&token("r-1", 1, 1)), known);
+    let duplicate = TokenVerdict::Drop(DropReason::Duplicate);
+    assert_eq!(check.on_token(&token("r-1", 1, 1)), duplicate);
     let decision = check.on_break(&broken(None));
     assert_eq!(
         decision,
@@ -302,11 +302,12 @@
 }
 
 proptest! {
-    #![proptest_config(generated(ProptestConfig::default().cases, 4_711))]
+    #![proptest_config(seeded_config(ProptestConfig::default().cases, 4_711))]
 
-    /// Whatever comes in whatever order, the caller gets the answer's beginning, each token once.
+    /// Whatever arrives in whatever order, the caller receives a prefix of the answer, each token
+    /// once.
     #[test]
-    fn what_passes_is_the_beginning_of_the_answer(
+    fn passed_tokens_are_a_prefix_of_the_answer(
         parts in prop::collection::vec((0..4_u8, 1..4_u64, 0..5_u64, 0..8_u8), 0..60),
     ) {
         let mut check = streaming(0);
@@ -328,6 +329,6 @@
         }
         let expected: Vec<u64> = (0..passed.len() as u64).collect();
         prop_assert_eq!(&passed, &expected);
-        prop_assert_eq!(check.is_whole(), passed.len() == 4);
+        prop_assert_eq!(check.is_complete(), passed.len() == 4);
     }
 }
