--- a/crates/wisteriahitch-core/benches/links.rs
+++ b/crates/wisteriahitch-core/benches/links.rs
@@ -4,25 +4,25 @@
 //! `docs/design/links.md` draws on. Without `--bench`, as in a test run, a short one shows that
 //! it works. Every run is a function of its seed.
 
+#[path = "links/shared_link.rs"]
+mod shared_link;
 #[path = "links/simulation.rs"]
 mod simulation;
 #[path = "links/statistics.rs"]
 mod statistics;
-#[path = "links/wire.rs"]
-mod wire;
 #[path = "links/workload.rs"]
 mod workload;
 
 use wisteriahitch_config::SavePolicy;
-use wisteriahitch_core::tier::{BackfillOrder, LinkOrder, PlainOrder, PriorityOrder};
+use wisteriahitch_core::tier::{BackfillOrder, FifoOrder, LinkOrder, PriorityOrder};
 
 use simulation::{Setup, Simulation};
 use workload::Workload;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
-const LINK_SHARES: [f64; 2] = [1.0, 0.5];
-const FULL_S: u64 = 36 * 3_600;
-const SHORT_S: u64 = 900;
+const LINK_RATE_FACTORS: [f64; 2] = [1.0, 0.5];
+const FULL_SPAN_S: u64 = 36 * 3_600;
+const SHORT_SPAN_S: u64 = 900;
 
 /// Names one run among those that are compared.
 #[derive(Clone, Copy)]
@@ -34,7 +34,7 @@
 }
 
 fn variants() -> Vec<Variant> {
-    let plain: fn() -> Box<dyn LinkOrder> = || Box::new(PlainOrder);
+    let plain: fn() -> Box<dyn LinkOrder> = || Box::new(FifoOrder);
     let priority: fn() -> Box<dyn LinkOrder> = || Box::new(PriorityOrder);
     let backfill: fn() -> Box<dyn LinkOrder> = || Box::new(BackfillOrder);
     let variant = |compared, order, policy| Variant {
@@ -59,11 +59,11 @@
 
 fn main() {
     let is_full = std::env::args().any(|argument| argument == "--bench");
-    let span_s = if is_full { FULL_S } else { SHORT_S };
+    let span_s = if is_full { FULL_SPAN_S } else { SHORT_SPAN_S };
     let seeds = if is_full { &SEEDS[..] } else { &SEEDS[..1] };
-    println!("{}", statistics::HEAD);
+    println!("{}", statistics::HEADER);
     for workload in Workload::all() {
-        for link_share in LINK_SHARES {
+        for link_share in LINK_RATE_FACTORS {
             for variant in variants() {
                 run_seeds(&workload, link_share, variant, seeds, span_s);
             }
--- /dev/null
+++ b/crates/wisteriahitch-core/benches/links/shared_link.rs
@@ -0,0 +1,66 @@
+//! A link that its transfers share evenly.
+
+use wisteriahitch_core::tier::TierEvent;
+
+/// Holds a transfer that crosses.
+#[derive(Debug)]
+struct ActiveTransfer {
+    remaining_bytes: f64,
+    completion: TierEvent,
+}
+
+/// Holds the link and what crosses it.
+#[derive(Debug)]
+pub(crate) struct SharedLink {
+    bytes_per_us: f64,
+    transfers: Vec<ActiveTransfer>,
+    now_us: u64,
+}
+
+impl SharedLink {
+    pub(crate) fn new(bytes_per_s: f64) -> Self {
+        Self {
+            bytes_per_us: bytes_per_s / 1e6,
+            transfers: Vec::new(),
+            now_us: 0,
+        }
+    }
+
+    pub(crate) fn add(&mut self, bytes: f64, completion: TierEvent, now_us: u64) {
+        self.advance(now_us);
+        self.transfers.push(ActiveTransfer {
+            remaining_bytes: bytes,
+            completion,
+        });
+    }
+
+    /// Returns when the next transfer has crossed.
+    pub(crate) fn next_us(&self) -> Option<u64> {
+        let min_bytes = self
+            .transfers
+            .iter()
+            .map(|transfer| transfer.remaining_bytes)
+            .min_by(f64::total_cmp)?;
+        let share = self.bytes_per_us / self.transfers.len() as f64;
+        Some(self.now_us + (min_bytes / share).ceil() as u64)
+    }
+
+    /// Takes one transfer that has crossed by now.
+    pub(crate) fn pop_finished(&mut self, now_us: u64) -> Option<TierEvent> {
+        self.advance(now_us);
+        let index = self
+            .transfers
+            .iter()
+            .position(|transfer| transfer.remaining_bytes <= 1.0)?;
+        Some(self.transfers.remove(index).completion)
+    }
+
+    fn advance(&mut self, now_us: u64) {
+        let span_us = now_us.saturating_sub(self.now_us) as f64;
+        let share = self.bytes_per_us / self.transfers.len().max(1) as f64;
+        for transfer in &mut self.transfers {
+            transfer.remaining_bytes -= span_us * share;
+        }
+        self.now_us = now_us;
+    }
+}
--- a/crates/wisteriahitch-core/benches/links/simulation.rs
+++ b/crates/wisteriahitch-core/benches/links/simulation.rs
@@ -10,34 +10,34 @@
     Configuration, Endpoint, SavePolicy, Service, ServiceKind, Store, Workspace,
 };
 use wisteriahitch_core::tier::{
-    ChainBlock, ExportReceipt, FinishedRequest, ImportPlan, ImportStep, LinkOrder, PinGrant, Place,
-    Reader, ReservedRoom, TierCommand, TierEvent, Tiers, TransferFailure, TransferId,
+    BlockLocation, ChainBlock, ExportReceipt, FinishedRequest, ImportPlan, ImportStep, LinkOrder,
+    PinGrant, Reader, ReserveOutcome, TierCommand, TierEvent, Tiers, TransferFailure, TransferId,
 };
 use wisteriahitch_types::{
     BlockKey, BlockState, ByteCount, ByteRate, EndpointId, Generation, RequestId, StoreId, Tier,
     TimeUs, TokenCount, TokenRate,
 };
 
+use crate::shared_link::SharedLink;
 use crate::statistics::Statistics;
-use crate::wire::Wire;
-use crate::workload::{Prompt, Source, Workload};
+use crate::workload::{Prompt, PromptSource, Workload};
 
 const BLOCK_BYTES: ByteCount = ByteCount::new(100_000_000);
 const BLOCK_TOKENS: TokenCount = TokenCount::new(2_000);
-const PREFILL: TokenRate = TokenRate::new(4_000);
+const PREFILL_RATE: TokenRate = TokenRate::new(4_000);
 const LINK_BYTES_PER_S: f64 = 1_000_000_000.0;
 /// Reading from disk takes so many times as long as from memory.
-const DISK_FACTOR: f64 = 2.0;
+const DISK_SLOWDOWN: f64 = 2.0;
 const ENDPOINTS: usize = 9;
 const ENDPOINT_BLOCKS: NonZeroUsize = NonZeroUsize::new(60).expect("not zero");
 const MEMORY_BLOCKS: u64 = 500;
 const DISK_BLOCKS: u64 = 16_000;
-const CALL_US: u64 = 2_000;
-const TICK_US: u64 = 250_000;
-const REPORT_US: u64 = 2_000_000;
-const SECOND_US: f64 = 1e6;
+const CALL_LATENCY_US: u64 = 2_000;
+const TICK_INTERVAL_US: u64 = 250_000;
+const REPORT_INTERVAL_US: u64 = 2_000_000;
+const US_PER_S: f64 = 1e6;
 /// Part of the run that only warms up.
-const WARM_UP_PART: f64 = 0.33;
+const WARM_UP_FRACTION: f64 = 0.33;
 
 /// Says what one run is made of.
 pub(crate) struct Setup {
@@ -49,7 +49,7 @@
     pub(crate) span_s: u64,
 }
 
-enum Happening {
+enum SimulationEvent {
     New { is_single: bool },
     Return(Prompt),
     Answer(TierEvent),
@@ -74,11 +74,11 @@
 pub(crate) struct Simulation {
     setup: Setup,
     tiers: Tiers,
-    source: Source,
-    wire: Wire,
+    source: PromptSource,
+    link: SharedLink,
     now_us: u64,
     sequence: u64,
-    queue: BTreeMap<(u64, u64), Happening>,
+    queue: BTreeMap<(u64, u64), SimulationEvent>,
     endpoints: Vec<LruCache<BlockKey, ()>>,
     store: BTreeMap<BlockKey, Stored>,
     used: BTreeMap<Tier, u64>,
@@ -146,11 +146,11 @@
 impl Simulation {
     pub(crate) fn new(setup: Setup, order: Box<dyn LinkOrder>) -> Self {
         let mut tiers = Tiers::with_order(order);
-        tiers.configured(&configuration(setup.link_share));
+        tiers.apply_configuration(&configuration(setup.link_share));
         tiers.set_prefetch(setup.has_prefetch);
         Self {
-            source: Source::new(setup.workload.clone(), setup.seed),
-            wire: Wire::new(LINK_BYTES_PER_S * setup.link_share),
+            source: PromptSource::new(setup.workload.clone(), setup.seed),
+            link: SharedLink::new(LINK_BYTES_PER_S * setup.link_share),
             tiers,
             setup,
             now_us: 0,
@@ -167,11 +167,11 @@
     }
 
     pub(crate) fn run(mut self) -> Statistics {
-        let end_us = self.setup.span_s * SECOND_US as u64;
-        self.at(0, Happening::Report);
-        self.at(1, Happening::Tick);
-        self.at(2, Happening::New { is_single: true });
-        self.at(3, Happening::New { is_single: false });
+        let end_us = self.setup.span_s * US_PER_S as u64;
+        self.at(0, SimulationEvent::Report);
+        self.at(1, SimulationEvent::Tick);
+        self.at(2, SimulationEvent::New { is_single: true });
+        self.at(3, SimulationEvent::New { is_single: false });
         while self.now_us < end_us {
             self.step();
         }
@@ -183,27 +183,27 @@
         self.statistics
     }
 
-    fn at(&mut self, delay_us: u64, happening: Happening) {
+    fn at(&mut self, delay_us: u64, scheduled: SimulationEvent) {
         self.sequence += 1;
         self.queue
-            .insert((self.now_us + delay_us, self.sequence), happening);
+            .insert((self.now_us + delay_us, self.sequence), scheduled);
     }
 
     fn step(&mut self) {
         let next_us = self.queue.first_key_value().map(|(key, _)| key.0);
-        let wire_us = self.wire.next_us().filter(|us| Some(*us) <= next_us);
-        if let Some(us) = wire_us {
+        let link_us = self.link.next_us().filter(|us| Some(*us) <= next_us);
+        if let Some(us) = link_us {
             self.now_us = self.now_us.max(us);
-            while let Some(event) = self.wire.take_crossed(self.now_us) {
-                self.tell(event);
+            while let Some(event) = self.link.pop_finished(self.now_us) {
+                self.deliver(event);
             }
             return;
         }
-        let Some(((us, _), happening)) = self.queue.pop_first() else {
+        let Some(((us, _), scheduled)) = self.queue.pop_first() else {
             return;
         };
         self.now_us = us;
-        self.happen(happening);
+        self.handle(scheduled);
     }
 
     fn time(&self) -> TimeUs {
@@ -211,28 +211,31 @@
     }
 
     fn is_measured(&self) -> bool {
-        self.now_us as f64 > self.setup.span_s as f64 * SECOND_US * WARM_UP_PART
+        self.now_us as f64 > self.setup.span_s as f64 * US_PER_S * WARM_UP_FRACTION
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::New { is_single } => {
-                let now_s = self.now_us as f64 / SECOND_US;
+    fn handle(&mut self, scheduled: SimulationEvent) {
+        match scheduled {
+            SimulationEvent::New { is_single } => {
+                let now_s = self.now_us as f64 / US_PER_S;
                 let next_s = self.source.next_arrival_s(now_s, is_single);
-                self.at((next_s * SECOND_US) as u64, Happening::New { is_single });
+                self.at(
+                    (next_s * US_PER_S) as u64,
+                    SimulationEvent::New { is_single },
+                );
                 let prompt = self.source.new_prompt(is_single);
                 self.arrive(prompt);
             }
-            Happening::Return(prompt) => self.arrive(prompt),
-            Happening::Answer(event) => self.tell(event),
-            Happening::Computed(request) => self.computed(&request),
-            Happening::Tick => {
-                self.at(TICK_US, Happening::Tick);
+            SimulationEvent::Return(prompt) => self.arrive(prompt),
+            SimulationEvent::Answer(event) => self.deliver(event),
+            SimulationEvent::Computed(request) => self.computed(&request),
+            SimulationEvent::Tick => {
+                self.at(TICK_INTERVAL_US, SimulationEvent::Tick);
                 let commands = self.tiers.tick(self.time());
-                self.obey(commands);
+                self.execute_all(commands);
             }
-            Happening::Report => {
-                self.at(REPORT_US, Happening::Report);
+            SimulationEvent::Report => {
+                self.at(REPORT_INTERVAL_US, SimulationEvent::Report);
                 let free = |tier, capacity: u64| {
                     blocks(capacity.saturating_sub(self.used.get(&tier).copied().unwrap_or(0)))
                 };
@@ -244,14 +247,14 @@
                     queued_bytes: ByteCount::ZERO,
                     is_leaving: false,
                 };
-                self.tell(event);
+                self.deliver(event);
             }
         }
     }
 
-    fn tell(&mut self, event: TierEvent) {
-        let commands = self.tiers.on(event, self.time());
-        self.obey(commands);
+    fn deliver(&mut self, event: TierEvent) {
+        let commands = self.tiers.handle_event(event, self.time());
+        self.execute_all(commands);
     }
 
     fn arrive(&mut self, prompt: Prompt) {
@@ -259,18 +262,18 @@
         let is_resident = |piece: &u32| self.endpoints[endpoint].contains(&prompt.key(*piece));
         let resident = (0..prompt.pieces).take_while(is_resident).count() as u32;
         let is_stored = |piece: &u32| {
-            let place = Place {
+            let location = BlockLocation {
                 store: store_id(),
                 key: prompt.key(*piece),
             };
-            let block = self.tiers.blocks().get(&place);
+            let block = self.tiers.blocks().get(&location);
             block.is_some_and(|block| block.state() == BlockState::Readable)
         };
         let stored = (resident..prompt.pieces).take_while(is_stored).count() as u64;
         let import_us = self
             .tiers
             .transfer_time(&store_id(), blocks(stored), self.time());
-        let compute_us = PREFILL.time_for(TokenCount::new(stored * BLOCK_TOKENS.get()));
+        let compute_us = PREFILL_RATE.time_for(TokenCount::new(stored * BLOCK_TOKENS.get()));
         let planned = if import_us < compute_us { stored } else { 0 };
         self.sequence += 1;
         let request: RequestId = name(&format!("r-{}", self.sequence));
@@ -299,7 +302,7 @@
         };
         self.running.insert(request, running);
         let commands = self.tiers.plan_import(plan, self.time());
-        self.obey(commands);
+        self.execute_all(commands);
     }
 
     fn proceed(&mut self, request: RequestId, imported: usize) {
@@ -309,7 +312,7 @@
         let pieces = u64::from(running.prompt.pieces);
         let recomputed = pieces - u64::from(running.resident) - imported as u64;
         let tokens = TokenCount::new(recomputed * BLOCK_TOKENS.get());
-        let compute_us = PREFILL.time_for(tokens).get();
+        let compute_us = PREFILL_RATE.time_for(tokens).get();
         if is_measured {
             if running.planned > 0 {
                 self.statistics.import_waits_us.push(wait_us);
@@ -320,14 +323,14 @@
             self.statistics.prompt_tokens += pieces * BLOCK_TOKENS.get();
             self.statistics.recomputed_tokens += tokens.get();
         }
-        self.at(compute_us, Happening::Computed(request));
+        self.at(compute_us, SimulationEvent::Computed(request));
     }
 
     fn computed(&mut self, request: &RequestId) {
         let mut running = self.running.remove(request).expect("running");
         let prompt = running.prompt.clone();
         for piece in (0..prompt.pieces).rev() {
-            self.hold(running.endpoint, prompt.key(piece));
+            self.cache_block(running.endpoint, prompt.key(piece));
         }
         let block = |piece| ChainBlock {
             key: prompt.key(piece),
@@ -339,34 +342,34 @@
             weight_version: name("v1"),
             endpoint: endpoint_id(running.endpoint),
             policy: self.setup.policy,
-            prefill_tokens_per_s: PREFILL,
+            prefill_tokens_per_s: PREFILL_RATE,
             chain: (0..prompt.pieces).map(block).collect(),
         };
-        let commands = self.tiers.finished(&finished, self.time());
-        self.obey(commands);
+        let commands = self.tiers.request_finished(&finished, self.time());
+        self.execute_all(commands);
         if let Some(gap_s) = self.source.next_return_s(&mut running.prompt) {
             self.at(
-                (gap_s * SECOND_US) as u64,
-                Happening::Return(running.prompt),
+                (gap_s * US_PER_S) as u64,
+                SimulationEvent::Return(running.prompt),
             );
         }
     }
 
     /// Puts a block into an endpoint's memory; the one used longest ago goes.
-    fn hold(&mut self, endpoint: usize, key: BlockKey) {
+    fn cache_block(&mut self, endpoint: usize, key: BlockKey) {
         let evicted = self.endpoints[endpoint].push(key, ());
         if let Some((old, ())) = evicted.filter(|(old, ())| *old != key) {
-            self.tell(TierEvent::EndpointEvicted { key: old });
+            self.deliver(TierEvent::EndpointEvicted { key: old });
         }
     }
 
-    fn obey(&mut self, commands: Vec<TierCommand>) {
+    fn execute_all(&mut self, commands: Vec<TierCommand>) {
         for command in commands {
-            self.obey_one(command);
+            self.execute(command);
         }
     }
 
-    fn obey_one(&mut self, command: TierCommand) {
+    fn execute(&mut self, command: TierCommand) {
         match command {
             TierCommand::Pin { transfer, key, .. } => {
                 let result = self.pin(key);
@@ -380,19 +383,19 @@
             } => {
                 let tier = self.store.get(&key).map(|stored| stored.tier);
                 let factor = if tier == Some(Tier::Disk) {
-                    DISK_FACTOR
+                    DISK_SLOWDOWN
                 } else {
                     1.0
                 };
-                self.statistics.note_read(key);
+                self.statistics.record_read(key);
                 let index = (0..ENDPOINTS).find(|index| endpoint_id(*index) == endpoint);
-                self.hold(index.expect("an endpoint"), key);
+                self.cache_block(index.expect("an endpoint"), key);
                 let event = TierEvent::Imported {
                     transfer,
                     result: Ok(()),
                 };
                 let bytes = BLOCK_BYTES.as_f64() * factor;
-                self.wire.add(bytes, event, self.now_us);
+                self.link.add(bytes, event, self.now_us);
             }
             TierCommand::Proceed {
                 request,
@@ -431,7 +434,7 @@
     }
 
     fn answer(&mut self, event: TierEvent) {
-        self.at(CALL_US, Happening::Answer(event));
+        self.at(CALL_LATENCY_US, SimulationEvent::Answer(event));
     }
 
     fn pin(&self, key: BlockKey) -> Result<PinGrant, TransferFailure> {
@@ -446,7 +449,7 @@
         })
     }
 
-    fn reserve(&mut self, key: BlockKey, tier: Tier) -> Result<ReservedRoom, TransferFailure> {
+    fn reserve(&mut self, key: BlockKey, tier: Tier) -> Result<ReserveOutcome, TransferFailure> {
         let capacity = match tier {
             Tier::Memory => MEMORY_BLOCKS,
             Tier::Disk => DISK_BLOCKS,
@@ -459,18 +462,18 @@
         self.sequence += 1;
         let generation = Generation::new(self.sequence);
         self.store.insert(key, Stored { generation, tier });
-        Ok(ReservedRoom::Room(generation))
+        Ok(ReserveOutcome::Granted(generation))
     }
 
     fn export(&mut self, transfer: TransferId, endpoint: &EndpointId, key: BlockKey) {
         let index = (0..ENDPOINTS).find(|index| endpoint_id(*index) == *endpoint);
-        let is_held = index.is_some_and(|index| self.endpoints[index].contains(&key));
-        if !is_held {
+        let is_cached = index.is_some_and(|index| self.endpoints[index].contains(&key));
+        if !is_cached {
             let result = Err(TransferFailure::Gone);
             return self.answer(TierEvent::Exported { transfer, result });
         }
         if self.is_measured() {
-            self.statistics.note_saved(key);
+            self.statistics.record_save(key);
         }
         let event = TierEvent::Exported {
             transfer,
@@ -479,7 +482,7 @@
                 crc32c: 1,
             }),
         };
-        self.wire.add(BLOCK_BYTES.as_f64(), event, self.now_us);
+        self.link.add(BLOCK_BYTES.as_f64(), event, self.now_us);
     }
 
     fn move_to(&mut self, key: BlockKey, tier: Tier) -> Result<(), TransferFailure> {
--- a/crates/wisteriahitch-core/benches/links/statistics.rs
+++ b/crates/wisteriahitch-core/benches/links/statistics.rs
@@ -5,7 +5,7 @@
 
 use wisteriahitch_types::BlockKey;
 
-pub(crate) const HEAD: &str = "site      link seed compared order    policy     \
+pub(crate) const HEADER: &str = "site      link seed compared order    policy     \
     | wait p50 ms  p95 ms | again p50 ms  p95 ms | saves  read again | recomputed | link busy \
     | promoted used";
 
@@ -26,12 +26,12 @@
 }
 
 impl Statistics {
-    pub(crate) fn note_saved(&mut self, key: BlockKey) {
+    pub(crate) fn record_save(&mut self, key: BlockKey) {
         self.saves += 1;
         self.saved.insert(key, false);
     }
 
-    pub(crate) fn note_read(&mut self, key: BlockKey) {
+    pub(crate) fn record_read(&mut self, key: BlockKey) {
         if let Some(is_read) = self.saved.get_mut(&key)
             && !*is_read
         {
@@ -41,10 +41,10 @@
     }
 }
 
-fn percentile_ms(values: &[u64], part: f64) -> f64 {
+fn percentile_ms(values: &[u64], quantile: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let index = (sorted.len() as f64 * part) as usize;
+    let index = (sorted.len() as f64 * quantile) as usize;
     sorted
         .get(index.min(sorted.len().saturating_sub(1)))
         .map_or(0.0, |us| *us as f64 / 1e3)
--- a/crates/wisteriahitch-core/benches/links/workload.rs
+++ b/crates/wisteriahitch-core/benches/links/workload.rs
@@ -77,13 +77,13 @@
 
 /// Draws prompts, gaps and arrivals.
 #[derive(Debug)]
-pub(crate) struct Source {
+pub(crate) struct PromptSource {
     workload: Workload,
     rng: ChaCha8Rng,
     prompts: u64,
 }
 
-impl Source {
+impl PromptSource {
     pub(crate) fn new(workload: Workload, seed: u64) -> Self {
         Self {
             workload,
@@ -119,7 +119,7 @@
             pieces: self.rng.random_range(low..=high),
             is_single,
             returns: 0,
-            regular_gap_s: is_regular.then(|| self.draw_gap_s()),
+            regular_gap_s: is_regular.then(|| self.sample_gap_s()),
         }
     }
 
@@ -132,10 +132,10 @@
         if self.rng.random_bool(self.workload.growth_share) {
             prompt.pieces += 1;
         }
-        Some(prompt.regular_gap_s.unwrap_or_else(|| self.draw_gap_s()))
+        Some(prompt.regular_gap_s.unwrap_or_else(|| self.sample_gap_s()))
     }
 
-    fn draw_gap_s(&mut self) -> f64 {
+    fn sample_gap_s(&mut self) -> f64 {
         let (low, high) = self.workload.gap_s;
         self.rng.random_range(low.ln()..high.ln()).exp()
     }
--- a/crates/wisteriahitch-core/src/tier/block.rs
+++ b/crates/wisteriahitch-core/src/tier/block.rs
@@ -6,11 +6,11 @@
     TokenCount, WeightVersion, WorkspaceId,
 };
 
-use super::block_life::LifeCycle;
+use super::block_state_machine::BlockStateMachine;
 
 /// Names a block at a store, whatever the generation.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Place {
+pub struct BlockLocation {
     /// Store VM.
     pub store: StoreId,
     /// Block.
@@ -40,7 +40,8 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BlockHandle {
     /// Place.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: BlockLocation,
     /// Life of the store.
     pub incarnation: StoreIncarnation,
     /// Use of the place.
@@ -63,7 +64,7 @@
     tier: Tier,
     crc32c: Option<u32>,
     suspect_until_us: TimeUs,
-    life: LifeCycle,
+    state_machine: BlockStateMachine,
 }
 
 impl Block {
@@ -73,7 +74,7 @@
             tier,
             crc32c: None,
             suspect_until_us: TimeUs::ZERO,
-            life: LifeCycle::new(),
+            state_machine: BlockStateMachine::new(),
         }
     }
 
@@ -94,12 +95,12 @@
 
     /// Returns the step of its life.
     pub fn state(&self) -> BlockState {
-        self.life.state()
+        self.state_machine.state()
     }
 
     /// Returns how many readers of this daemon hold it.
     pub fn pins(&self) -> u32 {
-        self.life.pins()
+        self.state_machine.pins()
     }
 
     /// Returns whether `reader` may read the block, by version and workspace.
@@ -122,8 +123,8 @@
         self.suspect_until_us = until;
     }
 
-    pub(crate) fn life_mut(&mut self) -> &mut LifeCycle {
-        &mut self.life
+    pub(crate) fn state_machine_mut(&mut self) -> &mut BlockStateMachine {
+        &mut self.state_machine
     }
 
     pub(crate) fn set_crc32c(&mut self, crc32c: u32) {
--- a/crates/wisteriahitch-core/src/tier/block_error.rs
+++ b/crates/wisteriahitch-core/src/tier/block_error.rs
@@ -18,7 +18,7 @@
     #[error("the block's length is not the reserved one")]
     Corrupt,
     /// The place is taken by another life of the block.
-    #[error("the place is taken")]
+    #[error("the location is taken")]
     Taken,
     /// The table holds as many blocks as it may.
     #[error("the table of blocks is full")]
--- a/crates/wisteriahitch-core/src/tier/block_life.rs
+++ b/crates/wisteriahitch-core/src/tier/block_state_machine.rs
@@ -13,7 +13,7 @@
 /// Names what may happen to a block, by the names of the model `specs/block_life.pml`.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LifeEvent {
+pub enum BlockEvent {
     /// Content starts to arrive.
     Write,
     /// Length and checksum are fixed.
@@ -34,11 +34,11 @@
 
 /// Holds what a block remembers beside its state.
 #[derive(Debug, Default)]
-pub(crate) struct BlockLife {
+pub(crate) struct BlockStateStorage {
     pins: u32,
 }
 
-impl BlockLife {
+impl BlockStateStorage {
     fn unpin(&mut self) -> Outcome<State> {
         self.pins = self.pins.saturating_sub(1);
         Handled
@@ -49,44 +49,44 @@
     initial = "State::reserved()",
     state(derive(Clone, Copy, Debug, Eq, PartialEq))
 )]
-impl BlockLife {
+impl BlockStateStorage {
     #[state]
-    fn reserved(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn reserved(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Write => Transition(State::writing()),
-            LifeEvent::Free | LifeEvent::StoreDied => Transition(State::freed()),
+            BlockEvent::Write => Transition(State::writing()),
+            BlockEvent::Free | BlockEvent::StoreDied => Transition(State::freed()),
             _ => Handled,
         }
     }
 
     #[state]
-    fn writing(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn writing(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Seal => Transition(State::sealed()),
-            LifeEvent::Free | LifeEvent::StoreDied => Transition(State::freed()),
+            BlockEvent::Seal => Transition(State::sealed()),
+            BlockEvent::Free | BlockEvent::StoreDied => Transition(State::freed()),
             _ => Handled,
         }
     }
 
     #[state]
-    fn sealed(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn sealed(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Publish => Transition(State::readable()),
-            LifeEvent::Free | LifeEvent::StoreDied => Transition(State::freed()),
+            BlockEvent::Publish => Transition(State::readable()),
+            BlockEvent::Free | BlockEvent::StoreDied => Transition(State::freed()),
             _ => Handled,
         }
     }
 
     #[state]
-    fn readable(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn readable(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Pin => {
+            BlockEvent::Pin => {
                 self.pins += 1;
                 Handled
             }
-            LifeEvent::Unpin => self.unpin(),
-            LifeEvent::Drain => Transition(State::draining()),
-            LifeEvent::StoreDied => Transition(State::freed()),
+            BlockEvent::Unpin => self.unpin(),
+            BlockEvent::Drain => Transition(State::draining()),
+            BlockEvent::StoreDied => Transition(State::freed()),
             _ => Handled,
         }
     }
@@ -94,38 +94,38 @@
     // Without this state a block would be freed under a reader: the engine would read another
     // block's bytes, seen as checksum failures. The free waits for the last pin instead.
     #[state]
-    fn draining(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn draining(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Unpin => self.unpin(),
-            LifeEvent::Free if self.pins == 0 => Transition(State::freed()),
-            LifeEvent::StoreDied => Transition(State::freed()),
+            BlockEvent::Unpin => self.unpin(),
+            BlockEvent::Free if self.pins == 0 => Transition(State::freed()),
+            BlockEvent::StoreDied => Transition(State::freed()),
             _ => Handled,
         }
     }
 
     #[state]
-    fn freed(&mut self, event: &LifeEvent) -> Outcome<State> {
+    fn freed(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Unpin => self.unpin(),
+            BlockEvent::Unpin => self.unpin(),
             _ => Handled,
         }
     }
 }
 
 /// Runs one block through its life and says which events it took.
-pub(crate) struct LifeCycle {
-    machine: StateMachine<BlockLife>,
+pub(crate) struct BlockStateMachine {
+    machine: StateMachine<BlockStateStorage>,
 }
 
-impl LifeCycle {
+impl BlockStateMachine {
     pub(crate) fn new() -> Self {
         Self {
-            machine: BlockLife::default().state_machine(),
+            machine: BlockStateStorage::default().state_machine(),
         }
     }
 
     /// Applies `event` and returns whether the state allows it.
-    pub(crate) fn apply(&mut self, event: LifeEvent) -> bool {
+    pub(crate) fn apply(&mut self, event: BlockEvent) -> bool {
         // Every event that a state allows changes the state or the pins.
         let before = self.pins_and_state();
         self.machine.handle(&event);
@@ -152,7 +152,7 @@
     }
 }
 
-impl fmt::Debug for LifeCycle {
+impl fmt::Debug for BlockStateMachine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} with {} pins", self.state(), self.pins())
     }
--- a/crates/wisteriahitch-core/src/tier/block_table.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table.rs
@@ -8,7 +8,7 @@
 
 use wisteriahitch_types::{BlockState, ByteCount, StoreId, StoreIncarnation, Tier, WorkspaceId};
 
-use super::{Block, BlockError, BlockHandle, BlockIdentity, LifeEvent, Place};
+use super::{Block, BlockError, BlockEvent, BlockHandle, BlockIdentity, BlockLocation};
 
 /// Bounds the table at about 50 MB: with 380 daemons that share 4.7 million prompts it holds
 /// some twenty blocks of each of a daemon's own.
@@ -52,7 +52,7 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct BlockTable {
-    blocks: BTreeMap<Place, Block>,
+    blocks: BTreeMap<BlockLocation, Block>,
     incarnations: BTreeMap<StoreId, StoreIncarnation>,
     workspace_bytes: BTreeMap<WorkspaceId, ByteCount>,
 }
@@ -63,7 +63,7 @@
     /// A store VM may come back empty under its old name and address. Were its old blocks kept,
     /// readers would get other content under known generations, seen as checksum failures at
     /// best; so every block of the earlier incarnation is freed here.
-    pub fn store_seen(
+    pub fn record_incarnation(
         &mut self,
         store: &StoreId,
         incarnation: &StoreIncarnation,
@@ -71,20 +71,20 @@
         if self.incarnation(store) == Some(incarnation) {
             return Vec::new();
         }
-        let ended = self.store_died(store);
+        let ended = self.remove_store_blocks(store);
         self.incarnations.insert(store.clone(), incarnation.clone());
         ended
     }
 
     /// Frees every block of a store whose incarnation has ended, and returns them.
-    pub fn store_died(&mut self, store: &StoreId) -> Vec<BlockHandle> {
+    pub fn remove_store_blocks(&mut self, store: &StoreId) -> Vec<BlockHandle> {
         self.incarnations.remove(store);
         let handles = self.handles_at(store);
         for handle in &handles {
-            if let Some(block) = self.blocks.get_mut(&handle.place) {
-                block.life_mut().apply(LifeEvent::StoreDied);
+            if let Some(block) = self.blocks.get_mut(&handle.location) {
+                block.state_machine_mut().apply(BlockEvent::StoreDied);
             }
-            self.forget_if_freed(&handle.place);
+            self.remove_if_freed(&handle.location);
         }
         handles
     }
@@ -102,32 +102,32 @@
     /// place holds a block already, and [`BlockError::TableFull`].
     pub fn reserve(
         &mut self,
-        place: Place,
+        location: BlockLocation,
         identity: BlockIdentity,
         tier: Tier,
     ) -> Result<BlockHandle, BlockError> {
-        if self.incarnations.get(&place.store) != Some(&identity.incarnation) {
+        if self.incarnations.get(&location.store) != Some(&identity.incarnation) {
             return Err(BlockError::Gone);
         }
-        if self.blocks.contains_key(&place) {
+        if self.blocks.contains_key(&location) {
             return Err(BlockError::Taken);
         }
         if self.blocks.len() >= MAX_BLOCKS {
             return Err(BlockError::TableFull);
         }
         let handle = BlockHandle {
-            place: place.clone(),
+            location: location.clone(),
             incarnation: identity.incarnation.clone(),
             generation: identity.generation,
         };
         self.count(identity.workspace.as_ref(), identity.bytes);
-        self.blocks.insert(place, Block::new(identity, tier));
+        self.blocks.insert(location, Block::new(identity, tier));
         Ok(handle)
     }
 
     fn handles_at(&self, store: &StoreId) -> Vec<BlockHandle> {
         self.blocks_at(store)
-            .filter_map(|(place, _)| self.handle(place))
+            .filter_map(|(location, _)| self.handle(location))
             .collect()
     }
 
@@ -137,11 +137,11 @@
         }
     }
 
-    fn forget_if_freed(&mut self, place: &Place) {
-        if self.blocks.get(place).map(Block::state) != Some(BlockState::Freed) {
+    fn remove_if_freed(&mut self, location: &BlockLocation) {
+        if self.blocks.get(location).map(Block::state) != Some(BlockState::Freed) {
             return;
         }
-        let Some(block) = self.blocks.remove(place) else {
+        let Some(block) = self.blocks.remove(location) else {
             return;
         };
         let Some(workspace) = &block.identity().workspace else {
@@ -156,7 +156,7 @@
     }
 }
 
-fn is_same_life(block: &Block, handle: &BlockHandle) -> bool {
+fn is_same_generation(block: &Block, handle: &BlockHandle) -> bool {
     block.identity().incarnation == handle.incarnation
         && block.identity().generation == handle.generation
 }
--- a/crates/wisteriahitch-core/src/tier/block_table/adopting.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table/adopting.rs
@@ -3,7 +3,7 @@
 use wisteriahitch_types::{BlockState, ByteCount, Tier, TimeUs};
 
 use super::BlockTable;
-use crate::tier::{Block, BlockError, BlockHandle, BlockIdentity, LifeEvent, Place};
+use crate::tier::{Block, BlockError, BlockEvent, BlockHandle, BlockIdentity, BlockLocation};
 
 impl BlockTable {
     /// Adds a block that its store says is readable, in place of any older generation.
@@ -14,12 +14,12 @@
     /// the known one, and [`BlockError::State`] while the known one drains.
     pub fn adopt(
         &mut self,
-        place: Place,
+        location: BlockLocation,
         identity: BlockIdentity,
         tier: Tier,
         crc32c: Option<u32>,
     ) -> Result<BlockHandle, BlockError> {
-        let known = self.blocks.get(&place).map(Block::identity);
+        let known = self.blocks.get(&location).map(Block::identity);
         let known_generation = known.map(|known| known.generation);
         let bytes = identity.bytes;
         if known.is_some_and(|known| known.incarnation != identity.incarnation) {
@@ -30,12 +30,12 @@
         }
         if known_generation.is_some_and(|known| known < identity.generation) {
             // The store has given the place to new content, so the old generation is gone there.
-            self.end_life(&place);
+            self.invalidate(&location);
         }
-        let handle = if self.blocks.contains_key(&place) {
-            self.adopt_known(&place, identity)?
+        let handle = if self.blocks.contains_key(&location) {
+            self.adopt_known(&location, identity)?
         } else {
-            self.reserve(place, identity, tier)?
+            self.reserve(location, identity, tier)?
         };
         self.publish_adopted(&handle, bytes, crc32c)?;
         Ok(handle)
@@ -43,10 +43,10 @@
 
     fn adopt_known(
         &mut self,
-        place: &Place,
+        location: &BlockLocation,
         identity: BlockIdentity,
     ) -> Result<BlockHandle, BlockError> {
-        let block = self.blocks.get_mut(place).ok_or(BlockError::Gone)?;
+        let block = self.blocks.get_mut(location).ok_or(BlockError::Gone)?;
         if block.identity().weight_version != identity.weight_version {
             return Err(BlockError::Foreign);
         }
@@ -61,7 +61,7 @@
             }
         }
         Ok(BlockHandle {
-            place: place.clone(),
+            location: location.clone(),
             incarnation: identity.incarnation,
             generation: identity.generation,
         })
@@ -84,8 +84,8 @@
             return Err(BlockError::Corrupt);
         }
         block.set_suspect_until(TimeUs::ZERO);
-        for event in [LifeEvent::Write, LifeEvent::Seal, LifeEvent::Publish] {
-            block.life_mut().apply(event);
+        for event in [BlockEvent::Write, BlockEvent::Seal, BlockEvent::Publish] {
+            block.state_machine_mut().apply(event);
         }
         match block.state() {
             BlockState::Readable => Ok(()),
--- a/crates/wisteriahitch-core/src/tier/block_table/lookup.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table/lookup.rs
@@ -5,25 +5,25 @@
 use wisteriahitch_types::{BlockKey, ByteCount, StoreId, WorkspaceId};
 
 use super::BlockTable;
-use crate::tier::{Block, BlockHandle, Place};
+use crate::tier::{Block, BlockHandle, BlockLocation};
 
 impl BlockTable {
     /// Returns the block at `place`.
-    pub fn get(&self, place: &Place) -> Option<&Block> {
-        self.blocks.get(place)
+    pub fn get(&self, location: &BlockLocation) -> Option<&Block> {
+        self.blocks.get(location)
     }
 
     /// Returns the present generation at `place`.
-    pub fn handle(&self, place: &Place) -> Option<BlockHandle> {
-        self.blocks.get(place).map(|block| BlockHandle {
-            place: place.clone(),
+    pub fn handle(&self, location: &BlockLocation) -> Option<BlockHandle> {
+        self.blocks.get(location).map(|block| BlockHandle {
+            location: location.clone(),
             incarnation: block.identity().incarnation.clone(),
             generation: block.identity().generation,
         })
     }
 
     /// Returns every block, ordered by store and key.
-    pub fn iter(&self) -> impl Iterator<Item = (&Place, &Block)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&BlockLocation, &Block)> {
         self.blocks.iter()
     }
 
@@ -51,13 +51,13 @@
     }
 
     /// Returns the blocks of one store, ordered by key.
-    pub fn blocks_at(&self, store: &StoreId) -> impl Iterator<Item = (&Place, &Block)> {
-        let first = Place {
+    pub fn blocks_at(&self, store: &StoreId) -> impl Iterator<Item = (&BlockLocation, &Block)> {
+        let first = BlockLocation {
             store: store.clone(),
             key: BlockKey::from_bytes([0; 16]),
         };
         self.blocks
             .range(first..)
-            .take_while(move |(place, _)| place.store == *store)
+            .take_while(move |(location, _)| location.store == *store)
     }
 }
--- a/crates/wisteriahitch-core/src/tier/block_table/steps.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table/steps.rs
@@ -2,8 +2,8 @@
 
 use wisteriahitch_types::{BlockState, ByteCount, Tier, TimeUs};
 
-use super::{BlockTable, is_same_life};
-use crate::tier::{Block, BlockError, BlockHandle, LifeEvent, Place, Reader};
+use super::{BlockTable, is_same_generation};
+use crate::tier::{Block, BlockError, BlockEvent, BlockHandle, BlockLocation, Reader};
 
 impl BlockTable {
     /// Notes that content starts to arrive.
@@ -12,7 +12,7 @@
     ///
     /// [`BlockError::Gone`] or [`BlockError::State`].
     pub fn write(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
-        self.apply(handle, LifeEvent::Write)
+        self.apply(handle, BlockEvent::Write)
     }
 
     /// Fixes length and checksum.
@@ -30,7 +30,7 @@
         if self.block_mut(handle)?.identity().bytes != bytes {
             return Err(BlockError::Corrupt);
         }
-        self.apply(handle, LifeEvent::Seal)?;
+        self.apply(handle, BlockEvent::Seal)?;
         self.block_mut(handle)?.set_crc32c(crc32c);
         Ok(())
     }
@@ -41,7 +41,7 @@
     ///
     /// [`BlockError::Gone`] or [`BlockError::State`].
     pub fn publish(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
-        self.apply(handle, LifeEvent::Publish)
+        self.apply(handle, BlockEvent::Publish)
     }
 
     /// Gives `reader` a right to the block's present generation.
@@ -50,17 +50,21 @@
     ///
     /// [`BlockError::Foreign`] for another version or workspace, [`BlockError::Gone`] or
     /// [`BlockError::State`].
-    pub fn pin(&mut self, place: &Place, reader: &Reader) -> Result<BlockHandle, BlockError> {
-        let block = self.blocks.get(place).ok_or(BlockError::Gone)?;
+    pub fn pin(
+        &mut self,
+        location: &BlockLocation,
+        reader: &Reader,
+    ) -> Result<BlockHandle, BlockError> {
+        let block = self.blocks.get(location).ok_or(BlockError::Gone)?;
         if !block.is_for(reader) {
             return Err(BlockError::Foreign);
         }
         let handle = BlockHandle {
-            place: place.clone(),
+            location: location.clone(),
             incarnation: block.identity().incarnation.clone(),
             generation: block.identity().generation,
         };
-        self.apply(&handle, LifeEvent::Pin)?;
+        self.apply(&handle, BlockEvent::Pin)?;
         Ok(handle)
     }
 
@@ -70,13 +74,13 @@
     ///
     /// [`BlockError::Gone`], or [`BlockError::State`] if nobody holds the block.
     pub fn unpin(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
-        self.apply(handle, LifeEvent::Unpin)
+        self.apply(handle, BlockEvent::Unpin)
     }
 
     /// Returns whether a pinned block may still be read.
-    pub fn is_held(&self, handle: &BlockHandle) -> bool {
-        self.get(&handle.place).is_some_and(|block| {
-            is_same_life(block, handle)
+    pub fn is_pin_valid(&self, handle: &BlockHandle) -> bool {
+        self.get(&handle.location).is_some_and(|block| {
+            is_same_generation(block, handle)
                 && block.pins() > 0
                 && matches!(block.state(), BlockState::Readable | BlockState::Draining)
         })
@@ -88,7 +92,7 @@
     ///
     /// [`BlockError::Gone`] or [`BlockError::State`].
     pub fn drain(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
-        self.apply(handle, LifeEvent::Drain)
+        self.apply(handle, BlockEvent::Drain)
     }
 
     /// Gives the room back.
@@ -98,8 +102,8 @@
     /// [`BlockError::State`] while the block is readable or a reader holds it, and
     /// [`BlockError::Gone`].
     pub fn free(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
-        self.apply(handle, LifeEvent::Free)?;
-        self.forget_if_freed(&handle.place);
+        self.apply(handle, BlockEvent::Free)?;
+        self.remove_if_freed(&handle.location);
         Ok(())
     }
 
@@ -108,7 +112,7 @@
     /// # Errors
     ///
     /// [`BlockError::Gone`].
-    pub fn moved(&mut self, handle: &BlockHandle, tier: Tier) -> Result<(), BlockError> {
+    pub fn change_tier(&mut self, handle: &BlockHandle, tier: Tier) -> Result<(), BlockError> {
         self.block_mut(handle)?.set_tier(tier);
         Ok(())
     }
@@ -116,37 +120,37 @@
     /// Ends a block's life here, because its store says that it is gone or it proved corrupt.
     ///
     /// Readers that hold it fail their next check.
-    pub fn end_life(&mut self, place: &Place) -> Option<BlockHandle> {
-        let handle = self.handle(place)?;
-        if let Some(block) = self.blocks.get_mut(place) {
-            block.life_mut().apply(LifeEvent::StoreDied);
+    pub fn invalidate(&mut self, location: &BlockLocation) -> Option<BlockHandle> {
+        let handle = self.handle(location)?;
+        if let Some(block) = self.blocks.get_mut(location) {
+            block.state_machine_mut().apply(BlockEvent::StoreDied);
         }
-        self.forget_if_freed(place);
+        self.remove_if_freed(location);
         Some(handle)
     }
 
     /// Notes that a call for a block got no answer: it isn't planned until its store names it
     /// again, or until the time `until`.
-    pub fn suspect(&mut self, place: &Place, until: TimeUs) {
-        if let Some(block) = self.blocks.get_mut(place) {
+    pub fn mark_suspect(&mut self, location: &BlockLocation, until: TimeUs) {
+        if let Some(block) = self.blocks.get_mut(location) {
             block.set_suspect_until(until);
         }
     }
 
     pub(super) fn block_mut(&mut self, handle: &BlockHandle) -> Result<&mut Block, BlockError> {
         self.blocks
-            .get_mut(&handle.place)
-            .filter(|block| is_same_life(block, handle))
+            .get_mut(&handle.location)
+            .filter(|block| is_same_generation(block, handle))
             .ok_or(BlockError::Gone)
     }
 
     pub(super) fn apply(
         &mut self,
         handle: &BlockHandle,
-        event: LifeEvent,
+        event: BlockEvent,
     ) -> Result<(), BlockError> {
         let block = self.block_mut(handle)?;
-        if block.life_mut().apply(event) {
+        if block.state_machine_mut().apply(event) {
             return Ok(());
         }
         Err(BlockError::State(block.state()))
--- a/crates/wisteriahitch-core/src/tier/room_keeper.rs
+++ b/crates/wisteriahitch-core/src/tier/capacity_manager.rs
@@ -6,23 +6,23 @@
 use wisteriahitch_types::{ByteCount, DurationUs, StoreId, Tier, TimeUs};
 
 use super::context::Context;
-use super::{BlockHandle, Place, TierCommand, TransferFailure, TransferId, UseTable};
+use super::{BlockHandle, BlockLocation, TierCommand, TransferFailure, TransferId, UseTable};
 
 /// Part of a tier that is kept free, so that a save seldom meets a full store.
-const FREE_PART: f64 = 0.1;
+const MIN_FREE_FRACTION: f64 = 0.1;
 
 /// Bounds the moves under way at one store.
-const MAX_MOVES: usize = 4;
+const MAX_CONCURRENT_MOVES: usize = 4;
 
 /// Bounds the blocks that are freed at one store in one tick.
-const MAX_FREED: usize = 16;
+const MAX_CANDIDATES: usize = 16;
 
 /// Longest wait for the answer to a move.
-const ANSWER_LIMIT_US: DurationUs = DurationUs::from_ms(60_000);
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// Counts what was done for room.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct RoomCounts {
+pub struct CapacityCounts {
     /// Blocks moved from memory to disk.
     pub demoted: u64,
     /// Blocks freed.
@@ -35,129 +35,136 @@
 struct Demotion {
     handle: BlockHandle,
     bytes: ByteCount,
-    asked_at_us: TimeUs,
+    call_sent_at_us: TimeUs,
 }
 
 /// Holds the configured room of one store.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub(crate) struct StoreRoom {
+pub(crate) struct StoreCapacity {
     pub(crate) memory_bytes: ByteCount,
     pub(crate) disk_bytes: ByteCount,
 }
 
 /// Keeps a part of each tier free.
 #[derive(Debug, Default)]
-pub struct RoomKeeper {
-    rooms: BTreeMap<StoreId, StoreRoom>,
+pub struct CapacityManager {
+    capacities: BTreeMap<StoreId, StoreCapacity>,
     /// Stores that this daemon keeps room at; `None` stands for all of them.
-    mine: Option<BTreeSet<StoreId>>,
+    managed_stores: Option<BTreeSet<StoreId>>,
     demotions: BTreeMap<TransferId, Demotion>,
-    counts: RoomCounts,
+    counts: CapacityCounts,
 }
 
-impl RoomKeeper {
+impl CapacityManager {
     /// Returns what was done for room.
-    pub fn counts(&self) -> RoomCounts {
+    pub fn counts(&self) -> CapacityCounts {
         self.counts
     }
 
-    pub(crate) fn configure(&mut self, rooms: BTreeMap<StoreId, StoreRoom>) {
-        self.rooms = rooms;
+    pub(crate) fn configure(&mut self, capacities: BTreeMap<StoreId, StoreCapacity>) {
+        self.capacities = capacities;
     }
 
     /// Takes the stores that this daemon keeps room at.
     ///
     /// If every daemon did so for every store, each would free a tenth, and the store would be
     /// emptied, seen as imports that find nothing.
-    pub(crate) fn set_mine(&mut self, mine: BTreeSet<StoreId>) {
-        self.mine = Some(mine);
+    pub(crate) fn set_managed_stores(&mut self, managed_stores: BTreeSet<StoreId>) {
+        self.managed_stores = Some(managed_stores);
     }
 
     pub(crate) fn tick(&mut self, uses: &mut UseTable, cx: &mut Context<'_>) {
-        self.give_up_unanswered(cx);
-        let rooms: Vec<(StoreId, StoreRoom)> = self
-            .rooms
+        self.expire_unanswered(cx);
+        let capacities: Vec<(StoreId, StoreCapacity)> = self
+            .capacities
             .iter()
-            .filter(|(store, _)| self.mine.as_ref().is_none_or(|mine| mine.contains(store)))
+            .filter(|(store, _)| {
+                self.managed_stores
+                    .as_ref()
+                    .is_none_or(|managed_stores| managed_stores.contains(store))
+            })
             .filter(|(store, _)| cx.stores.is_reachable(store))
-            .map(|(store, room)| (store.clone(), *room))
+            .map(|(store, capacity)| (store.clone(), *capacity))
             .collect();
-        for (store, room) in rooms {
-            self.free_disk(&store, room, uses, cx);
-            self.empty_memory(&store, room, uses, cx);
+        for (store, capacity) in capacities {
+            self.reclaim_disk(&store, capacity, uses, cx);
+            self.reclaim_memory(&store, capacity, uses, cx);
         }
     }
 
-    fn free_disk(
+    fn reclaim_disk(
         &mut self,
         store: &StoreId,
-        room: StoreRoom,
+        capacity: StoreCapacity,
         uses: &mut UseTable,
         cx: &mut Context<'_>,
     ) {
-        self.free_lowest(store, Tier::Disk, room.disk_bytes, uses, cx);
+        self.evict_lowest(store, Tier::Disk, capacity.disk_bytes, uses, cx);
     }
 
-    fn empty_memory(
+    fn reclaim_memory(
         &mut self,
         store: &StoreId,
-        room: StoreRoom,
+        capacity: StoreCapacity,
         uses: &mut UseTable,
         cx: &mut Context<'_>,
     ) {
-        if room.disk_bytes == ByteCount::ZERO {
-            return self.free_lowest(store, Tier::Memory, room.memory_bytes, uses, cx);
+        if capacity.disk_bytes == ByteCount::ZERO {
+            return self.evict_lowest(store, Tier::Memory, capacity.memory_bytes, uses, cx);
         }
         let moving: ByteCount = self
             .demotions
             .values()
-            .filter(|demotion| demotion.handle.place.store == *store)
+            .filter(|demotion| demotion.handle.location.store == *store)
             .map(|demotion| demotion.bytes)
             .sum();
         let mut free = free_bytes(store, Tier::Memory, cx) + moving;
-        for place in idle_lowest(store, Tier::Memory, cx) {
-            let is_low = free.as_f64() < room.memory_bytes.as_f64() * FREE_PART;
-            if !is_low || self.moves_at(store) >= MAX_MOVES {
+        for location in lowest_unpinned(store, Tier::Memory, cx) {
+            let is_low = free.as_f64() < capacity.memory_bytes.as_f64() * MIN_FREE_FRACTION;
+            if !is_low || self.pending_moves(store) >= MAX_CONCURRENT_MOVES {
                 return;
             }
-            free += self.demote(&place, cx);
+            free += self.demote(&location, cx);
         }
     }
 
-    fn demote(&mut self, place: &Place, cx: &mut Context<'_>) -> ByteCount {
+    fn demote(&mut self, location: &BlockLocation, cx: &mut Context<'_>) -> ByteCount {
         let is_moving = self
             .demotions
             .values()
-            .any(|demotion| demotion.handle.place == *place);
-        let Some(handle) = cx.blocks.handle(place).filter(|_| !is_moving) else {
+            .any(|demotion| demotion.handle.location == *location);
+        let Some(handle) = cx.blocks.handle(location).filter(|_| !is_moving) else {
             return ByteCount::ZERO;
         };
         let bytes = cx
             .blocks
-            .get(place)
+            .get(location)
             .map_or(ByteCount::ZERO, |block| block.identity().bytes);
-        if !cx.stores.has_room(&place.store, Tier::Disk, bytes, cx.now) {
+        if !cx
+            .stores
+            .has_space(&location.store, Tier::Disk, bytes, cx.now)
+        {
             return ByteCount::ZERO;
         }
-        cx.stores.take(&place.store, Tier::Disk, bytes);
-        let id = cx.new_transfer();
+        cx.stores.reserve_space(&location.store, Tier::Disk, bytes);
+        let id = cx.new_transfer_id();
         cx.send(TierCommand::Move {
             transfer: id,
-            store: place.store.clone(),
-            key: place.key,
+            store: location.store.clone(),
+            key: location.key,
             generation: handle.generation,
             tier: Tier::Disk,
         });
         let demotion = Demotion {
             handle,
             bytes,
-            asked_at_us: cx.now,
+            call_sent_at_us: cx.now,
         };
         self.demotions.insert(id, demotion);
         bytes
     }
 
-    fn free_lowest(
+    fn evict_lowest(
         &mut self,
         store: &StoreId,
         tier: Tier,
@@ -165,13 +172,13 @@
         uses: &mut UseTable,
         cx: &mut Context<'_>,
     ) {
-        for place in idle_lowest(store, tier, cx) {
+        for location in lowest_unpinned(store, tier, cx) {
             let free = free_bytes(store, tier, cx);
-            if free.as_f64() >= capacity.as_f64() * FREE_PART {
+            if free.as_f64() >= capacity.as_f64() * MIN_FREE_FRACTION {
                 return;
             }
-            uses.note_store_eviction(&place.key, cx.now);
-            cx.evict(&place);
+            uses.record_store_eviction(&location.key, cx.now);
+            cx.evict(&location);
             self.counts.freed += 1;
         }
     }
@@ -186,16 +193,18 @@
         let Some(demotion) = self.demotions.remove(&id) else {
             return false;
         };
-        let place = &demotion.handle.place;
+        let location = &demotion.handle.location;
         if let Err(failure) = result {
             self.counts.failed += 1;
-            cx.stores.give(&place.store, Tier::Disk, demotion.bytes);
-            cx.move_failed(&demotion.handle, Tier::Disk, failure);
+            cx.stores
+                .release_space(&location.store, Tier::Disk, demotion.bytes);
+            cx.handle_failed_move(&demotion.handle, Tier::Disk, failure);
             return true;
         }
-        if cx.blocks.moved(&demotion.handle, Tier::Disk).is_ok() {
-            cx.ranks.demoted(place);
-            cx.stores.give(&place.store, Tier::Memory, demotion.bytes);
+        if cx.blocks.change_tier(&demotion.handle, Tier::Disk).is_ok() {
+            cx.ranks.record_demotion(location);
+            cx.stores
+                .release_space(&location.store, Tier::Memory, demotion.bytes);
             self.counts.demoted += 1;
         }
         true
@@ -203,14 +212,14 @@
 
     pub(crate) fn store_lost(&mut self, store: &StoreId) {
         self.demotions
-            .retain(|_, demotion| demotion.handle.place.store != *store);
+            .retain(|_, demotion| demotion.handle.location.store != *store);
     }
 
-    fn give_up_unanswered(&mut self, cx: &mut Context<'_>) {
+    fn expire_unanswered(&mut self, cx: &mut Context<'_>) {
         let late: Vec<TransferId> = self
             .demotions
             .iter()
-            .filter(|(_, demotion)| cx.now.since(demotion.asked_at_us) >= ANSWER_LIMIT_US)
+            .filter(|(_, demotion)| cx.now.since(demotion.call_sent_at_us) >= CALL_TIMEOUT_US)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
@@ -218,10 +227,10 @@
         }
     }
 
-    fn moves_at(&self, store: &StoreId) -> usize {
+    fn pending_moves(&self, store: &StoreId) -> usize {
         self.demotions
             .values()
-            .filter(|demotion| demotion.handle.place.store == *store)
+            .filter(|demotion| demotion.handle.location.store == *store)
             .count()
     }
 }
@@ -233,10 +242,14 @@
 }
 
 /// Returns the least valuable blocks of a tier that nobody reads.
-fn idle_lowest(store: &StoreId, tier: Tier, cx: &Context<'_>) -> Vec<Place> {
+fn lowest_unpinned(store: &StoreId, tier: Tier, cx: &Context<'_>) -> Vec<BlockLocation> {
     cx.ranks
-        .lowest(store, tier)
-        .filter(|place| cx.blocks.get(place).is_none_or(|block| block.pins() == 0))
-        .take(MAX_FREED)
+        .lowest_ranked(store, tier)
+        .filter(|location| {
+            cx.blocks
+                .get(location)
+                .is_none_or(|block| block.pins() == 0)
+        })
+        .take(MAX_CANDIDATES)
         .collect()
 }
--- a/crates/wisteriahitch-core/src/tier/context.rs
+++ b/crates/wisteriahitch-core/src/tier/context.rs
@@ -7,12 +7,12 @@
 };
 
 use super::{
-    BlockHandle, BlockTable, EvictionIndex, LinkTable, Place, StoreTable, TierCommand,
+    BlockHandle, BlockLocation, BlockTable, EvictionIndex, LinkTable, StoreTable, TierCommand,
     TransferFailure, TransferId,
 };
 
 /// How long a block is left alone after a call for it got no answer.
-const SUSPECT_US: DurationUs = DurationUs::from_ms(10_000);
+const SUSPECT_PERIOD_US: DurationUs = DurationUs::from_ms(10_000);
 
 /// Lends the tables to a planner, and gathers its commands.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 
 impl Context<'_> {
     /// Draws a transfer id that was never used before.
-    pub(crate) fn new_transfer(&mut self) -> TransferId {
+    pub(crate) fn new_transfer_id(&mut self) -> TransferId {
         *self.last_transfer = self.last_transfer.next();
         *self.last_transfer
     }
@@ -38,19 +38,20 @@
     }
 
     /// Leaves a block alone for a while, since a call for it got no answer.
-    pub(crate) fn suspect(&mut self, place: &Place) {
-        self.blocks.suspect(place, self.now + SUSPECT_US);
+    pub(crate) fn mark_suspect(&mut self, location: &BlockLocation) {
+        self.blocks
+            .mark_suspect(location, self.now + SUSPECT_PERIOD_US);
     }
 
     /// Frees a block for room: no new reader comes in, and its store waits for the present ones.
-    pub(crate) fn evict(&mut self, place: &Place) {
-        self.ranks.evicted(place);
-        let Some(handle) = self.blocks.handle(place) else {
+    pub(crate) fn evict(&mut self, location: &BlockLocation) {
+        self.ranks.record_eviction(location);
+        let Some(handle) = self.blocks.handle(location) else {
             return;
         };
         let Some((bytes, tier)) = self
             .blocks
-            .get(place)
+            .get(location)
             .map(|block| (block.identity().bytes, block.tier()))
         else {
             return;
@@ -60,28 +61,28 @@
         }
         // With readers of this daemon the block goes when the last of them unpins.
         let _ = self.blocks.free(&handle);
-        self.stores.give(&place.store, tier, bytes);
+        self.stores.release_space(&location.store, tier, bytes);
         self.send(TierCommand::Free {
-            store: place.store.clone(),
-            key: place.key,
+            store: location.store.clone(),
+            key: location.key,
             generation: handle.generation,
         });
     }
 
     /// Notes what a failed move to `tier` says of the block and the tier.
-    pub(crate) fn move_failed(
+    pub(crate) fn handle_failed_move(
         &mut self,
         handle: &BlockHandle,
         tier: Tier,
         failure: TransferFailure,
     ) {
-        let place = &handle.place;
+        let location = &handle.location;
         match failure {
-            TransferFailure::Full => self.stores.set_full(&place.store, tier, self.now),
-            TransferFailure::Lost => self.suspect(place),
-            _ if self.blocks.handle(place).as_ref() == Some(handle) => {
-                self.blocks.end_life(place);
-                self.ranks.forget(place);
+            TransferFailure::Full => self.stores.mark_full(&location.store, tier, self.now),
+            TransferFailure::Lost => self.mark_suspect(location),
+            _ if self.blocks.handle(location).as_ref() == Some(handle) => {
+                self.blocks.invalidate(location);
+                self.ranks.remove_block(location);
             }
             _ => {}
         }
@@ -92,7 +93,7 @@
     /// Another daemon may have freed them. Were they kept, they would never be saved again, seen
     /// as chains that are recomputed at each return. One that became readable after the listing
     /// was taken is forgotten too, and known again by the next.
-    pub(crate) fn keep_listed(
+    pub(crate) fn prune_unlisted(
         &mut self,
         store: &StoreId,
         incarnation: &StoreIncarnation,
@@ -101,22 +102,22 @@
         if self.blocks.incarnation(store) != Some(incarnation) {
             return;
         }
-        let gone: Vec<Place> = self
+        let gone: Vec<BlockLocation> = self
             .blocks
             .blocks_at(store)
-            .filter(|(place, _)| !keys.contains(&place.key))
+            .filter(|(location, _)| !keys.contains(&location.key))
             .filter(|(_, block)| block.state() == BlockState::Readable && block.pins() == 0)
-            .map(|(place, _)| place.clone())
+            .map(|(location, _)| location.clone())
             .collect();
-        for place in gone {
-            self.blocks.end_life(&place);
-            self.ranks.forget(&place);
+        for location in gone {
+            self.blocks.invalidate(&location);
+            self.ranks.remove_block(&location);
         }
     }
 
     /// Gives up a store's pin, and the table's if there is one.
-    pub(crate) fn unpin(&mut self, store: &StoreId, held: Option<&BlockHandle>, pin: PinName) {
-        if let Some(handle) = held {
+    pub(crate) fn unpin(&mut self, store: &StoreId, acquired: Option<&BlockHandle>, pin: PinName) {
+        if let Some(handle) = acquired {
             // The block may have ended meanwhile; then its pins ended with it.
             let _ = self.blocks.unpin(handle);
             // A draining block goes with its last reader; any other one refuses this.
--- a/crates/wisteriahitch-core/src/tier/event.rs
+++ b/crates/wisteriahitch-core/src/tier/event.rs
@@ -139,7 +139,7 @@
         /// Transfer.
         transfer: TransferId,
         /// Room, or why there is none.
-        result: Result<ReservedRoom, TransferFailure>,
+        result: Result<ReserveOutcome, TransferFailure>,
     },
     /// Answers `Export`.
     Exported {
@@ -165,9 +165,10 @@
 /// Holds a store's answer to a reservation that didn't fail.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ReservedRoom {
+pub enum ReserveOutcome {
     /// Room was taken under this generation.
-    Room(Generation),
+    #[serde(rename = "room")]
+    Granted(Generation),
     /// The block is there already and readable.
     AlreadyReadable(Generation),
 }
--- a/crates/wisteriahitch-core/src/tier/import_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner.rs
@@ -8,12 +8,14 @@
 
 use super::context::Context;
 use super::import_request::{ImportRequest, StepState};
-use super::import_right::{end_if_same, failure_of, free_corrupt, give_up_pin, hold, release};
+use super::import_right::{
+    acquire_pin, free_corrupt, invalidate_if_current, release, release_unused_pin, transfer_failure,
+};
 use super::import_transfer::{ImportPhase, ImportTransfer};
 use super::{ImportCounts, PinGrant, TierCommand, TransferClass, TransferFailure, TransferId};
 
 /// Longest wait for the answer to one call; afterwards the answer counts as lost.
-const ANSWER_LIMIT_US: DurationUs = DurationUs::from_ms(60_000);
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// Runs the imports of requests, and lets each request go on as soon as it can.
 ///
@@ -63,19 +65,19 @@
             Err(failure) => return self.fail(id, failure, cx),
         };
         if transfer.waiters.is_empty() {
-            give_up_pin(transfer, grant.pin, cx);
+            release_unused_pin(transfer, grant.pin, cx);
             self.remove(id);
             return;
         }
-        match hold(transfer, &grant, cx) {
-            Ok(held) => {
-                transfer.phase = ImportPhase::Queued(held);
-                transfer.asked_at_us = cx.now;
+        match acquire_pin(transfer, &grant, cx) {
+            Ok(acquired) => {
+                transfer.phase = ImportPhase::Queued(acquired);
+                transfer.call_sent_at_us = cx.now;
                 self.enqueue(id, cx);
             }
             Err(error) => {
-                give_up_pin(transfer, grant.pin, cx);
-                self.fail(id, failure_of(&error), cx);
+                release_unused_pin(transfer, grant.pin, cx);
+                self.fail(id, transfer_failure(&error), cx);
             }
         }
     }
@@ -84,10 +86,10 @@
         let Some(transfer) = self.transfers.get(&id) else {
             return;
         };
-        let store = &transfer.place.store;
+        let store = &transfer.location.store;
         let is_queued = cx
             .links
-            .enqueue(store, id, TransferClass::Wait, transfer.bytes, cx.now);
+            .enqueue(store, id, TransferClass::Import, transfer.bytes, cx.now);
         if !is_queued {
             self.fail(id, TransferFailure::Full, cx);
         }
@@ -98,29 +100,29 @@
         let Some(transfer) = self.transfers.get_mut(&id) else {
             return;
         };
-        let ImportPhase::Queued(held) = &transfer.phase else {
+        let ImportPhase::Queued(acquired) = &transfer.phase else {
             return;
         };
-        let held = held.clone();
+        let acquired = acquired.clone();
         // The block may have been freed while its reader waited in the link's queue. Importing
         // it all the same would read whatever lies there now; the store's generation check would
         // show it as `gone`, only later, with the caller waiting all the while.
-        if !cx.blocks.is_held(&held.handle) {
+        if !cx.blocks.is_pin_valid(&acquired.handle) {
             return self.fail(id, TransferFailure::Gone, cx);
         }
         cx.send(TierCommand::Import {
             transfer: id,
             endpoint: transfer.endpoint.clone(),
-            store: transfer.place.store.clone(),
-            key: transfer.place.key,
-            generation: held.handle.generation,
-            pin: held.pin.clone(),
+            store: transfer.location.store.clone(),
+            key: transfer.location.key,
+            generation: acquired.handle.generation,
+            pin: acquired.pin.clone(),
             weight_version: transfer.reader.weight_version.clone(),
             bytes: transfer.bytes,
-            crc32c: held.crc32c,
+            crc32c: acquired.crc32c,
         });
-        transfer.phase = ImportPhase::Running(held);
-        transfer.asked_at_us = cx.now;
+        transfer.phase = ImportPhase::Running(acquired);
+        transfer.call_sent_at_us = cx.now;
     }
 
     pub(crate) fn imported(
@@ -160,18 +162,23 @@
             return;
         };
         release(&transfer, id, false, cx);
-        self.blame(&transfer, failure, cx);
+        self.handle_failure(&transfer, failure, cx);
         for (request, index) in transfer.waiters {
-            self.cut(&request, index, cx);
+            self.truncate_plan(&request, index, cx);
             self.proceed_if_done(&request, cx);
         }
     }
 
-    fn blame(&mut self, transfer: &ImportTransfer, failure: TransferFailure, cx: &mut Context<'_>) {
+    fn handle_failure(
+        &mut self,
+        transfer: &ImportTransfer,
+        failure: TransferFailure,
+        cx: &mut Context<'_>,
+    ) {
         match failure {
             TransferFailure::Gone | TransferFailure::InProgress => {
                 self.counts.gone += 1;
-                end_if_same(transfer, cx);
+                invalidate_if_current(transfer, cx);
             }
             TransferFailure::Corrupt => {
                 self.counts.corrupt += 1;
@@ -179,7 +186,7 @@
             }
             TransferFailure::Lost => {
                 self.counts.lost += 1;
-                cx.suspect(&transfer.place);
+                cx.mark_suspect(&transfer.location);
             }
             TransferFailure::OtherVersion | TransferFailure::Full => self.counts.refused += 1,
         }
@@ -195,7 +202,7 @@
         let lost: Vec<TransferId> = self
             .transfers
             .iter()
-            .filter(|(_, transfer)| transfer.place.store == *store)
+            .filter(|(_, transfer)| transfer.location.store == *store)
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
@@ -214,7 +221,7 @@
         for request in late {
             let done = self.requests.get(&request).map(ImportRequest::done_steps);
             self.counts.late += 1;
-            self.cut(&request, done.unwrap_or(0), cx);
+            self.truncate_plan(&request, done.unwrap_or(0), cx);
             self.proceed_if_done(&request, cx);
         }
         for id in self.unanswered(cx.now) {
@@ -226,7 +233,7 @@
         self.transfers
             .iter()
             .filter(|(_, transfer)| !matches!(transfer.phase, ImportPhase::Queued(_)))
-            .filter(|(_, transfer)| now.since(transfer.asked_at_us) >= ANSWER_LIMIT_US)
+            .filter(|(_, transfer)| now.since(transfer.call_sent_at_us) >= CALL_TIMEOUT_US)
             .map(|(id, _)| *id)
             .collect()
     }
@@ -234,7 +241,7 @@
     fn remove(&mut self, id: TransferId) -> Option<ImportTransfer> {
         let transfer = self.transfers.remove(&id)?;
         self.by_target
-            .remove(&(transfer.endpoint.clone(), transfer.place.key));
+            .remove(&(transfer.endpoint.clone(), transfer.location.key));
         Some(transfer)
     }
 }
--- a/crates/wisteriahitch-core/src/tier/import_planner/requests.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner/requests.rs
@@ -5,9 +5,9 @@
 use super::ImportPlanner;
 use crate::tier::context::Context;
 use crate::tier::import_request::{ImportRequest, StepState};
-use crate::tier::import_right::{is_worth_a_pin, release};
+use crate::tier::import_right::{can_request_pin, release};
 use crate::tier::import_transfer::{ImportPhase, ImportTransfer};
-use crate::tier::{ImportPlan, ImportStep, Place, TierCommand, TransferId};
+use crate::tier::{BlockLocation, ImportPlan, ImportStep, TierCommand, TransferId};
 
 /// Bounds the imports under way; a request beyond it recomputes.
 const MAX_TRANSFERS: usize = 4_096;
@@ -52,7 +52,7 @@
             self.counts.refused += 1;
             return None;
         }
-        let (id, transfer) = ask_for_pin(plan, step, waiter, cx)?;
+        let (id, transfer) = request_pin(plan, step, waiter, cx)?;
         self.counts.started += 1;
         self.by_target.insert(target, id);
         self.transfers.insert(id, transfer);
@@ -75,7 +75,7 @@
     }
 
     /// Cuts a request's plan, and gives up the imports that nobody waits for any more.
-    pub(super) fn cut(&mut self, request: &RequestId, len: usize, cx: &mut Context<'_>) {
+    pub(super) fn truncate_plan(&mut self, request: &RequestId, len: usize, cx: &mut Context<'_>) {
         let Some(waiting) = self.requests.get_mut(request) else {
             return;
         };
@@ -113,27 +113,27 @@
 
     /// Forgets a request whose caller went away; it gets no `Proceed`.
     pub(crate) fn cancel(&mut self, request: &RequestId, cx: &mut Context<'_>) {
-        self.cut(request, 0, cx);
+        self.truncate_plan(request, 0, cx);
         self.requests.remove(request);
     }
 }
 
 /// Asks the store for a pin, if the block that it is known to hold is worth one.
-fn ask_for_pin(
+fn request_pin(
     plan: &ImportPlan,
     step: &ImportStep,
     waiter: (RequestId, usize),
     cx: &mut Context<'_>,
 ) -> Option<(TransferId, ImportTransfer)> {
-    let place = Place {
+    let location = BlockLocation {
         store: step.store.clone(),
         key: step.key,
     };
-    if !is_worth_a_pin(&place, &plan.reader, cx) {
+    if !can_request_pin(&location, &plan.reader, cx) {
         return None;
     }
     let incarnation = cx.blocks.incarnation(&step.store)?.clone();
-    let id = cx.new_transfer();
+    let id = cx.new_transfer_id();
     cx.send(TierCommand::Pin {
         transfer: id,
         store: step.store.clone(),
@@ -142,13 +142,13 @@
     });
     let transfer = ImportTransfer {
         endpoint: plan.endpoint.clone(),
-        place,
+        location,
         incarnation,
         reader: plan.reader.clone(),
         tokens: step.tokens,
         bytes: step.bytes,
         phase: ImportPhase::Pinning,
-        asked_at_us: cx.now,
+        call_sent_at_us: cx.now,
         waiters: vec![waiter],
     };
     Some((id, transfer))
--- a/crates/wisteriahitch-core/src/tier/import_transfer.rs
+++ b/crates/wisteriahitch-core/src/tier/import_transfer.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use wisteriahitch_types::{ByteCount, EndpointId, RequestId, StoreIncarnation, TimeUs, TokenCount};
 
-use super::{BlockHandle, BlockIdentity, PinGrant, Place, Reader};
+use super::{BlockHandle, BlockIdentity, BlockLocation, PinGrant, Reader};
 
 /// Tells how far an import has come.
 #[derive(Clone, Debug, Serialize)]
@@ -12,14 +12,14 @@
     /// The store was asked for a pin.
     Pinning,
     /// The pin is held and the link's queue joined.
-    Queued(HeldPin),
+    Queued(AcquiredPin),
     /// The endpoint reads.
-    Running(HeldPin),
+    Running(AcquiredPin),
 }
 
 /// Holds a pin at the store together with the table's right to the block.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct HeldPin {
+pub(crate) struct AcquiredPin {
     pub(crate) handle: BlockHandle,
     pub(crate) pin: String,
     pub(crate) crc32c: u32,
@@ -29,23 +29,25 @@
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ImportTransfer {
     pub(crate) endpoint: EndpointId,
-    pub(crate) place: Place,
+    #[serde(rename = "place")]
+    pub(crate) location: BlockLocation,
     pub(crate) incarnation: StoreIncarnation,
     pub(crate) reader: Reader,
     pub(crate) tokens: TokenCount,
     pub(crate) bytes: ByteCount,
     pub(crate) phase: ImportPhase,
     /// When the call that is under way was made.
-    pub(crate) asked_at_us: TimeUs,
+    #[serde(rename = "asked_at_us")]
+    pub(crate) call_sent_at_us: TimeUs,
     /// Requests that wait, each with the place of the step in its plan.
     pub(crate) waiters: Vec<(RequestId, usize)>,
 }
 
 impl ImportTransfer {
-    pub(crate) fn held(&self) -> Option<&HeldPin> {
+    pub(crate) fn acquired_pin(&self) -> Option<&AcquiredPin> {
         match &self.phase {
             ImportPhase::Pinning => None,
-            ImportPhase::Queued(held) | ImportPhase::Running(held) => Some(held),
+            ImportPhase::Queued(acquired) | ImportPhase::Running(acquired) => Some(acquired),
         }
     }
 
--- a/crates/wisteriahitch-core/src/tier/link.rs
+++ b/crates/wisteriahitch-core/src/tier/link.rs
@@ -10,13 +10,13 @@
 const RATE_SAMPLE_WEIGHT: f64 = 0.25;
 
 /// Weighs a new sample of the time between two imports.
-const GAP_SAMPLE_WEIGHT: f64 = 0.2;
+const IMPORT_GAP_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// Window over which the busy share of the link is taken.
-const BUSY_WINDOW_US: f64 = 30_000_000.0;
+const BUSY_TIME_CONSTANT_US: f64 = 30_000_000.0;
 
 /// Bounds the queue; beyond it an import is recomputed and a save left out.
-const MAX_WAITING: usize = 1_024;
+const MAX_QUEUED: usize = 1_024;
 
 /// Floor of the measured rate, so that an estimate stays finite.
 const MIN_RATE_BYTES_PER_S: f64 = 1.0;
@@ -29,13 +29,13 @@
     waiting: Vec<Transfer>,
     running: BTreeMap<TransferId, RunningTransfer>,
     /// Sum over time of the number of running transfers.
-    work_us: f64,
-    worked_until_us: TimeUs,
+    running_integral_us: f64,
+    updated_at_us: TimeUs,
     last_import_at_us: Option<TimeUs>,
     import_gap_us: Option<f64>,
-    busy_us: f64,
+    total_busy_us: f64,
     busy_share: f64,
-    foreign_bytes: f64,
+    other_daemons_bytes: f64,
 }
 
 impl Link {
@@ -45,13 +45,13 @@
             measured_bytes_per_s: rate.as_f64().max(MIN_RATE_BYTES_PER_S),
             waiting: Vec::new(),
             running: BTreeMap::new(),
-            work_us: 0.0,
-            worked_until_us: TimeUs::ZERO,
+            running_integral_us: 0.0,
+            updated_at_us: TimeUs::ZERO,
             last_import_at_us: None,
             import_gap_us: None,
-            busy_us: 0.0,
+            total_busy_us: 0.0,
             busy_share: 0.0,
-            foreign_bytes: 0.0,
+            other_daemons_bytes: 0.0,
         }
     }
 
@@ -100,39 +100,39 @@
     pub fn busy_time(&self, now: TimeUs) -> DurationUs {
         let running_us = match self.running.is_empty() {
             true => 0.0,
-            false => now.since(self.worked_until_us).as_f64(),
+            false => now.since(self.updated_at_us).as_f64(),
         };
-        DurationUs::new((self.busy_us + running_us) as u64)
+        DurationUs::new((self.total_busy_us + running_us) as u64)
     }
 
     /// Returns the part of the last minute or so in which the link carried anything.
     pub fn busy_share(&self, now: TimeUs) -> f64 {
-        let span_us = now.since(self.worked_until_us).as_f64();
-        self.decayed_share(span_us)
+        let span_us = now.since(self.updated_at_us).as_f64();
+        self.busy_share_after(span_us)
     }
 
-    fn decayed_share(&self, span_us: f64) -> f64 {
+    fn busy_share_after(&self, span_us: f64) -> f64 {
         let is_busy = f64::from(u8::from(!self.running.is_empty()));
-        let kept = (-span_us / BUSY_WINDOW_US).exp();
+        let kept = (-span_us / BUSY_TIME_CONSTANT_US).exp();
         is_busy + (self.busy_share - is_busy) * kept
     }
 
     pub(crate) fn enqueue(&mut self, transfer: Transfer) -> bool {
-        if self.waiting.len() >= MAX_WAITING {
+        if self.waiting.len() >= MAX_QUEUED {
             return false;
         }
-        if transfer.class == TransferClass::Wait {
-            self.note_import(transfer.queued_at_us);
+        if transfer.class == TransferClass::Import {
+            self.record_import(transfer.queued_at_us);
         }
         self.waiting.push(transfer);
         true
     }
 
-    fn note_import(&mut self, now: TimeUs) {
+    fn record_import(&mut self, now: TimeUs) {
         if let Some(last) = self.last_import_at_us {
             let sample = now.since(last).as_f64();
             let mean = self.import_gap_us.unwrap_or(sample);
-            self.import_gap_us = Some(mean + GAP_SAMPLE_WEIGHT * (sample - mean));
+            self.import_gap_us = Some(mean + IMPORT_GAP_SAMPLE_WEIGHT * (sample - mean));
         }
         self.last_import_at_us = Some(now);
     }
@@ -146,7 +146,7 @@
         let running = RunningTransfer {
             transfer,
             started_at_us: now,
-            work_at_start_us: self.work_us,
+            running_integral_at_start_us: self.running_integral_us,
         };
         self.running.insert(transfer.id, running);
         Some(transfer)
@@ -175,36 +175,37 @@
         if span_us <= 0.0 {
             return;
         }
-        let mean_running = (self.work_us - running.work_at_start_us) / span_us;
+        let mean_running =
+            (self.running_integral_us - running.running_integral_at_start_us) / span_us;
         let own_bytes_per_s = running.transfer.bytes.as_f64() * 1_000_000.0 / span_us;
         let sample = (own_bytes_per_s * mean_running).max(MIN_RATE_BYTES_PER_S);
         self.measured_bytes_per_s += RATE_SAMPLE_WEIGHT * (sample - self.measured_bytes_per_s);
     }
 
     /// Notes how many bytes of every daemon wait for the link, by its store's report.
-    pub(crate) fn note_queued(&mut self, queued: ByteCount, now: TimeUs) {
+    pub(crate) fn record_store_backlog(&mut self, queued: ByteCount, now: TimeUs) {
         self.advance(now);
         let own: f64 = self
             .running
             .values()
             .map(|running| running.transfer.bytes.as_f64())
             .sum();
-        self.foreign_bytes = (queued.as_f64() - own).max(0.0);
+        self.other_daemons_bytes = (queued.as_f64() - own).max(0.0);
     }
 
     fn advance(&mut self, now: TimeUs) {
-        let span_us = now.since(self.worked_until_us).as_f64();
+        let span_us = now.since(self.updated_at_us).as_f64();
         if span_us <= 0.0 {
             return;
         }
-        self.work_us += span_us * self.running.len() as f64;
+        self.running_integral_us += span_us * self.running.len() as f64;
         if !self.running.is_empty() {
-            self.busy_us += span_us;
+            self.total_busy_us += span_us;
         }
-        self.busy_share = self.decayed_share(span_us);
+        self.busy_share = self.busy_share_after(span_us);
         let drained = span_us * self.measured_bytes_per_s / 1_000_000.0;
-        self.foreign_bytes = (self.foreign_bytes - drained).max(0.0);
-        self.worked_until_us = now;
+        self.other_daemons_bytes = (self.other_daemons_bytes - drained).max(0.0);
+        self.updated_at_us = now;
     }
 
     /// Estimates how long an import of `bytes` takes from `now`, with what is ahead of it.
@@ -212,10 +213,10 @@
         let ahead: f64 = self
             .waiting
             .iter()
-            .filter(|transfer| transfer.class == TransferClass::Wait)
+            .filter(|transfer| transfer.class == TransferClass::Import)
             .map(|transfer| transfer.bytes.as_f64())
             .sum();
-        let all = self.remaining_bytes(now) + self.foreign_bytes + ahead + bytes.as_f64();
+        let all = self.remaining_bytes(now) + self.other_daemons_bytes + ahead + bytes.as_f64();
         DurationUs::from_secs_f64(all / self.measured_bytes_per_s)
     }
 
--- a/crates/wisteriahitch-core/src/tier/link_order.rs
+++ b/crates/wisteriahitch-core/src/tier/link_order.rs
@@ -7,15 +7,15 @@
 use super::{LinkView, Transfer, TransferClass};
 
 /// Age at which a save goes before imports that came later, so that none starves.
-const AGED_US: DurationUs = DurationUs::from_ms(20_000);
+const MAX_BACKGROUND_WAIT_US: DurationUs = DurationUs::from_ms(20_000);
 
 /// Most background transfers that cross a link at once beside imports.
-const MAX_BACKGROUND: usize = 1;
+const MAX_RUNNING_BACKGROUND: usize = 1;
 
 /// Part of the mean time between imports that a transfer may fill.
 ///
 /// With imports that come independently, one comes within this part with a chance of one in five.
-const GAP_PART: f64 = 0.22;
+const MAX_GAP_FRACTION: f64 = 0.22;
 
 /// Picks the transfer that crosses a link next.
 pub trait LinkOrder: fmt::Debug + Send + Sync {
@@ -28,9 +28,9 @@
 
 /// Takes transfers as they come.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlainOrder;
+pub struct FifoOrder;
 
-impl LinkOrder for PlainOrder {
+impl LinkOrder for FifoOrder {
     fn name(&self) -> &'static str {
         "plain"
     }
@@ -50,9 +50,9 @@
     }
 
     fn next(&self, link: &LinkView<'_>, now: TimeUs) -> Option<usize> {
-        aged(link, now)
-            .or_else(|| first(link, TransferClass::Wait))
-            .or_else(|| background(link))
+        next_aged(link, now)
+            .or_else(|| first_of_class(link, TransferClass::Import))
+            .or_else(|| next_background(link))
     }
 }
 
@@ -66,13 +66,13 @@
     }
 
     fn next(&self, link: &LinkView<'_>, now: TimeUs) -> Option<usize> {
-        aged(link, now)
-            .or_else(|| first(link, TransferClass::Wait))
-            .or_else(|| background(link).filter(|index| fits_gap(link, &link.waiting[*index])))
+        next_aged(link, now)
+            .or_else(|| first_of_class(link, TransferClass::Import))
+            .or_else(|| next_background(link).filter(|index| fits_gap(link, &link.waiting[*index])))
     }
 }
 
-fn first(link: &LinkView<'_>, class: TransferClass) -> Option<usize> {
+fn first_of_class(link: &LinkView<'_>, class: TransferClass) -> Option<usize> {
     link.waiting
         .iter()
         .position(|transfer| transfer.class == class)
@@ -82,24 +82,26 @@
 ///
 /// Without it a link that is never free of imports would never save anything, seen as saves that
 /// only grow older; one at a time keeps the imports' share of the link.
-fn aged(link: &LinkView<'_>, now: TimeUs) -> Option<usize> {
-    if link.running_background() >= MAX_BACKGROUND {
+fn next_aged(link: &LinkView<'_>, now: TimeUs) -> Option<usize> {
+    if link.running_background() >= MAX_RUNNING_BACKGROUND {
         return None;
     }
     link.waiting.iter().position(|transfer| {
-        transfer.class != TransferClass::Wait && now.since(transfer.queued_at_us) >= AGED_US
+        transfer.class != TransferClass::Import
+            && now.since(transfer.queued_at_us) >= MAX_BACKGROUND_WAIT_US
     })
 }
 
-fn background(link: &LinkView<'_>) -> Option<usize> {
-    if link.running_background() >= MAX_BACKGROUND || link.running_imports() > 0 {
+fn next_background(link: &LinkView<'_>) -> Option<usize> {
+    if link.running_background() >= MAX_RUNNING_BACKGROUND || link.running_imports() > 0 {
         return None;
     }
-    first(link, TransferClass::Save).or_else(|| first(link, TransferClass::Prefetch))
+    first_of_class(link, TransferClass::Save)
+        .or_else(|| first_of_class(link, TransferClass::Prefetch))
 }
 
 fn fits_gap(link: &LinkView<'_>, transfer: &Transfer) -> bool {
     let span = link.rate_bytes_per_s.time_for(transfer.bytes);
     link.import_gap_us
-        .is_none_or(|gap| span.as_f64() <= gap.as_f64() * GAP_PART)
+        .is_none_or(|gap| span.as_f64() <= gap.as_f64() * MAX_GAP_FRACTION)
 }
--- a/crates/wisteriahitch-core/src/tier/link_table.rs
+++ b/crates/wisteriahitch-core/src/tier/link_table.rs
@@ -13,7 +13,7 @@
 
 /// Says that a transfer may cross its link now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub struct StartTransfer(pub TransferId);
+pub struct StartedTransfer(pub TransferId);
 
 /// Holds the links and the order in which transfers cross them.
 #[derive(Debug)]
@@ -89,7 +89,7 @@
     }
 
     /// Starts what the order lets cross the links now.
-    pub fn start(&mut self, now: TimeUs) -> Vec<StartTransfer> {
+    pub fn start(&mut self, now: TimeUs) -> Vec<StartedTransfer> {
         let mut started = Vec::new();
         for link in self.links.values_mut() {
             while link.running_len() < MAX_RUNNING {
@@ -97,7 +97,7 @@
                 let Some(transfer) = next.and_then(|index| link.start(index, now)) else {
                     break;
                 };
-                started.push(StartTransfer(transfer.id));
+                started.push(StartedTransfer(transfer.id));
             }
         }
         started
@@ -111,9 +111,9 @@
     }
 
     /// Notes how many bytes of every daemon wait for a link, by its store's report.
-    pub fn note_queued(&mut self, store: &StoreId, queued: ByteCount, now: TimeUs) {
+    pub fn record_store_backlog(&mut self, store: &StoreId, queued: ByteCount, now: TimeUs) {
         if let Some(link) = self.links.get_mut(store) {
-            link.note_queued(queued, now);
+            link.record_store_backlog(queued, now);
         }
     }
 
--- a/crates/wisteriahitch-core/src/tier/link_view.rs
+++ b/crates/wisteriahitch-core/src/tier/link_view.rs
@@ -15,7 +15,7 @@
     /// When it was started.
     pub started_at_us: TimeUs,
     #[serde(skip)]
-    pub(super) work_at_start_us: f64,
+    pub(super) running_integral_at_start_us: f64,
 }
 
 /// Shows a link to a [`LinkOrder`](super::LinkOrder).
@@ -36,7 +36,7 @@
     pub fn running_background(&self) -> usize {
         self.running
             .values()
-            .filter(|running| running.transfer.class != TransferClass::Wait)
+            .filter(|running| running.transfer.class != TransferClass::Import)
             .count()
     }
 
--- a/crates/wisteriahitch-core/src/tier/planners.rs
+++ b/crates/wisteriahitch-core/src/tier/planners.rs
@@ -2,8 +2,8 @@
 
 use super::context::Context;
 use super::{
-    BlockIdentity, FinishedRequest, ImportPlanner, Place, Prefetcher, RoomKeeper, SavePlanner,
-    TierEvent, TransferFailure, UseTable,
+    BlockIdentity, BlockLocation, CapacityManager, FinishedRequest, ImportPlanner, Prefetcher,
+    SavePlanner, TierEvent, TransferFailure, UseTable,
 };
 use wisteriahitch_types::BlockState;
 
@@ -14,37 +14,40 @@
 pub(crate) struct Planners<'a> {
     pub(crate) imports: &'a mut ImportPlanner,
     pub(crate) saves: &'a mut SavePlanner,
-    pub(crate) rooms: &'a mut RoomKeeper,
+    pub(crate) capacity: &'a mut CapacityManager,
     pub(crate) prefetch: &'a mut Prefetcher,
     pub(crate) uses: &'a mut UseTable,
 }
 
 impl Planners<'_> {
-    pub(crate) fn finished(&mut self, request: &FinishedRequest, cx: &mut Context<'_>) {
-        let block_uses = self.uses.note(&request.workspace, &request.chain, cx.now);
-        self.saves.finished(request, &block_uses, self.uses, cx);
-        self.prefetch.finished(request, &block_uses, cx.now);
+    pub(crate) fn request_finished(&mut self, request: &FinishedRequest, cx: &mut Context<'_>) {
+        let block_uses = self
+            .uses
+            .record_chain_use(&request.workspace, &request.chain, cx.now);
+        self.saves
+            .request_finished(request, &block_uses, self.uses, cx);
+        self.prefetch.request_finished(request, &block_uses, cx.now);
     }
 
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         self.imports.tick(cx);
         self.saves.tick(cx);
-        self.rooms.tick(self.uses, cx);
+        self.capacity.tick(self.uses, cx);
         self.prefetch.tick(cx);
         if cx.ranks.len() > cx.blocks.len() + MAX_STALE_RANKS {
             let blocks = &*cx.blocks;
-            cx.ranks.retain(|place| blocks.get(place).is_some());
+            cx.ranks.retain(|location| blocks.get(location).is_some());
         }
     }
 
-    pub(crate) fn on(&mut self, event: TierEvent, cx: &mut Context<'_>) {
+    pub(crate) fn handle_event(&mut self, event: TierEvent, cx: &mut Context<'_>) {
         match event {
             seen @ TierEvent::StoreSeen { .. } => self.store_seen(seen, cx),
             TierEvent::StoreLost { store } => {
-                cx.stores.lost(&store);
+                cx.stores.mark_unreachable(&store);
                 self.imports.store_lost(&store, TransferFailure::Lost, cx);
                 self.saves.store_lost(&store, cx);
-                self.rooms.store_lost(&store);
+                self.capacity.store_lost(&store);
                 self.prefetch.store_lost(&store, cx);
             }
             listed @ TierEvent::BlockListed { .. } => adopt_listed(listed, cx),
@@ -52,7 +55,7 @@
                 store,
                 incarnation,
                 keys,
-            } => cx.keep_listed(&store, &incarnation, &keys),
+            } => cx.prune_unlisted(&store, &incarnation, &keys),
             TierEvent::Pinned { transfer, result } => self.imports.pinned(transfer, result, cx),
             TierEvent::Imported { transfer, result } => {
                 self.imports.imported(transfer, result, cx);
@@ -60,11 +63,11 @@
             TierEvent::Reserved { transfer, result } => self.saves.reserved(transfer, result, cx),
             TierEvent::Exported { transfer, result } => self.saves.exported(transfer, result, cx),
             TierEvent::Moved { transfer, result } => {
-                if !self.rooms.moved(transfer, result, cx) {
+                if !self.capacity.moved(transfer, result, cx) {
                     self.prefetch.moved(transfer, result, cx);
                 }
             }
-            TierEvent::EndpointEvicted { key } => self.uses.note_endpoint_eviction(&key, cx.now),
+            TierEvent::EndpointEvicted { key } => self.uses.record_endpoint_eviction(&key, cx.now),
         }
     }
 
@@ -82,17 +85,17 @@
         };
         let known = cx.blocks.incarnation(&store);
         if known.is_some_and(|known| *known != incarnation) {
-            cx.blocks.store_died(&store);
-            cx.ranks.forget_store(&store);
+            cx.blocks.remove_store_blocks(&store);
+            cx.ranks.remove_store(&store);
             self.imports.store_lost(&store, TransferFailure::Gone, cx);
             self.saves.store_lost(&store, cx);
-            self.rooms.store_lost(&store);
+            self.capacity.store_lost(&store);
             self.prefetch.store_lost(&store, cx);
         }
-        cx.blocks.store_seen(&store, &incarnation);
-        cx.links.note_queued(&store, queued_bytes, cx.now);
+        cx.blocks.record_incarnation(&store, &incarnation);
+        cx.links.record_store_backlog(&store, queued_bytes, cx.now);
         cx.stores
-            .seen(&store, memory_free_bytes, disk_free_bytes, is_leaving);
+            .record_report(&store, memory_free_bytes, disk_free_bytes, is_leaving);
     }
 
     /// Lets transfers cross the links until no more may; one that fails at its start makes room.
@@ -134,9 +137,13 @@
         tokens,
         bytes,
     };
-    let place = Place { store, key };
+    let location = BlockLocation { store, key };
     // A listing is older than what this daemon did since; what contradicts it is left out.
-    if cx.blocks.adopt(place.clone(), identity, tier, None).is_ok() {
-        cx.ranks.listed(&place, tier);
+    if cx
+        .blocks
+        .adopt(location.clone(), identity, tier, None)
+        .is_ok()
+    {
+        cx.ranks.record_listed(&location, tier);
     }
 }
--- a/crates/wisteriahitch-core/src/tier/prefetcher.rs
+++ b/crates/wisteriahitch-core/src/tier/prefetcher.rs
@@ -7,24 +7,24 @@
 
 use super::context::Context;
 use super::{
-    BlockHandle, BlockUse, FinishedRequest, Place, TierCommand, TransferClass, TransferFailure,
-    TransferId,
+    BlockHandle, BlockLocation, BlockUse, FinishedRequest, TierCommand, TransferClass,
+    TransferFailure, TransferId,
 };
 
 /// Part of the gap by which a move comes before the foreseen return.
-const LEAD_PART: f64 = 0.1;
+const LEAD_FRACTION: f64 = 0.1;
 
 /// Bounds the returns that are foreseen.
-const MAX_FORESEEN: usize = 4_096;
+const MAX_PREDICTED_RETURNS: usize = 4_096;
 
 /// Bounds the blocks of one foreseen return.
-const MAX_CHAIN: usize = 64;
+const MAX_CHAIN_BLOCKS: usize = 64;
 
 /// Bounds the moves that wait or are under way.
-const MAX_MOVES: usize = 64;
+const MAX_PENDING_MOVES: usize = 64;
 
 /// Longest wait for the answer to a move.
-const ANSWER_LIMIT_US: DurationUs = DurationUs::from_ms(60_000);
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// Counts what prefetch did and whether it was of use.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct Promotion {
     handle: BlockHandle,
-    asked_at_us: Option<TimeUs>,
+    call_sent_at_us: Option<TimeUs>,
 }
 
 /// Foresees returns with a regular gap, and promotes their blocks when the link is idle.
@@ -51,10 +51,10 @@
 #[derive(Debug, Default)]
 pub struct Prefetcher {
     is_enabled: bool,
-    foreseen: BTreeMap<(TimeUs, BlockKey), Vec<BlockKey>>,
+    predicted_returns: BTreeMap<(TimeUs, BlockKey), Vec<BlockKey>>,
     promotions: BTreeMap<TransferId, Promotion>,
     /// Promoted blocks that haven't been used since.
-    unused: BTreeSet<BlockKey>,
+    promoted_unused: BTreeSet<BlockKey>,
     counts: PrefetchCounts,
 }
 
@@ -67,39 +67,41 @@
     pub(crate) fn set_enabled(&mut self, is_enabled: bool) {
         self.is_enabled = is_enabled;
         if !is_enabled {
-            self.foreseen.clear();
+            self.predicted_returns.clear();
         }
     }
 
     /// Notes when a chain with a regular gap will return.
-    pub(crate) fn finished(
+    pub(crate) fn request_finished(
         &mut self,
         request: &FinishedRequest,
         block_uses: &[BlockUse],
         now: TimeUs,
     ) {
         for block in &request.chain {
-            self.counts.promoted_used += u64::from(self.unused.remove(&block.key));
+            self.counts.promoted_used += u64::from(self.promoted_unused.remove(&block.key));
         }
         let regular = block_uses
             .iter()
-            .take(MAX_CHAIN)
+            .take(MAX_CHAIN_BLOCKS)
             .take_while(|block_use| block_use.is_regular);
         let len = regular.count();
         let gap = len.checked_sub(1).and_then(|last| block_uses[last].gap_us);
-        let Some(gap) = gap.filter(|_| self.is_enabled && self.foreseen.len() < MAX_FORESEEN)
+        let Some(gap) =
+            gap.filter(|_| self.is_enabled && self.predicted_returns.len() < MAX_PREDICTED_RETURNS)
         else {
             return;
         };
-        let lead = DurationUs::new((gap.as_f64() * LEAD_PART) as u64);
+        let lead = DurationUs::new((gap.as_f64() * LEAD_FRACTION) as u64);
         let keys: Vec<BlockKey> = request.chain[..len].iter().map(|block| block.key).collect();
         self.counts.foreseen += 1;
-        self.foreseen.insert((now + (gap - lead), keys[0]), keys);
+        self.predicted_returns
+            .insert((now + (gap - lead), keys[0]), keys);
     }
 
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
-        self.give_up_unanswered(cx);
-        while let Some(entry) = self.foreseen.first_entry() {
+        self.expire_unanswered(cx);
+        while let Some(entry) = self.predicted_returns.first_entry() {
             if entry.key().0 > cx.now {
                 return;
             }
@@ -112,26 +114,26 @@
     fn enqueue(&mut self, key: BlockKey, cx: &mut Context<'_>) {
         let stores: Vec<StoreId> = cx.stores.iter().map(|(store, _)| store.clone()).collect();
         for store in stores {
-            let place = Place { store, key };
-            let Some(block) = cx.blocks.get(&place) else {
+            let location = BlockLocation { store, key };
+            let Some(block) = cx.blocks.get(&location) else {
                 continue;
             };
             let bytes = block.identity().bytes;
             let is_promotable = block.tier() == Tier::Disk && block.state() == BlockState::Readable;
-            let Some(handle) = cx.blocks.handle(&place).filter(|_| is_promotable) else {
+            let Some(handle) = cx.blocks.handle(&location).filter(|_| is_promotable) else {
                 continue;
             };
-            if self.promotions.len() >= MAX_MOVES {
+            if self.promotions.len() >= MAX_PENDING_MOVES {
                 return;
             }
-            let id = cx.new_transfer();
+            let id = cx.new_transfer_id();
             if cx
                 .links
-                .enqueue(&place.store, id, TransferClass::Prefetch, bytes, cx.now)
+                .enqueue(&location.store, id, TransferClass::Prefetch, bytes, cx.now)
             {
                 let promotion = Promotion {
                     handle,
-                    asked_at_us: None,
+                    call_sent_at_us: None,
                 };
                 self.promotions.insert(id, promotion);
             }
@@ -144,25 +146,25 @@
             return;
         };
         let handle = promotion.handle.clone();
-        let place = &handle.place;
+        let location = &handle.location;
         let bytes = cx
             .blocks
-            .get(place)
-            .filter(|_| cx.blocks.handle(place).as_ref() == Some(&handle))
+            .get(location)
+            .filter(|_| cx.blocks.handle(location).as_ref() == Some(&handle))
             .map(|block| block.identity().bytes);
-        let has_room = bytes.is_some_and(|bytes| {
+        let has_space = bytes.is_some_and(|bytes| {
             cx.stores
-                .has_room(&place.store, Tier::Memory, bytes, cx.now)
+                .has_space(&location.store, Tier::Memory, bytes, cx.now)
         });
-        if !has_room {
+        if !has_space {
             self.remove(id, cx);
             return;
         }
-        promotion.asked_at_us = Some(cx.now);
+        promotion.call_sent_at_us = Some(cx.now);
         cx.send(TierCommand::Move {
             transfer: id,
-            store: place.store.clone(),
-            key: place.key,
+            store: location.store.clone(),
+            key: location.key,
             generation: handle.generation,
             tier: Tier::Memory,
         });
@@ -181,19 +183,20 @@
         let handle = &promotion.handle;
         if let Err(failure) = result {
             self.counts.failed += 1;
-            cx.move_failed(handle, Tier::Memory, failure);
+            cx.handle_failed_move(handle, Tier::Memory, failure);
             return true;
         }
-        if cx.blocks.moved(handle, Tier::Memory).is_ok() {
-            let place = &handle.place;
-            let block = cx.blocks.get(place).map(|block| block.identity().bytes);
+        if cx.blocks.change_tier(handle, Tier::Memory).is_ok() {
+            let location = &handle.location;
+            let block = cx.blocks.get(location).map(|block| block.identity().bytes);
             let bytes = block.unwrap_or_default();
-            cx.ranks.moved(place, Tier::Memory);
-            cx.stores.take(&place.store, Tier::Memory, bytes);
-            cx.stores.give(&place.store, Tier::Disk, bytes);
+            cx.ranks.change_ranked_tier(location, Tier::Memory);
+            cx.stores
+                .reserve_space(&location.store, Tier::Memory, bytes);
+            cx.stores.release_space(&location.store, Tier::Disk, bytes);
             self.counts.promoted += 1;
-            if self.unused.len() < MAX_FORESEEN {
-                self.unused.insert(place.key);
+            if self.promoted_unused.len() < MAX_PREDICTED_RETURNS {
+                self.promoted_unused.insert(location.key);
             }
         }
         true
@@ -203,7 +206,7 @@
         let lost: Vec<TransferId> = self
             .promotions
             .iter()
-            .filter(|(_, promotion)| promotion.handle.place.store == *store)
+            .filter(|(_, promotion)| promotion.handle.location.store == *store)
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
@@ -211,14 +214,14 @@
         }
     }
 
-    fn give_up_unanswered(&mut self, cx: &mut Context<'_>) {
+    fn expire_unanswered(&mut self, cx: &mut Context<'_>) {
         let late: Vec<TransferId> = self
             .promotions
             .iter()
             .filter(|(_, promotion)| {
                 promotion
-                    .asked_at_us
-                    .is_some_and(|asked| cx.now.since(asked) >= ANSWER_LIMIT_US)
+                    .call_sent_at_us
+                    .is_some_and(|asked| cx.now.since(asked) >= CALL_TIMEOUT_US)
             })
             .map(|(id, _)| *id)
             .collect();
@@ -230,7 +233,7 @@
     fn remove(&mut self, id: TransferId, cx: &mut Context<'_>) -> Option<Promotion> {
         let promotion = self.promotions.remove(&id)?;
         cx.links
-            .finish(&promotion.handle.place.store, id, false, cx.now);
+            .finish(&promotion.handle.location.store, id, false, cx.now);
         Some(promotion)
     }
 }
--- a/crates/wisteriahitch-core/src/tier/return_history.rs
+++ b/crates/wisteriahitch-core/src/tier/return_history.rs
@@ -5,10 +5,10 @@
 
 /// Buckets of the gaps: each is twice as long as the one before, the first ends at one second
 /// and the last holds everything above 48 days.
-const BUCKETS: usize = 24;
+const GAP_BUCKETS: usize = 24;
 
 /// Classes by how often a block was used: once, twice, more.
-const CLASSES: usize = 3;
+const USE_CLASSES: usize = 3;
 
 /// Uses and returns assumed before anything is known, so that a new workspace's blocks are saved
 /// until its history speaks against it.
@@ -16,72 +16,82 @@
 const PRIOR_RETURNS: f64 = 4.0;
 
 /// Gaps assumed alike in every bucket before anything is known.
-const PRIOR_GAPS: f64 = 0.25;
+const PRIOR_GAPS_PER_BUCKET: f64 = 0.25;
 
 /// Uses at which older ones are halved, so that a changed habit shows.
-const MAX_USES: f64 = 20_000.0;
+const MAX_SAMPLES: f64 = 20_000.0;
 
-const FIRST_BUCKET_US: u64 = 1_000_000;
+const FIRST_BUCKET_END_US: u64 = 1_000_000;
 
 /// Learns how likely a block returns while a store would still keep it.
 ///
 /// Its size is fixed, whatever the workspace does.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReturnHistory {
-    uses: [f64; CLASSES],
-    returns: [f64; CLASSES],
-    gaps: [f64; BUCKETS],
+    uses: [f64; USE_CLASSES],
+    returns: [f64; USE_CLASSES],
+    gaps: [f64; GAP_BUCKETS],
 }
 
 impl ReturnHistory {
     /// Notes one use of a block that has now been used `uses` times.
-    pub fn note_use(&mut self, uses: u32) {
+    pub fn record_use(&mut self, uses: u32) {
         let class = class_of(uses);
         self.uses[class] += 1.0;
-        if self.uses[class] > MAX_USES {
+        if self.uses[class] > MAX_SAMPLES {
             self.uses[class] /= 2.0;
             self.returns[class] /= 2.0;
         }
     }
 
     /// Notes that a block that had been used `uses` times has returned after `gap`.
-    pub fn note_return(&mut self, uses: u32, gap: DurationUs) {
+    pub fn record_return(&mut self, uses: u32, gap: DurationUs) {
         self.returns[class_of(uses)] += 1.0;
         self.gaps[bucket_of(gap)] += 1.0;
-        if self.gaps.iter().sum::<f64>() > MAX_USES {
+        if self.gaps.iter().sum::<f64>() > MAX_SAMPLES {
             self.gaps.iter_mut().for_each(|count| *count /= 2.0);
         }
     }
 
     /// Returns how likely a block that was used `uses` times returns after more than `resident`,
     /// when the endpoint has evicted it, and within `horizon`, while a store still keeps it.
-    pub fn return_probability(&self, uses: u32, resident: DurationUs, horizon: DurationUs) -> f64 {
+    pub fn return_probability(
+        &self,
+        uses: u32,
+        residency: DurationUs,
+        retention: DurationUs,
+    ) -> f64 {
         let class = class_of(uses);
-        let share = (self.returns[class] + PRIOR_RETURNS) / (self.uses[class] + PRIOR_USES);
-        share.min(1.0) * self.gap_share(resident, horizon)
+        let return_fraction =
+            (self.returns[class] + PRIOR_RETURNS) / (self.uses[class] + PRIOR_USES);
+        return_fraction.min(1.0) * self.gap_fraction(residency, retention)
     }
 
-    fn gap_share(&self, resident: DurationUs, horizon: DurationUs) -> f64 {
-        let first = bucket_of(resident);
-        let last = bucket_of(horizon);
-        let all: f64 = self.gaps.iter().map(|count| count + PRIOR_GAPS).sum();
+    fn gap_fraction(&self, residency: DurationUs, retention: DurationUs) -> f64 {
+        let first = bucket_of(residency);
+        let last = bucket_of(retention);
+        let all: f64 = self
+            .gaps
+            .iter()
+            .map(|count| count + PRIOR_GAPS_PER_BUCKET)
+            .sum();
         let within: f64 = self
             .gaps
             .iter()
             .enumerate()
             .filter(|(bucket, _)| (first..=last).contains(bucket))
-            .map(|(_, count)| count + PRIOR_GAPS)
+            .map(|(_, count)| count + PRIOR_GAPS_PER_BUCKET)
             .sum();
         within / all
     }
 }
 
 fn class_of(uses: u32) -> usize {
-    (uses.max(1) as usize - 1).min(CLASSES - 1)
+    (uses.max(1) as usize - 1).min(USE_CLASSES - 1)
 }
 
 fn bucket_of(gap: DurationUs) -> usize {
-    let seconds = gap.get() / FIRST_BUCKET_US;
+    let seconds = gap.get() / FIRST_BUCKET_END_US;
     let doublings = u64::BITS - seconds.leading_zeros();
-    (doublings as usize).min(BUCKETS - 1)
+    (doublings as usize).min(GAP_BUCKETS - 1)
 }
--- a/crates/wisteriahitch-core/src/tier/save_job.rs
+++ b/crates/wisteriahitch-core/src/tier/save_job.rs
@@ -7,7 +7,7 @@
     EndpointId, Generation, StoreId, StoreIncarnation, Tier, TimeUs, WeightVersion, WorkspaceId,
 };
 
-use super::{BlockHandle, BlockIdentity, ChainBlock, Place};
+use super::{BlockHandle, BlockIdentity, BlockLocation, ChainBlock};
 
 /// Holds one block of a job.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -47,13 +47,14 @@
     pub(crate) job: SaveJob,
     pub(crate) front: SaveBlock,
     pub(crate) phase: SavePhase,
-    pub(crate) asked_at_us: TimeUs,
+    #[serde(rename = "asked_at_us")]
+    pub(crate) call_sent_at_us: TimeUs,
     pub(crate) is_retry: bool,
 }
 
 impl SaveTransfer {
-    pub(crate) fn place(&self) -> Place {
-        Place {
+    pub(crate) fn location(&self) -> BlockLocation {
+        BlockLocation {
             store: self.job.store.clone(),
             key: self.front.block.key,
         }
--- a/crates/wisteriahitch-core/src/tier/save_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner.rs
@@ -11,23 +11,23 @@
 
 use super::context::Context;
 use super::save_job::{SavePhase, SaveTransfer};
-use super::save_room::{give_back, keep_quota, room};
-use super::{Place, SaveCounts, TierCommand, TransferId};
+use super::save_room::{evict_for_quota, free_unpublished, tier_with_space};
+use super::{BlockLocation, SaveCounts, TierCommand, TransferId};
 
 /// Bounds the reservations whose late answer is still freed.
 const MAX_ABANDONED: usize = 1_024;
 
 /// Longest wait for the answer to one call; afterwards the answer counts as lost.
-const ANSWER_LIMIT_US: DurationUs = DurationUs::from_ms(60_000);
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
 /// Decides what is saved, and runs each save from the reservation to the readable block.
 #[derive(Debug, Default)]
 pub struct SavePlanner {
     transfers: BTreeMap<TransferId, SaveTransfer>,
-    under_way: BTreeSet<Place>,
-    abandoned: BTreeMap<TransferId, (Place, StoreIncarnation)>,
+    in_progress: BTreeSet<BlockLocation>,
+    abandoned: BTreeMap<TransferId, (BlockLocation, StoreIncarnation)>,
     quotas: BTreeMap<WorkspaceId, ByteCount>,
-    stores_of: BTreeMap<EndpointId, Vec<StoreId>>,
+    stores_by_endpoint: BTreeMap<EndpointId, Vec<StoreId>>,
     counts: SaveCounts,
 }
 
@@ -45,10 +45,10 @@
     pub(crate) fn configure(
         &mut self,
         quotas: BTreeMap<WorkspaceId, ByteCount>,
-        stores_of: BTreeMap<EndpointId, Vec<StoreId>>,
+        stores_by_endpoint: BTreeMap<EndpointId, Vec<StoreId>>,
     ) {
         self.quotas = quotas;
-        self.stores_of = stores_of;
+        self.stores_by_endpoint = stores_by_endpoint;
     }
 
     /// Asks for room once the link lets the save cross.
@@ -57,14 +57,14 @@
             return;
         };
         let quota = self.quotas.get(&transfer.job.workspace).copied();
-        let is_within_quota = quota.is_none_or(|quota| keep_quota(transfer, quota, cx));
-        let tier = room(&transfer.job.store, transfer.front.block.bytes, cx);
+        let is_within_quota = quota.is_none_or(|quota| evict_for_quota(transfer, quota, cx));
+        let tier = tier_with_space(&transfer.job.store, transfer.front.block.bytes, cx);
         match tier {
             Some(tier) if is_within_quota => self.reserve(id, tier, cx),
             _ => {
                 self.counts.over_quota += u64::from(!is_within_quota);
                 self.counts.full += u64::from(is_within_quota);
-                self.end(id, cx);
+                self.abandon(id, cx);
             }
         }
     }
@@ -74,7 +74,8 @@
             return;
         };
         let job = &transfer.job;
-        cx.stores.take(&job.store, tier, transfer.front.block.bytes);
+        cx.stores
+            .reserve_space(&job.store, tier, transfer.front.block.bytes);
         cx.send(TierCommand::Reserve {
             transfer: id,
             store: job.store.clone(),
@@ -86,7 +87,7 @@
             workspace: job.workspace.clone(),
         });
         transfer.phase = SavePhase::Reserving(tier);
-        transfer.asked_at_us = cx.now;
+        transfer.call_sent_at_us = cx.now;
     }
 
     fn retry(&mut self, id: TransferId, cx: &mut Context<'_>) {
@@ -102,7 +103,7 @@
     }
 
     /// Gives up a save with the rest of its chain, which would be useless without it.
-    fn end(&mut self, id: TransferId, cx: &mut Context<'_>) {
+    fn abandon(&mut self, id: TransferId, cx: &mut Context<'_>) {
         self.remove(id, false, cx);
     }
 
@@ -113,7 +114,7 @@
         cx: &mut Context<'_>,
     ) -> Option<SaveTransfer> {
         let transfer = self.transfers.remove(&id)?;
-        self.under_way.remove(&transfer.place());
+        self.in_progress.remove(&transfer.location());
         cx.links.finish(&transfer.job.store, id, is_whole, cx.now);
         Some(transfer)
     }
@@ -127,19 +128,19 @@
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
-            self.give_up(id, cx);
+            self.abandon_unanswered(id, cx);
         }
     }
 
     /// Gives up answers that never came.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         for id in self.unanswered(cx.now) {
-            self.give_up(id, cx);
+            self.abandon_unanswered(id, cx);
         }
     }
 
     /// Gives up a save whose answer may still come; room that it then names is given back.
-    fn give_up(&mut self, id: TransferId, cx: &mut Context<'_>) {
+    fn abandon_unanswered(&mut self, id: TransferId, cx: &mut Context<'_>) {
         let Some(transfer) = self.remove(id, false, cx) else {
             return;
         };
@@ -150,12 +151,12 @@
                 if self.abandoned.len() >= MAX_ABANDONED {
                     self.abandoned.pop_first();
                 }
-                let place = transfer.place();
-                if let Some(incarnation) = cx.blocks.incarnation(&place.store) {
-                    self.abandoned.insert(id, (place, incarnation.clone()));
+                let location = transfer.location();
+                if let Some(incarnation) = cx.blocks.incarnation(&location.store) {
+                    self.abandoned.insert(id, (location, incarnation.clone()));
                 }
             }
-            SavePhase::Exporting(handle, _) => give_back(handle, cx),
+            SavePhase::Exporting(handle, _) => free_unpublished(handle, cx),
         }
     }
 
@@ -163,7 +164,7 @@
         self.transfers
             .iter()
             .filter(|(_, transfer)| !matches!(transfer.phase, SavePhase::Queued))
-            .filter(|(_, transfer)| now.since(transfer.asked_at_us) >= ANSWER_LIMIT_US)
+            .filter(|(_, transfer)| now.since(transfer.call_sent_at_us) >= CALL_TIMEOUT_US)
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/wisteriahitch-core/src/tier/save_planner/answers.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner/answers.rs
@@ -5,20 +5,20 @@
 use super::SavePlanner;
 use crate::tier::context::Context;
 use crate::tier::save_job::{SaveBlock, SavePhase};
-use crate::tier::save_room::{begin_write, free_at_store, free_late_room, give_back};
+use crate::tier::save_room::{begin_write, free_abandoned, free_at_store, free_unpublished};
 use crate::tier::{
-    BlockHandle, ExportReceipt, ReservedRoom, TierCommand, TransferFailure, TransferId,
+    BlockHandle, ExportReceipt, ReserveOutcome, TierCommand, TransferFailure, TransferId,
 };
 
 impl SavePlanner {
     pub(crate) fn reserved(
         &mut self,
         id: TransferId,
-        result: Result<ReservedRoom, TransferFailure>,
+        result: Result<ReserveOutcome, TransferFailure>,
         cx: &mut Context<'_>,
     ) {
-        if let Some((place, incarnation)) = self.abandoned.remove(&id) {
-            return free_late_room(&place, &incarnation, result, cx);
+        if let Some((location, incarnation)) = self.abandoned.remove(&id) {
+            return free_abandoned(&location, &incarnation, result, cx);
         }
         let Some(transfer) = self.transfers.get(&id) else {
             return;
@@ -28,61 +28,61 @@
         };
         let store = transfer.job.store.clone();
         match result {
-            Ok(ReservedRoom::Room(generation)) => self.export(id, generation, tier, cx),
-            Ok(ReservedRoom::AlreadyReadable(generation)) => {
-                self.already_there(id, generation, tier, cx);
+            Ok(ReserveOutcome::Granted(generation)) => self.export(id, generation, tier, cx),
+            Ok(ReserveOutcome::AlreadyReadable(generation)) => {
+                self.adopt_existing(id, generation, tier, cx);
             }
             Err(TransferFailure::Full) => {
-                cx.stores.set_full(&store, tier, cx.now);
-                self.other_tier(id, tier, cx);
+                cx.stores.mark_full(&store, tier, cx.now);
+                self.fall_back_to_disk(id, tier, cx);
             }
             Err(TransferFailure::Lost) => self.retry(id, cx),
-            Err(_) => self.end(id, cx),
+            Err(_) => self.abandon(id, cx),
         }
     }
 
-    fn other_tier(&mut self, id: TransferId, full: Tier, cx: &mut Context<'_>) {
+    fn fall_back_to_disk(&mut self, id: TransferId, full: Tier, cx: &mut Context<'_>) {
         let Some(transfer) = self.transfers.get(&id) else {
             return;
         };
         let bytes = transfer.front.block.bytes;
         let has_disk = cx
             .stores
-            .has_room(&transfer.job.store, Tier::Disk, bytes, cx.now);
+            .has_space(&transfer.job.store, Tier::Disk, bytes, cx.now);
         if full == Tier::Memory && has_disk {
             return self.reserve(id, Tier::Disk, cx);
         }
         self.counts.full += 1;
-        self.end(id, cx);
+        self.abandon(id, cx);
     }
 
     fn export(&mut self, id: TransferId, generation: Generation, tier: Tier, cx: &mut Context<'_>) {
         let Some(transfer) = self.transfers.get_mut(&id) else {
             return;
         };
-        let place = transfer.place();
+        let location = transfer.location();
         let handle = cx
             .blocks
-            .incarnation(&place.store)
+            .incarnation(&location.store)
             .cloned()
             .and_then(|incarnation| begin_write(transfer, incarnation, generation, tier, cx));
         let Some(handle) = handle else {
-            free_at_store(&place, generation, cx);
-            return self.end(id, cx);
+            free_at_store(&location, generation, cx);
+            return self.abandon(id, cx);
         };
         cx.send(TierCommand::Export {
             transfer: id,
             endpoint: transfer.job.endpoint.clone(),
-            store: place.store,
-            key: place.key,
+            store: location.store,
+            key: location.key,
             generation,
             weight_version: transfer.job.weight_version.clone(),
         });
         transfer.phase = SavePhase::Exporting(handle, tier);
-        transfer.asked_at_us = cx.now;
+        transfer.call_sent_at_us = cx.now;
     }
 
-    fn already_there(
+    fn adopt_existing(
         &mut self,
         id: TransferId,
         generation: Generation,
@@ -93,22 +93,22 @@
             return;
         };
         cx.stores
-            .give(&transfer.job.store, tier, transfer.front.block.bytes);
-        let place = transfer.place();
-        if let Some(incarnation) = cx.blocks.incarnation(&place.store).cloned() {
+            .release_space(&transfer.job.store, tier, transfer.front.block.bytes);
+        let location = transfer.location();
+        if let Some(incarnation) = cx.blocks.incarnation(&location.store).cloned() {
             let identity = transfer.identity(incarnation, generation);
             if cx
                 .blocks
-                .adopt(place.clone(), identity, tier, None)
+                .adopt(location.clone(), identity, tier, None)
                 .is_err()
             {
                 return;
             }
             let SaveBlock { value, depth, .. } = transfer.front;
-            cx.ranks.touch(&place, tier, value, depth);
+            cx.ranks.touch(&location, tier, value, depth);
         }
         self.counts.already_there += 1;
-        self.next_block(transfer.job, cx);
+        self.enqueue_next(transfer.job, cx);
     }
 
     pub(crate) fn exported(
@@ -143,8 +143,8 @@
             .and_then(|()| cx.blocks.publish(handle));
         if sealed.is_err() {
             self.counts.corrupt += 1;
-            give_back(handle, cx);
-            return self.end(id, cx);
+            free_unpublished(handle, cx);
+            return self.abandon(id, cx);
         }
         let Some(transfer) = self.remove(id, true, cx) else {
             return;
@@ -154,10 +154,10 @@
             depth,
             block,
         } = transfer.front;
-        cx.ranks.touch(&handle.place, tier, value, depth);
+        cx.ranks.touch(&handle.location, tier, value, depth);
         self.counts.finished += 1;
         self.counts.finished_bytes += block.bytes;
-        self.next_block(transfer.job, cx);
+        self.enqueue_next(transfer.job, cx);
     }
 
     /// Ends a save whose content did not arrive, and gives its room back.
@@ -172,18 +172,18 @@
         failure: TransferFailure,
         cx: &mut Context<'_>,
     ) {
-        give_back(handle, cx);
+        free_unpublished(handle, cx);
         match failure {
             TransferFailure::Lost => self.retry(id, cx),
             TransferFailure::Gone => {
                 self.counts.evicted_before += 1;
-                self.end(id, cx);
+                self.abandon(id, cx);
             }
             TransferFailure::Full => {
                 self.counts.full += 1;
-                self.end(id, cx);
+                self.abandon(id, cx);
             }
-            _ => self.end(id, cx),
+            _ => self.abandon(id, cx),
         }
     }
 }
--- a/crates/wisteriahitch-core/src/tier/save_planner/choosing.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner/choosing.rs
@@ -8,18 +8,18 @@
 use crate::tier::context::Context;
 use crate::tier::save_job::{SaveBlock, SaveJob, SavePhase, SaveTransfer};
 use crate::tier::save_room::readable_tier;
-use crate::tier::save_value::{is_worth_saving, value};
-use crate::tier::{BlockUse, FinishedRequest, Place, TransferClass, UseTable};
+use crate::tier::save_value::{block_value, is_worth_saving};
+use crate::tier::{BlockLocation, BlockUse, FinishedRequest, TransferClass, UseTable};
 
 /// Bounds the chains that are being saved; a further one is left out until its next use.
-const MAX_JOBS: usize = 1_024;
+const MAX_CONCURRENT_JOBS: usize = 1_024;
 
 /// Bounds the blocks of one chain.
-const MAX_CHAIN: usize = 256;
+const MAX_CHAIN_BLOCKS: usize = 256;
 
 impl SavePlanner {
     /// Ranks the blocks that a request used, and starts to save those that are worth it.
-    pub(crate) fn finished(
+    pub(crate) fn request_finished(
         &mut self,
         request: &FinishedRequest,
         block_uses: &[BlockUse],
@@ -37,7 +37,7 @@
             store,
             blocks,
         };
-        self.next_block(job, cx);
+        self.enqueue_next(job, cx);
     }
 
     /// Ranks the blocks that the store holds, and returns those that it is to get, from the front.
@@ -49,28 +49,28 @@
         uses: &UseTable,
         cx: &mut Context<'_>,
     ) -> VecDeque<SaveBlock> {
-        let mut least = f64::MAX;
+        let mut min_value = f64::MAX;
         let mut blocks = VecDeque::new();
         let mut is_saving = true;
-        let pairs = request.chain.iter().zip(block_uses).take(MAX_CHAIN);
+        let pairs = request.chain.iter().zip(block_uses).take(MAX_CHAIN_BLOCKS);
         for (depth, (block, block_use)) in pairs.enumerate() {
             // Deeper blocks never rank above those that they need, so chains go from their end.
-            least = least.min(value(request, block, block_use, store, uses, cx));
-            let place = Place {
+            min_value = min_value.min(block_value(request, block, block_use, store, uses, cx));
+            let location = BlockLocation {
                 store: store.clone(),
                 key: block.key,
             };
-            if let Some(tier) = readable_tier(&place, cx) {
-                cx.ranks.touch(&place, tier, least, depth as u32);
+            if let Some(tier) = readable_tier(&location, cx) {
+                cx.ranks.touch(&location, tier, min_value, depth as u32);
                 continue;
             }
-            is_saving &= is_worth_saving(request.policy, least, block_use, store, cx)
-                && !self.under_way.contains(&place);
+            is_saving &= is_worth_saving(request.policy, min_value, block_use, store, cx)
+                && !self.in_progress.contains(&location);
             if is_saving {
                 blocks.push_back(SaveBlock {
                     block: *block,
                     depth: depth as u32,
-                    value: least,
+                    value: min_value,
                 });
             }
         }
@@ -79,31 +79,31 @@
 
     /// Chooses the endpoint's store that holds most of the chain's front, then the freest link.
     fn choose_store(&self, request: &FinishedRequest, cx: &Context<'_>) -> Option<StoreId> {
-        let candidates = self.stores_of.get(&request.endpoint)?;
+        let candidates = self.stores_by_endpoint.get(&request.endpoint)?;
         candidates
             .iter()
-            .filter(|store| cx.stores.takes_saves(store))
+            .filter(|store| cx.stores.accepts_saves(store))
             .max_by_key(|store| {
-                let held = request.chain.iter().take_while(|block| {
-                    let place = Place {
+                let readable_prefix = request.chain.iter().take_while(|block| {
+                    let location = BlockLocation {
                         store: (*store).clone(),
                         key: block.key,
                     };
-                    readable_tier(&place, cx).is_some()
+                    readable_tier(&location, cx).is_some()
                 });
                 let waiting = cx.links.get(store).map_or(0, |link| link.waiting().len());
-                (held.count(), std::cmp::Reverse(waiting))
+                (readable_prefix.count(), std::cmp::Reverse(waiting))
             })
             .cloned()
     }
 
-    pub(super) fn next_block(&mut self, mut job: SaveJob, cx: &mut Context<'_>) {
+    pub(super) fn enqueue_next(&mut self, mut job: SaveJob, cx: &mut Context<'_>) {
         while let Some(front) = job.blocks.pop_front() {
-            let place = Place {
+            let location = BlockLocation {
                 store: job.store.clone(),
                 key: front.block.key,
             };
-            if readable_tier(&place, cx).is_none() {
+            if readable_tier(&location, cx).is_none() {
                 return self.enqueue(job, front, false, cx);
             }
         }
@@ -116,10 +116,10 @@
         is_retry: bool,
         cx: &mut Context<'_>,
     ) {
-        if self.transfers.len() >= MAX_JOBS {
+        if self.transfers.len() >= MAX_CONCURRENT_JOBS {
             return;
         }
-        let id = cx.new_transfer();
+        let id = cx.new_transfer_id();
         let bytes = front.block.bytes;
         if !cx
             .links
@@ -131,11 +131,11 @@
             job,
             front,
             phase: SavePhase::Queued,
-            asked_at_us: cx.now,
+            call_sent_at_us: cx.now,
             is_retry,
         };
         self.counts.queued += 1;
-        self.under_way.insert(transfer.place());
+        self.in_progress.insert(transfer.location());
         self.transfers.insert(id, transfer);
     }
 }
--- a/crates/wisteriahitch-core/src/tier/save_room.rs
+++ b/crates/wisteriahitch-core/src/tier/save_room.rs
@@ -4,51 +4,59 @@
 
 use super::context::Context;
 use super::save_job::SaveTransfer;
-use super::{BlockHandle, Place, ReservedRoom, TierCommand, TransferFailure};
+use super::{BlockHandle, BlockLocation, ReserveOutcome, TierCommand, TransferFailure};
 
 /// Blocks of a tier that are looked at to make room within a workspace's quota.
-const MAX_QUOTA_SCAN: usize = 256;
+const MAX_QUOTA_CANDIDATES: usize = 256;
 
 /// Frees the workspace's least valuable blocks until one more fits; `false` if it can't.
-pub(crate) fn keep_quota(transfer: &SaveTransfer, quota: ByteCount, cx: &mut Context<'_>) -> bool {
+pub(crate) fn evict_for_quota(
+    transfer: &SaveTransfer,
+    quota: ByteCount,
+    cx: &mut Context<'_>,
+) -> bool {
     let bytes = transfer.front.block.bytes;
     let workspace = &transfer.job.workspace;
     if bytes > quota {
         return false;
     }
     let store = &transfer.job.store;
-    let candidates: Vec<Place> = [Tier::Disk, Tier::Memory]
+    let candidates: Vec<BlockLocation> = [Tier::Disk, Tier::Memory]
         .into_iter()
-        .flat_map(|tier| cx.ranks.lowest(store, tier).take(MAX_QUOTA_SCAN))
+        .flat_map(|tier| {
+            cx.ranks
+                .lowest_ranked(store, tier)
+                .take(MAX_QUOTA_CANDIDATES)
+        })
         .collect();
-    for place in candidates {
+    for location in candidates {
         if cx.blocks.workspace_bytes(workspace) + bytes <= quota {
             return true;
         }
         let is_own = cx
             .blocks
-            .get(&place)
+            .get(&location)
             .is_some_and(|block| block.identity().workspace.as_ref() == Some(workspace));
-        if is_own && cx.ranks.is_below(&place, transfer.front.value) {
-            cx.evict(&place);
+        if is_own && cx.ranks.ranks_below(&location, transfer.front.value) {
+            cx.evict(&location);
         }
     }
     cx.blocks.workspace_bytes(workspace) + bytes <= quota
 }
 
 /// Returns the tier of a block that readers may pin.
-pub(crate) fn readable_tier(place: &Place, cx: &Context<'_>) -> Option<Tier> {
+pub(crate) fn readable_tier(location: &BlockLocation, cx: &Context<'_>) -> Option<Tier> {
     cx.blocks
-        .get(place)
+        .get(location)
         .filter(|block| block.state() == BlockState::Readable)
         .map(|block| block.tier())
 }
 
 /// Returns the first tier that has room.
-pub(crate) fn room(store: &StoreId, bytes: ByteCount, cx: &Context<'_>) -> Option<Tier> {
+pub(crate) fn tier_with_space(store: &StoreId, bytes: ByteCount, cx: &Context<'_>) -> Option<Tier> {
     [Tier::Memory, Tier::Disk]
         .into_iter()
-        .find(|tier| cx.stores.has_room(store, *tier, bytes, cx.now))
+        .find(|tier| cx.stores.has_space(store, *tier, bytes, cx.now))
 }
 
 /// Adds a block to the table for which its store has taken room.
@@ -60,38 +68,45 @@
     cx: &mut Context<'_>,
 ) -> Option<BlockHandle> {
     let identity = transfer.identity(incarnation, generation);
-    let handle = cx.blocks.reserve(transfer.place(), identity, tier).ok()?;
+    let handle = cx
+        .blocks
+        .reserve(transfer.location(), identity, tier)
+        .ok()?;
     cx.blocks.write(&handle).ok()?;
     Some(handle)
 }
 
 /// Tells a store that a generation is no longer wanted.
-pub(crate) fn free_at_store(place: &Place, generation: Generation, cx: &mut Context<'_>) {
+pub(crate) fn free_at_store(
+    location: &BlockLocation,
+    generation: Generation,
+    cx: &mut Context<'_>,
+) {
     cx.send(TierCommand::Free {
-        store: place.store.clone(),
-        key: place.key,
+        store: location.store.clone(),
+        key: location.key,
         generation,
     });
 }
 
 /// Frees a block that never became readable.
-pub(crate) fn give_back(handle: &BlockHandle, cx: &mut Context<'_>) {
+pub(crate) fn free_unpublished(handle: &BlockHandle, cx: &mut Context<'_>) {
     // A block that ended with its store's incarnation is gone already; under the next one the
     // same generation would be another block's.
     if cx.blocks.free(handle).is_ok() {
-        free_at_store(&handle.place, handle.generation, cx);
+        free_at_store(&handle.location, handle.generation, cx);
     }
 }
 
 /// Gives back room whose grant came after its save was given up.
-pub(crate) fn free_late_room(
-    place: &Place,
+pub(crate) fn free_abandoned(
+    location: &BlockLocation,
     incarnation: &StoreIncarnation,
-    result: Result<ReservedRoom, TransferFailure>,
+    result: Result<ReserveOutcome, TransferFailure>,
     cx: &mut Context<'_>,
 ) {
-    let is_same_store = cx.blocks.incarnation(&place.store) == Some(incarnation);
-    if let (Ok(ReservedRoom::Room(generation)), true) = (result, is_same_store) {
-        free_at_store(place, generation, cx);
+    let is_same_store = cx.blocks.incarnation(&location.store) == Some(incarnation);
+    if let (Ok(ReserveOutcome::Granted(generation)), true) = (result, is_same_store) {
+        free_at_store(location, generation, cx);
     }
 }
--- a/crates/wisteriahitch-core/src/tier/save_value.rs
+++ b/crates/wisteriahitch-core/src/tier/save_value.rs
@@ -8,13 +8,13 @@
 
 /// Least value at which a block is saved over an idle link: microseconds of prefill that are
 /// expected to be avoided, for each microsecond of the link (`docs/design/links.md`).
-const MIN_VALUE: f64 = 0.1;
+const MIN_SAVE_VALUE: f64 = 0.1;
 
 /// Share of the link above which its price grows no further.
 const MAX_BUSY_SHARE: f64 = 0.95;
 
 /// Returns the expected prefill time avoided over the link time that saving the block takes.
-pub(crate) fn value(
+pub(crate) fn block_value(
     request: &FinishedRequest,
     block: &ChainBlock,
     block_use: &BlockUse,
@@ -50,5 +50,5 @@
 /// Returns the least value that is saved now; a busy link's time is dearer.
 fn threshold(store: &StoreId, cx: &Context<'_>) -> f64 {
     let busy = cx.links.busy_share(store, cx.now).min(MAX_BUSY_SHARE);
-    MIN_VALUE / (1.0 - busy)
+    MIN_SAVE_VALUE / (1.0 - busy)
 }
--- a/crates/wisteriahitch-core/src/tier/snapshot.rs
+++ b/crates/wisteriahitch-core/src/tier/snapshot.rs
@@ -9,8 +9,8 @@
 };
 
 use super::{
-    Block, ImportCounts, Link, Place, PrefetchCounts, RoomCounts, RunningTransfer, SaveCounts,
-    StoreState, Tiers, Transfer,
+    Block, BlockLocation, CapacityCounts, ImportCounts, Link, PrefetchCounts, RunningTransfer,
+    SaveCounts, StoreState, Tiers, Transfer,
 };
 
 /// Bounds the blocks that a dump lists; the counts by state cover all of them.
@@ -36,7 +36,7 @@
     /// How saves ended.
     pub saves: SaveCounts,
     /// What was done for room.
-    pub rooms: RoomCounts,
+    pub rooms: CapacityCounts,
     /// What prefetch did.
     pub prefetch: PrefetchCounts,
     /// Bytes of known blocks by workspace.
@@ -100,12 +100,12 @@
             stores: stores.collect(),
             block_counts,
             blocks: listed
-                .map(|(place, block)| BlockSnapshot::new(place, block))
+                .map(|(location, block)| BlockSnapshot::new(location, block))
                 .collect(),
             waiting_requests: tiers.imports().waiting_requests(),
             imports: tiers.imports().counts(),
             saves: tiers.saves().counts(),
-            rooms: tiers.rooms().counts(),
+            rooms: tiers.capacity().counts(),
             prefetch: tiers.prefetch().counts(),
             workspace_bytes: blocks.bytes_by_workspace().clone(),
         }
@@ -127,10 +127,10 @@
 }
 
 impl BlockSnapshot {
-    fn new(place: &Place, block: &Block) -> Self {
+    fn new(location: &BlockLocation, block: &Block) -> Self {
         Self {
-            store: place.store.clone(),
-            key: place.key,
+            store: location.store.clone(),
+            key: location.key,
             generation: block.identity().generation,
             state: block.state(),
             tier: block.tier(),
--- a/crates/wisteriahitch-core/src/tier/store_table.rs
+++ b/crates/wisteriahitch-core/src/tier/store_table.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether a tier may be asked for room.
-    pub fn has_room(&self, tier: Tier, bytes: ByteCount, now: TimeUs) -> bool {
+    pub fn has_space(&self, tier: Tier, bytes: ByteCount, now: TimeUs) -> bool {
         let full_until = match tier {
             Tier::Memory => self.memory_full_until_us,
             Tier::Disk => self.disk_full_until_us,
@@ -43,16 +43,16 @@
         now >= full_until && self.free_bytes(tier) >= bytes
     }
 
-    fn take(&mut self, tier: Tier, bytes: ByteCount) {
+    fn reserve_space(&mut self, tier: Tier, bytes: ByteCount) {
         let free = self.free_bytes_mut(tier);
         *free = *free - bytes;
     }
 
-    fn give(&mut self, tier: Tier, bytes: ByteCount) {
+    fn release_space(&mut self, tier: Tier, bytes: ByteCount) {
         *self.free_bytes_mut(tier) += bytes;
     }
 
-    fn set_full(&mut self, tier: Tier, now: TimeUs) {
+    fn mark_full(&mut self, tier: Tier, now: TimeUs) {
         *self.free_bytes_mut(tier) = ByteCount::ZERO;
         match tier {
             Tier::Memory => self.memory_full_until_us = now + FULL_BACKOFF_US,
@@ -91,36 +91,36 @@
     }
 
     /// Returns whether a store may be saved to.
-    pub fn takes_saves(&self, store: &StoreId) -> bool {
+    pub fn accepts_saves(&self, store: &StoreId) -> bool {
         self.get(store)
             .is_some_and(|state| state.is_reachable && !state.is_leaving)
     }
 
     /// Returns whether a store's tier may be asked for room.
-    pub fn has_room(&self, store: &StoreId, tier: Tier, bytes: ByteCount, now: TimeUs) -> bool {
+    pub fn has_space(&self, store: &StoreId, tier: Tier, bytes: ByteCount, now: TimeUs) -> bool {
         self.get(store)
-            .is_some_and(|state| state.has_room(tier, bytes, now))
+            .is_some_and(|state| state.has_space(tier, bytes, now))
     }
 
-    pub(crate) fn take(&mut self, store: &StoreId, tier: Tier, bytes: ByteCount) {
+    pub(crate) fn reserve_space(&mut self, store: &StoreId, tier: Tier, bytes: ByteCount) {
         if let Some(state) = self.stores.get_mut(store) {
-            state.take(tier, bytes);
+            state.reserve_space(tier, bytes);
         }
     }
 
-    pub(crate) fn give(&mut self, store: &StoreId, tier: Tier, bytes: ByteCount) {
+    pub(crate) fn release_space(&mut self, store: &StoreId, tier: Tier, bytes: ByteCount) {
         if let Some(state) = self.stores.get_mut(store) {
-            state.give(tier, bytes);
+            state.release_space(tier, bytes);
         }
     }
 
-    pub(crate) fn set_full(&mut self, store: &StoreId, tier: Tier, now: TimeUs) {
+    pub(crate) fn mark_full(&mut self, store: &StoreId, tier: Tier, now: TimeUs) {
         if let Some(state) = self.stores.get_mut(store) {
-            state.set_full(tier, now);
+            state.mark_full(tier, now);
         }
     }
 
-    pub(crate) fn seen(
+    pub(crate) fn record_report(
         &mut self,
         store: &StoreId,
         memory_free_bytes: ByteCount,
@@ -134,7 +134,7 @@
         state.disk_free_bytes = disk_free_bytes;
     }
 
-    pub(crate) fn lost(&mut self, store: &StoreId) {
+    pub(crate) fn mark_unreachable(&mut self, store: &StoreId) {
         if let Some(state) = self.stores.get_mut(store) {
             state.is_reachable = false;
         }
--- a/crates/wisteriahitch-core/src/tier/tiers.rs
+++ b/crates/wisteriahitch-core/src/tier/tiers.rs
@@ -5,13 +5,13 @@
 use wisteriahitch_config::Configuration;
 use wisteriahitch_types::{ByteCount, DurationUs, RequestId, StoreId, TimeUs};
 
+use super::capacity_manager::StoreCapacity;
 use super::context::Context;
 use super::planners::Planners;
-use super::room_keeper::StoreRoom;
 use super::{
-    BlockTable, EvictionIndex, FinishedRequest, ImportPlan, ImportPlanner, LinkOrder, LinkTable,
-    Prefetcher, RoomKeeper, SavePlanner, StoreTable, TierCommand, TierEvent, TierSnapshot,
-    TransferId, UseTable,
+    BlockTable, CapacityManager, EvictionIndex, FinishedRequest, ImportPlan, ImportPlanner,
+    LinkOrder, LinkTable, Prefetcher, SavePlanner, StoreTable, TierCommand, TierEvent,
+    TierSnapshot, TransferId, UseTable,
 };
 
 /// Drives blocks, links, imports and saves: events and a time in, commands out.
@@ -41,7 +41,7 @@
     uses: UseTable,
     imports: ImportPlanner,
     saves: SavePlanner,
-    rooms: RoomKeeper,
+    capacity: CapacityManager,
     prefetch: Prefetcher,
     last_transfer: TransferId,
 }
@@ -61,31 +61,32 @@
     }
 
     /// Takes the configuration in force.
-    pub fn configured(&mut self, configuration: &Configuration) {
+    pub fn apply_configuration(&mut self, configuration: &Configuration) {
         for store in configuration.stores.values() {
             self.links.configure(&store.id, store.link_rate_bytes_per_s);
         }
-        let rooms = configuration.stores.values().map(|store| {
-            let room = StoreRoom {
+        let capacities = configuration.stores.values().map(|store| {
+            let store_capacity = StoreCapacity {
                 memory_bytes: store.memory_bytes,
                 disk_bytes: store.disk_bytes,
             };
-            (store.id.clone(), room)
+            (store.id.clone(), store_capacity)
         });
-        self.rooms.configure(rooms.collect());
+        self.capacity.configure(capacities.collect());
         let workspaces = configuration.workspaces.values();
         let quotas = workspaces.map(|workspace| (workspace.id.clone(), workspace.store_bytes));
         let services = configuration.services.values();
-        let stores_of = services.flat_map(|service| {
+        let stores_by_endpoint = services.flat_map(|service| {
             let endpoints = service.endpoints.iter();
             endpoints.map(|endpoint| (endpoint.id.clone(), service.stores.clone()))
         });
-        self.saves.configure(quotas.collect(), stores_of.collect());
+        self.saves
+            .configure(quotas.collect(), stores_by_endpoint.collect());
     }
 
     /// Takes the stores that this daemon alone keeps room at; until then it does so at all of them.
-    pub fn keep_room_at(&mut self, stores: BTreeSet<StoreId>) {
-        self.rooms.set_mine(stores);
+    pub fn set_managed_stores(&mut self, stores: BTreeSet<StoreId>) {
+        self.capacity.set_managed_stores(stores);
     }
 
     /// Switches prefetch on or off.
@@ -124,8 +125,8 @@
     }
 
     /// Returns what keeps room in the tiers.
-    pub fn rooms(&self) -> &RoomKeeper {
-        &self.rooms
+    pub fn capacity(&self) -> &CapacityManager {
+        &self.capacity
     }
 
     /// Returns the prefetch.
@@ -154,13 +155,13 @@
     }
 
     /// Learns from a request that has finished, and saves what is worth it.
-    pub fn finished(&mut self, request: &FinishedRequest, now: TimeUs) -> Vec<TierCommand> {
-        self.run(now, |planners, cx| planners.finished(request, cx))
+    pub fn request_finished(&mut self, request: &FinishedRequest, now: TimeUs) -> Vec<TierCommand> {
+        self.run(now, |planners, cx| planners.request_finished(request, cx))
     }
 
     /// Takes an answer or news from a store VM.
-    pub fn on(&mut self, event: TierEvent, now: TimeUs) -> Vec<TierCommand> {
-        self.run(now, |planners, cx| planners.on(event, cx))
+    pub fn handle_event(&mut self, event: TierEvent, now: TimeUs) -> Vec<TierCommand> {
+        self.run(now, |planners, cx| planners.handle_event(event, cx))
     }
 
     /// Runs what depends on the time alone; called several times a second.
@@ -177,7 +178,7 @@
         let mut planners = Planners {
             imports: &mut self.imports,
             saves: &mut self.saves,
-            rooms: &mut self.rooms,
+            capacity: &mut self.capacity,
             prefetch: &mut self.prefetch,
             uses: &mut self.uses,
         };
--- a/crates/wisteriahitch-core/src/tier/transfer.rs
+++ b/crates/wisteriahitch-core/src/tier/transfer.rs
@@ -52,7 +52,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum TransferClass {
     /// An import that a caller waits for.
-    Wait,
+    #[serde(rename = "wait")]
+    Import,
     /// A block that is saved after use.
     Save,
     /// A block that is moved before its foreseen return.
--- a/crates/wisteriahitch-core/src/tier/use_table.rs
+++ b/crates/wisteriahitch-core/src/tier/use_table.rs
@@ -10,16 +10,16 @@
 use super::{ChainBlock, ReturnHistory};
 
 /// Bounds the blocks whose last use is remembered, at about 6 MB.
-const MAX_USES: NonZeroUsize = NonZeroUsize::new(65_536).expect("not zero");
+const MAX_TRACKED_BLOCKS: NonZeroUsize = NonZeroUsize::new(65_536).expect("not zero");
 
 /// Bounds the workspaces with a history of their own, at about 2 MB.
 const MAX_WORKSPACES: usize = 8_192;
 
 /// Weighs a new sample of how long blocks stay where they are.
-const STAY_SAMPLE_WEIGHT: f64 = 0.05;
+const DURATION_SAMPLE_WEIGHT: f64 = 0.05;
 
 /// Part by which two gaps may differ and still count as regular.
-const REGULAR_PART: f64 = 0.25;
+const REGULARITY_TOLERANCE: f64 = 0.25;
 
 /// Holds what is remembered of a block's uses.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -39,24 +39,24 @@
 pub struct UseTable {
     blocks: LruCache<BlockKey, BlockUse>,
     histories: BTreeMap<WorkspaceId, ReturnHistory>,
-    resident_us: Option<f64>,
-    horizon_us: Option<f64>,
+    mean_residency_us: Option<f64>,
+    mean_retention_us: Option<f64>,
 }
 
 impl Default for UseTable {
     fn default() -> Self {
         Self {
-            blocks: LruCache::new(MAX_USES),
+            blocks: LruCache::new(MAX_TRACKED_BLOCKS),
             histories: BTreeMap::new(),
-            resident_us: None,
-            horizon_us: None,
+            mean_residency_us: None,
+            mean_retention_us: None,
         }
     }
 }
 
 impl UseTable {
     /// Notes that a request of `workspace` used a chain, and returns the uses of its blocks.
-    pub fn note(
+    pub fn record_chain_use(
         &mut self,
         workspace: &WorkspaceId,
         chain: &[ChainBlock],
@@ -76,9 +76,9 @@
                 let seen = blocks.get(&block.key).copied();
                 let use_now = next_use(seen, now);
                 if let (Some(seen), Some(gap)) = (seen, use_now.gap_us) {
-                    history.note_return(seen.uses, gap);
+                    history.record_return(seen.uses, gap);
                 }
-                history.note_use(use_now.uses);
+                history.record_use(use_now.uses);
                 blocks.put(block.key, use_now);
                 use_now
             })
@@ -87,28 +87,28 @@
 
     /// Returns how likely a block returns when the endpoint has evicted it and a store keeps it.
     pub fn return_probability(&self, workspace: &WorkspaceId, uses: u32) -> f64 {
-        let resident = DurationUs::new(self.resident_us.unwrap_or(0.0) as u64);
-        let horizon = self
-            .horizon_us
+        let residency = DurationUs::new(self.mean_residency_us.unwrap_or(0.0) as u64);
+        let retention = self
+            .mean_retention_us
             .map_or(DurationUs::MAX, |us| DurationUs::new(us as u64));
         let unknown = ReturnHistory::default();
         self.histories
             .get(workspace)
             .unwrap_or(&unknown)
-            .return_probability(uses, resident, horizon)
+            .return_probability(uses, residency, retention)
     }
 
     /// Notes that an endpoint evicted a block, which shows how long blocks stay resident.
-    pub fn note_endpoint_eviction(&mut self, key: &BlockKey, now: TimeUs) {
+    pub fn record_endpoint_eviction(&mut self, key: &BlockKey, now: TimeUs) {
         if let Some(seen) = self.blocks.peek(key) {
-            sample(&mut self.resident_us, now.since(seen.used_at_us));
+            update_mean(&mut self.mean_residency_us, now.since(seen.used_at_us));
         }
     }
 
     /// Notes that a store's block was freed for room, which shows how long stores keep blocks.
-    pub fn note_store_eviction(&mut self, key: &BlockKey, now: TimeUs) {
+    pub fn record_store_eviction(&mut self, key: &BlockKey, now: TimeUs) {
         if let Some(seen) = self.blocks.peek(key) {
-            sample(&mut self.horizon_us, now.since(seen.used_at_us));
+            update_mean(&mut self.mean_retention_us, now.since(seen.used_at_us));
         }
     }
 
@@ -118,9 +118,9 @@
     }
 }
 
-fn sample(mean: &mut Option<f64>, span: DurationUs) {
+fn update_mean(mean: &mut Option<f64>, span: DurationUs) {
     let known = mean.unwrap_or(span.as_f64());
-    *mean = Some(known + STAY_SAMPLE_WEIGHT * (span.as_f64() - known));
+    *mean = Some(known + DURATION_SAMPLE_WEIGHT * (span.as_f64() - known));
 }
 
 fn next_use(seen: Option<BlockUse>, now: TimeUs) -> BlockUse {
@@ -133,9 +133,9 @@
         };
     };
     let gap = now.since(seen.used_at_us);
-    let is_regular = seen
-        .gap_us
-        .is_some_and(|last| (gap.as_f64() - last.as_f64()).abs() <= REGULAR_PART * last.as_f64());
+    let is_regular = seen.gap_us.is_some_and(|last| {
+        (gap.as_f64() - last.as_f64()).abs() <= REGULARITY_TOLERANCE * last.as_f64()
+    });
     BlockUse {
         uses: seen.uses.saturating_add(1),
         used_at_us: now,
--- a/crates/wisteriahitch-core/tests/all/tier.rs
+++ b/crates/wisteriahitch-core/tests/all/tier.rs
@@ -122,8 +122,8 @@
 /// Builds a core that has seen the store under the incarnation `i-1`.
 pub(crate) fn tiers() -> Tiers {
     let mut tiers = Tiers::new();
-    tiers.configured(&configuration());
-    let commands = tiers.on(store_seen("i-1"), at_ms(0));
+    tiers.apply_configuration(&configuration());
+    let commands = tiers.handle_event(store_seen("i-1"), at_ms(0));
     assert_eq!(commands, []);
     tiers
 }
@@ -179,7 +179,9 @@
             request,
             imported_steps,
             recomputed_steps,
-        } => format!("{request} goes on: {imported_steps} imported, {recomputed_steps} recomputed"),
+        } => {
+            format!("{request} proceeds: {imported_steps} imported, {recomputed_steps} recomputed")
+        }
         TierCommand::Reserve { transfer, tier, .. } => format!("reserve {transfer} {tier}"),
         TierCommand::Export { transfer, .. } => format!("export {transfer}"),
         TierCommand::Move { transfer, tier, .. } => format!("move {transfer} {tier}"),
--- a/crates/wisteriahitch-core/tests/all/tier_block.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_block.rs
@@ -1,15 +1,15 @@
 //! Who may read a block, by table.
 
 use expect_test::expect;
-use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockTable, Place};
+use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockLocation, BlockTable};
 use wisteriahitch_types::{BlockKey, ByteCount, Code, Generation, Tier};
 
 use crate::tier::{
     BLOCK_BYTES, BLOCK_TOKENS, CRC32C, at_ms, imported, key, name, pinned, plan, reader, tiers,
 };
 
-fn place(number: u8) -> Place {
-    Place {
+fn location(number: u8) -> BlockLocation {
+    BlockLocation {
         store: name("hub-cache"),
         key: key(number),
     }
@@ -28,12 +28,12 @@
 
 fn table() -> BlockTable {
     let mut table = BlockTable::default();
-    table.store_seen(&name("hub-cache"), &name("i-1"));
+    table.record_incarnation(&name("hub-cache"), &name("i-1"));
     let own = identity(3, Some("kandy"), BLOCK_BYTES);
     let listed = identity(4, None, BLOCK_BYTES);
-    let adopted = table.adopt(place(1), own, Tier::Memory, Some(CRC32C));
+    let adopted = table.adopt(location(1), own, Tier::Memory, Some(CRC32C));
     assert!(adopted.is_ok());
-    assert!(table.adopt(place(2), listed, Tier::Disk, None).is_ok());
+    assert!(table.adopt(location(2), listed, Tier::Disk, None).is_ok());
     table
 }
 
@@ -89,7 +89,7 @@
     ];
     for case in cases {
         let reader = reader(case.workspace, case.version);
-        let result = table().pin(&place(case.key), &reader);
+        let result = table().pin(&location(case.key), &reader);
         let result = result.map(drop).map_err(|error| error.code());
         assert_eq!(result, case.expected, "{}", case.name);
     }
@@ -105,7 +105,7 @@
 /// Symptom: a right to old content reaches new content. Sequence: the store gives a place to new
 /// content, or answers late. Cause: answers cross each other.
 #[test]
-fn a_place_goes_on_to_later_generations_alone() {
+fn a_location_accepts_only_later_generations() {
     let cases = [
         AdoptCase {
             name: "same again",
@@ -150,19 +150,19 @@
     for case in cases {
         let mut table = table();
         let reader = reader("kandy", "v1");
-        let held = table.pin(&place(1), &reader).expect("readable");
-        let later = case.identity.generation > held.generation;
-        let result = table.adopt(place(1), case.identity, Tier::Memory, case.crc32c);
+        let acquired = table.pin(&location(1), &reader).expect("readable");
+        let later = case.identity.generation > acquired.generation;
+        let result = table.adopt(location(1), case.identity, Tier::Memory, case.crc32c);
         assert_eq!(result.map(drop), case.expected, "{}", case.name);
         let is_replaced = later && case.expected.is_ok();
-        assert_eq!(table.is_held(&held), !is_replaced, "{}", case.name);
+        assert_eq!(table.is_pin_valid(&acquired), !is_replaced, "{}", case.name);
     }
 }
 
 /// Symptom: one customer's text is read by another. Sequence: two workspaces send equal text, the
 /// blocks are kept, each returns. Cause: keys made of the text alone.
 #[test]
-fn equal_text_of_two_workspaces_never_meets() {
+fn equal_text_of_two_workspaces_is_never_shared() {
     let chain_key = |workspace: &str| {
         BlockKey::derive(
             "wisteriahitch test block",
@@ -183,11 +183,11 @@
     // Even a request that names the other workspace's key gets nothing.
     let mut forged_early = forged.clone();
     forged_early.steps[0].key = chain_key("kandy");
-    let refused = ["r-3 goes on: 0 imported, 1 recomputed"];
+    let refused = ["r-3 proceeds: 0 imported, 1 recomputed"];
     let commands = tiers.plan_import(forged_early.clone(), at_ms(1));
     assert_eq!(crate::tier::briefs(&commands), refused, "under way");
-    tiers.on(pinned(1, 4), at_ms(2));
-    tiers.on(imported(1), at_ms(3));
+    tiers.handle_event(pinned(1, 4), at_ms(2));
+    tiers.handle_event(imported(1), at_ms(3));
     let commands = tiers.plan_import(forged_early, at_ms(4));
     assert_eq!(crate::tier::briefs(&commands), refused, "kept");
 }
@@ -196,7 +196,7 @@
 fn a_snapshot_shows_links_and_blocks() {
     let mut tiers = tiers();
     tiers.plan_import(plan("r-1", "kandy", &[1]), at_ms(0));
-    tiers.on(pinned(1, 4), at_ms(1));
+    tiers.handle_event(pinned(1, 4), at_ms(1));
     let snapshot = serde_json::to_value(tiers.snapshot(at_ms(2))).expect("serializes");
     let shown = format!(
         "{}\n{}\n{}",
--- a/crates/wisteriahitch-core/tests/all/tier_block_runs.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_block_runs.rs
@@ -5,7 +5,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use wisteriahitch_core::tier::{BlockHandle, BlockIdentity, BlockTable, LifeEvent, Place, Reader};
+use wisteriahitch_core::tier::{
+    BlockEvent, BlockHandle, BlockIdentity, BlockLocation, BlockTable, Reader,
+};
 use wisteriahitch_types::{BlockState, Generation, StoreId, Tier};
 
 use crate::tier::{BLOCK_BYTES, BLOCK_TOKENS, CRC32C, key, name, reader};
@@ -20,13 +22,13 @@
 enum Step {
     Reserve { key: u8, workspace: u8, version: u8 },
     Pin { key: u8, workspace: u8, version: u8 },
-    Event { key: u8, age: u8, event: LifeEvent },
+    Event { key: u8, age: u8, event: BlockEvent },
     StoreReturns,
 }
 
 /// Holds what the reference knows of one generation of a block.
 #[derive(Clone, Debug)]
-struct Life {
+struct GenerationRecord {
     generation: u64,
     incarnation: u64,
     state: BlockState,
@@ -38,41 +40,41 @@
 #[derive(Clone, Debug, Default)]
 struct Reference {
     incarnation: u64,
-    generations: u64,
+    last_generation: u64,
     /// Every life of each key, the last one last.
-    lives: BTreeMap<u8, Vec<Life>>,
+    history: BTreeMap<u8, Vec<GenerationRecord>>,
 }
 
 impl Reference {
     fn is_taken(&self, key: u8) -> bool {
-        let last = self.lives.get(&key).and_then(|lives| lives.last());
-        last.is_some_and(|life| life.state != BlockState::Freed)
+        let last = self.history.get(&key).and_then(|history| history.last());
+        last.is_some_and(|record| record.state != BlockState::Freed)
     }
 
-    fn life(&self, key: u8, age: u8) -> Option<&Life> {
-        self.lives.get(&key)?.iter().rev().nth(usize::from(age))
+    fn record(&self, key: u8, age: u8) -> Option<&GenerationRecord> {
+        self.history.get(&key)?.iter().rev().nth(usize::from(age))
     }
 
     fn may_pin(&self, key: u8, workspace: u8, version: u8) -> bool {
-        self.life(key, 0).is_some_and(|life| {
-            life.state == BlockState::Readable
-                && life.workspace == workspace
-                && life.version == version
+        self.record(key, 0).is_some_and(|record| {
+            record.state == BlockState::Readable
+                && record.workspace == workspace
+                && record.version == version
         })
     }
 }
 
 /// Gives the state after an event, or `None` where the model doesn't allow it.
-fn next(state: BlockState, pins: u32, event: LifeEvent) -> Option<(BlockState, u32)> {
+fn next(state: BlockState, pins: u32, event: BlockEvent) -> Option<(BlockState, u32)> {
     use BlockState::{Draining, Freed, Readable, Reserved, Sealed, Writing};
     let moved = match (state, event) {
-        (Reserved, LifeEvent::Write) => Writing,
-        (Writing, LifeEvent::Seal) => Sealed,
-        (Sealed, LifeEvent::Publish) => Readable,
-        (Readable, LifeEvent::Drain) => Draining,
-        (Reserved | Writing | Sealed, LifeEvent::Free) => Freed,
-        (Draining, LifeEvent::Free) if pins == 0 => Freed,
-        (Readable | Draining, LifeEvent::Unpin) if pins > 0 => return Some((state, pins - 1)),
+        (Reserved, BlockEvent::Write) => Writing,
+        (Writing, BlockEvent::Seal) => Sealed,
+        (Sealed, BlockEvent::Publish) => Readable,
+        (Readable, BlockEvent::Drain) => Draining,
+        (Reserved | Writing | Sealed, BlockEvent::Free) => Freed,
+        (Draining, BlockEvent::Free) if pins == 0 => Freed,
+        (Readable | Draining, BlockEvent::Unpin) if pins > 0 => return Some((state, pins - 1)),
         _ => return None,
     };
     Some((moved, pins))
@@ -80,12 +82,12 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let event = prop_oneof![
-        3 => Just(LifeEvent::Write),
-        3 => Just(LifeEvent::Seal),
-        3 => Just(LifeEvent::Publish),
-        2 => Just(LifeEvent::Unpin),
-        2 => Just(LifeEvent::Drain),
-        2 => Just(LifeEvent::Free),
+        3 => Just(BlockEvent::Write),
+        3 => Just(BlockEvent::Seal),
+        3 => Just(BlockEvent::Publish),
+        2 => Just(BlockEvent::Unpin),
+        2 => Just(BlockEvent::Drain),
+        2 => Just(BlockEvent::Free),
     ];
     prop_oneof![
         4 => (0..KEYS, 0..2_u8, 0..2_u8).prop_map(|(key, workspace, version)| Step::Reserve {
@@ -103,8 +105,8 @@
 
 /// Gives steps that the blocks' states allow, since chance alone seldom leads to a late state.
 fn apt_step(state: &Reference) -> BoxedStrategy<Step> {
-    let steps = (0..KEYS).flat_map(|key| match state.life(key, 0) {
-        Some(life) if life.state != BlockState::Freed => apt_events(key, life),
+    let steps = (0..KEYS).flat_map(|key| match state.record(key, 0) {
+        Some(record) if record.state != BlockState::Freed => apt_events(key, record),
         _ => vec![Step::Reserve {
             key,
             workspace: 0,
@@ -114,19 +116,19 @@
     prop::sample::select(steps.collect::<Vec<_>>()).boxed()
 }
 
-fn apt_events(key: u8, life: &Life) -> Vec<Step> {
-    let events = match life.state {
-        BlockState::Reserved => [LifeEvent::Write, LifeEvent::Write],
-        BlockState::Writing => [LifeEvent::Seal, LifeEvent::Seal],
-        BlockState::Sealed => [LifeEvent::Publish, LifeEvent::Publish],
-        BlockState::Readable => [LifeEvent::Drain, LifeEvent::Unpin],
-        BlockState::Draining | BlockState::Freed => [LifeEvent::Unpin, LifeEvent::Free],
+fn apt_events(key: u8, record: &GenerationRecord) -> Vec<Step> {
+    let events = match record.state {
+        BlockState::Reserved => [BlockEvent::Write, BlockEvent::Write],
+        BlockState::Writing => [BlockEvent::Seal, BlockEvent::Seal],
+        BlockState::Sealed => [BlockEvent::Publish, BlockEvent::Publish],
+        BlockState::Readable => [BlockEvent::Drain, BlockEvent::Unpin],
+        BlockState::Draining | BlockState::Freed => [BlockEvent::Unpin, BlockEvent::Free],
     };
     let event = |event| Step::Event { key, age: 0, event };
     let pin = Step::Pin {
         key,
-        workspace: life.workspace,
-        version: life.version,
+        workspace: record.workspace,
+        version: record.version,
     };
     events.map(event).into_iter().chain([pin]).collect()
 }
@@ -150,17 +152,17 @@
                 workspace,
                 version,
             } => {
-                state.generations += 1;
+                state.last_generation += 1;
                 if !state.is_taken(*key) {
-                    let life = Life {
-                        generation: state.generations,
+                    let record = GenerationRecord {
+                        generation: state.last_generation,
                         incarnation: state.incarnation,
                         state: BlockState::Reserved,
                         pins: 0,
                         workspace: *workspace,
                         version: *version,
                     };
-                    state.lives.entry(*key).or_default().push(life);
+                    state.history.entry(*key).or_default().push(record);
                 }
             }
             Step::Pin {
@@ -169,25 +171,28 @@
                 version,
             } => {
                 if state.may_pin(*key, *workspace, *version)
-                    && let Some(life) = state.lives.get_mut(key).and_then(|lives| lives.last_mut())
+                    && let Some(record) = state
+                        .history
+                        .get_mut(key)
+                        .and_then(|history| history.last_mut())
                 {
-                    life.pins += 1;
+                    record.pins += 1;
                 }
             }
             Step::Event { key, age, event } => {
-                let lives = state.lives.entry(*key).or_default();
-                let life = lives.iter_mut().rev().nth(usize::from(*age));
-                if let Some(life) = life
-                    && let Some((moved, pins)) = next(life.state, life.pins, *event)
+                let history = state.history.entry(*key).or_default();
+                let record = history.iter_mut().rev().nth(usize::from(*age));
+                if let Some(record) = record
+                    && let Some((moved, pins)) = next(record.state, record.pins, *event)
                 {
-                    life.state = moved;
-                    life.pins = pins;
+                    record.state = moved;
+                    record.pins = pins;
                 }
             }
             Step::StoreReturns => {
                 state.incarnation += 1;
-                for life in state.lives.values_mut().flatten() {
-                    life.state = BlockState::Freed;
+                for record in state.history.values_mut().flatten() {
+                    record.state = BlockState::Freed;
                 }
             }
         }
@@ -203,8 +208,8 @@
     name("hub-cache")
 }
 
-fn place(number: u8) -> Place {
-    Place {
+fn location(number: u8) -> BlockLocation {
+    BlockLocation {
         store: store(),
         key: key(number),
     }
@@ -221,23 +226,23 @@
     )
 }
 
-fn handle_of(number: u8, life: &Life) -> BlockHandle {
+fn handle_of(number: u8, record: &GenerationRecord) -> BlockHandle {
     BlockHandle {
-        place: place(number),
-        incarnation: incarnation(life.incarnation),
-        generation: Generation::new(life.generation),
+        location: location(number),
+        incarnation: incarnation(record.incarnation),
+        generation: Generation::new(record.generation),
     }
 }
 
-fn apply_event(table: &mut BlockTable, handle: &BlockHandle, event: LifeEvent) -> bool {
+fn apply_event(table: &mut BlockTable, handle: &BlockHandle, event: BlockEvent) -> bool {
     let result = match event {
-        LifeEvent::Write => table.write(handle),
-        LifeEvent::Seal => table.seal(handle, BLOCK_BYTES, CRC32C),
-        LifeEvent::Publish => table.publish(handle),
-        LifeEvent::Unpin => table.unpin(handle),
-        LifeEvent::Drain => table.drain(handle),
-        LifeEvent::Free => table.free(handle),
-        LifeEvent::Pin | LifeEvent::StoreDied => panic!("has a step of its own"),
+        BlockEvent::Write => table.write(handle),
+        BlockEvent::Seal => table.seal(handle, BLOCK_BYTES, CRC32C),
+        BlockEvent::Publish => table.publish(handle),
+        BlockEvent::Unpin => table.unpin(handle),
+        BlockEvent::Drain => table.drain(handle),
+        BlockEvent::Free => table.free(handle),
+        BlockEvent::Pin | BlockEvent::StoreDied => panic!("has a step of its own"),
     };
     result.is_ok()
 }
@@ -263,45 +268,45 @@
             Step::StoreReturns => {
                 let ended = self
                     .table
-                    .store_seen(&store(), &incarnation(after.incarnation));
+                    .record_incarnation(&store(), &incarnation(after.incarnation));
                 assert!(self.table.is_empty(), "{ended:?} ended, others are left");
             }
         }
     }
 
     fn reserve(&mut self, after: &Reference, key: u8, workspace: u8, version: u8) {
-        let was_taken = self.table.get(&place(key)).is_some();
+        let was_taken = self.table.get(&location(key)).is_some();
         let reader = reader_of(workspace, version);
         let identity = BlockIdentity {
             incarnation: incarnation(after.incarnation),
-            generation: Generation::new(after.generations),
+            generation: Generation::new(after.last_generation),
             weight_version: reader.weight_version,
             workspace: Some(reader.workspace),
             tokens: BLOCK_TOKENS,
             bytes: BLOCK_BYTES,
         };
-        let result = self.table.reserve(place(key), identity, Tier::Memory);
+        let result = self.table.reserve(location(key), identity, Tier::Memory);
         assert_eq!(result.is_err(), was_taken);
     }
 
     fn pin(&mut self, after: &Reference, key: u8, workspace: u8, version: u8) {
         let reader = reader_of(workspace, version);
-        let result = self.table.pin(&place(key), &reader);
+        let result = self.table.pin(&location(key), &reader);
         assert_eq!(result.is_ok(), after.may_pin(key, workspace, version));
         if let Ok(handle) = result {
-            assert!(self.table.is_held(&handle));
+            assert!(self.table.is_pin_valid(&handle));
         }
     }
 
-    fn event(&mut self, after: &Reference, key: u8, age: u8, event: LifeEvent) {
-        let Some(life) = after.life(key, age) else {
+    fn event(&mut self, after: &Reference, key: u8, age: u8, event: BlockEvent) {
+        let Some(record) = after.record(key, age) else {
             return;
         };
-        let handle = handle_of(key, life);
+        let handle = handle_of(key, record);
         let before = self
             .table
-            .get(&place(key))
-            .filter(|_| self.table.handle(&place(key)).as_ref() == Some(&handle))
+            .get(&location(key))
+            .filter(|_| self.table.handle(&location(key)).as_ref() == Some(&handle))
             .map(|block| (block.state(), block.pins()));
         let is_allowed = before.and_then(|(state, pins)| next(state, pins, event));
         let is_applied = apply_event(&mut self.table, &handle, event);
@@ -315,7 +320,7 @@
 
     fn init_test(_reference: &Reference) -> Self {
         let mut table = BlockTable::default();
-        table.store_seen(&store(), &incarnation(0));
+        table.record_incarnation(&store(), &incarnation(0));
         Self { table }
     }
 
@@ -328,27 +333,31 @@
     /// that was ever given out reaches a block that is freed, partly written or of another life.
     fn check_invariants(state: &Self, reference: &Reference) {
         for number in 0..KEYS {
-            let lives = reference.lives.get(&number).map_or(&[][..], Vec::as_slice);
-            let present = lives.last().filter(|life| life.state != BlockState::Freed);
-            let block = state.table.get(&place(number));
+            let history = reference
+                .history
+                .get(&number)
+                .map_or(&[][..], Vec::as_slice);
+            let present = history
+                .last()
+                .filter(|record| record.state != BlockState::Freed);
+            let block = state.table.get(&location(number));
             assert_eq!(
                 block.map(|block| (block.state(), block.pins())),
-                present.map(|life| (life.state, life.pins)),
+                present.map(|record| (record.state, record.pins)),
             );
-            for life in lives {
-                let is_readable = matches!(life.state, BlockState::Readable | BlockState::Draining);
+            for record in history {
+                let is_readable =
+                    matches!(record.state, BlockState::Readable | BlockState::Draining);
                 assert_eq!(
-                    state.table.is_held(&handle_of(number, life)),
-                    is_readable && life.pins > 0,
+                    state.table.is_pin_valid(&handle_of(number, record)),
+                    is_readable && record.pins > 0,
                 );
             }
         }
         for workspace in 0..2_u8 {
-            let taken = reference
-                .lives
-                .values()
-                .flatten()
-                .filter(|life| life.state != BlockState::Freed && life.workspace == workspace);
+            let taken = reference.history.values().flatten().filter(|record| {
+                record.state != BlockState::Freed && record.workspace == workspace
+            });
             let reader = reader_of(workspace, 0);
             assert_eq!(
                 state.table.workspace_bytes(&reader.workspace).get(),
@@ -368,5 +377,5 @@
     })]
 
     #[test]
-    fn block_table_keeps_to_the_model(sequential 1..80 => TableUnderTest);
+    fn block_table_matches_the_model(sequential 1..80 => TableUnderTest);
 }
--- a/crates/wisteriahitch-core/tests/all/tier_generation.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_generation.rs
@@ -1,6 +1,6 @@
 //! Readers of one generation against those of the next.
 
-use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockTable, Place};
+use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockLocation, BlockTable};
 use wisteriahitch_types::{Generation, Tier};
 
 use crate::tier::{BLOCK_BYTES, BLOCK_TOKENS, CRC32C, key, name, reader};
@@ -21,10 +21,10 @@
 /// second reader pins that. Cause: a right names the place alone, so that the first reader's
 /// check finds the second one's pin, and its end takes that pin away.
 #[test]
-fn an_earlier_reader_never_meets_the_next_generation() {
+fn a_stale_handle_never_reaches_the_next_generation() {
     let mut table = BlockTable::default();
-    table.store_seen(&name("hub-cache"), &name("i-1"));
-    let place = Place {
+    table.record_incarnation(&name("hub-cache"), &name("i-1"));
+    let location = BlockLocation {
         store: name("hub-cache"),
         key: key(1),
     };
@@ -32,14 +32,17 @@
     let mut pinned = Vec::new();
     for generation in [1, 2] {
         let identity = identity(generation);
-        let adopted = table.adopt(place.clone(), identity, Tier::Memory, Some(CRC32C));
+        let adopted = table.adopt(location.clone(), identity, Tier::Memory, Some(CRC32C));
         assert!(adopted.is_ok(), "{adopted:?}");
-        pinned.push(table.pin(&place, &reader).expect("readable"));
+        pinned.push(table.pin(&location, &reader).expect("readable"));
     }
     let [earlier, later] = [&pinned[0], &pinned[1]];
-    assert!(!table.is_held(earlier));
-    assert!(table.is_held(later));
+    assert!(!table.is_pin_valid(earlier));
+    assert!(table.is_pin_valid(later));
     assert_eq!(table.unpin(earlier), Err(BlockError::Gone));
-    assert!(table.is_held(later), "the earlier reader took the pin away");
+    assert!(
+        table.is_pin_valid(later),
+        "the earlier reader took the pin away"
+    );
     assert_eq!(table.unpin(later), Ok(()));
 }
--- a/crates/wisteriahitch-core/tests/all/tier_import.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_import.rs
@@ -50,7 +50,7 @@
                 (
                     900,
                     Event(imported(1)),
-                    &["unpin p-4", "r-1 goes on: 1 imported, 0 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 1 imported, 0 recomputed"],
                 ),
             ],
         },
@@ -65,8 +65,8 @@
                     Event(imported(1)),
                     &[
                         "unpin p-4",
-                        "r-1 goes on: 1 imported, 0 recomputed",
-                        "r-2 goes on: 1 imported, 0 recomputed",
+                        "r-1 proceeds: 1 imported, 0 recomputed",
+                        "r-2 proceeds: 1 imported, 0 recomputed",
                     ],
                 ),
             ],
@@ -86,7 +86,7 @@
             run: vec![(
                 0,
                 Plan("r-1", &[]),
-                &["r-1 goes on: 0 imported, 0 recomputed"],
+                &["r-1 proceeds: 0 imported, 0 recomputed"],
             )],
         },
     ]
@@ -107,7 +107,7 @@
                 (
                     4,
                     Event(imported(1)),
-                    &["unpin p-4", "r-1 goes on: 1 imported, 2 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 1 imported, 2 recomputed"],
                 ),
             ],
         },
@@ -124,7 +124,7 @@
                     &[
                         "unpin p-4",
                         "free generation 4",
-                        "r-1 goes on: 0 imported, 1 recomputed",
+                        "r-1 proceeds: 0 imported, 1 recomputed",
                     ],
                 ),
             ],
@@ -139,12 +139,12 @@
                 (
                     2,
                     Event(store_lost()),
-                    &["unpin p-4", "r-1 goes on: 0 imported, 2 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 0 imported, 2 recomputed"],
                 ),
                 (
                     3,
                     Plan("r-2", &[1]),
-                    &["r-2 goes on: 0 imported, 1 recomputed"],
+                    &["r-2 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
@@ -165,11 +165,11 @@
                     Event(store_seen("i-2")),
                     &[
                         "unpin p-4",
-                        "r-1 goes on: 0 imported, 1 recomputed",
+                        "r-1 proceeds: 0 imported, 1 recomputed",
                         "unpin p-5",
-                        "r-2 goes on: 0 imported, 1 recomputed",
+                        "r-2 proceeds: 0 imported, 1 recomputed",
                         "unpin p-6",
-                        "r-3 goes on: 0 imported, 1 recomputed",
+                        "r-3 proceeds: 0 imported, 1 recomputed",
                     ],
                 ),
                 (3, Event(imported(1)), &[]),
@@ -191,13 +191,13 @@
                 (
                     2,
                     Event(imported(1)),
-                    &["unpin p-4", "r-1 goes on: 1 imported, 0 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 1 imported, 0 recomputed"],
                 ),
                 (3, Plan("r-2", &[1]), &["pin t2"]),
                 (
                     4,
                     Event(failed_pin(2, TransferFailure::Corrupt)),
-                    &["r-2 goes on: 0 imported, 1 recomputed"],
+                    &["r-2 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
@@ -226,15 +226,15 @@
                     &[
                         "unpin p-4",
                         "free generation 4",
-                        "r-1 goes on: 0 imported, 1 recomputed",
+                        "r-1 proceeds: 0 imported, 1 recomputed",
                         "unpin p-4",
-                        "r-3 goes on: 0 imported, 1 recomputed",
+                        "r-3 proceeds: 0 imported, 1 recomputed",
                     ],
                 ),
                 (
                     3,
                     Event(failed_import(2, TransferFailure::Gone)),
-                    &["unpin p-4", "r-2 goes on: 0 imported, 1 recomputed"],
+                    &["unpin p-4", "r-2 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
@@ -248,7 +248,7 @@
                 (2, Event(pinned(2, 5)), &["import t2"]),
                 (900, Event(imported(1)), &["unpin p-4"]),
                 (9_999, Tick, &[]),
-                (10_000, Tick, &["r-1 goes on: 1 imported, 1 recomputed"]),
+                (10_000, Tick, &["r-1 proceeds: 1 imported, 1 recomputed"]),
                 (11_000, Event(imported(2)), &["unpin p-5"]),
             ],
         },
@@ -265,7 +265,7 @@
                 ),
                 (1, Event(pinned(1, 4)), &["import t1"]),
                 (4_999, Tick, &[]),
-                (5_000, Tick, &["r-1 goes on: 0 imported, 6 recomputed"]),
+                (5_000, Tick, &["r-1 proceeds: 0 imported, 6 recomputed"]),
             ],
         },
         // Symptom: a new version's request reads an old version's block. Sequence: planned for
@@ -279,7 +279,7 @@
                 (
                     2,
                     Event(failed_import(1, TransferFailure::OtherVersion)),
-                    &["unpin p-4", "r-1 goes on: 0 imported, 1 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn imports_run_as_told() {
+fn imports_follow_the_expected_sequence() {
     let cases = [whole_cases(), failing_cases(), answer_cases(), late_cases()];
     for case in cases.into_iter().flatten() {
         let mut tiers = tiers();
@@ -301,7 +301,7 @@
                 Step::Plan(request, keys) => {
                     tiers.plan_import(plan(request, "kandy", keys), at_ms(ms))
                 }
-                Step::Event(event) => tiers.on(event, at_ms(ms)),
+                Step::Event(event) => tiers.handle_event(event, at_ms(ms)),
                 Step::Tick => tiers.tick(at_ms(ms)),
             };
             assert_eq!(briefs(&commands), expected, "{} at {ms} ms", case.name);
--- a/crates/wisteriahitch-core/tests/all/tier_link.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_link.rs
@@ -1,7 +1,7 @@
 //! Orders of transfers, measured rates and estimates.
 
 use wisteriahitch_core::tier::{
-    BackfillOrder, LinkOrder, LinkTable, PlainOrder, PriorityOrder, StartTransfer, TransferClass,
+    BackfillOrder, FifoOrder, LinkOrder, LinkTable, PriorityOrder, StartedTransfer, TransferClass,
     TransferId,
 };
 use wisteriahitch_types::{ByteCount, ByteRate, DurationUs, StoreId};
@@ -25,7 +25,7 @@
 enum Step {
     Queue(u64, TransferClass, u64),
     Finish(u64),
-    Look,
+    Recheck,
 }
 
 struct OrderCase {
@@ -36,17 +36,17 @@
 }
 
 fn order_cases() -> Vec<OrderCase> {
-    use Step::{Finish, Look, Queue};
-    use TransferClass::{Prefetch, Save, Wait};
+    use Step::{Finish, Queue, Recheck};
+    use TransferClass::{Import, Prefetch, Save};
     vec![
         OrderCase {
             name: "plain order takes transfers as they come, two at once",
-            order: Box::new(PlainOrder),
+            order: Box::new(FifoOrder),
             run: vec![
                 (0, Queue(1, Save, RATE), &[1]),
                 (1, Queue(2, Prefetch, RATE), &[2]),
                 (2, Queue(3, Save, RATE), &[]),
-                (3, Queue(4, Wait, RATE), &[]),
+                (3, Queue(4, Import, RATE), &[]),
                 (900, Finish(1), &[3]),
                 (999, Finish(2), &[4]),
             ],
@@ -55,11 +55,11 @@
             name: "imports go before saves, and saves before prefetch",
             order: Box::new(PriorityOrder),
             run: vec![
-                (0, Queue(1, Wait, RATE), &[1]),
-                (1, Queue(2, Wait, RATE), &[2]),
+                (0, Queue(1, Import, RATE), &[1]),
+                (1, Queue(2, Import, RATE), &[2]),
                 (2, Queue(3, Prefetch, RATE), &[]),
                 (3, Queue(4, Save, RATE), &[]),
-                (4, Queue(5, Wait, RATE), &[]),
+                (4, Queue(5, Import, RATE), &[]),
                 (900, Finish(1), &[5]),
                 (1_000, Finish(2), &[]),
                 (1_500, Finish(5), &[4]),
@@ -72,11 +72,11 @@
             name: "a save that has aged goes before later imports",
             order: Box::new(PriorityOrder),
             run: vec![
-                (0, Queue(1, Wait, RATE), &[1]),
-                (0, Queue(2, Wait, RATE), &[2]),
+                (0, Queue(1, Import, RATE), &[1]),
+                (0, Queue(2, Import, RATE), &[2]),
                 (1, Queue(3, Save, RATE), &[]),
-                (2, Queue(4, Wait, RATE), &[]),
-                (3, Queue(5, Wait, RATE), &[]),
+                (2, Queue(4, Import, RATE), &[]),
+                (3, Queue(5, Import, RATE), &[]),
                 (19_999, Finish(1), &[4]),
                 (20_001, Finish(2), &[3]),
                 (20_500, Finish(4), &[5]),
@@ -86,23 +86,23 @@
             name: "backfill starts no save that may outlast the gap, until it has aged",
             order: Box::new(BackfillOrder),
             run: vec![
-                (0, Queue(1, Wait, RATE), &[1]),
+                (0, Queue(1, Import, RATE), &[1]),
                 (900, Finish(1), &[]),
-                (2_000, Queue(2, Wait, RATE), &[2]),
+                (2_000, Queue(2, Import, RATE), &[2]),
                 (2_900, Finish(2), &[]),
                 (3_000, Queue(3, Save, RATE), &[]),
                 (3_001, Queue(4, Save, RATE / 10), &[]),
-                (22_999, Look, &[]),
-                (23_000, Look, &[3]),
+                (22_999, Recheck, &[]),
+                (23_000, Recheck, &[3]),
             ],
         },
         OrderCase {
             name: "backfill fills a gap in which a save is likely to finish",
             order: Box::new(BackfillOrder),
             run: vec![
-                (0, Queue(1, Wait, RATE), &[1]),
+                (0, Queue(1, Import, RATE), &[1]),
                 (900, Finish(1), &[]),
-                (2_000, Queue(2, Wait, RATE), &[2]),
+                (2_000, Queue(2, Import, RATE), &[2]),
                 (2_900, Finish(2), &[]),
                 (3_000, Queue(3, Save, RATE / 10), &[3]),
             ],
@@ -124,12 +124,12 @@
                 Step::Finish(id) => {
                     assert!(table.finish(&store(), TransferId::new(id), true, now));
                 }
-                Step::Look => {}
+                Step::Recheck => {}
             }
             let started = table.start(now);
-            let expected: Vec<StartTransfer> = expected
+            let expected: Vec<StartedTransfer> = expected
                 .iter()
-                .map(|id| StartTransfer(TransferId::new(*id)))
+                .map(|id| StartedTransfer(TransferId::new(*id)))
                 .collect();
             assert_eq!(started, expected, "{} at {ms} ms", case.name);
         }
@@ -149,7 +149,7 @@
 /// configured rate is used on. Cause: nobody measures. The last case is the opposite error: a link
 /// that is merely shared isn't slow.
 #[test]
-fn a_slowed_link_is_noticed() {
+fn a_slowed_link_lowers_the_measured_rate() {
     let cases = [
         RateCase {
             name: "as configured",
@@ -171,12 +171,12 @@
         },
     ];
     for case in cases {
-        let mut table = table(Box::new(PlainOrder));
+        let mut table = table(Box::new(FifoOrder));
         for round in 0..20 {
             let ids = (0..case.at_once).map(|i| TransferId::new(round * 10 + i));
             let start = at_ms(round * case.each_ms);
             for id in ids.clone() {
-                assert!(table.enqueue(&store(), id, TransferClass::Wait, BLOCK, start));
+                assert!(table.enqueue(&store(), id, TransferClass::Import, BLOCK, start));
             }
             assert_eq!(table.start(start).len() as u64, case.at_once);
             for id in ids {
@@ -201,8 +201,8 @@
 }
 
 #[test]
-fn an_estimate_counts_what_is_ahead() {
-    use TransferClass::{Save, Wait};
+fn an_estimate_includes_queued_and_reported_bytes() {
+    use TransferClass::{Import, Save};
     let cases = [
         EstimateCase {
             name: "an idle link",
@@ -212,13 +212,13 @@
         },
         EstimateCase {
             name: "running and waiting imports",
-            queued: &[Wait, Wait, Wait],
+            queued: &[Import, Import, Import],
             reported_bytes: 0,
             expected_ms: 4_000,
         },
         EstimateCase {
             name: "saves that wait are passed by",
-            queued: &[Wait, Save, Save],
+            queued: &[Import, Save, Save],
             reported_bytes: 0,
             expected_ms: 2_000,
         },
@@ -236,7 +236,7 @@
             assert!(table.enqueue(&store(), id, *class, BLOCK, at_ms(0)));
             table.start(at_ms(0));
         }
-        table.note_queued(&store(), ByteCount::new(case.reported_bytes), at_ms(0));
+        table.record_store_backlog(&store(), ByteCount::new(case.reported_bytes), at_ms(0));
         let estimate = table.transfer_time(&store(), BLOCK, at_ms(0));
         assert_eq!(
             estimate,
@@ -245,7 +245,7 @@
             case.name
         );
     }
-    let nowhere = table(Box::new(PlainOrder)).transfer_time(&name("other"), BLOCK, at_ms(0));
+    let nowhere = table(Box::new(FifoOrder)).transfer_time(&name("other"), BLOCK, at_ms(0));
     assert_eq!(nowhere, DurationUs::MAX);
 }
 
--- a/crates/wisteriahitch-core/tests/all/tier_room.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_room.rs
@@ -4,7 +4,7 @@
 
 use wisteriahitch_config::SavePolicy;
 use wisteriahitch_core::tier::{
-    ExportReceipt, FinishedRequest, ReservedRoom, TierCommand, TierEvent, Tiers, TransferFailure,
+    ExportReceipt, FinishedRequest, ReserveOutcome, TierCommand, TierEvent, Tiers, TransferFailure,
     TransferId,
 };
 use wisteriahitch_types::{BlockKey, BlockState, ByteCount, Generation, Tier, TimeUs, TokenRate};
@@ -20,12 +20,12 @@
 }
 
 fn save_request(tiers: &mut Tiers, request: &FinishedRequest, now: TimeUs) {
-    let mut commands = tiers.finished(request, now);
+    let mut commands = tiers.request_finished(request, now);
     while let Some(command) = commands.pop() {
         let event = match command {
             TierCommand::Reserve { transfer, .. } => TierEvent::Reserved {
                 transfer,
-                result: Ok(ReservedRoom::Room(Generation::new(transfer.get()))),
+                result: Ok(ReserveOutcome::Granted(Generation::new(transfer.get()))),
             },
             TierCommand::Export { transfer, .. } => TierEvent::Exported {
                 transfer,
@@ -36,14 +36,14 @@
             },
             other => panic!("a save doesn't need {other:?}"),
         };
-        commands.extend(tiers.on(event, now));
+        commands.extend(tiers.handle_event(event, now));
     }
 }
 
 fn tiers_with(keys: &[u8]) -> Tiers {
     let mut tiers = Tiers::new();
-    tiers.configured(&configuration_with(100));
-    tiers.on(store_seen("i-1"), at_ms(0));
+    tiers.apply_configuration(&configuration_with(100));
+    tiers.handle_event(store_seen("i-1"), at_ms(0));
     save(&mut tiers, keys, at_ms(0));
     assert_eq!(tiers.saves().counts().finished as usize, keys.len());
     tiers
@@ -76,7 +76,7 @@
 
 fn tier_of(tiers: &Tiers, number: u8) -> Option<Tier> {
     let mut blocks = tiers.blocks().iter();
-    let found = blocks.find(|(place, _)| place.key == key(number));
+    let found = blocks.find(|(location, _)| location.key == key(number));
     found.map(|(_, block)| block.tier())
 }
 
@@ -92,7 +92,7 @@
 /// Symptom: a chain without its front is kept, which nobody can read. Sequence: memory fills up
 /// and blocks go. Cause: the front of a chain is the oldest part of it.
 #[test]
-fn memory_is_emptied_from_the_end_of_a_chain() {
+fn memory_is_demoted_from_the_end_of_a_chain() {
     let cases = [
         RoomCase {
             name: "enough room",
@@ -116,10 +116,10 @@
     for case in cases {
         let mut tiers = tiers_with(&[1, 2, 3]);
         if !case.is_mine {
-            tiers.keep_room_at(BTreeSet::new());
+            tiers.set_managed_stores(BTreeSet::new());
         }
         let (memory, disk) = case.free_blocks;
-        tiers.on(seen_with(memory, disk), at_ms(10));
+        tiers.handle_event(seen_with(memory, disk), at_ms(10));
         let commands = tiers.tick(at_ms(20));
         let expected = case.expected.map(|number| (key(number), Tier::Disk));
         assert_eq!(moved_key(&commands), expected, "{}", case.name);
@@ -139,7 +139,7 @@
             tier: Tier::Memory,
             state: BlockState::Readable,
         };
-        assert_eq!(tiers.on(event, now), []);
+        assert_eq!(tiers.handle_event(event, now), []);
     }
 }
 
@@ -147,10 +147,10 @@
 /// saved, its store is listed, memory fills up. Cause: the listing, which knows neither the depth
 /// nor the use of a block, replaced what was known of both.
 #[test]
-fn a_listing_leaves_ranks_alone() {
+fn a_listing_does_not_reset_ranks() {
     let mut tiers = tiers_with(&[1, 2, 3]);
     listed(&mut tiers, &[3, 2, 1], at_ms(5));
-    tiers.on(seen_with(0, 50), at_ms(10));
+    tiers.handle_event(seen_with(0, 50), at_ms(10));
     let commands = tiers.tick(at_ms(20));
     assert_eq!(moved_key(&commands), Some((key(3), Tier::Disk)));
 }
@@ -166,9 +166,9 @@
         incarnation: name("i-1"),
         keys: [key(1)].into(),
     };
-    assert_eq!(tiers.on(event, at_ms(10)), []);
+    assert_eq!(tiers.handle_event(event, at_ms(10)), []);
     let used = finished(SavePolicy::Always, &[1, 2]);
-    let commands = tiers.finished(&used, at_ms(20));
+    let commands = tiers.request_finished(&used, at_ms(20));
     assert_eq!(briefs(&commands), ["reserve t3 memory"]);
 }
 
@@ -182,11 +182,11 @@
     let mut tiers = tiers_with(&[1]);
     let moved_in = (2..ROUNDS).find(|number| {
         let now = at_ms(u64::from(*number) * 100);
-        tiers.on(seen_with(10, 1_000), now);
+        tiers.handle_event(seen_with(10, 1_000), now);
         let mut later = finished(SavePolicy::Always, &[*number]);
         later.prefill_tokens_per_s = TokenRate::new(20_000);
         save_request(&mut tiers, &later, now);
-        tiers.on(seen_with(0, 1_000), now);
+        tiers.handle_event(seen_with(0, 1_000), now);
         let commands = tiers.tick(now);
         let [
             TierCommand::Move {
@@ -198,7 +198,7 @@
         else {
             panic!("memory is full and nothing moves: {commands:?}");
         };
-        tiers.on(moved(transfer.get(), Ok(())), now);
+        tiers.handle_event(moved(transfer.get(), Ok(())), now);
         least == key(1)
     });
     assert!(moved_in.is_some(), "the first block never left memory");
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_move_ends_as_the_store_says() {
+fn a_move_result_updates_the_block_tier() {
     let cases = [
         MoveCase {
             name: "moved",
@@ -231,9 +231,9 @@
     ];
     for case in cases {
         let mut tiers = tiers_with(&[1, 2]);
-        tiers.on(seen_with(0, 50), at_ms(10));
+        tiers.handle_event(seen_with(0, 50), at_ms(10));
         assert_eq!(briefs(&tiers.tick(at_ms(20))), ["move t3 disk"]);
-        assert_eq!(tiers.on(moved(3, case.result), at_ms(30)), []);
+        assert_eq!(tiers.handle_event(moved(3, case.result), at_ms(30)), []);
         assert_eq!(tier_of(&tiers, 2), case.expected, "{}", case.name);
         assert_eq!(tier_of(&tiers, 1), Some(Tier::Memory), "{}", case.name);
     }
@@ -243,10 +243,10 @@
 #[test]
 fn a_full_disk_is_freed_from_the_end_of_a_chain() {
     let mut tiers = tiers_with(&[1, 2]);
-    tiers.on(seen_with(0, 50), at_ms(10));
+    tiers.handle_event(seen_with(0, 50), at_ms(10));
     tiers.tick(at_ms(20));
-    tiers.on(moved(3, Ok(())), at_ms(30));
-    tiers.on(seen_with(5, 0), at_ms(40));
+    tiers.handle_event(moved(3, Ok(())), at_ms(30));
+    tiers.handle_event(seen_with(5, 0), at_ms(40));
     assert_eq!(briefs(&tiers.tick(at_ms(50))), ["free generation 2"]);
     assert_eq!(tier_of(&tiers, 2), None);
     assert_eq!(tier_of(&tiers, 1), Some(Tier::Memory));
@@ -285,19 +285,19 @@
     for case in cases {
         let mut tiers = tiers_with(&[1]);
         tiers.set_prefetch(case.is_enabled);
-        tiers.on(seen_with(0, 50), at_ms(10));
+        tiers.handle_event(seen_with(0, 50), at_ms(10));
         assert_eq!(briefs(&tiers.tick(at_ms(20))), ["move t2 disk"]);
-        tiers.on(moved(2, Ok(())), at_ms(30));
-        tiers.on(seen_with(5, 50), at_ms(40));
+        tiers.handle_event(moved(2, Ok(())), at_ms(30));
+        tiers.handle_event(seen_with(5, 50), at_ms(40));
         for second in case.uses_s {
             let used = finished(SavePolicy::Never, &[1]);
-            assert_eq!(tiers.finished(&used, at_ms(second * 1_000)), []);
+            assert_eq!(tiers.request_finished(&used, at_ms(second * 1_000)), []);
         }
         assert_eq!(tiers.tick(at_ms(290_000)), [], "{}: too early", case.name);
         let commands = tiers.tick(at_ms(292_000));
         assert_eq!(briefs(&commands), case.expected, "{}", case.name);
         if !commands.is_empty() {
-            tiers.on(moved(3, Ok(())), at_ms(292_100));
+            tiers.handle_event(moved(3, Ok(())), at_ms(292_100));
             assert_eq!(tier_of(&tiers, 1), Some(Tier::Memory));
         }
     }
--- a/crates/wisteriahitch-core/tests/all/tier_save.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_save.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch_config::SavePolicy;
 use wisteriahitch_core::tier::{
-    ExportReceipt, Place, ReservedRoom, TierEvent, Tiers, TransferFailure, TransferId,
+    BlockLocation, ExportReceipt, ReserveOutcome, TierEvent, Tiers, TransferFailure, TransferId,
 };
 use wisteriahitch_types::{BlockState, ByteCount, Generation};
 
@@ -25,7 +25,7 @@
     readable: &'static [u8],
 }
 
-fn reserved(transfer: u64, result: Result<ReservedRoom, TransferFailure>) -> Step {
+fn reserved(transfer: u64, result: Result<ReserveOutcome, TransferFailure>) -> Step {
     Step::Event(TierEvent::Reserved {
         transfer: TransferId::new(transfer),
         result,
@@ -35,7 +35,7 @@
 fn room(transfer: u64, generation: u64) -> Step {
     reserved(
         transfer,
-        Ok(ReservedRoom::Room(Generation::new(generation))),
+        Ok(ReserveOutcome::Granted(Generation::new(generation))),
     )
 }
 
@@ -100,7 +100,7 @@
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
                 (
                     1,
-                    reserved(1, Ok(ReservedRoom::AlreadyReadable(Generation::new(3)))),
+                    reserved(1, Ok(ReserveOutcome::AlreadyReadable(Generation::new(3)))),
                     &["reserve t2 memory"],
                 ),
                 (2, room(2, 8), &["export t2"]),
@@ -236,33 +236,35 @@
     ]
 }
 
-fn readable(tiers: &Tiers) -> Vec<Place> {
+fn readable(tiers: &Tiers) -> Vec<BlockLocation> {
     let blocks = tiers.blocks().iter();
     blocks
         .filter(|(_, block)| block.state() == BlockState::Readable)
-        .map(|(place, _)| place.clone())
+        .map(|(location, _)| location.clone())
         .collect()
 }
 
 #[test]
-fn saves_run_as_told() {
+fn saves_follow_the_expected_sequence() {
     let cases = [policy_cases(), failing_cases(), late_cases()];
     for case in cases.into_iter().flatten() {
         let mut tiers = Tiers::new();
-        tiers.configured(&configuration_with(case.quota_blocks));
-        tiers.on(store_seen("i-1"), at_ms(0));
+        tiers.apply_configuration(&configuration_with(case.quota_blocks));
+        tiers.handle_event(store_seen("i-1"), at_ms(0));
         for (ms, step, expected) in case.run {
             let commands = match step {
-                Step::Finished(policy, keys) => tiers.finished(&finished(policy, keys), at_ms(ms)),
-                Step::Event(event) => tiers.on(event, at_ms(ms)),
+                Step::Finished(policy, keys) => {
+                    tiers.request_finished(&finished(policy, keys), at_ms(ms))
+                }
+                Step::Event(event) => tiers.handle_event(event, at_ms(ms)),
                 Step::Tick => tiers.tick(at_ms(ms)),
             };
             assert_eq!(briefs(&commands), expected, "{} at {ms} ms", case.name);
         }
-        let places: Vec<Place> = case
+        let places: Vec<BlockLocation> = case
             .readable
             .iter()
-            .map(|number| Place {
+            .map(|number| BlockLocation {
                 store: name("hub-cache"),
                 key: key(*number),
             })
