--- a/crates/wisteriahitch-node/src/config/apply.rs
+++ b/crates/wisteriahitch-node/src/config/apply.rs
@@ -49,7 +49,8 @@
         let now = self.clock.now();
         let daemons = self.count_daemons();
         self.router.lock().endpoints.configured(&configuration, now);
-        self.tiers.with(|tiers| tiers.configured(&configuration));
+        self.tiers
+            .with(|tiers| tiers.apply_configuration(&configuration));
         self.admission.configured(&configuration, daemons, now);
         let in_force = InForce {
             version,
--- a/crates/wisteriahitch-node/src/dispatch/store_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/store_calls.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use wisteriahitch_core::tier::{PinGrant, ReservedRoom, TierCommand, TierEvent, TransferFailure};
+use wisteriahitch_core::tier::{PinGrant, ReserveOutcome, TierCommand, TierEvent, TransferFailure};
 use wisteriahitch_types::StoreId;
 use wisteriahitch_wire::store::{ReserveRequest, Reserved, StoreError, StoreErrorKind};
 
@@ -57,8 +57,10 @@
     };
     let reserve = async |address| shared.outside.store.reserve(address, request).await;
     let result = match ask(shared, &store, reserve).await {
-        Ok(Reserved::Room(generation)) => Ok(ReservedRoom::Room(generation)),
-        Ok(Reserved::AlreadyReadable(generation)) => Ok(ReservedRoom::AlreadyReadable(generation)),
+        Ok(Reserved::Room(generation)) => Ok(ReserveOutcome::Granted(generation)),
+        Ok(Reserved::AlreadyReadable(generation)) => {
+            Ok(ReserveOutcome::AlreadyReadable(generation))
+        }
         Ok(Reserved::InProgress) => Err(TransferFailure::InProgress),
         Err(error) => Err(store_failure(&error)),
     };
--- a/crates/wisteriahitch-node/src/state/models.rs
+++ b/crates/wisteriahitch-node/src/state/models.rs
@@ -84,7 +84,7 @@
                 router.directory.stored(endpoint, &piece.key);
             }
         }
-        self.step_tiers(|tiers, now| tiers.finished(&finished, now));
+        self.step_tiers(|tiers, now| tiers.request_finished(&finished, now));
     }
 
     /// Cancels a request at an endpoint, without waiting for the answer; the task ends with it.
--- a/crates/wisteriahitch-node/src/state/tiers.rs
+++ b/crates/wisteriahitch-node/src/state/tiers.rs
@@ -64,7 +64,7 @@
 
     /// Tells the tier core an event.
     pub(crate) fn note_tier(self: &Arc<Self>, event: TierEvent) {
-        self.step_tiers(|tiers, now| tiers.on(event, now));
+        self.step_tiers(|tiers, now| tiers.handle_event(event, now));
     }
 
     /// Runs a step of the tier core and carries out what it asks for.
--- a/crates/wisteriahitch-node/src/task/shares.rs
+++ b/crates/wisteriahitch-node/src/task/shares.rs
@@ -20,7 +20,7 @@
         let members = shared.fleet.members.lock();
         stores_to_keep(&in_force.configuration, &members)
     };
-    shared.tiers.with(|tiers| tiers.keep_room_at(stores));
+    shared.tiers.with(|tiers| tiers.set_managed_stores(stores));
 }
 
 /// Returns the store VMs whose full tiers this daemon empties; each has one daemon at a time.
