--- a/crates/wisteriahitch-core/src/tier/block.rs
+++ b/crates/wisteriahitch-core/src/tier/block.rs
@@ -1,4 +1,4 @@
-//! One block at one store, with everything that a reader's right to it is bound to.
+//! One block at one store, and the identity that a reader's access is checked against.
 
 use serde::Serialize;
 use wisteriahitch_types::{
@@ -8,56 +8,60 @@
 
 use super::block_state_machine::BlockStateMachine;
 
-/// Names a block at a store, whatever the generation.
+/// Identifies a block at a store, whatever its generation.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BlockLocation {
-    /// Store VM.
+    /// Store VM that holds the block.
     pub store: StoreId,
-    /// Block.
+    /// Key of the block.
     pub key: BlockKey,
 }
 
-/// Holds what a block is bound to besides its place; none of it changes during its life.
+/// The properties of one generation of a block, apart from its location.
+///
+/// They don't change while the block exists, except that an unknown workspace may be filled in.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BlockIdentity {
-    /// Life of the store that holds it.
+    /// Incarnation of the store that holds the block.
     pub incarnation: StoreIncarnation,
-    /// Use of its place.
+    /// Generation, which the store changes whenever it gives the location to new content.
     pub generation: Generation,
-    /// Weight version that it was computed with.
+    /// Weight version that the block was computed with.
     pub weight_version: WeightVersion,
-    /// Workspace that it counts against, where this daemon knows it.
+    /// Workspace whose quota the block counts against; `None` for a block known only from a
+    /// listing.
     ///
-    /// A listing doesn't name it. The block's key binds the workspace all the same.
+    /// A listing doesn't name the workspace. The block's key is derived from the workspace, so that
+    /// another workspace can't find the block either way.
     pub workspace: Option<WorkspaceId>,
-    /// Tokens.
+    /// Number of tokens in the block.
     pub tokens: TokenCount,
-    /// Length.
+    /// Length of the block.
     pub bytes: ByteCount,
 }
 
-/// Names one generation of a block, so that an old right never reaches a new content.
+/// Identifies one generation of a block, so that an old pin never gives access to new content.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BlockHandle {
-    /// Place.
+    /// Store and key of the block.
     #[serde(rename = "place")]
     pub location: BlockLocation,
-    /// Life of the store.
+    /// Incarnation of the store.
     pub incarnation: StoreIncarnation,
-    /// Use of the place.
+    /// Generation of the block.
     pub generation: Generation,
 }
 
-/// Says who wants to read a block.
+/// The workspace and weight version for which a block is read.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Reader {
     /// Workspace that the request belongs to.
     pub workspace: WorkspaceId,
-    /// Weight version that the request was decided for.
+    /// Weight version that the request was routed for.
     pub weight_version: WeightVersion,
 }
 
-/// Holds one block.
+/// A block known to this daemon, with its state and pins.
 #[derive(Debug)]
 pub struct Block {
     identity: BlockIdentity,
@@ -78,32 +82,34 @@
         }
     }
 
-    /// Returns what the block is bound to.
+    /// Returns the block's properties.
     pub fn identity(&self) -> &BlockIdentity {
         &self.identity
     }
 
-    /// Returns the tier it lies in.
+    /// Returns the tier that stores the block.
     pub fn tier(&self) -> Tier {
         self.tier
     }
 
-    /// Returns the checksum, once the block is sealed.
+    /// Returns the checksum; `None` until the block is sealed or its store has reported one.
     pub fn crc32c(&self) -> Option<u32> {
         self.crc32c
     }
 
-    /// Returns the step of its life.
+    /// Returns the state of the block.
     pub fn state(&self) -> BlockState {
         self.state_machine.state()
     }
 
-    /// Returns how many readers of this daemon hold it.
+    /// Returns the number of pins that readers of this daemon hold.
     pub fn pins(&self) -> u32 {
         self.state_machine.pins()
     }
 
-    /// Returns whether `reader` may read the block, by version and workspace.
+    /// Returns whether the weight version and workspace let `reader` read the block.
+    ///
+    /// A block whose workspace is unknown is open to every workspace.
     pub fn is_for(&self, reader: &Reader) -> bool {
         let is_same_version = self.identity.weight_version == reader.weight_version;
         let is_same_workspace = self
@@ -114,7 +120,8 @@
         is_same_version && is_same_workspace
     }
 
-    /// Returns whether a call for the block got no answer lately.
+    /// Returns whether the block is excluded from imports because a recent call for it got no
+    /// answer.
     pub fn is_suspect(&self, now: TimeUs) -> bool {
         now < self.suspect_until_us
     }
--- a/crates/wisteriahitch-core/src/tier/block_state_machine.rs
+++ b/crates/wisteriahitch-core/src/tier/block_state_machine.rs
@@ -1,8 +1,9 @@
-//! The life cycle of one block as a state machine.
+//! The states of one block, as a state machine.
 //!
-//! Its start stands for the model's `Reserved` step. The model's writer is the
-//! [`SavePlanner`](super::SavePlanner); its readers, from `Found` to `Running`, are the transfers
-//! of the [`ImportPlanner`](super::ImportPlanner), whose last step is the endpoint's own.
+//! The initial state corresponds to the `Reserved` step of the model `specs/block_life.pml`. The
+//! model's writer is the [`SavePlanner`](super::SavePlanner). The model's readers, from `Found` to
+//! `Running`, are the transfers of the [`ImportPlanner`](super::ImportPlanner); their last step
+//! happens at the endpoint.
 
 use std::fmt;
 use wisteriahitch_types::BlockState;
@@ -10,29 +11,29 @@
 use serde::Serialize;
 use statig::prelude::*;
 
-/// Names what may happen to a block, by the names of the model `specs/block_life.pml`.
+/// Events of a block, with the names that the model `specs/block_life.pml` uses.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BlockEvent {
-    /// Content starts to arrive.
+    /// The writer starts to send content.
     Write,
-    /// Length and checksum are fixed.
+    /// All content has arrived; length and checksum are final.
     Seal,
-    /// Readers are let in.
+    /// Readers may pin the block.
     Publish,
-    /// A reader starts.
+    /// A reader pins the block.
     Pin,
-    /// A reader ends.
+    /// A reader releases its pin.
     Unpin,
-    /// No new reader is let in.
+    /// No further reader may pin the block.
     Drain,
-    /// The room is given back.
+    /// The block's space is freed.
     Free,
-    /// The store's incarnation has ended.
+    /// The block is lost, because its store restarted or no longer holds it.
     StoreDied,
 }
 
-/// Holds what a block remembers beside its state.
+/// The shared storage of the state machine.
 #[derive(Debug, Default)]
 pub(crate) struct BlockStateStorage {
     pins: u32,
@@ -91,8 +92,8 @@
         }
     }
 
-    // Without this state a block would be freed under a reader: the engine would read another
-    // block's bytes, seen as checksum failures. The free waits for the last pin instead.
+    // Without this state a block could be freed while a reader holds it; the engine would then read
+    // another block's bytes and fail with a checksum error. Freeing waits for the last unpin.
     #[state]
     fn draining(&mut self, event: &BlockEvent) -> Outcome<State> {
         match event {
@@ -112,7 +113,7 @@
     }
 }
 
-/// Runs one block through its life and says which events it took.
+/// The state machine of one block, which reports whether each event was allowed.
 pub(crate) struct BlockStateMachine {
     machine: StateMachine<BlockStateStorage>,
 }
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Applies `event` and returns whether the state allows it.
+    /// Applies `event` and returns whether the current state allows it.
     pub(crate) fn apply(&mut self, event: BlockEvent) -> bool {
-        // Every event that a state allows changes the state or the pins.
+        // Every event that a state allows changes the state or the number of pins.
         let before = self.pins_and_state();
         self.machine.handle(&event);
         before != self.pins_and_state()
--- a/crates/wisteriahitch-core/src/tier/block_table.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table.rs
@@ -1,4 +1,4 @@
-//! Every block that this daemon knows at the stores.
+//! The blocks that this daemon knows at the stores.
 
 mod adopting;
 mod lookup;
@@ -10,24 +10,24 @@
 
 use super::{Block, BlockError, BlockEvent, BlockHandle, BlockIdentity, BlockLocation};
 
-/// Bounds the table at about 50 MB: with 380 daemons that share 4.7 million prompts it holds
-/// some twenty blocks of each of a daemon's own.
+/// Maximum number of blocks, about 50 MB. With 380 daemons that share 4.7 million prompts, this
+/// holds some twenty blocks of each prompt that a daemon serves.
 const MAX_BLOCKS: usize = 262_144;
 
-/// Holds the life of every block known to this daemon, bound to the store's incarnation.
+/// The state of every block known to this daemon, bound to the incarnation of its store.
 ///
-/// A reader gets a [`BlockHandle`] with its pin and is checked against it at each later step, so
-/// that it never meets a block that is freed, partly written, of another version or of another
-/// workspace (`docs/design/blocks.md`).
+/// A reader gets a [`BlockHandle`] with its pin, and each later step is checked against it. A
+/// reader therefore never accesses a block that is freed, partly written, of another weight version
+/// or of another workspace (`docs/design/blocks.md`).
 ///
 /// ```
-/// use wisteriahitch_core::tier::{BlockIdentity, BlockTable, Place, Reader};
+/// use wisteriahitch_core::tier::{BlockIdentity, BlockLocation, BlockTable, Reader};
 /// use wisteriahitch_types::{BlockKey, ByteCount, Generation, Tier, TokenCount};
 ///
 /// let mut table = BlockTable::default();
 /// let store: wisteriahitch_types::StoreId = "hub-cache".parse()?;
-/// table.store_seen(&store, &"i-1".parse()?);
-/// let place = Place { store, key: BlockKey::from_bytes([7; 16]) };
+/// table.record_incarnation(&store, &"i-1".parse()?);
+/// let location = BlockLocation { store, key: BlockKey::from_bytes([7; 16]) };
 /// let identity = BlockIdentity {
 ///     incarnation: "i-1".parse()?,
 ///     generation: Generation::new(1),
@@ -38,12 +38,12 @@
 /// };
 /// let reader = Reader { workspace: "kandy".parse()?, weight_version: "v1".parse()? };
 ///
-/// let handle = table.reserve(place.clone(), identity, Tier::Memory)?;
+/// let handle = table.reserve(location.clone(), identity, Tier::Memory)?;
 /// table.write(&handle)?;
-/// assert!(table.pin(&place, &reader).is_err(), "a partly written block has no reader");
+/// assert!(table.pin(&location, &reader).is_err(), "a partly written block has no reader");
 /// table.seal(&handle, ByteCount::new(4_096), 0x1234)?;
 /// table.publish(&handle)?;
-/// let pinned = table.pin(&place, &reader)?;
+/// let pinned = table.pin(&location, &reader)?;
 /// table.drain(&pinned)?;
 /// assert!(table.free(&handle).is_err(), "the reader still holds it");
 /// table.unpin(&pinned)?;
@@ -58,11 +58,12 @@
 }
 
 impl BlockTable {
-    /// Notes a store's incarnation, and returns the blocks that ended with an earlier one.
+    /// Records the incarnation of a store. If it changed, removes and returns the blocks of the
+    /// earlier incarnation.
     ///
-    /// A store VM may come back empty under its old name and address. Were its old blocks kept,
-    /// readers would get other content under known generations, seen as checksum failures at
-    /// best; so every block of the earlier incarnation is freed here.
+    /// A store VM may restart empty under its old name and address. If its old blocks were kept,
+    /// readers would get other content under known generations, which at best fails with checksum
+    /// errors.
     pub fn record_incarnation(
         &mut self,
         store: &StoreId,
@@ -76,7 +77,7 @@
         ended
     }
 
-    /// Frees every block of a store whose incarnation has ended, and returns them.
+    /// Removes every block of a store whose incarnation has ended, and returns them.
     pub fn remove_store_blocks(&mut self, store: &StoreId) -> Vec<BlockHandle> {
         self.incarnations.remove(store);
         let handles = self.handles_at(store);
@@ -89,17 +90,17 @@
         handles
     }
 
-    /// Returns the incarnation under which a store was last seen.
+    /// Returns the last known incarnation of a store.
     pub fn incarnation(&self, store: &StoreId) -> Option<&StoreIncarnation> {
         self.incarnations.get(store)
     }
 
-    /// Adds a block for which a store has taken room.
+    /// Adds a block for which its store has reserved space.
     ///
     /// # Errors
     ///
-    /// [`BlockError::Gone`] if the store has another incarnation, [`BlockError::Taken`] if the
-    /// place holds a block already, and [`BlockError::TableFull`].
+    /// [`BlockError::Gone`] if the store has another incarnation, [`BlockError::Taken`] if there is
+    /// already a block at the location, and [`BlockError::TableFull`].
     pub fn reserve(
         &mut self,
         location: BlockLocation,
--- a/crates/wisteriahitch-core/src/tier/block_table/adopting.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table/adopting.rs
@@ -1,4 +1,4 @@
-//! Taking over blocks that their store says are readable.
+//! Adding blocks that their store reports as readable.
 
 use wisteriahitch_types::{BlockState, ByteCount, Tier, TimeUs};
 
@@ -6,12 +6,14 @@
 use crate::tier::{Block, BlockError, BlockEvent, BlockHandle, BlockIdentity, BlockLocation};
 
 impl BlockTable {
-    /// Adds a block that its store says is readable, in place of any older generation.
+    /// Adds a block that its store reports as readable, and replaces any older generation.
     ///
     /// # Errors
     ///
-    /// As [`BlockTable::reserve`]; also [`BlockError::Gone`] for a generation that is older than
-    /// the known one, and [`BlockError::State`] while the known one drains.
+    /// The errors of [`BlockTable::reserve`] except [`BlockError::Taken`]; [`BlockError::Gone`]
+    /// also for a generation older than the known one, [`BlockError::Foreign`] and
+    /// [`BlockError::Corrupt`] if weight version, length or checksum differ from the known ones,
+    /// and [`BlockError::State`] while the known block drains.
     pub fn adopt(
         &mut self,
         location: BlockLocation,
@@ -29,7 +31,7 @@
             return Err(BlockError::Gone);
         }
         if known_generation.is_some_and(|known| known < identity.generation) {
-            // The store has given the place to new content, so the old generation is gone there.
+            // The store has reused the location, so it no longer holds the old generation.
             self.invalidate(&location);
         }
         let handle = if self.blocks.contains_key(&location) {
--- a/crates/wisteriahitch-core/src/tier/block_table/lookup.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table/lookup.rs
@@ -1,4 +1,4 @@
-//! What is known of blocks.
+//! Queries on the block table.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 use crate::tier::{Block, BlockHandle, BlockLocation};
 
 impl BlockTable {
-    /// Returns the block at `place`.
+    /// Returns the block at `location`.
     pub fn get(&self, location: &BlockLocation) -> Option<&Block> {
         self.blocks.get(location)
     }
 
-    /// Returns the present generation at `place`.
+    /// Returns a handle of the current generation at `location`.
     pub fn handle(&self, location: &BlockLocation) -> Option<BlockHandle> {
         self.blocks.get(location).map(|block| BlockHandle {
             location: location.clone(),
@@ -27,17 +27,17 @@
         self.blocks.iter()
     }
 
-    /// Returns how many blocks are known.
+    /// Returns the number of known blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Returns whether no block is known.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Returns the bytes that the known blocks of a workspace take.
+    /// Returns the total length of a workspace's known blocks.
     pub fn workspace_bytes(&self, workspace: &WorkspaceId) -> ByteCount {
         self.workspace_bytes
             .get(workspace)
@@ -45,7 +45,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the bytes that known blocks take, by workspace.
+    /// Returns the total length of the known blocks by workspace.
     pub fn bytes_by_workspace(&self) -> &BTreeMap<WorkspaceId, ByteCount> {
         &self.workspace_bytes
     }
--- a/crates/wisteriahitch-core/src/tier/block_table/steps.rs
+++ b/crates/wisteriahitch-core/src/tier/block_table/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of one block's life, each checked against the handle that it was given for.
+//! State changes of one block, each checked against the handle that it is called with.
 
 use wisteriahitch_types::{BlockState, ByteCount, Tier, TimeUs};
 
@@ -6,7 +6,7 @@
 use crate::tier::{Block, BlockError, BlockEvent, BlockHandle, BlockLocation, Reader};
 
 impl BlockTable {
-    /// Notes that content starts to arrive.
+    /// Records that the writer starts to send content.
     ///
     /// # Errors
     ///
@@ -15,11 +15,11 @@
         self.apply(handle, BlockEvent::Write)
     }
 
-    /// Fixes length and checksum.
+    /// Records the final length and checksum.
     ///
     /// # Errors
     ///
-    /// [`BlockError::Corrupt`] if the length isn't the reserved one, [`BlockError::Gone`] or
+    /// [`BlockError::Corrupt`] if the length differs from the reserved one, [`BlockError::Gone`] or
     /// [`BlockError::State`].
     pub fn seal(
         &mut self,
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Lets readers in.
+    /// Makes the block readable.
     ///
     /// # Errors
     ///
@@ -44,12 +44,12 @@
         self.apply(handle, BlockEvent::Publish)
     }
 
-    /// Gives `reader` a right to the block's present generation.
+    /// Pins the current generation of a block for `reader`.
     ///
     /// # Errors
     ///
-    /// [`BlockError::Foreign`] for another version or workspace, [`BlockError::Gone`] or
-    /// [`BlockError::State`].
+    /// [`BlockError::Foreign`] if the block has another weight version or workspace,
+    /// [`BlockError::Gone`] or [`BlockError::State`].
     pub fn pin(
         &mut self,
         location: &BlockLocation,
@@ -68,16 +68,16 @@
         Ok(handle)
     }
 
-    /// Gives a reader's right back; that of a block that ended meanwhile is gone already.
+    /// Releases a reader's pin. A block that was removed meanwhile has no pins left to release.
     ///
     /// # Errors
     ///
-    /// [`BlockError::Gone`], or [`BlockError::State`] if nobody holds the block.
+    /// [`BlockError::Gone`], or [`BlockError::State`] if the block has no pins.
     pub fn unpin(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
         self.apply(handle, BlockEvent::Unpin)
     }
 
-    /// Returns whether a pinned block may still be read.
+    /// Returns whether the pinned generation still exists and may be read.
     pub fn is_pin_valid(&self, handle: &BlockHandle) -> bool {
         self.get(&handle.location).is_some_and(|block| {
             is_same_generation(block, handle)
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Lets no new reader in.
+    /// Refuses further readers; those with a pin may finish.
     ///
     /// # Errors
     ///
@@ -95,19 +95,18 @@
         self.apply(handle, BlockEvent::Drain)
     }
 
-    /// Gives the room back.
+    /// Frees the block and removes it from the table.
     ///
     /// # Errors
     ///
-    /// [`BlockError::State`] while the block is readable or a reader holds it, and
-    /// [`BlockError::Gone`].
+    /// [`BlockError::State`] while the block is readable or has pins, and [`BlockError::Gone`].
     pub fn free(&mut self, handle: &BlockHandle) -> Result<(), BlockError> {
         self.apply(handle, BlockEvent::Free)?;
         self.remove_if_freed(&handle.location);
         Ok(())
     }
 
-    /// Notes that a block lies in another tier.
+    /// Records that the store has moved the block to another tier.
     ///
     /// # Errors
     ///
@@ -117,9 +116,9 @@
         Ok(())
     }
 
-    /// Ends a block's life here, because its store says that it is gone or it proved corrupt.
+    /// Removes a block that its store no longer holds or that proved corrupt.
     ///
-    /// Readers that hold it fail their next check.
+    /// Readers that have pinned it fail their next check.
     pub fn invalidate(&mut self, location: &BlockLocation) -> Option<BlockHandle> {
         let handle = self.handle(location)?;
         if let Some(block) = self.blocks.get_mut(location) {
@@ -129,8 +128,8 @@
         Some(handle)
     }
 
-    /// Notes that a call for a block got no answer: it isn't planned until its store names it
-    /// again, or until the time `until`.
+    /// Excludes a block from imports until its store reports it again or until the time `until`,
+    /// since a call for it got no answer.
     pub fn mark_suspect(&mut self, location: &BlockLocation, until: TimeUs) {
         if let Some(block) = self.blocks.get_mut(location) {
             block.set_suspect_until(until);
--- a/crates/wisteriahitch-core/src/tier/capacity_manager.rs
+++ b/crates/wisteriahitch-core/src/tier/capacity_manager.rs
@@ -1,4 +1,5 @@
-//! Room in the tiers: the least valuable blocks go from memory to disk and from disk away.
+//! Frees space in the tiers: moves the lowest-ranked blocks from memory to disk, and frees those on
+//! disk.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,26 +9,26 @@
 use super::context::Context;
 use super::{BlockHandle, BlockLocation, TierCommand, TransferFailure, TransferId, UseTable};
 
-/// Part of a tier that is kept free, so that a save seldom meets a full store.
+/// Fraction of a tier's capacity to keep free, so that a save rarely finds the store full.
 const MIN_FREE_FRACTION: f64 = 0.1;
 
-/// Bounds the moves under way at one store.
+/// Maximum number of concurrent moves at one store.
 const MAX_CONCURRENT_MOVES: usize = 4;
 
-/// Bounds the blocks that are freed at one store in one tick.
+/// Maximum number of blocks considered for eviction or demotion per store, tier and tick.
 const MAX_CANDIDATES: usize = 16;
 
-/// Longest wait for the answer to a move.
+/// Time after which an unanswered move counts as failed.
 const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Counts what was done for room.
+/// Counts of demotions and evictions.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct CapacityCounts {
     /// Blocks moved from memory to disk.
     pub demoted: u64,
-    /// Blocks freed.
+    /// Blocks evicted from their store.
     pub freed: u64,
-    /// Moves that failed.
+    /// Moves that failed or weren't answered.
     pub failed: u64,
 }
 
@@ -38,25 +39,25 @@
     call_sent_at_us: TimeUs,
 }
 
-/// Holds the configured room of one store.
+/// The configured capacity of one store.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct StoreCapacity {
     pub(crate) memory_bytes: ByteCount,
     pub(crate) disk_bytes: ByteCount,
 }
 
-/// Keeps a part of each tier free.
+/// Keeps a fraction of each tier free at the stores that this daemon manages.
 #[derive(Debug, Default)]
 pub struct CapacityManager {
     capacities: BTreeMap<StoreId, StoreCapacity>,
-    /// Stores that this daemon keeps room at; `None` stands for all of them.
+    /// Stores whose capacity this daemon manages; `None` means all of them.
     managed_stores: Option<BTreeSet<StoreId>>,
     demotions: BTreeMap<TransferId, Demotion>,
     counts: CapacityCounts,
 }
 
 impl CapacityManager {
-    /// Returns what was done for room.
+    /// Returns the counts of demotions and evictions.
     pub fn counts(&self) -> CapacityCounts {
         self.counts
     }
@@ -65,10 +66,10 @@
         self.capacities = capacities;
     }
 
-    /// Takes the stores that this daemon keeps room at.
+    /// Sets the stores whose capacity this daemon manages.
     ///
-    /// If every daemon did so for every store, each would free a tenth, and the store would be
-    /// emptied, seen as imports that find nothing.
+    /// If every daemon managed every store, each would free a tenth of it, the store would end up
+    /// empty, and imports would find nothing.
     pub(crate) fn set_managed_stores(&mut self, managed_stores: BTreeSet<StoreId>) {
         self.managed_stores = Some(managed_stores);
     }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Takes the answer to a move; `false` if the move isn't one of these.
+    /// Handles the answer to a move; returns `false` if the move was not started here.
     pub(crate) fn moved(
         &mut self,
         id: TransferId,
@@ -216,13 +217,13 @@
     }
 
     fn expire_unanswered(&mut self, cx: &mut Context<'_>) {
-        let late: Vec<TransferId> = self
+        let timed_out: Vec<TransferId> = self
             .demotions
             .iter()
             .filter(|(_, demotion)| cx.now.since(demotion.call_sent_at_us) >= CALL_TIMEOUT_US)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in timed_out {
             self.moved(id, Err(TransferFailure::Lost), cx);
         }
     }
@@ -241,7 +242,7 @@
         .map_or(ByteCount::MAX, |state| state.free_bytes(tier))
 }
 
-/// Returns the least valuable blocks of a tier that nobody reads.
+/// Returns the lowest-ranked blocks of a tier that no reader of this daemon has pinned.
 fn lowest_unpinned(store: &StoreId, tier: Tier, cx: &Context<'_>) -> Vec<BlockLocation> {
     cx.ranks
         .lowest_ranked(store, tier)
--- a/crates/wisteriahitch-core/src/tier/chain.rs
+++ b/crates/wisteriahitch-core/src/tier/chain.rs
@@ -1,4 +1,4 @@
-//! The chain of blocks that a finished request used.
+//! A finished request and the chain of blocks that it used.
 
 use serde::Serialize;
 use wisteriahitch_config::SavePolicy;
@@ -6,30 +6,30 @@
     BlockKey, ByteCount, EndpointId, TokenCount, TokenRate, WeightVersion, WorkspaceId,
 };
 
-/// Holds one whole piece of a prompt.
+/// The block of one full piece of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ChainBlock {
-    /// Block.
+    /// Key of the block.
     pub key: BlockKey,
-    /// Tokens in it.
+    /// Number of tokens in the block.
     pub tokens: TokenCount,
-    /// Length.
+    /// Length of the block.
     pub bytes: ByteCount,
 }
 
-/// Holds what the core needs to know of a request that has finished.
+/// What the tier module records of a finished request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FinishedRequest {
-    /// Workspace that it belongs to.
+    /// Workspace that the request belongs to.
     pub workspace: WorkspaceId,
-    /// Weight version that it ran with.
+    /// Weight version that the request ran with.
     pub weight_version: WeightVersion,
-    /// Endpoint that it ran on and that now holds its blocks.
+    /// Endpoint that the request ran on and that now holds its blocks.
     pub endpoint: EndpointId,
-    /// What the rule that decided says of saving.
+    /// Save policy of the routing rule that matched the request.
     pub policy: SavePolicy,
-    /// Speed at which the endpoint computes prompts.
+    /// Rate at which the endpoint computes prompts.
     pub prefill_tokens_per_s: TokenRate,
-    /// Whole pieces of its prompt, from the front.
+    /// Blocks of the full pieces of the prompt, in order from the start.
     pub chain: Vec<ChainBlock>,
 }
--- a/crates/wisteriahitch-core/src/tier/command.rs
+++ b/crates/wisteriahitch-core/src/tier/command.rs
@@ -1,4 +1,4 @@
-//! What the tier core asks of the shell.
+//! Commands from the tier module to its caller.
 
 use serde::Serialize;
 use wisteriahitch_types::{
@@ -8,117 +8,117 @@
 
 use super::TransferId;
 
-/// Asks the shell for one call, or tells it that a request goes on.
+/// A call to a store or an endpoint that the caller must make, or the release of a request.
 ///
-/// Every command with a `transfer` is answered by the [`TierEvent`](super::TierEvent) that is
-/// named with it; an answer that comes late or twice is dropped.
+/// Every command with a `transfer` is answered by the [`TierEvent`](super::TierEvent) that it
+/// names. Late and repeated answers are ignored.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TierCommand {
     /// Pin a block at its store; answered by `Pinned`.
     Pin {
-        /// Transfer it is for.
+        /// Transfer that the answer must name.
         transfer: TransferId,
         /// Store that holds the block.
         store: StoreId,
-        /// Incarnation that the block is known under.
+        /// Store incarnation under which the block is known.
         incarnation: StoreIncarnation,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
     },
-    /// Let the endpoint read a pinned block; answered by `Imported`.
+    /// Have the endpoint read a pinned block from its store; answered by `Imported`.
     Import {
-        /// Transfer it is for.
+        /// Transfer that the answer must name.
         transfer: TransferId,
-        /// Endpoint that reads.
+        /// Endpoint that reads the block.
         endpoint: EndpointId,
         /// Store that holds the block.
         store: StoreId,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Generation that is pinned.
+        /// Pinned generation.
         generation: Generation,
-        /// Name of the pin.
+        /// Pin name that the store gave out.
         pin: String,
         /// Weight version that the block was computed with.
         weight_version: WeightVersion,
-        /// Length that the engine checks.
+        /// Expected length, which the engine checks.
         bytes: ByteCount,
-        /// Checksum that the engine checks.
+        /// Expected checksum, which the engine checks.
         crc32c: u32,
     },
-    /// Give up a pin; needs no answer.
+    /// Release a pin; not answered.
     Unpin {
         /// Store that holds the block.
         store: StoreId,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Name of the pin.
+        /// Pin name that the store gave out.
         pin: String,
     },
-    /// The request goes on at its endpoint: what wasn't imported is computed there.
+    /// Let the request run at its endpoint, which computes whatever wasn't imported.
     Proceed {
-        /// Request.
+        /// Request that may run.
         request: RequestId,
-        /// Steps of its plan that the endpoint now holds, from the front.
+        /// Number of steps of its plan, from the front, whose blocks the endpoint now holds.
         imported_steps: usize,
-        /// Steps that it recomputes.
+        /// Number of steps that the endpoint recomputes.
         recomputed_steps: usize,
     },
-    /// Take room for a block at a store; answered by `Reserved`.
+    /// Reserve space for a block at a store; answered by `Reserved`.
     Reserve {
-        /// Transfer it is for.
+        /// Transfer that the answer must name.
         transfer: TransferId,
-        /// Store.
+        /// Store VM that is called.
         store: StoreId,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Tokens in the block.
+        /// Number of tokens in the block.
         tokens: TokenCount,
         /// Length of the block.
         bytes: ByteCount,
-        /// Weight version that it was computed with.
+        /// Weight version that the block was computed with.
         weight_version: WeightVersion,
-        /// Tier to write to.
+        /// Tier in which the space is reserved.
         tier: Tier,
-        /// Workspace that it counts against.
+        /// Workspace whose quota the block counts against.
         workspace: WorkspaceId,
     },
-    /// Let the endpoint write a block into its room; answered by `Exported`.
+    /// Have the endpoint write a block into its reserved space; answered by `Exported`.
     Export {
-        /// Transfer it is for.
+        /// Transfer that the answer must name.
         transfer: TransferId,
-        /// Endpoint that writes.
+        /// Endpoint that writes the block.
         endpoint: EndpointId,
-        /// Store.
+        /// Store VM that is called.
         store: StoreId,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Generation of the room.
+        /// Generation under which the space is reserved.
         generation: Generation,
         /// Weight version that the block was computed with.
         weight_version: WeightVersion,
     },
     /// Move a block to another tier of its store; answered by `Moved`.
     Move {
-        /// Transfer it is for.
+        /// Transfer that the answer must name.
         transfer: TransferId,
-        /// Store.
+        /// Store VM that is called.
         store: StoreId,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Generation.
+        /// Generation of the block.
         generation: Generation,
         /// Tier to move to.
         tier: Tier,
     },
-    /// Give back a block's room; needs no answer, since the store drains it by itself.
+    /// Free a block; not answered, since the store waits for its readers by itself.
     Free {
-        /// Store.
+        /// Store VM that is called.
         store: StoreId,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Generation.
+        /// Generation of the block.
         generation: Generation,
     },
 }
--- a/crates/wisteriahitch-core/src/tier/context.rs
+++ b/crates/wisteriahitch-core/src/tier/context.rs
@@ -1,4 +1,4 @@
-//! What the planners share while they handle one event.
+//! The state that the planners share while they handle one event.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +11,10 @@
     TransferFailure, TransferId,
 };
 
-/// How long a block is left alone after a call for it got no answer.
+/// How long a block isn't imported after a call for it got no answer.
 const SUSPECT_PERIOD_US: DurationUs = DurationUs::from_ms(10_000);
 
-/// Lends the tables to a planner, and gathers its commands.
+/// Gives a planner access to the tables and collects its commands.
 #[derive(Debug)]
 pub(crate) struct Context<'a> {
     pub(crate) blocks: &'a mut BlockTable,
@@ -27,7 +27,7 @@
 }
 
 impl Context<'_> {
-    /// Draws a transfer id that was never used before.
+    /// Returns a transfer id that was never used before.
     pub(crate) fn new_transfer_id(&mut self) -> TransferId {
         *self.last_transfer = self.last_transfer.next();
         *self.last_transfer
@@ -37,13 +37,13 @@
         self.commands.push(command);
     }
 
-    /// Leaves a block alone for a while, since a call for it got no answer.
+    /// Excludes a block from imports for [`SUSPECT_PERIOD_US`], since a call for it got no answer.
     pub(crate) fn mark_suspect(&mut self, location: &BlockLocation) {
         self.blocks
             .mark_suspect(location, self.now + SUSPECT_PERIOD_US);
     }
 
-    /// Frees a block for room: no new reader comes in, and its store waits for the present ones.
+    /// Evicts a block: no new reader may pin it, and its store frees it after the last reader.
     pub(crate) fn evict(&mut self, location: &BlockLocation) {
         self.ranks.record_eviction(location);
         let Some(handle) = self.blocks.handle(location) else {
@@ -59,7 +59,7 @@
         if self.blocks.drain(&handle).is_err() {
             return;
         }
-        // With readers of this daemon the block goes when the last of them unpins.
+        // Fails while readers of this daemon hold pins; the last unpin frees the block then.
         let _ = self.blocks.free(&handle);
         self.stores.release_space(&location.store, tier, bytes);
         self.send(TierCommand::Free {
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Notes what a failed move to `tier` says of the block and the tier.
+    /// Updates the block or the tier after a move to `tier` failed.
     pub(crate) fn handle_failed_move(
         &mut self,
         handle: &BlockHandle,
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Forgets the readable blocks that their store no longer lists.
+    /// Removes the readable blocks that their store no longer lists.
     ///
-    /// Another daemon may have freed them. Were they kept, they would never be saved again, seen
-    /// as chains that are recomputed at each return. One that became readable after the listing
-    /// was taken is forgotten too, and known again by the next.
+    /// Another daemon may have freed them. Unless they are removed they are never saved again, and
+    /// their chains are recomputed at each return. A block that became readable after the listing
+    /// was taken is removed too, and added again by the next listing.
     pub(crate) fn prune_unlisted(
         &mut self,
         store: &StoreId,
@@ -102,25 +102,25 @@
         if self.blocks.incarnation(store) != Some(incarnation) {
             return;
         }
-        let gone: Vec<BlockLocation> = self
+        let unlisted: Vec<BlockLocation> = self
             .blocks
             .blocks_at(store)
             .filter(|(location, _)| !keys.contains(&location.key))
             .filter(|(_, block)| block.state() == BlockState::Readable && block.pins() == 0)
             .map(|(location, _)| location.clone())
             .collect();
-        for location in gone {
+        for location in unlisted {
             self.blocks.invalidate(&location);
             self.ranks.remove_block(&location);
         }
     }
 
-    /// Gives up a store's pin, and the table's if there is one.
+    /// Releases a store's pin, and the pin in the block table if there is one.
     pub(crate) fn unpin(&mut self, store: &StoreId, acquired: Option<&BlockHandle>, pin: PinName) {
         if let Some(handle) = acquired {
-            // The block may have ended meanwhile; then its pins ended with it.
+            // Fails if the block was removed meanwhile; its pins went with it.
             let _ = self.blocks.unpin(handle);
-            // A draining block goes with its last reader; any other one refuses this.
+            // Frees a draining block after its last reader; in any other state this is refused.
             let _ = self.blocks.free(handle);
         }
         self.send(TierCommand::Unpin {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Names a pin at a store.
+/// Identifies a pin at a store.
 #[derive(Clone, Debug)]
 pub(crate) struct PinName {
     pub(crate) key: BlockKey,
--- a/crates/wisteriahitch-core/src/tier/event.rs
+++ b/crates/wisteriahitch-core/src/tier/event.rs
@@ -1,4 +1,4 @@
-//! What the shell tells the tier core.
+//! Events from the caller to the tier module: answers to commands and reports about stores.
 
 use std::collections::BTreeSet;
 
@@ -10,26 +10,26 @@
 
 use super::TransferId;
 
-/// Says why a call for a transfer failed.
+/// Why a call for a transfer failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransferFailure {
-    /// The block, generation or pin is not there any more.
+    /// The block, its generation or the pin no longer exists.
     Gone,
-    /// Length, checksum or key is wrong.
+    /// The length, checksum or key doesn't match.
     Corrupt,
     /// The endpoint runs another weight version.
     OtherVersion,
-    /// The store has no room.
+    /// The store has no free space.
     Full,
-    /// Somebody else writes the block now.
+    /// Another daemon's save is writing the block.
     InProgress,
     /// The store or endpoint can't be reached, or no answer came.
     Lost,
 }
 
 impl TransferFailure {
-    /// Returns the numbered code.
+    /// Returns the error code that callers see.
     pub const fn code(self) -> Code {
         match self {
             TransferFailure::Gone | TransferFailure::InProgress => Code::BlockGone,
@@ -40,12 +40,12 @@
     }
 }
 
-/// Holds a store's word that a block is pinned.
+/// A store's confirmation that a block is pinned.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PinGrant {
-    /// Name of the pin.
+    /// Pin name, used for importing and unpinning.
     pub pin: String,
-    /// Generation that is pinned.
+    /// Pinned generation.
     pub generation: Generation,
     /// Length of the block.
     pub bytes: ByteCount,
@@ -53,122 +53,122 @@
     pub crc32c: u32,
     /// Weight version that the block was computed with.
     pub weight_version: WeightVersion,
-    /// Tier that the block lies in.
+    /// Tier that stores the block.
     pub tier: Tier,
 }
 
-/// Holds an engine's word on what it wrote to a store.
+/// An engine's confirmation of what it wrote to a store.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ExportReceipt {
-    /// Length that was written.
+    /// Number of bytes written.
     pub bytes: ByteCount,
-    /// Checksum of what was written.
+    /// Checksum of the bytes written.
     pub crc32c: u32,
 }
 
-/// Tells the core of an answer or of news from a store VM.
+/// The answer to a command, or a report about a store VM or an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TierEvent {
-    /// A store VM answered with its identity; another incarnation is another, empty store.
+    /// A store VM reported its state. A changed incarnation means that the store restarted empty.
     StoreSeen {
-        /// Store.
+        /// Store VM.
         store: StoreId,
-        /// Incarnation.
+        /// Current incarnation of the store.
         incarnation: StoreIncarnation,
-        /// Room left in memory.
+        /// Free space in memory.
         memory_free_bytes: ByteCount,
-        /// Room left on disk.
+        /// Free space on disk.
         disk_free_bytes: ByteCount,
-        /// Bytes of every daemon that wait for the link.
+        /// Bytes queued for the store's link by all daemons together.
         queued_bytes: ByteCount,
-        /// Whether the VM will go away soon.
+        /// Whether the VM is about to be removed.
         is_leaving: bool,
     },
-    /// A store VM can't be reached; its blocks aren't used until it is seen again.
+    /// A store VM can't be reached; its blocks aren't used until the next `StoreSeen`.
     StoreLost {
-        /// Store.
+        /// Store VM.
         store: StoreId,
     },
-    /// A store VM lists a block.
+    /// A store VM lists one of its blocks.
     BlockListed {
-        /// Store.
+        /// Store VM.
         store: StoreId,
-        /// Incarnation that lists it.
+        /// Store incarnation that listed the block.
         incarnation: StoreIncarnation,
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
-        /// Generation.
+        /// Generation of the block.
         generation: Generation,
-        /// Length.
+        /// Length of the block.
         bytes: ByteCount,
-        /// Tokens.
+        /// Number of tokens in the block.
         tokens: TokenCount,
-        /// Weight version.
+        /// Weight version that the block was computed with.
         weight_version: WeightVersion,
-        /// Tier.
+        /// Tier that stores the block.
         tier: Tier,
-        /// Step of its life.
+        /// State of the block at the store; only readable blocks are adopted.
         state: BlockState,
     },
-    /// A store VM has listed all of its readable blocks; others are gone there.
+    /// A store VM has listed all of its readable blocks; it no longer holds any other.
     StoreListed {
-        /// Store.
+        /// Store VM.
         store: StoreId,
-        /// Incarnation that lists them.
+        /// Store incarnation that listed the blocks.
         incarnation: StoreIncarnation,
-        /// Blocks.
+        /// Keys of all readable blocks.
         keys: BTreeSet<BlockKey>,
     },
     /// Answers `Pin`.
     Pinned {
-        /// Transfer.
+        /// Transfer of the command.
         transfer: TransferId,
-        /// Pin, or why there is none.
+        /// The pin, or why the store refused it.
         result: Result<PinGrant, TransferFailure>,
     },
     /// Answers `Import`.
     Imported {
-        /// Transfer.
+        /// Transfer of the command.
         transfer: TransferId,
-        /// Whether the endpoint now holds the block.
+        /// `Ok` if the endpoint now holds the block.
         result: Result<(), TransferFailure>,
     },
     /// Answers `Reserve`.
     Reserved {
-        /// Transfer.
+        /// Transfer of the command.
         transfer: TransferId,
-        /// Room, or why there is none.
+        /// The reservation, or why the store refused it.
         result: Result<ReserveOutcome, TransferFailure>,
     },
     /// Answers `Export`.
     Exported {
-        /// Transfer.
+        /// Transfer of the command.
         transfer: TransferId,
-        /// What was written, or why nothing was.
+        /// What was written, or why the export failed.
         result: Result<ExportReceipt, TransferFailure>,
     },
     /// Answers `Move`.
     Moved {
-        /// Transfer.
+        /// Transfer of the command.
         transfer: TransferId,
-        /// Whether the block lies in the new tier.
+        /// `Ok` if the block is now in the new tier.
         result: Result<(), TransferFailure>,
     },
-    /// An endpoint evicted a block, which teaches how long blocks stay resident.
+    /// An endpoint evicted a block; this is a sample of how long blocks stay resident there.
     EndpointEvicted {
-        /// Block.
+        /// Key of the block.
         key: BlockKey,
     },
 }
 
-/// Holds a store's answer to a reservation that didn't fail.
+/// A store's answer to a reservation that succeeded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReserveOutcome {
-    /// Room was taken under this generation.
+    /// Space was reserved under this generation.
     #[serde(rename = "room")]
     Granted(Generation),
-    /// The block is there already and readable.
+    /// The store already holds the block, and it is readable.
     AlreadyReadable(Generation),
 }
--- a/crates/wisteriahitch-core/src/tier/eviction_index.rs
+++ b/crates/wisteriahitch-core/src/tier/eviction_index.rs
@@ -1,4 +1,4 @@
-//! Which block of a store's tier is worth least.
+//! The eviction order of the blocks in each tier of a store.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,12 +8,13 @@
 
 use super::BlockLocation;
 
-/// Ranks a block: its value when last used, above the ranks of the blocks that had to go before.
+/// The eviction rank of a block: its value when it was last used, plus the store's clock at that
+/// time.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub(crate) struct Rank(u64);
 
 impl Rank {
-    /// Keeps the value as its bits, which order like the value as long as it isn't negative.
+    /// Stores the bits of the value, which sort like the value itself as long as it isn't negative.
     fn new(value: f64) -> Self {
         Self(value.max(0.0).to_bits())
     }
@@ -32,17 +33,18 @@
 
 type RankOrder = BTreeSet<(Rank, Reverse<u32>, BlockKey)>;
 
-/// Orders the blocks of each tier by rank, deeper ones of equal rank first.
+/// The blocks of each tier by ascending rank; of two with equal rank, the deeper one in its chain
+/// comes first.
 ///
-/// A use ranks the whole chain, and a rank never falls, so a block always ranks at least as high
-/// as those behind it in its chain: chains are evicted from their end, and what is left can be
-/// read (`docs/design/blocks.md`).
+/// A use ranks the whole chain, and a rank never falls, so a block always ranks at least as high as
+/// the blocks behind it in its chain. Chains are therefore evicted from their end, and what is left
+/// can still be read (`docs/design/blocks.md`).
 #[derive(Debug, Default)]
 pub struct EvictionIndex {
     entries: BTreeMap<BlockLocation, Entry>,
     orders: BTreeMap<(StoreId, Tier), RankOrder>,
-    /// Highest rank of a block that was freed or left memory for room, by store: an unused block
-    /// ages against it.
+    /// Highest rank of a block that was evicted or demoted, by store. A new rank adds the block's
+    /// value to this clock, so unused blocks sink in the order.
     clocks: BTreeMap<StoreId, f64>,
 }
 
@@ -51,7 +53,7 @@
         self.entries.len()
     }
 
-    /// Ranks a block that was used or saved now.
+    /// Ranks a block that has just been used or saved.
     pub(crate) fn touch(&mut self, location: &BlockLocation, tier: Tier, value: f64, depth: u32) {
         let clock = self.clocks.get(&location.store).copied().unwrap_or(0.0);
         let known = self.remove(location);
@@ -64,10 +66,10 @@
         self.insert(location.clone(), entry);
     }
 
-    /// Ranks a block that a store lists, if nothing is known of it.
+    /// Adds a block that a store lists, with the lowest rank if the block is unknown.
     ///
-    /// A listing knows neither depth nor use; were it to rank known blocks, the front of a chain
-    /// would go before its end, seen as imports that stop at the first block.
+    /// A listing contains neither depth nor use. If it changed the ranks of known blocks, the front
+    /// of a chain could be evicted before its end, and imports would stop at the first block.
     pub(crate) fn record_listed(&mut self, location: &BlockLocation, tier: Tier) {
         match self.entries.get(location).map(|entry| entry.tier) {
             None => self.touch(location, tier, 0.0, 0),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Returns whether a block is worth less than one of `value` that is saved now.
+    /// Returns whether a block ranks below one of `value` that is saved now.
     pub(crate) fn ranks_below(&self, location: &BlockLocation, value: f64) -> bool {
         let clock = self.clocks.get(&location.store).copied().unwrap_or(0.0);
         self.entries
@@ -84,17 +86,19 @@
             .is_some_and(|entry| entry.rank < Rank::new(clock + value))
     }
 
-    /// Notes that a block lies in another tier.
+    /// Records that a block is in another tier; its rank stays.
     pub(crate) fn change_ranked_tier(&mut self, location: &BlockLocation, tier: Tier) {
         if let Some(entry) = self.remove(location) {
             self.insert(location.clone(), Entry { tier, ..entry });
         }
     }
 
-    /// Notes that a block left memory for room, and ages all others against it.
+    /// Records that a block was moved from memory to disk to free space, and advances the clock to
+    /// its rank.
     ///
-    /// As long as the disk has room nothing is freed. Were only freed blocks counted, a block that
-    /// was once worth much would stay in memory for ever, and all later ones would go to disk.
+    /// As long as the disk has free space, nothing is evicted. If only evictions advanced the
+    /// clock, a block that was once valuable would stay in memory forever, and all later ones would
+    /// go to disk.
     pub(crate) fn record_demotion(&mut self, location: &BlockLocation) {
         self.change_ranked_tier(location, Tier::Disk);
         if let Some(entry) = self.entries.get(location).copied() {
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Forgets a block that was freed for room, and ages all others against it.
+    /// Removes a block that was evicted, and advances the clock to its rank.
     pub(crate) fn record_eviction(&mut self, location: &BlockLocation) {
         if let Some(entry) = self.remove(location) {
             self.advance_clock(location, entry.rank);
@@ -124,18 +128,20 @@
         self.clocks.remove(store);
     }
 
-    /// Forgets the blocks that `is_known` denies.
+    /// Removes the blocks for which `is_known` returns `false`.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&BlockLocation) -> bool) {
-        let gone: Vec<BlockLocation> = self
+        let unknown: Vec<BlockLocation> = self
             .entries
             .keys()
             .filter(|location| !is_known(location))
             .cloned()
             .collect();
-        gone.iter().for_each(|location| self.remove_block(location));
+        unknown
+            .iter()
+            .for_each(|location| self.remove_block(location));
     }
 
-    /// Returns the blocks of a tier, the one that is worth least first.
+    /// Returns the blocks of a tier by ascending rank.
     pub(crate) fn lowest_ranked(
         &self,
         store: &StoreId,
--- a/crates/wisteriahitch-core/src/tier/import_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner.rs
@@ -1,4 +1,4 @@
-//! Imports that requests wait for, from the pin to the engine's word that it holds the block.
+//! Importing blocks for waiting requests, from the pin to the endpoint's confirmation.
 
 mod requests;
 
@@ -14,13 +14,14 @@
 use super::import_transfer::{ImportPhase, ImportTransfer};
 use super::{ImportCounts, PinGrant, TierCommand, TransferClass, TransferFailure, TransferId};
 
-/// Longest wait for the answer to one call; afterwards the answer counts as lost.
+/// Time after which an unanswered call counts as lost.
 const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Runs the imports of requests, and lets each request go on as soon as it can.
+/// Runs the imports of requests, and releases each request as soon as it can proceed.
 ///
-/// No request waits longer than its plan's limit, nor behind the pace of computing: whatever
-/// fails, it goes on and recomputes what is missing (`docs/design/blocks.md`).
+/// No request waits longer than its plan's limit, or falls behind the rate at which the endpoint
+/// would compute the blocks. After any failure the request proceeds and recomputes what is missing
+/// (`docs/design/blocks.md`).
 #[derive(Debug, Default)]
 pub struct ImportPlanner {
     requests: BTreeMap<RequestId, ImportRequest>,
@@ -30,17 +31,17 @@
 }
 
 impl ImportPlanner {
-    /// Returns how imports have ended.
+    /// Returns the counts of imports by result.
     pub fn counts(&self) -> ImportCounts {
         self.counts
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of requests that wait for imports.
     pub fn waiting_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns how many imports are under way.
+    /// Returns the number of imports in progress.
     pub fn transfers(&self) -> usize {
         self.transfers.len()
     }
@@ -59,8 +60,8 @@
         }
         let grant = match result {
             Ok(grant) => grant,
-            // An answer that makes no sense says nothing of the block, which nobody has looked at;
-            // freeing it would cost every later reader the import.
+            // A malformed answer to a pin says nothing about the block itself, which nobody has
+            // read. Freeing the block would make every later reader recompute it.
             Err(TransferFailure::Corrupt) => return self.fail(id, TransferFailure::Lost, cx),
             Err(failure) => return self.fail(id, failure, cx),
         };
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Lets an import cross its link, if its block is still the one that was pinned.
+    /// Starts an import on its link, if the pinned generation still exists.
     pub(crate) fn start(&mut self, id: TransferId, cx: &mut Context<'_>) {
         let Some(transfer) = self.transfers.get_mut(&id) else {
             return;
@@ -104,9 +105,9 @@
             return;
         };
         let acquired = acquired.clone();
-        // The block may have been freed while its reader waited in the link's queue. Importing
-        // it all the same would read whatever lies there now; the store's generation check would
-        // show it as `gone`, only later, with the caller waiting all the while.
+        // The block may have been freed while the import waited in the link's queue. An import
+        // would then read whatever is stored there now. The store's generation check would refuse
+        // it as `gone`, but later, while the caller waits.
         if !cx.blocks.is_pin_valid(&acquired.handle) {
             return self.fail(id, TransferFailure::Gone, cx);
         }
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Ends an import that failed; everyone who waits for it goes on without it.
+    /// Ends a failed import; the requests that wait for it proceed without it.
     fn fail(&mut self, id: TransferId, failure: TransferFailure, cx: &mut Context<'_>) {
         let Some(transfer) = self.remove(id) else {
             return;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Ends every import from a store that died or can't be reached.
+    /// Ends every import from a store that restarted or can't be reached.
     pub(crate) fn store_lost(
         &mut self,
         store: &StoreId,
@@ -210,15 +211,16 @@
         }
     }
 
-    /// Lets requests go on whose imports are slower than computing, and gives up answers that never came.
+    /// Releases requests whose imports are slower than recomputing, and ends imports whose call
+    /// wasn't answered in time.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
-        let late: Vec<RequestId> = self
+        let overdue: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, request)| request.deadline() <= cx.now)
             .map(|(id, _)| id.clone())
             .collect();
-        for request in late {
+        for request in overdue {
             let done = self.requests.get(&request).map(ImportRequest::done_steps);
             self.counts.late += 1;
             self.truncate_plan(&request, done.unwrap_or(0), cx);
--- a/crates/wisteriahitch-core/src/tier/import_planner/requests.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for imports, from their plan to the word that they may go on.
+//! The requests that wait for imports, from their plan to their release.
 
 use wisteriahitch_types::RequestId;
 
@@ -9,14 +9,14 @@
 use crate::tier::import_transfer::{ImportPhase, ImportTransfer};
 use crate::tier::{BlockLocation, ImportPlan, ImportStep, TierCommand, TransferId};
 
-/// Bounds the imports under way; a request beyond it recomputes.
+/// Maximum number of imports in progress; a request beyond it recomputes.
 const MAX_TRANSFERS: usize = 4_096;
 
-/// Bounds the steps of one plan.
+/// Maximum number of steps per plan.
 const MAX_STEPS: usize = 256;
 
 impl ImportPlanner {
-    /// Starts a request's imports; a plan that was under way under the same id is given up.
+    /// Starts a request's imports; an earlier plan with the same request id is cancelled.
     pub(crate) fn plan(&mut self, plan: ImportPlan, cx: &mut Context<'_>) {
         self.cancel(&plan.request, cx);
         let mut request = ImportRequest {
@@ -35,7 +35,7 @@
         self.proceed_if_done(&plan.request, cx);
     }
 
-    /// Returns the transfer that a step waits for, or nothing where it is to be computed.
+    /// Returns the transfer that a step waits for, or `None` if the block is to be recomputed.
     fn join_or_start(
         &mut self,
         plan: &ImportPlan,
@@ -74,7 +74,8 @@
         Some(id)
     }
 
-    /// Cuts a request's plan, and gives up the imports that nobody waits for any more.
+    /// Truncates a request's plan to `len` steps, and drops queued imports that no request waits
+    /// for any more.
     pub(super) fn truncate_plan(&mut self, request: &RequestId, len: usize, cx: &mut Context<'_>) {
         let Some(waiting) = self.requests.get_mut(request) else {
             return;
@@ -111,14 +112,14 @@
         });
     }
 
-    /// Forgets a request whose caller went away; it gets no `Proceed`.
+    /// Drops a request whose caller has disconnected; no `Proceed` follows.
     pub(crate) fn cancel(&mut self, request: &RequestId, cx: &mut Context<'_>) {
         self.truncate_plan(request, 0, cx);
         self.requests.remove(request);
     }
 }
 
-/// Asks the store for a pin, if the block that it is known to hold is worth one.
+/// Requests a pin from the store, unless the block is known to be unusable.
 fn request_pin(
     plan: &ImportPlan,
     step: &ImportStep,
--- a/crates/wisteriahitch-core/src/tier/import_request.rs
+++ b/crates/wisteriahitch-core/src/tier/import_request.rs
@@ -1,4 +1,4 @@
-//! A request that waits for blocks before it is sent to its endpoint.
+//! A request that waits for imports before it is sent to its endpoint.
 
 use serde::Serialize;
 use wisteriahitch_types::{
@@ -7,59 +7,60 @@
 
 use super::{Reader, TransferId};
 
-/// Holds one block that a request wants at its endpoint.
+/// One block to import for a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ImportStep {
-    /// Store to read it from.
+    /// Store to read the block from.
     pub store: StoreId,
-    /// Block.
+    /// Key of the block.
     pub key: BlockKey,
-    /// Tokens in it.
+    /// Number of tokens in the block.
     pub tokens: TokenCount,
-    /// Length.
+    /// Length of the block.
     pub bytes: ByteCount,
 }
 
-/// Holds what the router decided to import for a request.
+/// The imports that the router chose for a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ImportPlan {
-    /// Request.
+    /// Request that waits for the imports.
     pub request: RequestId,
-    /// Workspace and weight version that it was decided for.
+    /// Workspace and weight version for which the request was routed.
     pub reader: Reader,
-    /// Endpoint that it will run on.
+    /// Endpoint that the request will run on.
     pub endpoint: EndpointId,
-    /// Blocks in the order of the chain.
+    /// Blocks in the order of the chain, from its front.
     pub steps: Vec<ImportStep>,
-    /// What it would cost to compute all of them again; the import may take no longer.
+    /// Time that it would take to compute all of the blocks instead; the request waits no longer.
     pub limit_us: DurationUs,
 }
 
-/// Least number of steps by which an import may be behind the pace of computing: two cross a link
-/// at once, and neither is done before both are nearly so.
+/// Minimum number of steps by which an import may be behind computing. Two blocks cross a link at
+/// once, and the first isn't done before both nearly are.
 const MIN_GRACE_STEPS: usize = 2;
 
-/// Part of the steps by which an import may be behind; less gave up imports that caught up again
-/// (`docs/design/links.md`).
+/// Divisor that gives the fraction of the steps by which an import may be behind computing. A
+/// smaller fraction gave up imports that would have caught up (`docs/design/links.md`).
 const GRACE_DIVISOR: usize = 2;
 
-/// Tells how far one step has come.
+/// The progress of one step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum StepState {
-    /// A transfer, its own or one that it joined, is under way.
+    /// Waiting for a transfer, started by this step or joined.
     Waiting(TransferId),
     /// The endpoint holds the block.
     Done,
 }
 
-/// Holds a request whose imports are under way.
+/// A request whose imports are in progress.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ImportRequest {
     pub(crate) started_at_us: TimeUs,
     pub(crate) limit_us: DurationUs,
     pub(crate) planned_steps: usize,
-    /// Steps that still count; all behind a failed one are useless and are cut off.
+    /// Remaining steps. Those from a failed one onwards are removed, since a block can't be used
+    /// without the blocks before it.
     pub(crate) steps: Vec<StepState>,
 }
 
@@ -68,7 +69,7 @@
         self.steps.iter().all(|step| *step == StepState::Done)
     }
 
-    /// Returns how many steps from the front are done without a hole.
+    /// Returns the number of finished steps before the first unfinished one.
     pub(crate) fn done_steps(&self) -> usize {
         self.steps
             .iter()
@@ -76,24 +77,26 @@
             .count()
     }
 
-    /// Returns when the next step must be done for the import to keep ahead of computing.
+    /// Returns the time by which the next step must be finished for the import to keep up with
+    /// computing.
     ///
-    /// A request that waited for the whole limit and then computed after all would take twice as
-    /// long as without any import, seen as first answers that a slowed link doubles. Held to the
-    /// pace of computing, it loses half of that at most.
+    /// If a request waited for the whole limit and then computed after all, its first answer would
+    /// take twice as long as without any import, as seen with a slowed link. By following the rate
+    /// of computing, it loses at most half of that.
     pub(crate) fn deadline(&self) -> TimeUs {
         let steps = self.planned_steps.max(1);
         let grace = MIN_GRACE_STEPS.max(steps.div_ceil(GRACE_DIVISOR));
         let reached = (self.done_steps() + grace) as f64;
-        let part = (reached / steps as f64).min(1.0);
-        self.started_at_us + DurationUs::new((self.limit_us.as_f64() * part) as u64)
+        let fraction = (reached / steps as f64).min(1.0);
+        self.started_at_us + DurationUs::new((self.limit_us.as_f64() * fraction) as u64)
     }
 
-    /// Cuts the plan to `len` steps and returns the transfers that it no longer waits for.
+    /// Truncates the plan to `len` steps and returns the transfers that the request no longer waits
+    /// for.
     pub(crate) fn truncate(&mut self, len: usize) -> Vec<TransferId> {
-        let kept = len.min(self.steps.len());
+        let new_len = len.min(self.steps.len());
         self.steps
-            .drain(kept..)
+            .drain(new_len..)
             .filter_map(|step| match step {
                 StepState::Waiting(transfer) => Some(transfer),
                 StepState::Done => None,
--- a/crates/wisteriahitch-core/src/tier/import_right.rs
+++ b/crates/wisteriahitch-core/src/tier/import_right.rs
@@ -1,4 +1,4 @@
-//! A reader's right to a block: taken with the store's pin, given up after the import.
+//! The pin of an import: acquired with the store's grant and released after the import.
 
 use super::context::{Context, PinName};
 use super::import_transfer::{AcquiredPin, ImportTransfer};
@@ -7,7 +7,7 @@
 };
 use wisteriahitch_types::BlockState;
 
-/// Returns whether a block may be pinned as far as this daemon knows; the store has the last word.
+/// Returns whether requesting a pin can succeed as far as this daemon knows; the store decides.
 pub(crate) fn can_request_pin(location: &BlockLocation, reader: &Reader, cx: &Context<'_>) -> bool {
     let is_usable = cx.blocks.get(location).is_none_or(|block| {
         block.is_for(reader) && !block.is_suspect(cx.now) && block.state() == BlockState::Readable
@@ -15,7 +15,8 @@
     is_usable && cx.stores.is_reachable(&location.store)
 }
 
-/// Takes a right to the block that a store has pinned, if it is the one that was asked for.
+/// Pins the block in the table after its store has pinned it, if the grant is for the expected
+/// block.
 pub(crate) fn acquire_pin(
     transfer: &ImportTransfer,
     grant: &PinGrant,
@@ -36,7 +37,7 @@
     })
 }
 
-/// Returns the failure under which a refused right is counted.
+/// Returns the transfer failure for a pin that the block table refused.
 pub(crate) fn transfer_failure(error: &BlockError) -> TransferFailure {
     match error {
         BlockError::Corrupt | BlockError::Foreign => TransferFailure::Corrupt,
@@ -45,13 +46,13 @@
     }
 }
 
-/// Gives up a pin for which no right was taken.
+/// Releases a store's pin that wasn't acquired in the table.
 pub(crate) fn release_unused_pin(transfer: &ImportTransfer, name: String, cx: &mut Context<'_>) {
     let key = transfer.location.key;
     cx.unpin(&transfer.location.store, None, PinName { key, name });
 }
 
-/// Ends a transfer on its link and gives up its pin.
+/// Removes a transfer from its link and releases its pin.
 pub(crate) fn release(
     transfer: &ImportTransfer,
     id: TransferId,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Ends the block's life here, unless the place holds a newer generation by now.
+/// Removes the block from the table, unless the location holds a newer generation by now.
 pub(crate) fn invalidate_if_current(transfer: &ImportTransfer, cx: &mut Context<'_>) {
     let known = cx.blocks.handle(&transfer.location);
     let is_newer = match (transfer.acquired_pin(), &known) {
@@ -79,7 +80,7 @@
     if is_newer {
         return;
     }
-    // A store that drains a block refuses new readers, while those with a pin may still finish.
+    // A store that drains a block refuses new readers, while readers with a pin may still finish.
     let is_read_by_others = transfer.acquired_pin().is_none()
         && cx
             .blocks
@@ -87,7 +88,7 @@
             .is_some_and(|block| block.pins() > 0);
     match known.filter(|_| is_read_by_others) {
         Some(handle) => {
-            // It may drain already; either way no new reader comes in.
+            // Fails if the block is draining already; either way no new reader is admitted.
             let _ = cx.blocks.drain(&handle);
         }
         None => {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Frees a block whose content or identity proved wrong.
+/// Frees a block whose content or identity doesn't match.
 pub(crate) fn free_corrupt(transfer: &ImportTransfer, cx: &mut Context<'_>) {
     let known = cx.blocks.handle(&transfer.location);
     let handle = transfer
@@ -104,7 +105,7 @@
         .map(|acquired| acquired.handle.clone())
         .or(known);
     invalidate_if_current(transfer, cx);
-    // Under another incarnation the same generation is another block's.
+    // In another incarnation the same generation would be another block.
     let present = cx.blocks.incarnation(&transfer.location.store).cloned();
     if let Some(handle) = handle.filter(|handle| Some(&handle.incarnation) == present.as_ref()) {
         cx.send(TierCommand::Free {
--- a/crates/wisteriahitch-core/src/tier/import_transfer.rs
+++ b/crates/wisteriahitch-core/src/tier/import_transfer.rs
@@ -1,23 +1,23 @@
-//! One block on its way from a store to an endpoint.
+//! The import of one block from a store to an endpoint.
 
 use serde::Serialize;
 use wisteriahitch_types::{ByteCount, EndpointId, RequestId, StoreIncarnation, TimeUs, TokenCount};
 
 use super::{BlockHandle, BlockIdentity, BlockLocation, PinGrant, Reader};
 
-/// Tells how far an import has come.
+/// The progress of an import.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ImportPhase {
-    /// The store was asked for a pin.
+    /// Waiting for the store to pin the block.
     Pinning,
-    /// The pin is held and the link's queue joined.
+    /// Pinned, and waiting in the link's queue.
     Queued(AcquiredPin),
-    /// The endpoint reads.
+    /// Waiting for the endpoint to read the block.
     Running(AcquiredPin),
 }
 
-/// Holds a pin at the store together with the table's right to the block.
+/// A pin at the store together with the matching pin in the block table.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct AcquiredPin {
     pub(crate) handle: BlockHandle,
@@ -25,7 +25,7 @@
     pub(crate) crc32c: u32,
 }
 
-/// Holds an import and the requests that wait for it.
+/// An import and the requests that wait for it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ImportTransfer {
     pub(crate) endpoint: EndpointId,
@@ -36,10 +36,10 @@
     pub(crate) tokens: TokenCount,
     pub(crate) bytes: ByteCount,
     pub(crate) phase: ImportPhase,
-    /// When the call that is under way was made.
+    /// When the pending call was sent.
     #[serde(rename = "asked_at_us")]
     pub(crate) call_sent_at_us: TimeUs,
-    /// Requests that wait, each with the place of the step in its plan.
+    /// Waiting requests, each with the index of the step in its plan.
     pub(crate) waiters: Vec<(RequestId, usize)>,
 }
 
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Returns whether a pin is for the block that was asked for.
+    /// Returns whether a grant is for the expected block.
     ///
-    /// A store that comes back with other content under the key would otherwise feed the engine
-    /// a block of another length or version, seen only as wrong answers.
+    /// If a store restarted with other content under the key, the engine could otherwise read a
+    /// block of another length or version, noticed only by wrong answers.
     pub(crate) fn is_match(&self, grant: &PinGrant) -> bool {
         grant.bytes == self.bytes && grant.weight_version == self.reader.weight_version
     }
--- a/crates/wisteriahitch-core/src/tier/link.rs
+++ b/crates/wisteriahitch-core/src/tier/link.rs
@@ -1,4 +1,4 @@
-//! The limited link to one store VM.
+//! The bandwidth-limited link to one store VM.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,29 @@
 
 use super::{LinkView, RunningTransfer, Transfer, TransferClass, TransferId};
 
-/// Weighs a new sample of the link's rate: a slowed link shows after about five transfers.
+/// Weight of a new sample in the measured rate; a slowed link shows after about five transfers.
 const RATE_SAMPLE_WEIGHT: f64 = 0.25;
 
-/// Weighs a new sample of the time between two imports.
+/// Weight of a new sample in the mean time between two imports.
 const IMPORT_GAP_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Window over which the busy share of the link is taken.
+/// Time constant of the exponential average that gives the busy share.
 const BUSY_TIME_CONSTANT_US: f64 = 30_000_000.0;
 
-/// Bounds the queue; beyond it an import is recomputed and a save left out.
+/// Maximum number of queued transfers; beyond it imports are recomputed and saves skipped.
 const MAX_QUEUED: usize = 1_024;
 
-/// Floor of the measured rate, so that an estimate stays finite.
+/// Minimum measured rate, which keeps estimates finite.
 const MIN_RATE_BYTES_PER_S: f64 = 1.0;
 
-/// Holds the queue, the running transfers and the measured rate of one link.
+/// The queue, the running transfers and the measured rate of one link.
 #[derive(Debug)]
 pub struct Link {
     configured_bytes_per_s: ByteRate,
     measured_bytes_per_s: f64,
     waiting: Vec<Transfer>,
     running: BTreeMap<TransferId, RunningTransfer>,
-    /// Sum over time of the number of running transfers.
+    /// Integral over time of the number of running transfers, in transfer-microseconds.
     running_integral_us: f64,
     updated_at_us: TimeUs,
     last_import_at_us: Option<TimeUs>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes a newly configured rate; the measured one starts from it again.
+    /// Sets the configured rate; a changed rate also resets the measured one.
     pub(crate) fn configure(&mut self, rate: ByteRate) {
         if rate != self.configured_bytes_per_s {
             self.configured_bytes_per_s = rate;
@@ -63,22 +63,22 @@
         }
     }
 
-    /// Returns the rate as measured from finished transfers.
+    /// Returns the rate measured from finished transfers.
     pub fn rate(&self) -> ByteRate {
         ByteRate::new(self.measured_bytes_per_s as u64)
     }
 
-    /// Returns the rate that the configuration gives.
+    /// Returns the configured rate.
     pub fn configured_rate(&self) -> ByteRate {
         self.configured_bytes_per_s
     }
 
-    /// Returns the transfers that wait, oldest first.
+    /// Returns the queued transfers, oldest first.
     pub fn waiting(&self) -> &[Transfer] {
         &self.waiting
     }
 
-    /// Returns the transfers that cross the link.
+    /// Returns the transfers in progress.
     pub fn running(&self) -> impl Iterator<Item = &RunningTransfer> {
         self.running.values()
     }
@@ -96,7 +96,7 @@
         self.running.len()
     }
 
-    /// Returns how long the link has carried transfers of this daemon.
+    /// Returns the total time during which the link carried transfers of this daemon.
     pub fn busy_time(&self, now: TimeUs) -> DurationUs {
         let running_us = match self.running.is_empty() {
             true => 0.0,
@@ -105,16 +105,17 @@
         DurationUs::new((self.total_busy_us + running_us) as u64)
     }
 
-    /// Returns the part of the last minute or so in which the link carried anything.
+    /// Returns the fraction of recent time in which the link carried a transfer of this daemon, as
+    /// an exponential average with a time constant of 30 seconds.
     pub fn busy_share(&self, now: TimeUs) -> f64 {
-        let span_us = now.since(self.updated_at_us).as_f64();
-        self.busy_share_after(span_us)
+        let elapsed_us = now.since(self.updated_at_us).as_f64();
+        self.busy_share_after(elapsed_us)
     }
 
-    fn busy_share_after(&self, span_us: f64) -> f64 {
+    fn busy_share_after(&self, elapsed_us: f64) -> f64 {
         let is_busy = f64::from(u8::from(!self.running.is_empty()));
-        let kept = (-span_us / BUSY_TIME_CONSTANT_US).exp();
-        is_busy + (self.busy_share - is_busy) * kept
+        let decay = (-elapsed_us / BUSY_TIME_CONSTANT_US).exp();
+        is_busy + (self.busy_share - is_busy) * decay
     }
 
     pub(crate) fn enqueue(&mut self, transfer: Transfer) -> bool {
@@ -152,7 +153,10 @@
         Some(transfer)
     }
 
-    /// Ends a transfer and takes its rate as a sample if it crossed whole.
+    /// Removes a queued or running transfer. A running one that `is_whole` becomes a sample of the
+    /// rate.
+    ///
+    /// Returns whether the transfer was known.
     pub(crate) fn finish(&mut self, id: TransferId, is_whole: bool, now: TimeUs) -> bool {
         self.advance(now);
         let Some(running) = self.running.remove(&id) else {
@@ -166,68 +170,73 @@
         true
     }
 
-    /// Takes one finished transfer as a sample of the whole link's rate.
+    /// Updates the measured rate of the whole link from one finished transfer.
     ///
-    /// Transfers share the link, so a single one's speed is that of the link divided by how many
-    /// ran beside it on average. Without this a busy link would look like a slowed one.
+    /// Running transfers share the link, so the speed of one is the link's rate divided by the mean
+    /// number of transfers that ran at the same time. Without this factor a busy link would look
+    /// like a slow one.
     fn sample_rate(&mut self, running: &RunningTransfer, now: TimeUs) {
-        let span_us = now.since(running.started_at_us).as_f64();
-        if span_us <= 0.0 {
+        let elapsed_us = now.since(running.started_at_us).as_f64();
+        if elapsed_us <= 0.0 {
             return;
         }
         let mean_running =
-            (self.running_integral_us - running.running_integral_at_start_us) / span_us;
-        let own_bytes_per_s = running.transfer.bytes.as_f64() * 1_000_000.0 / span_us;
+            (self.running_integral_us - running.running_integral_at_start_us) / elapsed_us;
+        let own_bytes_per_s = running.transfer.bytes.as_f64() * 1_000_000.0 / elapsed_us;
         let sample = (own_bytes_per_s * mean_running).max(MIN_RATE_BYTES_PER_S);
         self.measured_bytes_per_s += RATE_SAMPLE_WEIGHT * (sample - self.measured_bytes_per_s);
     }
 
-    /// Notes how many bytes of every daemon wait for the link, by its store's report.
+    /// Records how many bytes all daemons together have queued for the link, as its store reports.
     pub(crate) fn record_store_backlog(&mut self, queued: ByteCount, now: TimeUs) {
         self.advance(now);
-        let own: f64 = self
+        let own_bytes: f64 = self
             .running
             .values()
             .map(|running| running.transfer.bytes.as_f64())
             .sum();
-        self.other_daemons_bytes = (queued.as_f64() - own).max(0.0);
+        self.other_daemons_bytes = (queued.as_f64() - own_bytes).max(0.0);
     }
 
     fn advance(&mut self, now: TimeUs) {
-        let span_us = now.since(self.updated_at_us).as_f64();
-        if span_us <= 0.0 {
+        let elapsed_us = now.since(self.updated_at_us).as_f64();
+        if elapsed_us <= 0.0 {
             return;
         }
-        self.running_integral_us += span_us * self.running.len() as f64;
+        self.running_integral_us += elapsed_us * self.running.len() as f64;
         if !self.running.is_empty() {
-            self.total_busy_us += span_us;
+            self.total_busy_us += elapsed_us;
         }
-        self.busy_share = self.busy_share_after(span_us);
-        let drained = span_us * self.measured_bytes_per_s / 1_000_000.0;
-        self.other_daemons_bytes = (self.other_daemons_bytes - drained).max(0.0);
+        self.busy_share = self.busy_share_after(elapsed_us);
+        let drained_bytes = elapsed_us * self.measured_bytes_per_s / 1_000_000.0;
+        self.other_daemons_bytes = (self.other_daemons_bytes - drained_bytes).max(0.0);
         self.updated_at_us = now;
     }
 
-    /// Estimates how long an import of `bytes` takes from `now`, with what is ahead of it.
+    /// Estimates how long an import of `bytes` takes if it is queued at `now`, including the
+    /// transfers ahead of it.
     pub fn transfer_time(&self, bytes: ByteCount, now: TimeUs) -> DurationUs {
-        let ahead: f64 = self
+        let queued_import_bytes: f64 = self
             .waiting
             .iter()
             .filter(|transfer| transfer.class == TransferClass::Import)
             .map(|transfer| transfer.bytes.as_f64())
             .sum();
-        let all = self.remaining_bytes(now) + self.other_daemons_bytes + ahead + bytes.as_f64();
-        DurationUs::from_secs_f64(all / self.measured_bytes_per_s)
+        let total_bytes = self.remaining_bytes(now)
+            + self.other_daemons_bytes
+            + queued_import_bytes
+            + bytes.as_f64();
+        DurationUs::from_secs_f64(total_bytes / self.measured_bytes_per_s)
     }
 
     fn remaining_bytes(&self, now: TimeUs) -> f64 {
         let share = self.running.len().max(1) as f64;
-        let crossed_per_us = self.measured_bytes_per_s / 1_000_000.0 / share;
+        let bytes_per_us = self.measured_bytes_per_s / 1_000_000.0 / share;
         self.running
             .values()
             .map(|running| {
-                let crossed = now.since(running.started_at_us).as_f64() * crossed_per_us;
-                (running.transfer.bytes.as_f64() - crossed).max(0.0)
+                let transferred_bytes = now.since(running.started_at_us).as_f64() * bytes_per_us;
+                (running.transfer.bytes.as_f64() - transferred_bytes).max(0.0)
             })
             .sum()
     }
--- a/crates/wisteriahitch-core/src/tier/link_order.rs
+++ b/crates/wisteriahitch-core/src/tier/link_order.rs
@@ -1,4 +1,4 @@
-//! Orders in which transfers cross a link, to be compared with each other.
+//! Scheduling orders for the transfers of a link.
 
 use std::fmt;
 
@@ -6,27 +6,28 @@
 
 use super::{LinkView, Transfer, TransferClass};
 
-/// Age at which a save goes before imports that came later, so that none starves.
+/// Time in the queue after which a background transfer goes before imports, so that none starves.
 const MAX_BACKGROUND_WAIT_US: DurationUs = DurationUs::from_ms(20_000);
 
-/// Most background transfers that cross a link at once beside imports.
+/// Maximum number of background transfers that run on a link at once.
 const MAX_RUNNING_BACKGROUND: usize = 1;
 
-/// Part of the mean time between imports that a transfer may fill.
+/// Maximum duration of a background transfer, as a fraction of the mean time between imports.
 ///
-/// With imports that come independently, one comes within this part with a chance of one in five.
+/// If imports arrive independently, one arrives during this fraction with a probability of one in
+/// five.
 const MAX_GAP_FRACTION: f64 = 0.22;
 
-/// Picks the transfer that crosses a link next.
+/// Picks the next transfer to start on a link.
 pub trait LinkOrder: fmt::Debug + Send + Sync {
-    /// Returns the name under which the order is reported.
+    /// Returns the name of the order in dumps and reports.
     fn name(&self) -> &'static str;
 
-    /// Returns the place in the queue of the transfer to start now, if any.
+    /// Returns the index in the queue of the transfer to start now, or `None` to wait.
     fn next(&self, link: &LinkView<'_>, now: TimeUs) -> Option<usize>;
 }
 
-/// Takes transfers as they come.
+/// Starts transfers in the order in which they were queued.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FifoOrder;
 
@@ -40,7 +41,8 @@
     }
 }
 
-/// Takes imports first, then saves, then prefetch; one that has aged goes before later imports.
+/// Starts imports first, then saves, then prefetches. A background transfer that has waited too
+/// long goes before later imports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PriorityOrder;
 
@@ -56,7 +58,8 @@
     }
 }
 
-/// Takes imports first; other transfers fill only gaps in which they are likely to finish.
+/// Starts imports first. A background transfer starts only if it is likely to finish before the
+/// next import, or if it has waited too long.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackfillOrder;
 
@@ -80,8 +83,8 @@
 
 /// Returns the oldest background transfer that has waited too long.
 ///
-/// Without it a link that is never free of imports would never save anything, seen as saves that
-/// only grow older; one at a time keeps the imports' share of the link.
+/// Without this a link that is always busy with imports would never save anything. Only one such
+/// transfer runs at a time, which leaves imports their share of the link.
 fn next_aged(link: &LinkView<'_>, now: TimeUs) -> Option<usize> {
     if link.running_background() >= MAX_RUNNING_BACKGROUND {
         return None;
--- a/crates/wisteriahitch-core/src/tier/link_table.rs
+++ b/crates/wisteriahitch-core/src/tier/link_table.rs
@@ -1,4 +1,4 @@
-//! One link for every store VM.
+//! The links to all store VMs.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 
 use super::{Link, LinkOrder, PriorityOrder, Transfer, TransferClass, TransferId};
 
-/// Bounds the transfers that cross one link at once: two keep it busy while one call ends and
-/// the next begins, and more only delay the first.
+/// Maximum number of running transfers per link. Two keep the link busy while one call ends and the
+/// next begins; more only delay the first.
 const MAX_RUNNING: usize = 2;
 
-/// Says that a transfer may cross its link now.
+/// A transfer that has been started on its link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct StartedTransfer(pub TransferId);
 
-/// Holds the links and the order in which transfers cross them.
+/// The links by store and the order in which transfers start.
 #[derive(Debug)]
 pub struct LinkTable {
     links: BTreeMap<StoreId, Link>,
@@ -29,7 +29,7 @@
 }
 
 impl LinkTable {
-    /// Builds an empty table with an order.
+    /// Creates an empty table whose links schedule transfers by `order`.
     pub fn new(order: Box<dyn LinkOrder>) -> Self {
         Self {
             links: BTreeMap::new(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes a store's configured rate.
+    /// Sets the configured rate of a store's link, and adds the link if it is new.
     pub fn configure(&mut self, store: &StoreId, rate: ByteRate) {
         self.links
             .entry(store.clone())
@@ -45,29 +45,30 @@
             .configure(rate);
     }
 
-    /// Returns the name of the order in force.
+    /// Returns the name of the transfer order.
     pub fn order_name(&self) -> &'static str {
         self.order.name()
     }
 
-    /// Returns the link to a store.
+    /// Returns the link to a store; `None` if it isn't configured.
     pub fn get(&self, store: &StoreId) -> Option<&Link> {
         self.links.get(store)
     }
 
-    /// Returns every link.
+    /// Returns every link by store.
     pub fn iter(&self) -> impl Iterator<Item = (&StoreId, &Link)> {
         self.links.iter()
     }
 
-    /// Estimates how long an import of `bytes` from `store` takes, or forever without a link.
+    /// Estimates how long an import of `bytes` from `store` takes; [`DurationUs::MAX`] without a
+    /// link.
     pub fn transfer_time(&self, store: &StoreId, bytes: ByteCount, now: TimeUs) -> DurationUs {
         self.links
             .get(store)
             .map_or(DurationUs::MAX, |link| link.transfer_time(bytes, now))
     }
 
-    /// Adds a transfer to a link's queue; a full queue or an unknown link takes none.
+    /// Adds a transfer to a link's queue; returns `false` if the queue is full or the link unknown.
     #[must_use]
     pub fn enqueue(
         &mut self,
@@ -88,7 +89,7 @@
             .is_some_and(|link| link.enqueue(transfer))
     }
 
-    /// Starts what the order lets cross the links now.
+    /// Starts the transfers that the order allows now, and returns them.
     pub fn start(&mut self, now: TimeUs) -> Vec<StartedTransfer> {
         let mut started = Vec::new();
         for link in self.links.values_mut() {
@@ -103,21 +104,25 @@
         started
     }
 
-    /// Ends a transfer, waiting or running; one that crossed `is_whole` is a sample of the rate.
+    /// Removes a queued or running transfer from its link; a running one that `is_whole` becomes a
+    /// sample of the rate.
+    ///
+    /// Returns whether the transfer was known.
     pub fn finish(&mut self, store: &StoreId, id: TransferId, is_whole: bool, now: TimeUs) -> bool {
         self.links
             .get_mut(store)
             .is_some_and(|link| link.finish(id, is_whole, now))
     }
 
-    /// Notes how many bytes of every daemon wait for a link, by its store's report.
+    /// Records how many bytes all daemons together have queued for a link, as its store reports.
     pub fn record_store_backlog(&mut self, store: &StoreId, queued: ByteCount, now: TimeUs) {
         if let Some(link) = self.links.get_mut(store) {
             link.record_store_backlog(queued, now);
         }
     }
 
-    /// Returns the part of the last minute or so in which a link carried anything.
+    /// Returns the fraction of recent time in which a link carried a transfer of this daemon, as
+    /// [`Link::busy_share`] measures it.
     pub fn busy_share(&self, store: &StoreId, now: TimeUs) -> f64 {
         self.get(store).map_or(0.0, |link| link.busy_share(now))
     }
--- a/crates/wisteriahitch-core/src/tier/link_view.rs
+++ b/crates/wisteriahitch-core/src/tier/link_view.rs
@@ -1,4 +1,4 @@
-//! What a link shows of itself.
+//! The state of a link that a [`LinkOrder`](super::LinkOrder) decides on.
 
 use std::collections::BTreeMap;
 
@@ -7,32 +7,32 @@
 
 use super::{Transfer, TransferClass, TransferId};
 
-/// Holds a transfer that crosses the link now.
+/// A transfer in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct RunningTransfer {
     /// The transfer.
     pub transfer: Transfer,
-    /// When it was started.
+    /// Time when the transfer was started.
     pub started_at_us: TimeUs,
     #[serde(skip)]
     pub(super) running_integral_at_start_us: f64,
 }
 
-/// Shows a link to a [`LinkOrder`](super::LinkOrder).
+/// A read-only view of a link for a [`LinkOrder`](super::LinkOrder).
 #[derive(Clone, Copy, Debug)]
 pub struct LinkView<'a> {
-    /// Transfers that wait, oldest first.
+    /// Queued transfers, oldest first.
     pub waiting: &'a [Transfer],
-    /// Transfers that cross the link.
+    /// Transfers in progress by id.
     pub running: &'a BTreeMap<TransferId, RunningTransfer>,
-    /// Rate of the link as measured.
+    /// Measured rate of the link.
     pub rate_bytes_per_s: ByteRate,
-    /// Mean time between two imports, once two have come.
+    /// Mean time between two imports; `None` until two have been queued.
     pub import_gap_us: Option<DurationUs>,
 }
 
 impl LinkView<'_> {
-    /// Returns how many transfers of background classes cross the link.
+    /// Returns the number of saves and prefetches in progress.
     pub fn running_background(&self) -> usize {
         self.running
             .values()
@@ -40,7 +40,7 @@
             .count()
     }
 
-    /// Returns how many imports cross the link.
+    /// Returns the number of imports in progress.
     pub fn running_imports(&self) -> usize {
         self.running.len() - self.running_background()
     }
--- a/crates/wisteriahitch-core/src/tier/mod.rs
+++ b/crates/wisteriahitch-core/src/tier/mod.rs
@@ -1,7 +1,8 @@
-//! Cache blocks in accelerator memory and in the tiers of store VMs.
+//! Cache blocks on store VMs: which are known, how they are imported, saved and evicted.
 //!
-//! [`Tiers`] takes events and a time and gives commands to the shell. `docs/design/blocks.md`
-//! tells the life of a block, and `docs/design/links.md` the order of transfers and what is saved.
+//! [`Tiers`] is a state machine without I/O. It takes events with the current time and returns
+//! commands for the caller to carry out. `docs/design/blocks.md` describes the states of a block,
+//! and `docs/design/links.md` the order of transfers and the choice of blocks to save.
 
 mod block;
 mod block_error;
--- a/crates/wisteriahitch-core/src/tier/planners.rs
+++ b/crates/wisteriahitch-core/src/tier/planners.rs
@@ -1,4 +1,4 @@
-//! Hands each event to the planner that waits for it.
+//! Dispatches each event to the planner that handles it.
 
 use super::context::Context;
 use super::{
@@ -7,10 +7,10 @@
 };
 use wisteriahitch_types::BlockState;
 
-/// Stale entries that the index of ranks may hold before it is cleaned.
+/// Maximum number of stale entries in the eviction index before they are pruned.
 const MAX_STALE_RANKS: usize = 1_024;
 
-/// Lends the planners to one step.
+/// Borrows the planners for handling one event.
 pub(crate) struct Planners<'a> {
     pub(crate) imports: &'a mut ImportPlanner,
     pub(crate) saves: &'a mut SavePlanner,
@@ -98,7 +98,8 @@
             .record_report(&store, memory_free_bytes, disk_free_bytes, is_leaving);
     }
 
-    /// Lets transfers cross the links until no more may; one that fails at its start makes room.
+    /// Starts queued transfers until the links are full. A transfer that fails to start frees its
+    /// slot, so the links are checked again.
     pub(crate) fn start_transfers(&mut self, cx: &mut Context<'_>) {
         loop {
             let started = cx.links.start(cx.now);
@@ -138,7 +139,7 @@
         bytes,
     };
     let location = BlockLocation { store, key };
-    // A listing is older than what this daemon did since; what contradicts it is left out.
+    // A listing is older than this daemon's own changes; an entry that contradicts them is ignored.
     if cx
         .blocks
         .adopt(location.clone(), identity, tier, None)
--- a/crates/wisteriahitch-core/src/tier/prefetcher.rs
+++ b/crates/wisteriahitch-core/src/tier/prefetcher.rs
@@ -1,4 +1,4 @@
-//! Moves blocks from disk to memory before a return that can be foreseen.
+//! Moves blocks from disk to memory before a predicted return.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,31 +11,31 @@
     TransferFailure, TransferId,
 };
 
-/// Part of the gap by which a move comes before the foreseen return.
+/// Fraction of the gap between uses by which a move precedes the predicted return.
 const LEAD_FRACTION: f64 = 0.1;
 
-/// Bounds the returns that are foreseen.
+/// Maximum number of predicted returns.
 const MAX_PREDICTED_RETURNS: usize = 4_096;
 
-/// Bounds the blocks of one foreseen return.
+/// Maximum number of blocks per predicted return.
 const MAX_CHAIN_BLOCKS: usize = 64;
 
-/// Bounds the moves that wait or are under way.
+/// Maximum number of moves, queued or in progress.
 const MAX_PENDING_MOVES: usize = 64;
 
-/// Longest wait for the answer to a move.
+/// Time after which an unanswered move counts as failed.
 const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Counts what prefetch did and whether it was of use.
+/// Counts of predicted returns and prefetched blocks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct PrefetchCounts {
-    /// Returns that were foreseen.
+    /// Returns that were predicted.
     pub foreseen: u64,
     /// Blocks that were moved to memory.
     pub promoted: u64,
     /// Promoted blocks that a request used afterwards.
     pub promoted_used: u64,
-    /// Moves that failed.
+    /// Moves that failed or weren't answered.
     pub failed: u64,
 }
 
@@ -45,21 +45,22 @@
     call_sent_at_us: Option<TimeUs>,
 }
 
-/// Foresees returns with a regular gap, and promotes their blocks when the link is idle.
+/// Predicts the returns of chains with a regular gap between uses, and moves their blocks to memory
+/// when the link is idle.
 ///
-/// It is off until it is switched on, since no gain was measured (`docs/design/links.md`).
+/// Disabled by default, since measurements showed no gain (`docs/design/links.md`).
 #[derive(Debug, Default)]
 pub struct Prefetcher {
     is_enabled: bool,
     predicted_returns: BTreeMap<(TimeUs, BlockKey), Vec<BlockKey>>,
     promotions: BTreeMap<TransferId, Promotion>,
-    /// Promoted blocks that haven't been used since.
+    /// Promoted blocks that no request has used since.
     promoted_unused: BTreeSet<BlockKey>,
     counts: PrefetchCounts,
 }
 
 impl Prefetcher {
-    /// Returns what prefetch did.
+    /// Returns the counts of predictions and moves.
     pub fn counts(&self) -> PrefetchCounts {
         self.counts
     }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Notes when a chain with a regular gap will return.
+    /// Schedules the prefetch of a chain that is used at regular gaps.
     pub(crate) fn request_finished(
         &mut self,
         request: &FinishedRequest,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Asks for the move once the link has nothing better to do and memory has room.
+    /// Sends the move once the link has nothing more urgent and memory has space.
     pub(crate) fn start(&mut self, id: TransferId, cx: &mut Context<'_>) {
         let Some(promotion) = self.promotions.get_mut(&id) else {
             return;
@@ -170,7 +171,7 @@
         });
     }
 
-    /// Takes the answer to a move; `false` if the move isn't one of these.
+    /// Handles the answer to a move; returns `false` if the move was not started here.
     pub(crate) fn moved(
         &mut self,
         id: TransferId,
@@ -215,7 +216,7 @@
     }
 
     fn expire_unanswered(&mut self, cx: &mut Context<'_>) {
-        let late: Vec<TransferId> = self
+        let timed_out: Vec<TransferId> = self
             .promotions
             .iter()
             .filter(|(_, promotion)| {
@@ -225,7 +226,7 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in timed_out {
             self.moved(id, Err(TransferFailure::Lost), cx);
         }
     }
--- a/crates/wisteriahitch-core/src/tier/return_history.rs
+++ b/crates/wisteriahitch-core/src/tier/return_history.rs
@@ -1,31 +1,31 @@
-//! What a workspace's prompts have shown about their return.
+//! Statistics of when the blocks of a workspace are used again.
 
 use serde::Serialize;
 use wisteriahitch_types::DurationUs;
 
-/// Buckets of the gaps: each is twice as long as the one before, the first ends at one second
-/// and the last holds everything above 48 days.
+/// Number of buckets for the gaps between uses. Each bucket is twice as long as the one before; the
+/// first ends at one second, and the last holds every gap above 48 days.
 const GAP_BUCKETS: usize = 24;
 
-/// Classes by how often a block was used: once, twice, more.
+/// Number of classes by uses of a block: once, twice, more often.
 const USE_CLASSES: usize = 3;
 
-/// Uses and returns assumed before anything is known, so that a new workspace's blocks are saved
-/// until its history speaks against it.
+/// Uses and returns assumed in each class at the start, so that a new workspace's blocks are saved
+/// until its history shows that they don't return.
 const PRIOR_USES: f64 = 8.0;
 const PRIOR_RETURNS: f64 = 4.0;
 
-/// Gaps assumed alike in every bucket before anything is known.
+/// Gaps assumed in each bucket at the start.
 const PRIOR_GAPS_PER_BUCKET: f64 = 0.25;
 
-/// Uses at which older ones are halved, so that a changed habit shows.
+/// Number of samples at which all counts are halved, so that recent behaviour outweighs older.
 const MAX_SAMPLES: f64 = 20_000.0;
 
 const FIRST_BUCKET_END_US: u64 = 1_000_000;
 
-/// Learns how likely a block returns while a store would still keep it.
+/// Estimates the probability that a block is used again while a store still keeps it.
 ///
-/// Its size is fixed, whatever the workspace does.
+/// Its size is fixed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReturnHistory {
     uses: [f64; USE_CLASSES],
@@ -34,7 +34,7 @@
 }
 
 impl ReturnHistory {
-    /// Notes one use of a block that has now been used `uses` times.
+    /// Records one use of a block that now has `uses` uses.
     pub fn record_use(&mut self, uses: u32) {
         let class = class_of(uses);
         self.uses[class] += 1.0;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Notes that a block that had been used `uses` times has returned after `gap`.
+    /// Records that a block with `uses` uses was used again after `gap`.
     pub fn record_return(&mut self, uses: u32, gap: DurationUs) {
         self.returns[class_of(uses)] += 1.0;
         self.gaps[bucket_of(gap)] += 1.0;
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Returns how likely a block that was used `uses` times returns after more than `resident`,
-    /// when the endpoint has evicted it, and within `horizon`, while a store still keeps it.
+    /// Returns the probability that a block with `uses` uses is used again after more than
+    /// `residency`, when the endpoint has evicted it, and within `retention`, while a store still
+    /// keeps it.
     pub fn return_probability(
         &self,
         uses: u32,
@@ -70,19 +71,19 @@
     fn gap_fraction(&self, residency: DurationUs, retention: DurationUs) -> f64 {
         let first = bucket_of(residency);
         let last = bucket_of(retention);
-        let all: f64 = self
+        let total: f64 = self
             .gaps
             .iter()
             .map(|count| count + PRIOR_GAPS_PER_BUCKET)
             .sum();
-        let within: f64 = self
+        let in_range: f64 = self
             .gaps
             .iter()
             .enumerate()
             .filter(|(bucket, _)| (first..=last).contains(bucket))
             .map(|(_, count)| count + PRIOR_GAPS_PER_BUCKET)
             .sum();
-        within / all
+        in_range / total
     }
 }
 
--- a/crates/wisteriahitch-core/src/tier/save_counts.rs
+++ b/crates/wisteriahitch-core/src/tier/save_counts.rs
@@ -1,29 +1,29 @@
-//! Counts of saves.
+//! Counts of save results.
 
 use serde::Serialize;
 use wisteriahitch_types::ByteCount;
 
-/// Counts how saves ended.
+/// Counts of saves by result, in blocks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct SaveCounts {
-    /// Blocks that joined a link's queue.
+    /// Blocks queued for a link.
     pub queued: u64,
     /// Blocks that became readable.
     pub finished: u64,
-    /// Bytes of those.
+    /// Total length of the blocks that became readable.
     pub finished_bytes: ByteCount,
-    /// Blocks that the store held already.
+    /// Blocks that the store already held.
     pub already_there: u64,
-    /// Blocks tried a second time.
+    /// Blocks whose save was retried.
     pub retried: u64,
-    /// Blocks given up since the store or endpoint was lost.
+    /// Blocks abandoned because the store or endpoint was lost or didn't answer.
     pub lost: u64,
-    /// Blocks that the endpoint had evicted before.
+    /// Blocks that the endpoint had evicted before the export.
     pub evicted_before: u64,
-    /// Blocks for which there was no room.
+    /// Blocks for which the store had no free space.
     pub full: u64,
-    /// Blocks over their workspace's quota.
+    /// Blocks that exceeded their workspace's quota.
     pub over_quota: u64,
-    /// Blocks whose written length was wrong.
+    /// Blocks that were written with the wrong length.
     pub corrupt: u64,
 }
--- a/crates/wisteriahitch-core/src/tier/save_job.rs
+++ b/crates/wisteriahitch-core/src/tier/save_job.rs
@@ -1,4 +1,4 @@
-//! A chain that is being saved, block after block from its front.
+//! A chain that is being saved, block by block from its front.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 
 use super::{BlockHandle, BlockIdentity, BlockLocation, ChainBlock};
 
-/// Holds one block of a job.
+/// One block of a save job.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct SaveBlock {
     pub(crate) block: ChainBlock,
@@ -17,9 +17,9 @@
     pub(crate) value: f64,
 }
 
-/// Holds the blocks of a chain that are still to be saved.
+/// The blocks of a chain that are still to be saved.
 ///
-/// One at a time is under way, so that a failure never leaves a hole before saved blocks.
+/// Only one block is saved at a time, so that a failure never leaves a gap before saved blocks.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct SaveJob {
     pub(crate) workspace: WorkspaceId,
@@ -29,19 +29,19 @@
     pub(crate) blocks: VecDeque<SaveBlock>,
 }
 
-/// Tells how far the save of one block has come.
+/// The progress of one block's save.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum SavePhase {
-    /// It waits for the link.
+    /// Waiting in the link's queue.
     Queued,
-    /// The store was asked for room.
+    /// Waiting for the store to reserve space in this tier.
     Reserving(Tier),
-    /// The endpoint writes.
+    /// Waiting for the endpoint to write the block.
     Exporting(BlockHandle, Tier),
 }
 
-/// Holds the save of the front block of a job.
+/// The save in progress of a job's front block.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct SaveTransfer {
     pub(crate) job: SaveJob,
--- a/crates/wisteriahitch-core/src/tier/save_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner.rs
@@ -1,4 +1,4 @@
-//! What is saved after a request, and how.
+//! Saving the blocks of finished requests to stores.
 
 mod answers;
 mod choosing;
@@ -14,13 +14,13 @@
 use super::save_room::{evict_for_quota, free_unpublished, tier_with_space};
 use super::{BlockLocation, SaveCounts, TierCommand, TransferId};
 
-/// Bounds the reservations whose late answer is still freed.
+/// Maximum number of abandoned reservations whose late confirmation is still released.
 const MAX_ABANDONED: usize = 1_024;
 
-/// Longest wait for the answer to one call; afterwards the answer counts as lost.
+/// Time after which an unanswered call counts as lost.
 const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Decides what is saved, and runs each save from the reservation to the readable block.
+/// Chooses the blocks to save and runs each save, from the reservation until the block is readable.
 #[derive(Debug, Default)]
 pub struct SavePlanner {
     transfers: BTreeMap<TransferId, SaveTransfer>,
@@ -32,12 +32,12 @@
 }
 
 impl SavePlanner {
-    /// Returns how saves have ended.
+    /// Returns the counts of saves by result.
     pub fn counts(&self) -> SaveCounts {
         self.counts
     }
 
-    /// Returns how many chains are being saved.
+    /// Returns the number of chains that are being saved.
     pub fn jobs(&self) -> usize {
         self.transfers.len()
     }
@@ -51,7 +51,7 @@
         self.stores_by_endpoint = stores_by_endpoint;
     }
 
-    /// Asks for room once the link lets the save cross.
+    /// Reserves space at the store once the link starts the transfer.
     pub(crate) fn start(&mut self, id: TransferId, cx: &mut Context<'_>) {
         let Some(transfer) = self.transfers.get(&id) else {
             return;
@@ -102,7 +102,7 @@
         self.enqueue(transfer.job, transfer.front, true, cx);
     }
 
-    /// Gives up a save with the rest of its chain, which would be useless without it.
+    /// Drops a save together with the rest of its chain, which can't be used without this block.
     fn abandon(&mut self, id: TransferId, cx: &mut Context<'_>) {
         self.remove(id, false, cx);
     }
@@ -119,7 +119,7 @@
         Some(transfer)
     }
 
-    /// Gives up every save to a store that died or can't be reached.
+    /// Abandons every save to a store that restarted or can't be reached.
     pub(crate) fn store_lost(&mut self, store: &StoreId, cx: &mut Context<'_>) {
         let lost: Vec<TransferId> = self
             .transfers
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Gives up answers that never came.
+    /// Abandons the saves whose call wasn't answered in time.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         for id in self.unanswered(cx.now) {
             self.abandon_unanswered(id, cx);
         }
     }
 
-    /// Gives up a save whose answer may still come; room that it then names is given back.
+    /// Abandons a save whose answer may still come; space that a late answer confirms is released.
     fn abandon_unanswered(&mut self, id: TransferId, cx: &mut Context<'_>) {
         let Some(transfer) = self.remove(id, false, cx) else {
             return;
--- a/crates/wisteriahitch-core/src/tier/save_planner/answers.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner/answers.rs
@@ -1,4 +1,4 @@
-//! What a save does next, by the store's and the endpoint's answers.
+//! Handling of the answers of the store and the endpoint during a save.
 
 use wisteriahitch_types::{Generation, Tier};
 
@@ -160,11 +160,11 @@
         self.enqueue_next(transfer.job, cx);
     }
 
-    /// Ends a save whose content did not arrive, and gives its room back.
+    /// Handles a failed export and releases its space.
     ///
-    /// After a lost answer the endpoint may still be writing. Were the room used as it is, a
-    /// reader could meet a part of the block; so the generation is freed, the late write is
-    /// refused by the store, and a second try gets a generation of its own.
+    /// After a lost answer the endpoint may still be writing. If the same generation were written
+    /// again, a reader could see a partly written block. The generation is freed instead, so that
+    /// the store refuses the late write, and a retry gets a new generation.
     fn export_failed(
         &mut self,
         id: TransferId,
--- a/crates/wisteriahitch-core/src/tier/save_planner/choosing.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner/choosing.rs
@@ -1,4 +1,4 @@
-//! What is saved of a chain, and in which order.
+//! Choice of the blocks of a chain to save, and of the store.
 
 use std::collections::VecDeque;
 
@@ -11,10 +11,10 @@
 use crate::tier::save_value::{block_value, is_worth_saving};
 use crate::tier::{BlockLocation, BlockUse, FinishedRequest, TransferClass, UseTable};
 
-/// Bounds the chains that are being saved; a further one is left out until its next use.
+/// Maximum number of chains saved at once; a further one is skipped until its next use.
 const MAX_CONCURRENT_JOBS: usize = 1_024;
 
-/// Bounds the blocks of one chain.
+/// Maximum number of blocks considered per chain.
 const MAX_CHAIN_BLOCKS: usize = 256;
 
 impl SavePlanner {
@@ -40,7 +40,8 @@
         self.enqueue_next(job, cx);
     }
 
-    /// Ranks the blocks that the store holds, and returns those that it is to get, from the front.
+    /// Updates the ranks of blocks that the store already holds, and returns the blocks to save,
+    /// from the front of the chain.
     fn rank(
         &self,
         request: &FinishedRequest,
@@ -54,7 +55,8 @@
         let mut is_saving = true;
         let pairs = request.chain.iter().zip(block_uses).take(MAX_CHAIN_BLOCKS);
         for (depth, (block, block_use)) in pairs.enumerate() {
-            // Deeper blocks never rank above those that they need, so chains go from their end.
+            // A block's value is capped by those in front of it, which it needs, so that chains are
+            // evicted from their end.
             min_value = min_value.min(block_value(request, block, block_use, store, uses, cx));
             let location = BlockLocation {
                 store: store.clone(),
@@ -77,7 +79,8 @@
         blocks
     }
 
-    /// Chooses the endpoint's store that holds most of the chain's front, then the freest link.
+    /// Chooses among the endpoint's stores the one that holds the longest prefix of the chain; of
+    /// equal ones, the one with the shortest link queue.
     fn choose_store(&self, request: &FinishedRequest, cx: &Context<'_>) -> Option<StoreId> {
         let candidates = self.stores_by_endpoint.get(&request.endpoint)?;
         candidates
--- a/crates/wisteriahitch-core/src/tier/save_room.rs
+++ b/crates/wisteriahitch-core/src/tier/save_room.rs
@@ -1,4 +1,4 @@
-//! Room for saves at a store: quotas, reservations, and what is given back.
+//! Space for saves at a store: quotas, reservations and their release.
 
 use wisteriahitch_types::{BlockState, ByteCount, Generation, StoreId, StoreIncarnation, Tier};
 
@@ -6,10 +6,13 @@
 use super::save_job::SaveTransfer;
 use super::{BlockHandle, BlockLocation, ReserveOutcome, TierCommand, TransferFailure};
 
-/// Blocks of a tier that are looked at to make room within a workspace's quota.
+/// Maximum number of blocks per tier that are considered for eviction to meet a workspace's quota.
 const MAX_QUOTA_CANDIDATES: usize = 256;
 
-/// Frees the workspace's least valuable blocks until one more fits; `false` if it can't.
+/// Evicts the workspace's lowest-ranked blocks until the block of `transfer` fits within `quota`;
+/// returns whether it fits.
+///
+/// Only blocks that rank below the new one are evicted.
 pub(crate) fn evict_for_quota(
     transfer: &SaveTransfer,
     quota: ByteCount,
@@ -44,7 +47,7 @@
     cx.blocks.workspace_bytes(workspace) + bytes <= quota
 }
 
-/// Returns the tier of a block that readers may pin.
+/// Returns the tier of a block that readers may pin; `None` if there is no such block.
 pub(crate) fn readable_tier(location: &BlockLocation, cx: &Context<'_>) -> Option<Tier> {
     cx.blocks
         .get(location)
@@ -52,14 +55,15 @@
         .map(|block| block.tier())
 }
 
-/// Returns the first tier that has room.
+/// Returns the first tier with enough free space, memory before disk.
 pub(crate) fn tier_with_space(store: &StoreId, bytes: ByteCount, cx: &Context<'_>) -> Option<Tier> {
     [Tier::Memory, Tier::Disk]
         .into_iter()
         .find(|tier| cx.stores.has_space(store, *tier, bytes, cx.now))
 }
 
-/// Adds a block to the table for which its store has taken room.
+/// Adds a block to the table after its store has reserved space for it, and marks it as being
+/// written.
 pub(crate) fn begin_write(
     transfer: &SaveTransfer,
     incarnation: StoreIncarnation,
@@ -76,7 +80,7 @@
     Some(handle)
 }
 
-/// Tells a store that a generation is no longer wanted.
+/// Frees a generation at its store.
 pub(crate) fn free_at_store(
     location: &BlockLocation,
     generation: Generation,
@@ -89,16 +93,16 @@
     });
 }
 
-/// Frees a block that never became readable.
+/// Frees a block that was never published, here and at its store.
 pub(crate) fn free_unpublished(handle: &BlockHandle, cx: &mut Context<'_>) {
-    // A block that ended with its store's incarnation is gone already; under the next one the
-    // same generation would be another block's.
+    // A block of an earlier store incarnation is no longer in the table; in the current one the
+    // same generation would be another block.
     if cx.blocks.free(handle).is_ok() {
         free_at_store(&handle.location, handle.generation, cx);
     }
 }
 
-/// Gives back room whose grant came after its save was given up.
+/// Frees the space of a reservation that was confirmed after its save had been abandoned.
 pub(crate) fn free_abandoned(
     location: &BlockLocation,
     incarnation: &StoreIncarnation,
--- a/crates/wisteriahitch-core/src/tier/save_value.rs
+++ b/crates/wisteriahitch-core/src/tier/save_value.rs
@@ -1,4 +1,4 @@
-//! What it is worth to save a block.
+//! The value of saving a block, and whether it is high enough.
 
 use wisteriahitch_config::SavePolicy;
 use wisteriahitch_types::{DurationUs, StoreId};
@@ -6,14 +6,15 @@
 use super::context::Context;
 use super::{BlockUse, ChainBlock, FinishedRequest, UseTable};
 
-/// Least value at which a block is saved over an idle link: microseconds of prefill that are
-/// expected to be avoided, for each microsecond of the link (`docs/design/links.md`).
+/// Minimum value at which a block is saved over an idle link: expected microseconds of prefill
+/// avoided per microsecond of link time (`docs/design/links.md`).
 const MIN_SAVE_VALUE: f64 = 0.1;
 
-/// Share of the link above which its price grows no further.
+/// Busy share above which the required value grows no further.
 const MAX_BUSY_SHARE: f64 = 0.95;
 
-/// Returns the expected prefill time avoided over the link time that saving the block takes.
+/// Returns the value of saving a block: the expected prefill time avoided divided by the link time
+/// of the save.
 pub(crate) fn block_value(
     request: &FinishedRequest,
     block: &ChainBlock,
@@ -31,7 +32,7 @@
     probability * prefill.as_f64() / transfer.as_f64().max(1.0)
 }
 
-/// Returns whether the rule's policy has a block saved.
+/// Returns whether `policy` allows saving a block of `value`.
 pub(crate) fn is_worth_saving(
     policy: SavePolicy,
     value: f64,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Returns the least value that is saved now; a busy link's time is dearer.
+/// Returns the minimum value of a save at present; the busier the link, the higher it is.
 fn threshold(store: &StoreId, cx: &Context<'_>) -> f64 {
     let busy = cx.links.busy_share(store, cx.now).min(MAX_BUSY_SHARE);
     MIN_SAVE_VALUE / (1.0 - busy)
--- a/crates/wisteriahitch-core/src/tier/snapshot.rs
+++ b/crates/wisteriahitch-core/src/tier/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state of the tier core for the dump.
+//! A snapshot of the tier module for the operator's dump.
 
 use std::collections::BTreeMap;
 
@@ -13,73 +13,74 @@
     SaveCounts, StoreState, Tiers, Transfer,
 };
 
-/// Bounds the blocks that a dump lists; the counts by state cover all of them.
+/// Maximum number of blocks listed; the counts by state include all of them.
 const MAX_LISTED: usize = 1_000;
 
-/// Holds what a dump shows of the tier core; nothing in it is a prompt or an answer.
+/// The state of the tier module in a dump. Contains no text of prompts or answers.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TierSnapshot {
-    /// When it was taken.
+    /// Time of the snapshot.
     pub taken_at_us: TimeUs,
-    /// Name of the order of transfers.
+    /// Name of the transfer order in use.
     pub link_order: &'static str,
-    /// Stores by name.
+    /// Stores by id.
     pub stores: BTreeMap<StoreId, StoreSnapshot>,
-    /// Blocks by state.
+    /// Number of known blocks by state.
     pub block_counts: BTreeMap<String, usize>,
-    /// The first blocks by store and key.
+    /// The first blocks, ordered by store and key.
     pub blocks: Vec<BlockSnapshot>,
-    /// Requests that wait for imports.
+    /// Number of requests that wait for imports.
     pub waiting_requests: usize,
-    /// How imports ended.
+    /// Counts of imports by result.
     pub imports: ImportCounts,
-    /// How saves ended.
+    /// Counts of saves by result.
     pub saves: SaveCounts,
-    /// What was done for room.
+    /// Counts of demotions and evictions.
     pub rooms: CapacityCounts,
-    /// What prefetch did.
+    /// Counts of predictions and prefetches.
     pub prefetch: PrefetchCounts,
-    /// Bytes of known blocks by workspace.
+    /// Total length of the known blocks by workspace.
     pub workspace_bytes: BTreeMap<WorkspaceId, ByteCount>,
 }
 
-/// Holds what a dump shows of one store and its link.
+/// The state of one store and its link in a dump.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StoreSnapshot {
-    /// Incarnation under which it was last seen.
+    /// Last known incarnation.
     pub incarnation: Option<StoreIncarnation>,
-    /// Room and reachability, once it was seen.
+    /// Free space and reachability; `None` until the store has reported.
     pub state: Option<StoreState>,
     /// Configured rate of the link.
     pub configured_bytes_per_s: ByteRate,
     /// Measured rate of the link.
     pub measured_bytes_per_s: ByteRate,
-    /// Part of the last while in which the link carried anything.
+    /// Fraction of recent time in which the link carried a transfer of this daemon, as an
+    /// exponential average with a time constant of 30 seconds.
     pub busy_share: f64,
-    /// Transfers that wait.
+    /// Queued transfers, oldest first.
     pub waiting: Vec<Transfer>,
-    /// Transfers that cross the link.
+    /// Transfers in progress.
     pub running: Vec<RunningTransfer>,
 }
 
-/// Holds what a dump shows of one block.
+/// The state of one block in a dump.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BlockSnapshot {
-    /// Store.
+    /// Store VM that holds the block.
     pub store: StoreId,
-    /// Key.
+    /// Key of the block.
     pub key: BlockKey,
-    /// Generation.
+    /// Generation of the block.
     pub generation: Generation,
-    /// Step of its life.
+    /// State of the block.
     pub state: BlockState,
-    /// Tier.
+    /// Tier that stores the block.
     pub tier: Tier,
-    /// Weight version.
+    /// Weight version that the block was computed with.
     pub weight_version: WeightVersion,
-    /// Length.
+    /// Length of the block.
     pub bytes: ByteCount,
-    /// Readers of this daemon.
+    /// Number of pins held by readers of this daemon.
     pub pins: u32,
 }
 
--- a/crates/wisteriahitch-core/src/tier/store_table.rs
+++ b/crates/wisteriahitch-core/src/tier/store_table.rs
@@ -1,32 +1,32 @@
-//! What is known of the store VMs themselves.
+//! The reported state of the store VMs.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use wisteriahitch_types::{ByteCount, DurationUs, StoreId, Tier, TimeUs};
 
-/// How long a tier that answered `full` is left alone.
+/// How long no space is requested from a tier that was full.
 const FULL_BACKOFF_US: DurationUs = DurationUs::from_ms(5_000);
 
-/// Holds the state of one store VM.
+/// The state of one store VM.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct StoreState {
-    /// Whether it answered when it was last asked.
+    /// Whether the last call to the store was answered.
     pub is_reachable: bool,
-    /// Whether the VM will go away soon; nothing more is saved to it.
+    /// Whether the VM is about to be removed; nothing more is saved to it.
     pub is_leaving: bool,
-    /// Room left in memory, by its last report less what this daemon reserved since.
+    /// Free space in memory: the last report less what this daemon has reserved since.
     pub memory_free_bytes: ByteCount,
-    /// Room left on disk, counted likewise.
+    /// Free space on disk: the last report less what this daemon has reserved since.
     pub disk_free_bytes: ByteCount,
-    /// Until when memory counts as full.
+    /// Time until which memory counts as full.
     pub memory_full_until_us: TimeUs,
-    /// Until when the disk counts as full.
+    /// Time until which the disk counts as full.
     pub disk_full_until_us: TimeUs,
 }
 
 impl StoreState {
-    /// Returns the room left in a tier.
+    /// Returns the free space in a tier.
     pub fn free_bytes(&self, tier: Tier) -> ByteCount {
         match tier {
             Tier::Memory => self.memory_free_bytes,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns whether a tier may be asked for room.
+    /// Returns whether a tier has `bytes` free and isn't marked as full.
     pub fn has_space(&self, tier: Tier, bytes: ByteCount, now: TimeUs) -> bool {
         let full_until = match tier {
             Tier::Memory => self.memory_full_until_us,
@@ -68,35 +68,35 @@
     }
 }
 
-/// Holds the state of every store VM that was seen.
+/// The state of every store VM that has reported.
 #[derive(Clone, Debug, Default)]
 pub struct StoreTable {
     stores: BTreeMap<StoreId, StoreState>,
 }
 
 impl StoreTable {
-    /// Returns a store's state, if it was seen.
+    /// Returns a store's state; `None` if it has never reported.
     pub fn get(&self, store: &StoreId) -> Option<&StoreState> {
         self.stores.get(store)
     }
 
-    /// Returns every store that was seen.
+    /// Returns every store that has reported.
     pub fn iter(&self) -> impl Iterator<Item = (&StoreId, &StoreState)> {
         self.stores.iter()
     }
 
-    /// Returns whether a store answered when it was last asked.
+    /// Returns whether the last call to a store was answered.
     pub fn is_reachable(&self, store: &StoreId) -> bool {
         self.get(store).is_some_and(|state| state.is_reachable)
     }
 
-    /// Returns whether a store may be saved to.
+    /// Returns whether a store is reachable and not about to be removed.
     pub fn accepts_saves(&self, store: &StoreId) -> bool {
         self.get(store)
             .is_some_and(|state| state.is_reachable && !state.is_leaving)
     }
 
-    /// Returns whether a store's tier may be asked for room.
+    /// Returns whether a store's tier has `bytes` free and isn't marked as full.
     pub fn has_space(&self, store: &StoreId, tier: Tier, bytes: ByteCount, now: TimeUs) -> bool {
         self.get(store)
             .is_some_and(|state| state.has_space(tier, bytes, now))
--- a/crates/wisteriahitch-core/src/tier/tiers.rs
+++ b/crates/wisteriahitch-core/src/tier/tiers.rs
@@ -1,4 +1,4 @@
-//! The tier core as one thing that the shell drives.
+//! The entry point of the tier module.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,10 @@
     TierSnapshot, TransferId, UseTable,
 };
 
-/// Drives blocks, links, imports and saves: events and a time in, commands out.
+/// Tracks blocks and links, and plans imports, saves, demotions and prefetches.
+///
+/// Each method that handles an event takes the current time and returns the commands that the
+/// caller must carry out.
 ///
 /// ```
 /// use wisteriahitch_core::tier::{ImportPlan, Reader, TierCommand, Tiers};
@@ -47,12 +50,13 @@
 }
 
 impl Tiers {
-    /// Builds an empty core with the default order of the links.
+    /// Creates an empty state with the default transfer order,
+    /// [`PriorityOrder`](super::PriorityOrder).
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Builds an empty core whose links use `order`.
+    /// Creates an empty state whose links schedule transfers by `order`.
     pub fn with_order(order: Box<dyn LinkOrder>) -> Self {
         Self {
             links: LinkTable::new(order),
@@ -60,7 +64,8 @@
         }
     }
 
-    /// Takes the configuration in force.
+    /// Applies the active configuration: link rates, store capacities, workspace quotas and the
+    /// stores of each endpoint.
     pub fn apply_configuration(&mut self, configuration: &Configuration) {
         for store in configuration.stores.values() {
             self.links.configure(&store.id, store.link_rate_bytes_per_s);
@@ -84,87 +89,90 @@
             .configure(quotas.collect(), stores_by_endpoint.collect());
     }
 
-    /// Takes the stores that this daemon alone keeps room at; until then it does so at all of them.
+    /// Sets the stores whose capacity this daemon manages, so that only one daemon evicts at each
+    /// store. Until the first call it manages all of them.
     pub fn set_managed_stores(&mut self, stores: BTreeSet<StoreId>) {
         self.capacity.set_managed_stores(stores);
     }
 
-    /// Switches prefetch on or off.
+    /// Enables or disables prefetch; it is disabled by default.
     pub fn set_prefetch(&mut self, is_enabled: bool) {
         self.prefetch.set_enabled(is_enabled);
     }
 
-    /// Returns the blocks.
+    /// Returns the table of known blocks.
     pub fn blocks(&self) -> &BlockTable {
         &self.blocks
     }
 
-    /// Returns the links.
+    /// Returns the links to the store VMs.
     pub fn links(&self) -> &LinkTable {
         &self.links
     }
 
-    /// Returns the stores.
+    /// Returns the state of the store VMs.
     pub fn stores(&self) -> &StoreTable {
         &self.stores
     }
 
-    /// Returns the uses of blocks and the histories of workspaces.
+    /// Returns the recorded block uses and the return history of each workspace.
     pub fn uses(&self) -> &UseTable {
         &self.uses
     }
 
-    /// Returns the imports.
+    /// Returns the planner of imports.
     pub fn imports(&self) -> &ImportPlanner {
         &self.imports
     }
 
-    /// Returns the saves.
+    /// Returns the planner of saves.
     pub fn saves(&self) -> &SavePlanner {
         &self.saves
     }
 
-    /// Returns what keeps room in the tiers.
+    /// Returns the manager that demotes and frees blocks when a tier is nearly full.
     pub fn capacity(&self) -> &CapacityManager {
         &self.capacity
     }
 
-    /// Returns the prefetch.
+    /// Returns the prefetcher.
     pub fn prefetch(&self) -> &Prefetcher {
         &self.prefetch
     }
 
-    /// Returns the state for the dump.
+    /// Returns a snapshot for the operator's dump.
     pub fn snapshot(&self, now: TimeUs) -> TierSnapshot {
         TierSnapshot::new(self, now)
     }
 
-    /// Estimates how long an import of `bytes` from `store` takes from now.
+    /// Estimates how long an import of `bytes` from `store` takes if it is queued at `now`.
     pub fn transfer_time(&self, store: &StoreId, bytes: ByteCount, now: TimeUs) -> DurationUs {
         self.links.transfer_time(store, bytes, now)
     }
 
-    /// Starts a request's imports; exactly one `Proceed` follows, at once or later.
+    /// Starts a request's imports. Exactly one `Proceed` follows, in the returned commands or in
+    /// those of a later call, unless the request is cancelled.
     pub fn plan_import(&mut self, plan: ImportPlan, now: TimeUs) -> Vec<TierCommand> {
         self.run(now, |planners, cx| planners.imports.plan(plan, cx))
     }
 
-    /// Forgets a request whose caller went away; no `Proceed` follows.
+    /// Drops a request whose caller has disconnected; no `Proceed` follows.
     pub fn cancel(&mut self, request: &RequestId, now: TimeUs) -> Vec<TierCommand> {
         self.run(now, |planners, cx| planners.imports.cancel(request, cx))
     }
 
-    /// Learns from a request that has finished, and saves what is worth it.
+    /// Records the block uses of a finished request and saves the blocks that are worth it.
     pub fn request_finished(&mut self, request: &FinishedRequest, now: TimeUs) -> Vec<TierCommand> {
         self.run(now, |planners, cx| planners.request_finished(request, cx))
     }
 
-    /// Takes an answer or news from a store VM.
+    /// Handles the answer to a command or a report about a store VM.
     pub fn handle_event(&mut self, event: TierEvent, now: TimeUs) -> Vec<TierCommand> {
         self.run(now, |planners, cx| planners.handle_event(event, cx))
     }
 
-    /// Runs what depends on the time alone; called several times a second.
+    /// Runs the time-driven work: timeouts, evictions and prefetch. Must be called several times a
+    /// second.
     pub fn tick(&mut self, now: TimeUs) -> Vec<TierCommand> {
         self.run(now, |planners, cx| planners.tick(cx))
     }
--- a/crates/wisteriahitch-core/src/tier/transfer.rs
+++ b/crates/wisteriahitch-core/src/tier/transfer.rs
@@ -1,4 +1,4 @@
-//! One block's way over the link of a store VM.
+//! The transfer of one block over the link of a store VM.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::{ByteCount, ParseIdError, TimeUs};
 
-/// Identifies one transfer of this daemon; numbers are never used again.
+/// Identifies one transfer of this daemon; ids are never reused.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -14,17 +14,17 @@
 pub struct TransferId(u64);
 
 impl TransferId {
-    /// Wraps a plain number.
+    /// Creates an id from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the plain number.
+    /// Returns the number of the id.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Returns the id that follows.
+    /// Returns the next id.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -47,28 +47,28 @@
     }
 }
 
-/// Sorts transfers by who waits for them.
+/// The purpose of a transfer, which decides its priority on a link.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransferClass {
     /// An import that a caller waits for.
     #[serde(rename = "wait")]
     Import,
-    /// A block that is saved after use.
+    /// The save of a block after its use.
     Save,
-    /// A block that is moved before its foreseen return.
+    /// The move of a block to memory before its predicted return.
     Prefetch,
 }
 
-/// Holds a transfer that waits for its link.
+/// A transfer that is queued for a link or in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Transfer {
-    /// Id.
+    /// Id of the transfer.
     pub id: TransferId,
-    /// Who waits for it.
+    /// Purpose of the transfer.
     pub class: TransferClass,
     /// Length of the block.
     pub bytes: ByteCount,
-    /// When it joined the queue.
+    /// Time when the transfer was queued.
     pub queued_at_us: TimeUs,
 }
--- a/crates/wisteriahitch-core/src/tier/use_table.rs
+++ b/crates/wisteriahitch-core/src/tier/use_table.rs
@@ -1,4 +1,4 @@
-//! When blocks were last used, and what that teaches about each workspace.
+//! The last uses of blocks, and the return statistics of workspaces derived from them.
 
 use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
@@ -9,32 +9,33 @@
 
 use super::{ChainBlock, ReturnHistory};
 
-/// Bounds the blocks whose last use is remembered, at about 6 MB.
+/// Maximum number of blocks whose last use is recorded, about 6 MB.
 const MAX_TRACKED_BLOCKS: NonZeroUsize = NonZeroUsize::new(65_536).expect("not zero");
 
-/// Bounds the workspaces with a history of their own, at about 2 MB.
+/// Maximum number of workspaces with a history of their own, about 2 MB.
 const MAX_WORKSPACES: usize = 8_192;
 
-/// Weighs a new sample of how long blocks stay where they are.
+/// Weight of a new sample in the mean times that blocks stay at endpoints and stores.
 const DURATION_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Part by which two gaps may differ and still count as regular.
+/// Maximum difference between two successive gaps, relative to the earlier one, at which they still
+/// count as regular.
 const REGULARITY_TOLERANCE: f64 = 0.25;
 
-/// Holds what is remembered of a block's uses.
+/// The recorded uses of one block.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct BlockUse {
-    /// Uses so far, this one included.
+    /// Number of uses so far, including the latest.
     pub uses: u32,
-    /// When it was last used.
+    /// Time of the latest use.
     pub used_at_us: TimeUs,
-    /// Time between its last two uses.
+    /// Time between the last two uses; `None` after the first.
     pub gap_us: Option<DurationUs>,
-    /// Whether its last two gaps were about equal, so that the next can be foreseen.
+    /// Whether the last two gaps were about equal, so that the next return can be predicted.
     pub is_regular: bool,
 }
 
-/// Holds the uses of blocks and the histories of workspaces, both bounded.
+/// The uses of blocks and the return histories of workspaces, both of bounded size.
 #[derive(Debug)]
 pub struct UseTable {
     blocks: LruCache<BlockKey, BlockUse>,
@@ -55,7 +56,8 @@
 }
 
 impl UseTable {
-    /// Notes that a request of `workspace` used a chain, and returns the uses of its blocks.
+    /// Records that a request of `workspace` used a chain, and returns the updated uses of its
+    /// blocks.
     pub fn record_chain_use(
         &mut self,
         workspace: &WorkspaceId,
@@ -73,10 +75,10 @@
         chain
             .iter()
             .map(|block| {
-                let seen = blocks.get(&block.key).copied();
-                let use_now = next_use(seen, now);
-                if let (Some(seen), Some(gap)) = (seen, use_now.gap_us) {
-                    history.record_return(seen.uses, gap);
+                let previous = blocks.get(&block.key).copied();
+                let use_now = next_use(previous, now);
+                if let (Some(previous), Some(gap)) = (previous, use_now.gap_us) {
+                    history.record_return(previous.uses, gap);
                 }
                 history.record_use(use_now.uses);
                 blocks.put(block.key, use_now);
@@ -85,7 +87,8 @@
             .collect()
     }
 
-    /// Returns how likely a block returns when the endpoint has evicted it and a store keeps it.
+    /// Returns the probability that a block with `uses` uses is needed again after the endpoint has
+    /// evicted it and while a store still keeps it.
     pub fn return_probability(&self, workspace: &WorkspaceId, uses: u32) -> f64 {
         let residency = DurationUs::new(self.mean_residency_us.unwrap_or(0.0) as u64);
         let retention = self
@@ -98,33 +101,33 @@
             .return_probability(uses, residency, retention)
     }
 
-    /// Notes that an endpoint evicted a block, which shows how long blocks stay resident.
+    /// Records that an endpoint evicted a block, as a sample of how long blocks stay at endpoints.
     pub fn record_endpoint_eviction(&mut self, key: &BlockKey, now: TimeUs) {
-        if let Some(seen) = self.blocks.peek(key) {
-            update_mean(&mut self.mean_residency_us, now.since(seen.used_at_us));
+        if let Some(previous) = self.blocks.peek(key) {
+            update_mean(&mut self.mean_residency_us, now.since(previous.used_at_us));
         }
     }
 
-    /// Notes that a store's block was freed for room, which shows how long stores keep blocks.
+    /// Records that a block was evicted from a store, as a sample of how long stores keep blocks.
     pub fn record_store_eviction(&mut self, key: &BlockKey, now: TimeUs) {
-        if let Some(seen) = self.blocks.peek(key) {
-            update_mean(&mut self.mean_retention_us, now.since(seen.used_at_us));
+        if let Some(previous) = self.blocks.peek(key) {
+            update_mean(&mut self.mean_retention_us, now.since(previous.used_at_us));
         }
     }
 
-    /// Returns the histories by workspace.
+    /// Returns the return histories by workspace.
     pub fn histories(&self) -> &BTreeMap<WorkspaceId, ReturnHistory> {
         &self.histories
     }
 }
 
 fn update_mean(mean: &mut Option<f64>, span: DurationUs) {
-    let known = mean.unwrap_or(span.as_f64());
-    *mean = Some(known + DURATION_SAMPLE_WEIGHT * (span.as_f64() - known));
+    let old_mean = mean.unwrap_or(span.as_f64());
+    *mean = Some(old_mean + DURATION_SAMPLE_WEIGHT * (span.as_f64() - old_mean));
 }
 
-fn next_use(seen: Option<BlockUse>, now: TimeUs) -> BlockUse {
-    let Some(seen) = seen else {
+fn next_use(previous: Option<BlockUse>, now: TimeUs) -> BlockUse {
+    let Some(previous) = previous else {
         return BlockUse {
             uses: 1,
             used_at_us: now,
@@ -132,12 +135,12 @@
             is_regular: false,
         };
     };
-    let gap = now.since(seen.used_at_us);
-    let is_regular = seen.gap_us.is_some_and(|last| {
+    let gap = now.since(previous.used_at_us);
+    let is_regular = previous.gap_us.is_some_and(|last| {
         (gap.as_f64() - last.as_f64()).abs() <= REGULARITY_TOLERANCE * last.as_f64()
     });
     BlockUse {
-        uses: seen.uses.saturating_add(1),
+        uses: previous.uses.saturating_add(1),
         used_at_us: now,
         gap_us: Some(gap),
         is_regular,
