--- a/crates/wisteriahitch-core/benches/links.rs
+++ b/crates/wisteriahitch-core/benches/links.rs
@@ -1,8 +1,8 @@
-//! Compares the orders of transfers and the save policies on synthetic workloads.
+//! Compares transfer orders, save policies and prefetch on synthetic workloads.
 //!
-//! `cargo bench -p wisteriahitch-core --bench links` prints the tables that
-//! `docs/design/links.md` draws on. Without `--bench`, as in a test run, a short one shows that
-//! it works. Every run is a function of its seed.
+//! `cargo bench -p wisteriahitch-core --bench links` prints the tables that `docs/design/links.md`
+//! uses. Without `--bench`, as in a test run, a short run of one seed checks that the simulation
+//! works. Every run is a function of its seed.
 
 #[path = "links/shared_link.rs"]
 mod shared_link;
@@ -24,7 +24,7 @@
 const FULL_SPAN_S: u64 = 36 * 3_600;
 const SHORT_SPAN_S: u64 = 900;
 
-/// Names one run among those that are compared.
+/// One of the compared configurations.
 #[derive(Clone, Copy)]
 struct Variant {
     compared: &'static str,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs the seeds beside each other, since none depends on another.
+/// Runs the seeds in parallel, since they are independent.
 fn run_seeds(workload: &Workload, link_share: f64, variant: Variant, seeds: &[u64], span_s: u64) {
     let lines: Vec<String> = std::thread::scope(|scope| {
         let threads: Vec<_> = seeds
--- a/crates/wisteriahitch-core/benches/links/shared_link.rs
+++ b/crates/wisteriahitch-core/benches/links/shared_link.rs
@@ -1,15 +1,15 @@
-//! A link that its transfers share evenly.
+//! A simulated link whose bandwidth is divided evenly among its transfers.
 
 use wisteriahitch_core::tier::TierEvent;
 
-/// Holds a transfer that crosses.
+/// A transfer in progress.
 #[derive(Debug)]
 struct ActiveTransfer {
     remaining_bytes: f64,
     completion: TierEvent,
 }
 
-/// Holds the link and what crosses it.
+/// The link and its transfers in progress.
 #[derive(Debug)]
 pub(crate) struct SharedLink {
     bytes_per_us: f64,
@@ -34,7 +34,7 @@
         });
     }
 
-    /// Returns when the next transfer has crossed.
+    /// Returns the time at which the next transfer finishes.
     pub(crate) fn next_us(&self) -> Option<u64> {
         let min_bytes = self
             .transfers
@@ -45,7 +45,7 @@
         Some(self.now_us + (min_bytes / share).ceil() as u64)
     }
 
-    /// Takes one transfer that has crossed by now.
+    /// Removes one transfer that has finished by now, and returns its event.
     pub(crate) fn pop_finished(&mut self, now_us: u64) -> Option<TierEvent> {
         self.advance(now_us);
         let index = self
--- a/crates/wisteriahitch-core/benches/links/simulation.rs
+++ b/crates/wisteriahitch-core/benches/links/simulation.rs
@@ -1,6 +1,6 @@
-//! Drives the tier core with endpoints, a store and a link that exist on paper only.
+//! Drives the tier module with simulated endpoints, a store and its link.
 //!
-//! Endpoints compute without queues, so that the figures show the links alone.
+//! Endpoints compute without queues, so that the figures show the effect of the link alone.
 
 use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
@@ -26,7 +26,7 @@
 const BLOCK_TOKENS: TokenCount = TokenCount::new(2_000);
 const PREFILL_RATE: TokenRate = TokenRate::new(4_000);
 const LINK_BYTES_PER_S: f64 = 1_000_000_000.0;
-/// Reading from disk takes so many times as long as from memory.
+/// Factor by which a read from disk takes longer than one from memory.
 const DISK_SLOWDOWN: f64 = 2.0;
 const ENDPOINTS: usize = 9;
 const ENDPOINT_BLOCKS: NonZeroUsize = NonZeroUsize::new(60).expect("not zero");
@@ -36,10 +36,10 @@
 const TICK_INTERVAL_US: u64 = 250_000;
 const REPORT_INTERVAL_US: u64 = 2_000_000;
 const US_PER_S: f64 = 1e6;
-/// Part of the run that only warms up.
+/// Fraction of the run that isn't measured.
 const WARM_UP_FRACTION: f64 = 0.33;
 
-/// Says what one run is made of.
+/// The parameters of one run.
 pub(crate) struct Setup {
     pub(crate) workload: Workload,
     pub(crate) policy: SavePolicy,
@@ -355,7 +355,8 @@
         }
     }
 
-    /// Puts a block into an endpoint's memory; the one used longest ago goes.
+    /// Adds a block to an endpoint's cache, which evicts its least recently used block if it is
+    /// full.
     fn cache_block(&mut self, endpoint: usize, key: BlockKey) {
         let evicted = self.endpoints[endpoint].push(key, ());
         if let Some((old, ())) = evicted.filter(|(old, ())| *old != key) {
--- a/crates/wisteriahitch-core/benches/links/statistics.rs
+++ b/crates/wisteriahitch-core/benches/links/statistics.rs
@@ -1,4 +1,4 @@
-//! What a run has shown.
+//! The measurements of a run.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,14 +9,14 @@
     | wait p50 ms  p95 ms | again p50 ms  p95 ms | saves  read again | recomputed | link busy \
     | promoted used";
 
-/// Gathers figures after the warm-up.
+/// Measurements after the warm-up.
 #[derive(Debug, Default)]
 pub(crate) struct Statistics {
     pub(crate) import_waits_us: Vec<u64>,
     pub(crate) first_answers_us: Vec<u64>,
     pub(crate) prompt_tokens: u64,
     pub(crate) recomputed_tokens: u64,
-    /// Blocks saved, and whether each was read since.
+    /// Saved blocks, and whether each has been read since its save.
     pub(crate) saved: BTreeMap<BlockKey, bool>,
     pub(crate) saves: u64,
     pub(crate) saves_read: u64,
--- a/crates/wisteriahitch-core/benches/links/workload.rs
+++ b/crates/wisteriahitch-core/benches/links/workload.rs
@@ -1,28 +1,29 @@
-//! Prompts and their returns, drawn from a seed.
+//! Prompts and their returns, generated from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wisteriahitch_types::BlockKey;
 
-/// Describes one site's prompts. The figures are made up to fit the brief's words.
+/// The distribution of a site's prompts. The figures are made up to fit the verbal description of
+/// the sites.
 #[derive(Clone, Debug)]
 pub(crate) struct Workload {
     pub(crate) name: &'static str,
-    /// New prompts that may return, a second.
+    /// Rate of new prompts that may return.
     pub(crate) new_per_s: f64,
-    /// Prompts that come once, a second.
+    /// Rate of prompts that never return.
     pub(crate) single_per_s: f64,
-    /// Pieces of a prompt that may return, from and to.
+    /// Minimum and maximum number of pieces of a prompt that may return.
     pub(crate) pieces: (u32, u32),
-    /// Pieces of a prompt that comes once.
+    /// Minimum and maximum number of pieces of a prompt that never returns.
     pub(crate) single_pieces: (u32, u32),
-    /// Chance that a prompt returns once more.
+    /// Probability that a prompt returns once more.
     pub(crate) return_share: f64,
-    /// Shortest and longest gap; its logarithm is spread evenly.
+    /// Shortest and longest gap between returns; the logarithm is uniformly distributed.
     pub(crate) gap_s: (f64, f64),
-    /// Part of the prompts whose gap is always the same.
+    /// Fraction of the prompts whose gap is constant.
     pub(crate) regular_share: f64,
-    /// Chance that a return brings one more piece.
+    /// Probability that a prompt has grown by one piece at its return.
     pub(crate) growth_share: f64,
 }
 
@@ -55,7 +56,7 @@
     }
 }
 
-/// Holds one prompt through all its returns.
+/// A prompt, with its state across all returns.
 #[derive(Clone, Debug)]
 pub(crate) struct Prompt {
     pub(crate) number: u64,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Draws prompts, gaps and arrivals.
+/// Generates prompts, gaps and arrivals.
 #[derive(Debug)]
 pub(crate) struct PromptSource {
     workload: Workload,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Draws the time to the next new prompt; a fifth of each hour is four times as busy.
+    /// Samples the time to the next new prompt; in a fifth of each hour the rate is four times as
+    /// high.
     pub(crate) fn next_arrival_s(&mut self, now_s: f64, is_single: bool) -> f64 {
         let rate = match is_single {
             true => self.workload.single_per_s,
@@ -111,7 +113,7 @@
             false => self.workload.pieces,
         };
         let is_regular = !is_single && self.rng.random_bool(self.workload.regular_share);
-        // A few workspaces are large: the number is squared towards the first ones.
+        // A few workspaces get most of the prompts: squaring favours the low indices.
         let uniform: f64 = self.rng.random();
         Prompt {
             number: self.prompts,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Draws when a prompt returns, if it does; it may have grown by then.
+    /// Samples the time until a prompt returns, and lets it grow; `None` if it doesn't return.
     pub(crate) fn next_return_s(&mut self, prompt: &mut Prompt) -> Option<f64> {
         if prompt.is_single || !self.rng.random_bool(self.workload.return_share) {
             return None;
--- a/crates/wisteriahitch-core/src/tier/block.rs
+++ b/crates/wisteriahitch-core/src/tier/block.rs
@@ -67,6 +67,7 @@
     identity: BlockIdentity,
     tier: Tier,
     crc32c: Option<u32>,
+    /// Time until which the block is excluded from imports.
     suspect_until_us: TimeUs,
     state_machine: BlockStateMachine,
 }
--- a/crates/wisteriahitch-core/src/tier/import_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner.rs
@@ -26,6 +26,7 @@
 pub struct ImportPlanner {
     requests: BTreeMap<RequestId, ImportRequest>,
     transfers: BTreeMap<TransferId, ImportTransfer>,
+    /// Imports in progress by endpoint and block, which later requests join.
     by_target: BTreeMap<(EndpointId, BlockKey), TransferId>,
     counts: ImportCounts,
 }
--- a/crates/wisteriahitch-core/src/tier/link.rs
+++ b/crates/wisteriahitch-core/src/tier/link.rs
@@ -30,11 +30,16 @@
     running: BTreeMap<TransferId, RunningTransfer>,
     /// Integral over time of the number of running transfers, in transfer-microseconds.
     running_integral_us: f64,
+    /// Time up to which the integral, the busy time and the backlog are computed.
     updated_at_us: TimeUs,
     last_import_at_us: Option<TimeUs>,
+    /// Mean time between two imports; `None` until two have been queued.
     import_gap_us: Option<f64>,
+    /// Total time during which a transfer of this daemon was running.
     total_busy_us: f64,
+    /// Exponential average of the fraction of time in which the link was busy.
     busy_share: f64,
+    /// Estimated bytes queued by other daemons: the last report, drained at the measured rate.
     other_daemons_bytes: f64,
 }
 
--- a/crates/wisteriahitch-core/src/tier/link_view.rs
+++ b/crates/wisteriahitch-core/src/tier/link_view.rs
@@ -14,6 +14,7 @@
     pub transfer: Transfer,
     /// Time when the transfer was started.
     pub started_at_us: TimeUs,
+    /// Value of the link's integral of running transfers when this one started.
     #[serde(skip)]
     pub(super) running_integral_at_start_us: f64,
 }
--- a/crates/wisteriahitch-core/src/tier/prefetcher.rs
+++ b/crates/wisteriahitch-core/src/tier/prefetcher.rs
@@ -42,6 +42,7 @@
 #[derive(Clone, Debug)]
 struct Promotion {
     handle: BlockHandle,
+    /// When the move was sent; `None` while it is queued for the link.
     call_sent_at_us: Option<TimeUs>,
 }
 
@@ -52,6 +53,7 @@
 #[derive(Debug, Default)]
 pub struct Prefetcher {
     is_enabled: bool,
+    /// Blocks to move, by the time of the move and the first block of the chain.
     predicted_returns: BTreeMap<(TimeUs, BlockKey), Vec<BlockKey>>,
     promotions: BTreeMap<TransferId, Promotion>,
     /// Promoted blocks that no request has used since.
--- a/crates/wisteriahitch-core/src/tier/save_job.rs
+++ b/crates/wisteriahitch-core/src/tier/save_job.rs
@@ -13,7 +13,9 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct SaveBlock {
     pub(crate) block: ChainBlock,
+    /// Index in the chain; 0 for the first block.
     pub(crate) depth: u32,
+    /// Value when the request finished, at most that of the blocks in front.
     pub(crate) value: f64,
 }
 
--- a/crates/wisteriahitch-core/src/tier/save_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner.rs
@@ -24,7 +24,9 @@
 #[derive(Debug, Default)]
 pub struct SavePlanner {
     transfers: BTreeMap<TransferId, SaveTransfer>,
+    /// Locations that are being saved.
     in_progress: BTreeSet<BlockLocation>,
+    /// Reservations abandoned before their answer; their space is freed if the answer confirms it.
     abandoned: BTreeMap<TransferId, (BlockLocation, StoreIncarnation)>,
     quotas: BTreeMap<WorkspaceId, ByteCount>,
     stores_by_endpoint: BTreeMap<EndpointId, Vec<StoreId>>,
--- a/crates/wisteriahitch-core/src/tier/use_table.rs
+++ b/crates/wisteriahitch-core/src/tier/use_table.rs
@@ -40,7 +40,9 @@
 pub struct UseTable {
     blocks: LruCache<BlockKey, BlockUse>,
     histories: BTreeMap<WorkspaceId, ReturnHistory>,
+    /// Mean time from the last use of a block until its endpoint evicts it; `None` without samples.
     mean_residency_us: Option<f64>,
+    /// Mean time from the last use of a block until its store evicts it; `None` without samples.
     mean_retention_us: Option<f64>,
 }
 
--- a/crates/wisteriahitch-core/tests/all/tier.rs
+++ b/crates/wisteriahitch-core/tests/all/tier.rs
@@ -1,4 +1,4 @@
-//! Helpers that the tests of the tier core share.
+//! Helpers shared by the tests of the tier module.
 
 use std::collections::BTreeMap;
 
@@ -18,11 +18,11 @@
 pub(crate) const BLOCK_TOKENS: TokenCount = TokenCount::new(2_000);
 pub(crate) const CRC32C: u32 = 0x1234_5678;
 
-/// Parses a name that the test itself wrote.
+/// Parses an id written in a test.
 pub(crate) fn name<T: std::str::FromStr>(text: &str) -> T {
     match text.parse() {
         Ok(name) => name,
-        Err(_) => panic!("{text} is not a name"),
+        Err(_) => panic!("{text:?} is not a valid id"),
     }
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Builds a configuration with one store, whose link carries one block in a second.
+/// Returns a configuration with one store, whose link transfers one block per second.
 pub(crate) fn configuration() -> Configuration {
     let id: StoreId = name("hub-cache");
     let store = Store {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Builds a configuration with an endpoint and a workspace that may take so many blocks.
+/// Returns a configuration with an endpoint and a workspace whose quota is `quota_blocks`.
 pub(crate) fn configuration_with(quota_blocks: u64) -> Configuration {
     let workspace = Workspace {
         id: name("kandy"),
@@ -119,7 +119,7 @@
     }
 }
 
-/// Builds a core that has seen the store under the incarnation `i-1`.
+/// Returns a state whose store has reported the incarnation `i-1`.
 pub(crate) fn tiers() -> Tiers {
     let mut tiers = Tiers::new();
     tiers.apply_configuration(&configuration());
@@ -169,7 +169,7 @@
     }
 }
 
-/// Shortens a command to its kind and what tells it apart, for tables of cases.
+/// Formats a command as its kind and the field that the tests compare.
 pub(crate) fn brief(command: &TierCommand) -> String {
     match command {
         TierCommand::Pin { transfer, .. } => format!("pin {transfer}"),
--- a/crates/wisteriahitch-core/tests/all/tier_block.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_block.rs
@@ -1,4 +1,4 @@
-//! Who may read a block, by table.
+//! Tests of which readers may access a block.
 
 use expect_test::expect;
 use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockLocation, BlockTable};
@@ -45,9 +45,9 @@
     expected: Result<(), Code>,
 }
 
-/// Symptom: an answer draws on another customer's or another version's text. Sequence: a request
-/// names a block that isn't its own. Cause: a wrong directory entry, or weights swapped between
-/// the decision and the run.
+/// Guards against a request that reads a block of another workspace or weight version. It may name
+/// such a block because of a wrong directory entry, or because the weights were swapped between
+/// routing and running.
 #[test]
 fn only_the_owner_of_the_same_version_reads() {
     let cases = [
@@ -102,13 +102,13 @@
     expected: Result<(), BlockError>,
 }
 
-/// Symptom: a right to old content reaches new content. Sequence: the store gives a place to new
-/// content, or answers late. Cause: answers cross each other.
+/// Guards against a pin on old content that gives access to new content, after the store has reused
+/// a location or answers have arrived out of order.
 #[test]
 fn a_location_accepts_only_later_generations() {
     let cases = [
         AdoptCase {
-            name: "same again",
+            name: "same generation",
             identity: identity(3, Some("kandy"), BLOCK_BYTES),
             crc32c: Some(CRC32C),
             expected: Ok(()),
@@ -159,8 +159,8 @@
     }
 }
 
-/// Symptom: one customer's text is read by another. Sequence: two workspaces send equal text, the
-/// blocks are kept, each returns. Cause: keys made of the text alone.
+/// Guards against one workspace reading another's text. Two workspaces send equal text; if keys
+/// were derived from the text alone, each would find the other's blocks.
 #[test]
 fn equal_text_of_two_workspaces_is_never_shared() {
     let chain_key = |workspace: &str| {
@@ -180,16 +180,16 @@
     let commands = tiers.plan_import(galle, at_ms(0));
     assert_eq!(crate::tier::briefs(&commands), ["pin t2"], "not joined");
 
-    // Even a request that names the other workspace's key gets nothing.
+    // Even a request with the other workspace's key gets no block.
     let mut forged_early = forged.clone();
     forged_early.steps[0].key = chain_key("kandy");
     let refused = ["r-3 proceeds: 0 imported, 1 recomputed"];
     let commands = tiers.plan_import(forged_early.clone(), at_ms(1));
-    assert_eq!(crate::tier::briefs(&commands), refused, "under way");
+    assert_eq!(crate::tier::briefs(&commands), refused, "in progress");
     tiers.handle_event(pinned(1, 4), at_ms(2));
     tiers.handle_event(imported(1), at_ms(3));
     let commands = tiers.plan_import(forged_early, at_ms(4));
-    assert_eq!(crate::tier::briefs(&commands), refused, "kept");
+    assert_eq!(crate::tier::briefs(&commands), refused, "stored");
 }
 
 #[test]
--- a/crates/wisteriahitch-core/tests/all/tier_block_runs.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_block_runs.rs
@@ -1,4 +1,5 @@
-//! Generated runs of the block table against a reference that keeps the model's rules alone.
+//! Random operation sequences on the block table, compared with a reference that implements only
+//! the rules of the model `specs/block_life.pml`.
 
 use std::collections::BTreeMap;
 
@@ -17,16 +18,16 @@
 const WORKSPACES: [&str; 2] = ["kandy", "galle"];
 const VERSIONS: [&str; 2] = ["v1", "v2"];
 
-/// Names one step of a run; a handle is taken from all that were ever given out.
+/// One operation; `age` selects a handle, from the current generation (0) to earlier ones.
 #[derive(Clone, Debug)]
 enum Step {
     Reserve { key: u8, workspace: u8, version: u8 },
     Pin { key: u8, workspace: u8, version: u8 },
     Event { key: u8, age: u8, event: BlockEvent },
-    StoreReturns,
+    StoreRestarts,
 }
 
-/// Holds what the reference knows of one generation of a block.
+/// The reference state of one generation of a block.
 #[derive(Clone, Debug)]
 struct GenerationRecord {
     generation: u64,
@@ -41,7 +42,7 @@
 struct Reference {
     incarnation: u64,
     last_generation: u64,
-    /// Every life of each key, the last one last.
+    /// Every generation of each key, the latest one last.
     history: BTreeMap<u8, Vec<GenerationRecord>>,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Gives the state after an event, or `None` where the model doesn't allow it.
+/// Returns the state and pins after an event, or `None` if the model doesn't allow it.
 fn next(state: BlockState, pins: u32, event: BlockEvent) -> Option<(BlockState, u32)> {
     use BlockState::{Draining, Freed, Readable, Reserved, Sealed, Writing};
     let moved = match (state, event) {
@@ -96,17 +97,17 @@
         6 => (0..KEYS, 0..2_u8, 0..2_u8).prop_map(|(key, workspace, version)| Step::Pin {
             key, workspace, version
         }),
-        // Mostly the present life of the block, and now and then a right from an earlier one.
+        // Mostly the current generation of the block, and sometimes the handle of an earlier one.
         16 => (0..KEYS, prop_oneof![6 => Just(0_u8), 1 => 1..3_u8], event)
             .prop_map(|(key, age, event)| Step::Event { key, age, event }),
-        1 => Just(Step::StoreReturns),
+        1 => Just(Step::StoreRestarts),
     ]
 }
 
-/// Gives steps that the blocks' states allow, since chance alone seldom leads to a late state.
-fn apt_step(state: &Reference) -> BoxedStrategy<Step> {
+/// Generates operations that the blocks' states allow, since random ones rarely reach a late state.
+fn allowed_step(state: &Reference) -> BoxedStrategy<Step> {
     let steps = (0..KEYS).flat_map(|key| match state.record(key, 0) {
-        Some(record) if record.state != BlockState::Freed => apt_events(key, record),
+        Some(record) if record.state != BlockState::Freed => allowed_events(key, record),
         _ => vec![Step::Reserve {
             key,
             workspace: 0,
@@ -116,7 +117,7 @@
     prop::sample::select(steps.collect::<Vec<_>>()).boxed()
 }
 
-fn apt_events(key: u8, record: &GenerationRecord) -> Vec<Step> {
+fn allowed_events(key: u8, record: &GenerationRecord) -> Vec<Step> {
     let events = match record.state {
         BlockState::Reserved => [BlockEvent::Write, BlockEvent::Write],
         BlockState::Writing => [BlockEvent::Seal, BlockEvent::Seal],
@@ -142,7 +143,7 @@
     }
 
     fn transitions(state: &Reference) -> BoxedStrategy<Step> {
-        prop_oneof![2 => step(), 3 => apt_step(state)].boxed()
+        prop_oneof![2 => step(), 3 => allowed_step(state)].boxed()
     }
 
     fn apply(mut state: Reference, step: &Step) -> Reference {
@@ -189,7 +190,7 @@
                     record.pins = pins;
                 }
             }
-            Step::StoreReturns => {
+            Step::StoreRestarts => {
                 state.incarnation += 1;
                 for record in state.history.values_mut().flatten() {
                     record.state = BlockState::Freed;
@@ -242,16 +243,16 @@
         BlockEvent::Unpin => table.unpin(handle),
         BlockEvent::Drain => table.drain(handle),
         BlockEvent::Free => table.free(handle),
-        BlockEvent::Pin | BlockEvent::StoreDied => panic!("has a step of its own"),
+        BlockEvent::Pin | BlockEvent::StoreDied => panic!("is applied by another step"),
     };
     result.is_ok()
 }
 
 impl TableUnderTest {
-    /// Applies a step and checks that the table allows it exactly where the model does.
+    /// Applies an operation and checks that the table allows it exactly where the model does.
     ///
-    /// `after` is the reference with the step applied, so the state before is worked out from
-    /// the table itself, which the invariants held equal to the reference.
+    /// `after` is the reference after the operation. The state before it is taken from the table
+    /// itself, which `check_invariants` has shown to equal the reference.
     fn step(&mut self, after: &Reference, step: &Step) {
         match step {
             Step::Reserve {
@@ -265,11 +266,14 @@
                 version,
             } => self.pin(after, *key, *workspace, *version),
             Step::Event { key, age, event } => self.event(after, *key, *age, *event),
-            Step::StoreReturns => {
+            Step::StoreRestarts => {
                 let ended = self
                     .table
                     .record_incarnation(&store(), &incarnation(after.incarnation));
-                assert!(self.table.is_empty(), "{ended:?} ended, others are left");
+                assert!(
+                    self.table.is_empty(),
+                    "blocks are left besides the removed {ended:?}"
+                );
             }
         }
     }
@@ -329,8 +333,9 @@
         state
     }
 
-    /// Checks after every step that the table shows what the reference knows, and that no right
-    /// that was ever given out reaches a block that is freed, partly written or of another life.
+    /// Checks after every operation that the table equals the reference, and that no handle that
+    /// was ever issued gives access to a block that is freed, partly written or of another
+    /// generation.
     fn check_invariants(state: &Self, reference: &Reference) {
         for number in 0..KEYS {
             let history = reference
--- a/crates/wisteriahitch-core/tests/all/tier_generation.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_generation.rs
@@ -1,4 +1,4 @@
-//! Readers of one generation against those of the next.
+//! Access by handles of an earlier generation.
 
 use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockLocation, BlockTable};
 use wisteriahitch_types::{Generation, Tier};
@@ -16,10 +16,10 @@
     }
 }
 
-/// Symptom: a request reads a block that was freed, under the pin of another one's reader.
-/// Sequence: a reader holds a block; the store frees it and gives its place to new content; a
-/// second reader pins that. Cause: a right names the place alone, so that the first reader's
-/// check finds the second one's pin, and its end takes that pin away.
+/// Guards against access to a freed block through another reader's pin. A reader holds a pin, the
+/// store frees the block and reuses its location for new content, and a second reader pins that. If
+/// handles named only the location, the first reader's check would succeed through the second pin,
+/// and its unpin would release that pin.
 #[test]
 fn a_stale_handle_never_reaches_the_next_generation() {
     let mut table = BlockTable::default();
@@ -42,7 +42,7 @@
     assert_eq!(table.unpin(earlier), Err(BlockError::Gone));
     assert!(
         table.is_pin_valid(later),
-        "the earlier reader took the pin away"
+        "the stale handle released the later pin"
     );
     assert_eq!(table.unpin(later), Ok(()));
 }
--- a/crates/wisteriahitch-core/tests/all/tier_import.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_import.rs
@@ -1,13 +1,13 @@
-//! Imports, whole and failing at each step.
+//! Tests of imports that succeed and that fail at each step.
 
 use wisteriahitch_core::tier::{TierEvent, TransferFailure, TransferId};
 
 use crate::tier::{at_ms, briefs, imported, pinned, plan, store_seen, tiers};
 
-/// Names one event of a run.
+/// One input of a test run.
 enum Step {
     Plan(&'static str, &'static [u8]),
-    /// A plan for another endpoint.
+    /// A plan for another endpoint: endpoint, request and keys.
     PlanAt(&'static str, &'static str, &'static [u8]),
     Event(TierEvent),
     Tick,
@@ -15,7 +15,7 @@
 
 struct Case {
     name: &'static str,
-    /// What happens, by the time in milliseconds, and the commands that must follow.
+    /// The inputs by time in milliseconds, and the commands that must follow.
     run: Vec<(u64, Step, &'static [&'static str])>,
 }
 
@@ -55,7 +55,7 @@
             ],
         },
         Case {
-            name: "equal imports are joined",
+            name: "requests for the same block share one import",
             run: vec![
                 (0, Plan("r-1", &[1]), &["pin t1"]),
                 (1, Plan("r-2", &[1]), &[]),
@@ -72,7 +72,7 @@
             ],
         },
         Case {
-            name: "an answer that comes twice changes nothing",
+            name: "a repeated answer changes nothing",
             run: vec![
                 (0, Plan("r-1", &[1, 2]), &["pin t1", "pin t2"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
@@ -82,7 +82,7 @@
             ],
         },
         Case {
-            name: "a plan without steps goes on at once",
+            name: "a plan without steps proceeds at once",
             run: vec![(
                 0,
                 Plan("r-1", &[]),
@@ -95,10 +95,10 @@
 fn failing_cases() -> Vec<Case> {
     use Step::{Event, Plan};
     vec![
-        // Symptom: a caller waits for a block that its store has freed. Sequence: the directory
-        // names the block, the store frees it, the pin is asked for. Cause: the directory lags.
+        // The directory lags behind the store, so the plan contains a block that the store has
+        // freed. The caller must not wait for it.
         Case {
-            name: "a block that is gone cuts the plan behind it",
+            name: "a missing block truncates the plan",
             run: vec![
                 (0, Plan("r-1", &[1, 2, 3]), &["pin t1", "pin t2", "pin t3"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
@@ -111,8 +111,8 @@
                 ),
             ],
         },
-        // Symptom: the engine refuses a block's content. Sequence: the block is damaged at the
-        // store, pinned and imported. Cause: memory or disk of the store VM.
+        // The block was damaged in the memory or on the disk of the store VM, and the engine
+        // refuses its content.
         Case {
             name: "a corrupt block is freed and the request recomputes",
             run: vec![
@@ -129,8 +129,8 @@
                 ),
             ],
         },
-        // Symptom: an import never ends. Sequence: pinned, started, the store VM dies. Cause: the
-        // VM is gone, so no answer comes.
+        // The store VM dies during an import, so that its answer never comes. The import must end
+        // all the same.
         Case {
             name: "the store dies during an import",
             run: vec![
@@ -148,9 +148,9 @@
                 ),
             ],
         },
-        // Symptom: an engine reads another block's bytes. Sequence: two imports cross the link, a
-        // third waits pinned, the store comes back empty under its old address, the link is free.
-        // Cause: the third still holds a right from the store's earlier life.
+        // Guards against an import of another block's bytes. Two imports are running and a third
+        // waits with its pin when the store restarts empty under its old address; the third one's
+        // pin belongs to the earlier incarnation.
         Case {
             name: "a block is freed while its reader waits in the link's queue",
             run: vec![
@@ -181,10 +181,10 @@
 fn answer_cases() -> Vec<Case> {
     use Step::{Event, Plan};
     vec![
-        // Symptom: good blocks are freed. Sequence: a store's answer to a pin is cut off. Cause:
-        // what was damaged is the answer, and nobody has looked at the block.
+        // Guards against freeing an intact block because a store's answer to a pin was cut off: the
+        // answer is damaged, and the block wasn't read.
         Case {
-            name: "a pin's answer that makes no sense frees nothing",
+            name: "a malformed answer to a pin frees nothing",
             run: vec![
                 (0, Plan("r-1", &[1]), &["pin t1"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
@@ -207,10 +207,10 @@
 fn late_cases() -> Vec<Case> {
     use Step::{Event, Plan, PlanAt, Tick};
     vec![
-        // Symptom: an engine imports a block that was found corrupt. Sequence: three endpoints
-        // want it, two imports cross the link, the third waits pinned, the first engine finds it
-        // corrupt, so that the block is freed and the link has room. Cause: the right was
-        // checked before the wait alone.
+        // Guards against importing a block that was already found corrupt. Three endpoints import
+        // it, two at once while the third waits with its pin; the first engine finds it corrupt, so
+        // the block is freed and the third could start. A check of the pin only before the wait
+        // would miss this.
         Case {
             name: "a corrupt block is freed while another reader waits in the link's queue",
             run: vec![
@@ -238,10 +238,10 @@
                 ),
             ],
         },
-        // Symptom: an import costs the caller more than computing would have. Sequence: the first
-        // block arrives, the link slows, the second doesn't. Cause: the estimate was too good.
+        // Guards against an import that takes longer than recomputing. The estimate was too low:
+        // the first block arrives, then the link slows down and the second doesn't.
         Case {
-            name: "an import that takes longer than recomputing is left behind",
+            name: "the request proceeds when an import takes longer than recomputing",
             run: vec![
                 (0, Plan("r-1", &[1, 2]), &["pin t1", "pin t2"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
@@ -252,11 +252,11 @@
                 (11_000, Event(imported(2)), &["unpin p-5"]),
             ],
         },
-        // Symptom: a first answer takes twice as long as without any import. Sequence: six
-        // blocks are wanted, the link has slowed, none arrives, the whole limit passes, and all
-        // six are computed. Cause: the wait was held to the limit alone.
+        // Guards against a first answer that takes twice as long as without any import. Six blocks
+        // are planned, the link has slowed down, and none arrives; with a check of the limit alone,
+        // the request would wait all of it and then compute all six.
         Case {
-            name: "an import that falls behind the pace of computing is left behind",
+            name: "the request proceeds when an import falls behind the rate of computing",
             run: vec![
                 (
                     0,
@@ -268,11 +268,11 @@
                 (5_000, Tick, &["r-1 proceeds: 0 imported, 6 recomputed"]),
             ],
         },
-        // Symptom: a new version's request reads an old version's block. Sequence: planned for
-        // v1, the weights are swapped at the endpoint, the import arrives. Cause: decision and
-        // run lie apart. The engine refuses, and the block isn't to blame.
+        // Guards against reading a block of an old weight version after the weights were swapped at
+        // the endpoint between routing and import. The engine refuses the import, and the block
+        // must not be freed.
         Case {
-            name: "weights are swapped with a transfer under way",
+            name: "weights are swapped during an import",
             run: vec![
                 (0, Plan("r-1", &[1]), &["pin t1"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
--- a/crates/wisteriahitch-core/tests/all/tier_link.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_link.rs
@@ -1,4 +1,4 @@
-//! Orders of transfers, measured rates and estimates.
+//! Tests of transfer orders, measured rates and estimates.
 
 use wisteriahitch_core::tier::{
     BackfillOrder, FifoOrder, LinkOrder, LinkTable, PriorityOrder, StartedTransfer, TransferClass,
@@ -21,7 +21,7 @@
     table
 }
 
-/// Names one thing that happens to a link.
+/// One operation on a link.
 enum Step {
     Queue(u64, TransferClass, u64),
     Finish(u64),
@@ -31,7 +31,7 @@
 struct OrderCase {
     name: &'static str,
     order: Box<dyn LinkOrder>,
-    /// What happens by the time in milliseconds, and the transfers that start then.
+    /// The operations by time in milliseconds, and the transfers that start then.
     run: Vec<(u64, Step, &'static [u64])>,
 }
 
@@ -40,7 +40,7 @@
     use TransferClass::{Import, Prefetch, Save};
     vec![
         OrderCase {
-            name: "plain order takes transfers as they come, two at once",
+            name: "FIFO order starts transfers in queue order, two at once",
             order: Box::new(FifoOrder),
             run: vec![
                 (0, Queue(1, Save, RATE), &[1]),
@@ -66,10 +66,9 @@
                 (2_500, Finish(4), &[3]),
             ],
         },
-        // Symptom: nothing is ever saved. Sequence: imports never leave the link free. Cause:
-        // they always go first.
+        // Guards against saves that never start because imports always go first on a busy link.
         OrderCase {
-            name: "a save that has aged goes before later imports",
+            name: "a save that has waited too long goes before later imports",
             order: Box::new(PriorityOrder),
             run: vec![
                 (0, Queue(1, Import, RATE), &[1]),
@@ -83,7 +82,7 @@
             ],
         },
         OrderCase {
-            name: "backfill starts no save that may outlast the gap, until it has aged",
+            name: "backfill starts no save that may outlast the gap, until it has waited too long",
             order: Box::new(BackfillOrder),
             run: vec![
                 (0, Queue(1, Import, RATE), &[1]),
@@ -138,16 +137,16 @@
 
 struct RateCase {
     name: &'static str,
-    /// Transfers at once, and how long each takes.
+    /// Number of concurrent transfers; each takes `each_ms`.
     at_once: u64,
     each_ms: u64,
-    /// Bounds of the measured rate after twenty rounds.
+    /// Minimum and maximum of the measured rate after twenty rounds.
     expected: (u64, u64),
 }
 
-/// Symptom: estimates stay good while callers wait ever longer. Sequence: a link slows down, the
-/// configured rate is used on. Cause: nobody measures. The last case is the opposite error: a link
-/// that is merely shared isn't slow.
+/// Guards against estimates that stay low while a link has slowed down, because only the configured
+/// rate is used. The last case guards against the opposite: a link that is merely shared must not
+/// count as slow.
 #[test]
 fn a_slowed_link_lowers_the_measured_rate() {
     let cases = [
@@ -217,7 +216,7 @@
             expected_ms: 4_000,
         },
         EstimateCase {
-            name: "saves that wait are passed by",
+            name: "queued saves are not counted",
             queued: &[Import, Save, Save],
             reported_bytes: 0,
             expected_ms: 2_000,
--- a/crates/wisteriahitch-core/tests/all/tier_room.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_room.rs
@@ -1,4 +1,4 @@
-//! Room in the tiers, and prefetch.
+//! Tests of demotion, eviction and prefetch.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     store_seen,
 };
 
-/// Answers every call of a save, so that the blocks become readable.
+/// Saves a chain by answering every command, so that its blocks become readable.
 fn save(tiers: &mut Tiers, keys: &[u8], now: TimeUs) {
     save_request(tiers, &finished(SavePolicy::Always, keys), now);
 }
@@ -34,7 +34,7 @@
                     crc32c: CRC32C,
                 }),
             },
-            other => panic!("a save doesn't need {other:?}"),
+            other => panic!("a save must not cause {other:?}"),
         };
         commands.extend(tiers.handle_event(event, now));
     }
@@ -49,7 +49,7 @@
     tiers
 }
 
-fn seen_with(memory_blocks: u64, disk_blocks: u64) -> TierEvent {
+fn reported_free(memory_blocks: u64, disk_blocks: u64) -> TierEvent {
     TierEvent::StoreSeen {
         store: name("hub-cache"),
         incarnation: name("i-1"),
@@ -82,44 +82,44 @@
 
 struct RoomCase {
     name: &'static str,
-    /// Blocks that fit into memory and disk, by the store's report.
+    /// Free space in memory and on disk, in blocks, as the store reports it.
     free_blocks: (u64, u64),
-    is_mine: bool,
-    /// The block that is to be moved to disk.
+    is_managed: bool,
+    /// The block that must be moved to disk.
     expected: Option<u8>,
 }
 
-/// Symptom: a chain without its front is kept, which nobody can read. Sequence: memory fills up
-/// and blocks go. Cause: the front of a chain is the oldest part of it.
+/// Guards against evicting the front of a chain, which makes the rest unreadable. The front
+/// contains the oldest blocks, so eviction by age alone would start with it when memory fills up.
 #[test]
 fn memory_is_demoted_from_the_end_of_a_chain() {
     let cases = [
         RoomCase {
-            name: "enough room",
+            name: "enough free space",
             free_blocks: (5, 50),
-            is_mine: true,
+            is_managed: true,
             expected: None,
         },
         RoomCase {
             name: "memory is full",
             free_blocks: (0, 50),
-            is_mine: true,
+            is_managed: true,
             expected: Some(3),
         },
         RoomCase {
-            name: "memory is full, and another daemon keeps the room",
+            name: "memory is full, and another daemon manages the store",
             free_blocks: (0, 50),
-            is_mine: false,
+            is_managed: false,
             expected: None,
         },
     ];
     for case in cases {
         let mut tiers = tiers_with(&[1, 2, 3]);
-        if !case.is_mine {
+        if !case.is_managed {
             tiers.set_managed_stores(BTreeSet::new());
         }
         let (memory, disk) = case.free_blocks;
-        tiers.handle_event(seen_with(memory, disk), at_ms(10));
+        tiers.handle_event(reported_free(memory, disk), at_ms(10));
         let commands = tiers.tick(at_ms(20));
         let expected = case.expected.map(|number| (key(number), Tier::Disk));
         assert_eq!(moved_key(&commands), expected, "{}", case.name);
@@ -143,21 +143,19 @@
     }
 }
 
-/// Symptom: the front of a chain goes before its end, and unused blocks stay. Sequence: a chain is
-/// saved, its store is listed, memory fills up. Cause: the listing, which knows neither the depth
-/// nor the use of a block, replaced what was known of both.
+/// Guards against evicting the front of a chain first and keeping unused blocks. A listing contains
+/// neither depth nor use, and must not overwrite the ranks of blocks saved before it.
 #[test]
 fn a_listing_does_not_reset_ranks() {
     let mut tiers = tiers_with(&[1, 2, 3]);
     listed(&mut tiers, &[3, 2, 1], at_ms(5));
-    tiers.handle_event(seen_with(0, 50), at_ms(10));
+    tiers.handle_event(reported_free(0, 50), at_ms(10));
     let commands = tiers.tick(at_ms(20));
     assert_eq!(moved_key(&commands), Some((key(3), Tier::Disk)));
 }
 
-/// Symptom: a chain that returns often is never saved again. Sequence: it is saved, another daemon
-/// frees its end, the store is listed without it, the chain is used. Cause: the block still counts
-/// as readable here.
+/// Guards against a chain that is never saved again: another daemon frees its end, but the block
+/// still counts as readable here after a listing without it.
 #[test]
 fn a_block_that_its_store_no_longer_lists_is_saved_again() {
     let mut tiers = tiers_with(&[1, 2]);
@@ -172,36 +170,36 @@
     assert_eq!(briefs(&commands), ["reserve t3 memory"]);
 }
 
-/// Symptom: prompts of long ago fill the memory and those of today go to disk. Sequence: a block is
-/// saved while it is worth much; later ones are worth less, since the link is slower or prefill
-/// faster; memory fills up again and again. Cause: blocks age only when one is freed, and as long
-/// as the disk has room none is freed.
+/// Guards against old blocks that stay in memory forever while new ones go to disk. A block is
+/// saved with a high value; later blocks have lower values, because the link is slower or prefill
+/// faster. If ranks aged only with evictions, the old block would stay as long as the disk has free
+/// space.
 #[test]
 fn an_unused_block_leaves_memory_although_later_ones_are_worth_less() {
     const ROUNDS: u8 = 100;
     let mut tiers = tiers_with(&[1]);
-    let moved_in = (2..ROUNDS).find(|number| {
+    let demoted_in = (2..ROUNDS).find(|number| {
         let now = at_ms(u64::from(*number) * 100);
-        tiers.handle_event(seen_with(10, 1_000), now);
+        tiers.handle_event(reported_free(10, 1_000), now);
         let mut later = finished(SavePolicy::Always, &[*number]);
         later.prefill_tokens_per_s = TokenRate::new(20_000);
         save_request(&mut tiers, &later, now);
-        tiers.handle_event(seen_with(0, 1_000), now);
+        tiers.handle_event(reported_free(0, 1_000), now);
         let commands = tiers.tick(now);
         let [
             TierCommand::Move {
                 transfer,
-                key: least,
+                key: demoted,
                 ..
             },
         ] = commands[..]
         else {
-            panic!("memory is full and nothing moves: {commands:?}");
+            panic!("memory is full but no block is moved: {commands:?}");
         };
         tiers.handle_event(moved(transfer.get(), Ok(())), now);
-        least == key(1)
+        demoted == key(1)
     });
-    assert!(moved_in.is_some(), "the first block never left memory");
+    assert!(demoted_in.is_some(), "the first block never left memory");
 }
 
 struct MoveCase {
@@ -224,14 +222,14 @@
             expected: Some(Tier::Memory),
         },
         MoveCase {
-            name: "the block is gone",
+            name: "the block no longer exists",
             result: Err(TransferFailure::Gone),
             expected: None,
         },
     ];
     for case in cases {
         let mut tiers = tiers_with(&[1, 2]);
-        tiers.handle_event(seen_with(0, 50), at_ms(10));
+        tiers.handle_event(reported_free(0, 50), at_ms(10));
         assert_eq!(briefs(&tiers.tick(at_ms(20))), ["move t3 disk"]);
         assert_eq!(tiers.handle_event(moved(3, case.result), at_ms(30)), []);
         assert_eq!(tier_of(&tiers, 2), case.expected, "{}", case.name);
@@ -239,14 +237,14 @@
     }
 }
 
-/// Symptom: nothing can be saved any more. Sequence: the disk fills up. Cause: nothing is freed.
+/// Guards against saves that stop for good once the disk is full, because nothing is evicted.
 #[test]
 fn a_full_disk_is_freed_from_the_end_of_a_chain() {
     let mut tiers = tiers_with(&[1, 2]);
-    tiers.handle_event(seen_with(0, 50), at_ms(10));
+    tiers.handle_event(reported_free(0, 50), at_ms(10));
     tiers.tick(at_ms(20));
     tiers.handle_event(moved(3, Ok(())), at_ms(30));
-    tiers.handle_event(seen_with(5, 0), at_ms(40));
+    tiers.handle_event(reported_free(5, 0), at_ms(40));
     assert_eq!(briefs(&tiers.tick(at_ms(50))), ["free generation 2"]);
     assert_eq!(tier_of(&tiers, 2), None);
     assert_eq!(tier_of(&tiers, 1), Some(Tier::Memory));
@@ -255,7 +253,7 @@
 struct PrefetchCase {
     name: &'static str,
     is_enabled: bool,
-    /// When the block is used, in seconds.
+    /// Times at which the block is used, in seconds.
     uses_s: [u64; 3],
     expected: &'static [&'static str],
 }
@@ -285,10 +283,10 @@
     for case in cases {
         let mut tiers = tiers_with(&[1]);
         tiers.set_prefetch(case.is_enabled);
-        tiers.handle_event(seen_with(0, 50), at_ms(10));
+        tiers.handle_event(reported_free(0, 50), at_ms(10));
         assert_eq!(briefs(&tiers.tick(at_ms(20))), ["move t2 disk"]);
         tiers.handle_event(moved(2, Ok(())), at_ms(30));
-        tiers.handle_event(seen_with(5, 50), at_ms(40));
+        tiers.handle_event(reported_free(5, 50), at_ms(40));
         for second in case.uses_s {
             let used = finished(SavePolicy::Never, &[1]);
             assert_eq!(tiers.request_finished(&used, at_ms(second * 1_000)), []);
--- a/crates/wisteriahitch-core/tests/all/tier_save.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_save.rs
@@ -1,4 +1,4 @@
-//! Saves, whole and failing at each step.
+//! Tests of saves that succeed and that fail at each step.
 
 use wisteriahitch_config::SavePolicy;
 use wisteriahitch_core::tier::{
@@ -18,10 +18,10 @@
 
 struct Case {
     name: &'static str,
-    /// Room that the workspace may take, in blocks.
+    /// Quota of the workspace, in blocks.
     quota_blocks: u64,
     run: Vec<(u64, Step, &'static [&'static str])>,
-    /// Blocks that are readable in the end.
+    /// Blocks that must be readable at the end.
     readable: &'static [u8],
 }
 
@@ -67,7 +67,7 @@
             readable: &[1, 2],
         },
         Case {
-            name: "nothing is saved where the rule says so",
+            name: "nothing is saved with the policy Never",
             quota_blocks: 10,
             run: vec![(0, Finished(Never, &[1]), &[])],
             readable: &[],
@@ -84,7 +84,7 @@
             readable: &[1],
         },
         Case {
-            name: "an unknown workspace's blocks are saved until its history speaks against it",
+            name: "an unknown workspace's blocks are saved until its history shows no returns",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Learned, &[1]), &["reserve t1 memory"]),
@@ -94,7 +94,7 @@
             readable: &[1],
         },
         Case {
-            name: "a block that the store holds already isn't sent again",
+            name: "a block that the store already holds isn't exported again",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
@@ -116,8 +116,8 @@
     use Step::Finished;
     use TransferFailure::{Full, Gone, Lost};
     vec![
-        // Symptom: saves are refused. Sequence: memory fills up during the save, then the disk.
-        // Cause: other daemons save to the same store.
+        // The store fills up during the save, first its memory and then its disk, because other
+        // daemons save to it too.
         Case {
             name: "the store fills up during a save",
             quota_blocks: 10,
@@ -129,8 +129,8 @@
             ],
             readable: &[],
         },
-        // Symptom: the endpoint can't export. Sequence: finished, evicted, asked to export.
-        // Cause: accelerator memory is short.
+        // The endpoint evicts the block after the request has finished and before the export,
+        // because accelerator memory is short.
         Case {
             name: "the endpoint evicted the block before the export",
             quota_blocks: 10,
@@ -141,11 +141,11 @@
             ],
             readable: &[],
         },
-        // Symptom: no answer to an export. Sequence: the endpoint may be writing still, the room
-        // is given back, a second try is made, and its answer is lost too. Cause: the endpoint
-        // or its link.
+        // The answer to an export is lost while the endpoint may still be writing. The space must
+        // be freed and the retry must use a new generation; after a second lost answer the save
+        // ends.
         Case {
-            name: "a lost export is tried once more under another generation",
+            name: "a lost export is retried once with a new generation",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
@@ -169,8 +169,7 @@
     use Step::{Event, Finished, Tick};
     use TransferFailure::InProgress;
     vec![
-        // Symptom: a block that can't be read whole. Sequence: the endpoint says it wrote less
-        // than was reserved. Cause: the endpoint cut the block off.
+        // The endpoint wrote fewer bytes than were reserved. The block must not become readable.
         Case {
             name: "a block of another length is never published",
             quota_blocks: 10,
@@ -185,10 +184,10 @@
             ],
             readable: &[],
         },
-        // Symptom: room is lost at the store. Sequence: the reservation's answer takes over a
-        // minute, the save is given up, the answer names room. Cause: a paused store VM.
+        // Guards against leaked space: a paused store confirms a reservation after more than a
+        // minute, when the save has already been abandoned.
         Case {
-            name: "room that is granted too late is given back",
+            name: "space that is reserved too late is freed",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
@@ -198,8 +197,8 @@
             ],
             readable: &[],
         },
-        // Symptom: blocks are named that nobody holds. Sequence: saved, the store VM dies and
-        // comes back empty under its old address during the next save. Cause: the name survives.
+        // Guards against blocks that are listed as readable but no longer exist: the store VM
+        // restarts empty under its old address during a save.
         Case {
             name: "the store comes back empty during a save",
             quota_blocks: 10,
@@ -214,7 +213,7 @@
             readable: &[],
         },
         Case {
-            name: "a workspace at its quota gives up nothing of more value",
+            name: "a workspace at its quota evicts no block of higher value",
             quota_blocks: 1,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
@@ -270,6 +269,11 @@
             })
             .collect();
         assert_eq!(readable(&tiers), places, "{}", case.name);
-        assert_eq!(tiers.saves().jobs(), 0, "{}: a save is left", case.name);
+        assert_eq!(
+            tiers.saves().jobs(),
+            0,
+            "{}: a save is still in progress",
+            case.name
+        );
     }
 }
