--- a/crates/wisteriahitch-core/benches/links.rs
+++ b/crates/wisteriahitch-core/benches/links.rs
@@ -63,20 +63,28 @@
     let seeds = if is_full { &SEEDS[..] } else { &SEEDS[..1] };
     println!("{}", statistics::HEADER);
     for workload in Workload::all() {
-        for link_share in LINK_RATE_FACTORS {
+        for link_rate_factor in LINK_RATE_FACTORS {
             for variant in variants() {
-                run_seeds(&workload, link_share, variant, seeds, span_s);
+                run_seeds(&workload, link_rate_factor, variant, seeds, span_s);
             }
         }
     }
 }
 
 /// Runs the seeds in parallel, since they are independent.
-fn run_seeds(workload: &Workload, link_share: f64, variant: Variant, seeds: &[u64], span_s: u64) {
+fn run_seeds(
+    workload: &Workload,
+    link_rate_factor: f64,
+    variant: Variant,
+    seeds: &[u64],
+    span_s: u64,
+) {
     let lines: Vec<String> = std::thread::scope(|scope| {
         let threads: Vec<_> = seeds
             .iter()
-            .map(|seed| scope.spawn(move || run(workload, link_share, variant, *seed, span_s)))
+            .map(|seed| {
+                scope.spawn(move || run(workload, link_rate_factor, variant, *seed, span_s))
+            })
             .collect();
         let joined = threads.into_iter().map(|thread| thread.join());
         joined.map(|line| line.expect("the run ends")).collect()
@@ -84,18 +92,24 @@
     lines.iter().for_each(|line| println!("{line}"));
 }
 
-fn run(workload: &Workload, link_share: f64, variant: Variant, seed: u64, span_s: u64) -> String {
+fn run(
+    workload: &Workload,
+    link_rate_factor: f64,
+    variant: Variant,
+    seed: u64,
+    span_s: u64,
+) -> String {
     let setup = Setup {
         workload: workload.clone(),
         policy: variant.policy,
         has_prefetch: variant.has_prefetch,
-        link_share,
+        link_rate_factor,
         seed,
         span_s,
     };
     let order = (variant.order)();
     let label = format!(
-        "{:<9} {link_share:>4} {seed:>4} {:<8} {:<8} {:<10}",
+        "{:<9} {link_rate_factor:>4} {seed:>4} {:<8} {:<8} {:<10}",
         workload.name,
         variant.compared,
         order.name(),
--- a/crates/wisteriahitch-core/benches/links/simulation.rs
+++ b/crates/wisteriahitch-core/benches/links/simulation.rs
@@ -44,7 +44,7 @@
     pub(crate) workload: Workload,
     pub(crate) policy: SavePolicy,
     pub(crate) has_prefetch: bool,
-    pub(crate) link_share: f64,
+    pub(crate) link_rate_factor: f64,
     pub(crate) seed: u64,
     pub(crate) span_s: u64,
 }
@@ -58,15 +58,15 @@
     Report,
 }
 
-struct Running {
+struct RunningRequest {
     prompt: Prompt,
     endpoint: usize,
-    arrived_us: u64,
-    resident: u32,
-    planned: usize,
+    arrived_at_us: u64,
+    resident_pieces: u32,
+    planned_pieces: usize,
 }
 
-struct Stored {
+struct StoredBlock {
     generation: Generation,
     tier: Tier,
 }
@@ -80,9 +80,9 @@
     sequence: u64,
     queue: BTreeMap<(u64, u64), SimulationEvent>,
     endpoints: Vec<LruCache<BlockKey, ()>>,
-    store: BTreeMap<BlockKey, Stored>,
-    used: BTreeMap<Tier, u64>,
-    running: BTreeMap<RequestId, Running>,
+    store: BTreeMap<BlockKey, StoredBlock>,
+    used_blocks: BTreeMap<Tier, u64>,
+    running: BTreeMap<RequestId, RunningRequest>,
     statistics: Statistics,
 }
 
@@ -102,12 +102,12 @@
     ByteCount::new(count * BLOCK_BYTES.get())
 }
 
-fn configuration(link_share: f64) -> Configuration {
+fn configuration(link_rate_factor: f64) -> Configuration {
     let store = Store {
         id: store_id(),
         address: ([127, 0, 0, 1], 9).into(),
         availability_zone: name("a"),
-        link_rate_bytes_per_s: ByteRate::new((LINK_BYTES_PER_S * link_share) as u64),
+        link_rate_bytes_per_s: ByteRate::new((LINK_BYTES_PER_S * link_rate_factor) as u64),
         memory_bytes: blocks(MEMORY_BLOCKS),
         disk_bytes: blocks(DISK_BLOCKS),
     };
@@ -146,11 +146,11 @@
 impl Simulation {
     pub(crate) fn new(setup: Setup, order: Box<dyn LinkOrder>) -> Self {
         let mut tiers = Tiers::with_order(order);
-        tiers.apply_configuration(&configuration(setup.link_share));
+        tiers.apply_configuration(&configuration(setup.link_rate_factor));
         tiers.set_prefetch(setup.has_prefetch);
         Self {
             source: PromptSource::new(setup.workload.clone(), setup.seed),
-            link: SharedLink::new(LINK_BYTES_PER_S * setup.link_share),
+            link: SharedLink::new(LINK_BYTES_PER_S * setup.link_rate_factor),
             tiers,
             setup,
             now_us: 0,
@@ -160,7 +160,7 @@
                 .map(|_| LruCache::new(ENDPOINT_BLOCKS))
                 .collect(),
             store: BTreeMap::new(),
-            used: BTreeMap::new(),
+            used_blocks: BTreeMap::new(),
             running: BTreeMap::new(),
             statistics: Statistics::default(),
         }
@@ -237,7 +237,9 @@
             SimulationEvent::Report => {
                 self.at(REPORT_INTERVAL_US, SimulationEvent::Report);
                 let free = |tier, capacity: u64| {
-                    blocks(capacity.saturating_sub(self.used.get(&tier).copied().unwrap_or(0)))
+                    blocks(
+                        capacity.saturating_sub(self.used_blocks.get(&tier).copied().unwrap_or(0)),
+                    )
                 };
                 let event = TierEvent::StoreSeen {
                     store: store_id(),
@@ -260,7 +262,7 @@
     fn arrive(&mut self, prompt: Prompt) {
         let endpoint = prompt.number as usize % ENDPOINTS;
         let is_resident = |piece: &u32| self.endpoints[endpoint].contains(&prompt.key(*piece));
-        let resident = (0..prompt.pieces).take_while(is_resident).count() as u32;
+        let resident_pieces = (0..prompt.pieces).take_while(is_resident).count() as u32;
         let is_stored = |piece: &u32| {
             let location = BlockLocation {
                 store: store_id(),
@@ -269,12 +271,14 @@
             let block = self.tiers.blocks().get(&location);
             block.is_some_and(|block| block.state() == BlockState::Readable)
         };
-        let stored = (resident..prompt.pieces).take_while(is_stored).count() as u64;
+        let stored = (resident_pieces..prompt.pieces)
+            .take_while(is_stored)
+            .count() as u64;
         let import_us = self
             .tiers
             .transfer_time(&store_id(), blocks(stored), self.time());
         let compute_us = PREFILL_RATE.time_for(TokenCount::new(stored * BLOCK_TOKENS.get()));
-        let planned = if import_us < compute_us { stored } else { 0 };
+        let planned_pieces = if import_us < compute_us { stored } else { 0 };
         self.sequence += 1;
         let request: RequestId = name(&format!("r-{}", self.sequence));
         let step = |piece: u32| ImportStep {
@@ -290,15 +294,17 @@
                 weight_version: name("v1"),
             },
             endpoint: endpoint_id(endpoint),
-            steps: (resident..resident + planned as u32).map(step).collect(),
+            steps: (resident_pieces..resident_pieces + planned_pieces as u32)
+                .map(step)
+                .collect(),
             limit_us: compute_us,
         };
-        let running = Running {
+        let running = RunningRequest {
             prompt,
             endpoint,
-            arrived_us: self.now_us,
-            resident,
-            planned: planned as usize,
+            arrived_at_us: self.now_us,
+            resident_pieces,
+            planned_pieces: planned_pieces as usize,
         };
         self.running.insert(request, running);
         let commands = self.tiers.plan_import(plan, self.time());
@@ -308,13 +314,13 @@
     fn proceed(&mut self, request: RequestId, imported: usize) {
         let is_measured = self.is_measured();
         let running = &self.running[&request];
-        let wait_us = self.now_us - running.arrived_us;
+        let wait_us = self.now_us - running.arrived_at_us;
         let pieces = u64::from(running.prompt.pieces);
-        let recomputed = pieces - u64::from(running.resident) - imported as u64;
+        let recomputed = pieces - u64::from(running.resident_pieces) - imported as u64;
         let tokens = TokenCount::new(recomputed * BLOCK_TOKENS.get());
         let compute_us = PREFILL_RATE.time_for(tokens).get();
         if is_measured {
-            if running.planned > 0 {
+            if running.planned_pieces > 0 {
                 self.statistics.import_waits_us.push(wait_us);
             }
             if running.prompt.returns > 0 {
@@ -455,14 +461,14 @@
             Tier::Memory => MEMORY_BLOCKS,
             Tier::Disk => DISK_BLOCKS,
         };
-        let used = self.used.entry(tier).or_default();
+        let used = self.used_blocks.entry(tier).or_default();
         if *used >= capacity {
             return Err(TransferFailure::Full);
         }
         *used += 1;
         self.sequence += 1;
         let generation = Generation::new(self.sequence);
-        self.store.insert(key, Stored { generation, tier });
+        self.store.insert(key, StoredBlock { generation, tier });
         Ok(ReserveOutcome::Granted(generation))
     }
 
@@ -489,8 +495,8 @@
     fn move_to(&mut self, key: BlockKey, tier: Tier) -> Result<(), TransferFailure> {
         let stored = self.store.get_mut(&key).ok_or(TransferFailure::Gone)?;
         if stored.tier != tier {
-            *self.used.entry(stored.tier).or_default() -= 1;
-            *self.used.entry(tier).or_default() += 1;
+            *self.used_blocks.entry(stored.tier).or_default() -= 1;
+            *self.used_blocks.entry(tier).or_default() += 1;
             stored.tier = tier;
         }
         Ok(())
@@ -502,7 +508,7 @@
             .get(&key)
             .is_some_and(|stored| stored.generation == generation);
         if let Some(stored) = self.store.remove(&key).filter(|_| is_same) {
-            *self.used.entry(stored.tier).or_default() -= 1;
+            *self.used_blocks.entry(stored.tier).or_default() -= 1;
         }
     }
 }
--- a/crates/wisteriahitch-core/src/tier/capacity_manager.rs
+++ b/crates/wisteriahitch-core/src/tier/capacity_manager.rs
@@ -203,7 +203,7 @@
             return true;
         }
         if cx.blocks.change_tier(&demotion.handle, Tier::Disk).is_ok() {
-            cx.ranks.record_demotion(location);
+            cx.eviction_index.record_demotion(location);
             cx.stores
                 .release_space(&location.store, Tier::Memory, demotion.bytes);
             self.counts.demoted += 1;
@@ -244,7 +244,7 @@
 
 /// Returns the lowest-ranked blocks of a tier that no reader of this daemon has pinned.
 fn lowest_unpinned(store: &StoreId, tier: Tier, cx: &Context<'_>) -> Vec<BlockLocation> {
-    cx.ranks
+    cx.eviction_index
         .lowest_ranked(store, tier)
         .filter(|location| {
             cx.blocks
--- a/crates/wisteriahitch-core/src/tier/context.rs
+++ b/crates/wisteriahitch-core/src/tier/context.rs
@@ -20,7 +20,7 @@
     pub(crate) blocks: &'a mut BlockTable,
     pub(crate) links: &'a mut LinkTable,
     pub(crate) stores: &'a mut StoreTable,
-    pub(crate) ranks: &'a mut EvictionIndex,
+    pub(crate) eviction_index: &'a mut EvictionIndex,
     pub(crate) last_transfer: &'a mut TransferId,
     pub(crate) commands: &'a mut Vec<TierCommand>,
     pub(crate) now: TimeUs,
@@ -45,7 +45,7 @@
 
     /// Evicts a block: no new reader may pin it, and its store frees it after the last reader.
     pub(crate) fn evict(&mut self, location: &BlockLocation) {
-        self.ranks.record_eviction(location);
+        self.eviction_index.record_eviction(location);
         let Some(handle) = self.blocks.handle(location) else {
             return;
         };
@@ -82,7 +82,7 @@
             TransferFailure::Lost => self.mark_suspect(location),
             _ if self.blocks.handle(location).as_ref() == Some(handle) => {
                 self.blocks.invalidate(location);
-                self.ranks.remove_block(location);
+                self.eviction_index.remove_block(location);
             }
             _ => {}
         }
@@ -111,7 +111,7 @@
             .collect();
         for location in unlisted {
             self.blocks.invalidate(&location);
-            self.ranks.remove_block(&location);
+            self.eviction_index.remove_block(&location);
         }
     }
 
--- a/crates/wisteriahitch-core/src/tier/eviction_index.rs
+++ b/crates/wisteriahitch-core/src/tier/eviction_index.rs
@@ -66,7 +66,8 @@
         self.insert(location.clone(), entry);
     }
 
-    /// Adds a block that a store lists, with the lowest rank if the block is unknown.
+    /// Updates the tier of a block that a store lists; an unknown block is added with a value of
+    /// zero.
     ///
     /// A listing contains neither depth nor use. If it changed the ranks of known blocks, the front
     /// of a chain could be evicted before its end, and imports would stop at the first block.
--- a/crates/wisteriahitch-core/src/tier/planners.rs
+++ b/crates/wisteriahitch-core/src/tier/planners.rs
@@ -34,9 +34,10 @@
         self.saves.tick(cx);
         self.capacity.tick(self.uses, cx);
         self.prefetch.tick(cx);
-        if cx.ranks.len() > cx.blocks.len() + MAX_STALE_RANKS {
+        if cx.eviction_index.len() > cx.blocks.len() + MAX_STALE_RANKS {
             let blocks = &*cx.blocks;
-            cx.ranks.retain(|location| blocks.get(location).is_some());
+            cx.eviction_index
+                .retain(|location| blocks.get(location).is_some());
         }
     }
 
@@ -86,7 +87,7 @@
         let known = cx.blocks.incarnation(&store);
         if known.is_some_and(|known| *known != incarnation) {
             cx.blocks.remove_store_blocks(&store);
-            cx.ranks.remove_store(&store);
+            cx.eviction_index.remove_store(&store);
             self.imports.store_lost(&store, TransferFailure::Gone, cx);
             self.saves.store_lost(&store, cx);
             self.capacity.store_lost(&store);
@@ -145,6 +146,6 @@
         .adopt(location.clone(), identity, tier, None)
         .is_ok()
     {
-        cx.ranks.record_listed(&location, tier);
+        cx.eviction_index.record_listed(&location, tier);
     }
 }
--- a/crates/wisteriahitch-core/src/tier/prefetcher.rs
+++ b/crates/wisteriahitch-core/src/tier/prefetcher.rs
@@ -193,7 +193,7 @@
             let location = &handle.location;
             let block = cx.blocks.get(location).map(|block| block.identity().bytes);
             let bytes = block.unwrap_or_default();
-            cx.ranks.change_ranked_tier(location, Tier::Memory);
+            cx.eviction_index.change_ranked_tier(location, Tier::Memory);
             cx.stores
                 .reserve_space(&location.store, Tier::Memory, bytes);
             cx.stores.release_space(&location.store, Tier::Disk, bytes);
--- a/crates/wisteriahitch-core/src/tier/save_planner/answers.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner/answers.rs
@@ -105,7 +105,7 @@
                 return;
             }
             let SaveBlock { value, depth, .. } = transfer.front;
-            cx.ranks.touch(&location, tier, value, depth);
+            cx.eviction_index.touch(&location, tier, value, depth);
         }
         self.counts.already_there += 1;
         self.enqueue_next(transfer.job, cx);
@@ -154,7 +154,8 @@
             depth,
             block,
         } = transfer.front;
-        cx.ranks.touch(&handle.location, tier, value, depth);
+        cx.eviction_index
+            .touch(&handle.location, tier, value, depth);
         self.counts.finished += 1;
         self.counts.finished_bytes += block.bytes;
         self.enqueue_next(transfer.job, cx);
--- a/crates/wisteriahitch-core/src/tier/save_planner/choosing.rs
+++ b/crates/wisteriahitch-core/src/tier/save_planner/choosing.rs
@@ -63,7 +63,8 @@
                 key: block.key,
             };
             if let Some(tier) = readable_tier(&location, cx) {
-                cx.ranks.touch(&location, tier, min_value, depth as u32);
+                cx.eviction_index
+                    .touch(&location, tier, min_value, depth as u32);
                 continue;
             }
             is_saving &= is_worth_saving(request.policy, min_value, block_use, store, cx)
--- a/crates/wisteriahitch-core/src/tier/save_room.rs
+++ b/crates/wisteriahitch-core/src/tier/save_room.rs
@@ -27,7 +27,7 @@
     let candidates: Vec<BlockLocation> = [Tier::Disk, Tier::Memory]
         .into_iter()
         .flat_map(|tier| {
-            cx.ranks
+            cx.eviction_index
                 .lowest_ranked(store, tier)
                 .take(MAX_QUOTA_CANDIDATES)
         })
@@ -40,7 +40,11 @@
             .blocks
             .get(&location)
             .is_some_and(|block| block.identity().workspace.as_ref() == Some(workspace));
-        if is_own && cx.ranks.ranks_below(&location, transfer.front.value) {
+        if is_own
+            && cx
+                .eviction_index
+                .ranks_below(&location, transfer.front.value)
+        {
             cx.evict(&location);
         }
     }
