--- a/crates/wisteriahitch-core/benches/links/shared_link.rs
+++ b/crates/wisteriahitch-core/benches/links/shared_link.rs
@@ -41,8 +41,8 @@
             .iter()
             .map(|transfer| transfer.remaining_bytes)
             .min_by(f64::total_cmp)?;
-        let share = self.bytes_per_us / self.transfers.len() as f64;
-        Some(self.now_us + (min_bytes / share).ceil() as u64)
+        let bytes_per_us_each = self.bytes_per_us / self.transfers.len() as f64;
+        Some(self.now_us + (min_bytes / bytes_per_us_each).ceil() as u64)
     }
 
     /// Removes one transfer that has finished by now, and returns its event.
@@ -56,10 +56,10 @@
     }
 
     fn advance(&mut self, now_us: u64) {
-        let span_us = now_us.saturating_sub(self.now_us) as f64;
-        let share = self.bytes_per_us / self.transfers.len().max(1) as f64;
+        let elapsed_us = now_us.saturating_sub(self.now_us) as f64;
+        let bytes_per_us_each = self.bytes_per_us / self.transfers.len().max(1) as f64;
         for transfer in &mut self.transfers {
-            transfer.remaining_bytes -= span_us * share;
+            transfer.remaining_bytes -= elapsed_us * bytes_per_us_each;
         }
         self.now_us = now_us;
     }
--- a/crates/wisteriahitch-core/benches/links/simulation.rs
+++ b/crates/wisteriahitch-core/benches/links/simulation.rs
@@ -168,10 +168,10 @@
 
     pub(crate) fn run(mut self) -> Statistics {
         let end_us = self.setup.span_s * US_PER_S as u64;
-        self.at(0, SimulationEvent::Report);
-        self.at(1, SimulationEvent::Tick);
-        self.at(2, SimulationEvent::New { is_single: true });
-        self.at(3, SimulationEvent::New { is_single: false });
+        self.schedule(0, SimulationEvent::Report);
+        self.schedule(1, SimulationEvent::Tick);
+        self.schedule(2, SimulationEvent::New { is_single: true });
+        self.schedule(3, SimulationEvent::New { is_single: false });
         while self.now_us < end_us {
             self.step();
         }
@@ -183,7 +183,7 @@
         self.statistics
     }
 
-    fn at(&mut self, delay_us: u64, scheduled: SimulationEvent) {
+    fn schedule(&mut self, delay_us: u64, scheduled: SimulationEvent) {
         self.sequence += 1;
         self.queue
             .insert((self.now_us + delay_us, self.sequence), scheduled);
@@ -219,7 +219,7 @@
             SimulationEvent::New { is_single } => {
                 let now_s = self.now_us as f64 / US_PER_S;
                 let next_s = self.source.next_arrival_s(now_s, is_single);
-                self.at(
+                self.schedule(
                     (next_s * US_PER_S) as u64,
                     SimulationEvent::New { is_single },
                 );
@@ -230,12 +230,12 @@
             SimulationEvent::Answer(event) => self.deliver(event),
             SimulationEvent::Computed(request) => self.computed(&request),
             SimulationEvent::Tick => {
-                self.at(TICK_INTERVAL_US, SimulationEvent::Tick);
+                self.schedule(TICK_INTERVAL_US, SimulationEvent::Tick);
                 let commands = self.tiers.tick(self.time());
                 self.execute_all(commands);
             }
             SimulationEvent::Report => {
-                self.at(REPORT_INTERVAL_US, SimulationEvent::Report);
+                self.schedule(REPORT_INTERVAL_US, SimulationEvent::Report);
                 let free = |tier, capacity: u64| {
                     blocks(
                         capacity.saturating_sub(self.used_blocks.get(&tier).copied().unwrap_or(0)),
@@ -329,7 +329,7 @@
             self.statistics.prompt_tokens += pieces * BLOCK_TOKENS.get();
             self.statistics.recomputed_tokens += tokens.get();
         }
-        self.at(compute_us, SimulationEvent::Computed(request));
+        self.schedule(compute_us, SimulationEvent::Computed(request));
     }
 
     fn computed(&mut self, request: &RequestId) {
@@ -354,7 +354,7 @@
         let commands = self.tiers.request_finished(&finished, self.time());
         self.execute_all(commands);
         if let Some(gap_s) = self.source.next_return_s(&mut running.prompt) {
-            self.at(
+            self.schedule(
                 (gap_s * US_PER_S) as u64,
                 SimulationEvent::Return(running.prompt),
             );
@@ -441,7 +441,7 @@
     }
 
     fn answer(&mut self, event: TierEvent) {
-        self.at(CALL_LATENCY_US, SimulationEvent::Answer(event));
+        self.schedule(CALL_LATENCY_US, SimulationEvent::Answer(event));
     }
 
     fn pin(&self, key: BlockKey) -> Result<PinGrant, TransferFailure> {
--- a/crates/wisteriahitch-core/src/tier/link.rs
+++ b/crates/wisteriahitch-core/src/tier/link.rs
@@ -235,8 +235,8 @@
     }
 
     fn remaining_bytes(&self, now: TimeUs) -> f64 {
-        let share = self.running.len().max(1) as f64;
-        let bytes_per_us = self.measured_bytes_per_s / 1_000_000.0 / share;
+        let running_count = self.running.len().max(1) as f64;
+        let bytes_per_us = self.measured_bytes_per_s / 1_000_000.0 / running_count;
         self.running
             .values()
             .map(|running| {
--- a/crates/wisteriahitch-core/tests/all/tier_room.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_room.rs
@@ -80,7 +80,7 @@
     found.map(|(_, block)| block.tier())
 }
 
-struct RoomCase {
+struct CapacityCase {
     name: &'static str,
     /// Free space in memory and on disk, in blocks, as the store reports it.
     free_blocks: (u64, u64),
@@ -94,19 +94,19 @@
 #[test]
 fn memory_is_demoted_from_the_end_of_a_chain() {
     let cases = [
-        RoomCase {
+        CapacityCase {
             name: "enough free space",
             free_blocks: (5, 50),
             is_managed: true,
             expected: None,
         },
-        RoomCase {
+        CapacityCase {
             name: "memory is full",
             free_blocks: (0, 50),
             is_managed: true,
             expected: Some(3),
         },
-        RoomCase {
+        CapacityCase {
             name: "memory is full, and another daemon manages the store",
             free_blocks: (0, 50),
             is_managed: false,
--- a/crates/wisteriahitch-core/tests/all/tier_save.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_save.rs
@@ -32,7 +32,7 @@
     })
 }
 
-fn room(transfer: u64, generation: u64) -> Step {
+fn granted(transfer: u64, generation: u64) -> Step {
     reserved(
         transfer,
         Ok(ReserveOutcome::Granted(Generation::new(generation))),
@@ -58,9 +58,9 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (1_001, exported(1, Ok(BLOCK_BYTES)), &["reserve t2 memory"]),
-                (1_002, room(2, 8), &["export t2"]),
+                (1_002, granted(2, 8), &["export t2"]),
                 (2_002, exported(2, Ok(BLOCK_BYTES)), &[]),
                 (3_000, Finished(Always, &[1, 2]), &[]),
             ],
@@ -78,7 +78,7 @@
             run: vec![
                 (0, Finished(SecondUse, &[1, 2]), &[]),
                 (5, Finished(SecondUse, &[1, 3]), &["reserve t1 memory"]),
-                (6, room(1, 7), &["export t1"]),
+                (6, granted(1, 7), &["export t1"]),
                 (1_006, exported(1, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[1],
@@ -88,7 +88,7 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Learned, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (1_001, exported(1, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[1],
@@ -103,7 +103,7 @@
                     reserved(1, Ok(ReserveOutcome::AlreadyReadable(Generation::new(3)))),
                     &["reserve t2 memory"],
                 ),
-                (2, room(2, 8), &["export t2"]),
+                (2, granted(2, 8), &["export t2"]),
                 (1_002, exported(2, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[1, 2],
@@ -136,7 +136,7 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (2, exported(1, Err(Gone)), &["free generation 7"]),
             ],
             readable: &[],
@@ -149,13 +149,13 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (
                     2,
                     exported(1, Err(Lost)),
                     &["free generation 7", "reserve t2 memory"],
                 ),
-                (3, room(2, 8), &["export t2"]),
+                (3, granted(2, 8), &["export t2"]),
                 (4, exported(1, Ok(BLOCK_BYTES)), &[]),
                 (5, exported(2, Err(Lost)), &["free generation 8"]),
             ],
@@ -175,7 +175,7 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (
                     2,
                     exported(1, Ok(ByteCount::new(5))),
@@ -192,8 +192,8 @@
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
                 (60_000, Tick, &[]),
-                (61_000, room(1, 7), &["free generation 7"]),
-                (61_001, room(1, 7), &[]),
+                (61_000, granted(1, 7), &["free generation 7"]),
+                (61_001, granted(1, 7), &[]),
             ],
             readable: &[],
         },
@@ -204,9 +204,9 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (2, exported(1, Ok(BLOCK_BYTES)), &["reserve t2 memory"]),
-                (3, room(2, 8), &["export t2"]),
+                (3, granted(2, 8), &["export t2"]),
                 (4, Event(store_seen("i-2")), &[]),
                 (5, exported(2, Ok(BLOCK_BYTES)), &[]),
             ],
@@ -217,7 +217,7 @@
             quota_blocks: 1,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (1_001, exported(1, Ok(BLOCK_BYTES)), &[]),
                 (60_000, Finished(Always, &[2]), &[]),
             ],
