--- a/crates/wisteriahitch-core/benches/links.rs
+++ b/crates/wisteriahitch-core/benches/links.rs
@@ -1,30 +1,30 @@
-//! Compares the orders of transfers and the save policies on synthetic workloads.
+//! Compares transfer orders, save policies and prefetch on synthetic workloads.
 //!
-//! `cargo bench -p wisteriahitch-core --bench links` prints the tables that
-//! `docs/design/links.md` draws on. Without `--bench`, as in a test run, a short one shows that
-//! it works. Every run is a function of its seed.
+//! `cargo bench -p wisteriahitch-core --bench links` prints the tables that `docs/design/links.md`
+//! uses. Without `--bench`, as in a test run, a short run of one seed checks that the simulation
+//! works. Every run is a function of its seed.
 
+#[path = "links/shared_link.rs"]
+mod shared_link;
 #[path = "links/simulation.rs"]
 mod simulation;
 #[path = "links/statistics.rs"]
 mod statistics;
-#[path = "links/wire.rs"]
-mod wire;
 #[path = "links/workload.rs"]
 mod workload;
 
 use wisteriahitch_config::SavePolicy;
-use wisteriahitch_core::tier::{BackfillOrder, LinkOrder, PlainOrder, PriorityOrder};
+use wisteriahitch_core::tier::{BackfillOrder, FifoOrder, LinkOrder, PriorityOrder};
 
 use simulation::{Setup, Simulation};
 use workload::Workload;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
-const LINK_SHARES: [f64; 2] = [1.0, 0.5];
-const FULL_S: u64 = 36 * 3_600;
-const SHORT_S: u64 = 900;
+const LINK_RATE_FACTORS: [f64; 2] = [1.0, 0.5];
+const FULL_SPAN_S: u64 = 36 * 3_600;
+const SHORT_SPAN_S: u64 = 900;
 
-/// Names one run among those that are compared.
+/// One of the compared configurations.
 #[derive(Clone, Copy)]
 struct Variant {
     compared: &'static str,
@@ -34,7 +34,7 @@
 }
 
 fn variants() -> Vec<Variant> {
-    let plain: fn() -> Box<dyn LinkOrder> = || Box::new(PlainOrder);
+    let plain: fn() -> Box<dyn LinkOrder> = || Box::new(FifoOrder);
     let priority: fn() -> Box<dyn LinkOrder> = || Box::new(PriorityOrder);
     let backfill: fn() -> Box<dyn LinkOrder> = || Box::new(BackfillOrder);
     let variant = |compared, order, policy| Variant {
@@ -59,24 +59,32 @@
 
 fn main() {
     let is_full = std::env::args().any(|argument| argument == "--bench");
-    let span_s = if is_full { FULL_S } else { SHORT_S };
+    let span_s = if is_full { FULL_SPAN_S } else { SHORT_SPAN_S };
     let seeds = if is_full { &SEEDS[..] } else { &SEEDS[..1] };
-    println!("{}", statistics::HEAD);
+    println!("{}", statistics::HEADER);
     for workload in Workload::all() {
-        for link_share in LINK_SHARES {
+        for link_rate_factor in LINK_RATE_FACTORS {
             for variant in variants() {
-                run_seeds(&workload, link_share, variant, seeds, span_s);
+                run_seeds(&workload, link_rate_factor, variant, seeds, span_s);
             }
         }
     }
 }
 
-/// Runs the seeds beside each other, since none depends on another.
-fn run_seeds(workload: &Workload, link_share: f64, variant: Variant, seeds: &[u64], span_s: u64) {
+/// Runs the seeds in parallel, since they are independent.
+fn run_seeds(
+    workload: &Workload,
+    link_rate_factor: f64,
+    variant: Variant,
+    seeds: &[u64],
+    span_s: u64,
+) {
     let lines: Vec<String> = std::thread::scope(|scope| {
         let threads: Vec<_> = seeds
             .iter()
-            .map(|seed| scope.spawn(move || run(workload, link_share, variant, *seed, span_s)))
+            .map(|seed| {
+                scope.spawn(move || run(workload, link_rate_factor, variant, *seed, span_s))
+            })
             .collect();
         let joined = threads.into_iter().map(|thread| thread.join());
         joined.map(|line| line.expect("the run ends")).collect()
@@ -84,18 +92,24 @@
     lines.iter().for_each(|line| println!("{line}"));
 }
 
-fn run(workload: &Workload, link_share: f64, variant: Variant, seed: u64, span_s: u64) -> String {
+fn run(
+    workload: &Workload,
+    link_rate_factor: f64,
+    variant: Variant,
+    seed: u64,
+    span_s: u64,
+) -> String {
     let setup = Setup {
         workload: workload.clone(),
         policy: variant.policy,
         has_prefetch: variant.has_prefetch,
-        link_share,
+        link_rate_factor,
         seed,
         span_s,
     };
     let order = (variant.order)();
     let label = format!(
-        "{:<9} {link_share:>4} {seed:>4} {:<8} {:<8} {:<10}",
+        "{:<9} {link_rate_factor:>4} {seed:>4} {:<8} {:<8} {:<10}",
         workload.name,
         variant.compared,
         order.name(),
--- a/crates/wisteriahitch-core/benches/links/simulation.rs
+++ b/crates/wisteriahitch-core/benches/links/simulation.rs
@@ -1,6 +1,6 @@
-//! Drives the tier core with endpoints, a store and a link that exist on paper only.
+//! Drives the tier module with simulated endpoints, a store and its link.
 //!
-//! Endpoints compute without queues, so that the figures show the links alone.
+//! Endpoints compute without queues, so that the figures show the effect of the link alone.
 
 use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
@@ -10,46 +10,46 @@
     Configuration, Endpoint, SavePolicy, Service, ServiceKind, Store, Workspace,
 };
 use wisteriahitch_core::tier::{
-    ChainBlock, ExportReceipt, FinishedRequest, ImportPlan, ImportStep, LinkOrder, PinGrant, Place,
-    Reader, ReservedRoom, TierCommand, TierEvent, Tiers, TransferFailure, TransferId,
+    BlockLocation, ChainBlock, ExportReceipt, FinishedRequest, ImportPlan, ImportStep, LinkOrder,
+    PinGrant, Reader, ReserveOutcome, TierCommand, TierEvent, Tiers, TransferFailure, TransferId,
 };
 use wisteriahitch_types::{
     BlockKey, BlockState, ByteCount, ByteRate, EndpointId, Generation, RequestId, StoreId, Tier,
     TimeUs, TokenCount, TokenRate,
 };
 
+use crate::shared_link::SharedLink;
 use crate::statistics::Statistics;
-use crate::wire::Wire;
-use crate::workload::{Prompt, Source, Workload};
+use crate::workload::{Prompt, PromptSource, Workload};
 
 const BLOCK_BYTES: ByteCount = ByteCount::new(100_000_000);
 const BLOCK_TOKENS: TokenCount = TokenCount::new(2_000);
-const PREFILL: TokenRate = TokenRate::new(4_000);
+const PREFILL_RATE: TokenRate = TokenRate::new(4_000);
 const LINK_BYTES_PER_S: f64 = 1_000_000_000.0;
-/// Reading from disk takes so many times as long as from memory.
-const DISK_FACTOR: f64 = 2.0;
+/// Factor by which a read from disk takes longer than one from memory.
+const DISK_SLOWDOWN: f64 = 2.0;
 const ENDPOINTS: usize = 9;
 const ENDPOINT_BLOCKS: NonZeroUsize = NonZeroUsize::new(60).expect("not zero");
 const MEMORY_BLOCKS: u64 = 500;
 const DISK_BLOCKS: u64 = 16_000;
-const CALL_US: u64 = 2_000;
-const TICK_US: u64 = 250_000;
-const REPORT_US: u64 = 2_000_000;
-const SECOND_US: f64 = 1e6;
-/// Part of the run that only warms up.
-const WARM_UP_PART: f64 = 0.33;
-
-/// Says what one run is made of.
+const CALL_LATENCY_US: u64 = 2_000;
+const TICK_INTERVAL_US: u64 = 250_000;
+const REPORT_INTERVAL_US: u64 = 2_000_000;
+const US_PER_S: f64 = 1e6;
+/// Fraction of the run that isn't measured.
+const WARM_UP_FRACTION: f64 = 0.33;
+
+/// The parameters of one run.
 pub(crate) struct Setup {
     pub(crate) workload: Workload,
     pub(crate) policy: SavePolicy,
     pub(crate) has_prefetch: bool,
-    pub(crate) link_share: f64,
+    pub(crate) link_rate_factor: f64,
     pub(crate) seed: u64,
     pub(crate) span_s: u64,
 }
 
-enum Happening {
+enum SimulationEvent {
     New { is_single: bool },
     Return(Prompt),
     Answer(TierEvent),
@@ -58,15 +58,15 @@
     Report,
 }
 
-struct Running {
+struct RunningRequest {
     prompt: Prompt,
     endpoint: usize,
-    arrived_us: u64,
-    resident: u32,
-    planned: usize,
+    arrived_at_us: u64,
+    resident_pieces: u32,
+    planned_pieces: usize,
 }
 
-struct Stored {
+struct StoredBlock {
     generation: Generation,
     tier: Tier,
 }
@@ -74,15 +74,15 @@
 pub(crate) struct Simulation {
     setup: Setup,
     tiers: Tiers,
-    source: Source,
-    wire: Wire,
+    source: PromptSource,
+    link: SharedLink,
     now_us: u64,
     sequence: u64,
-    queue: BTreeMap<(u64, u64), Happening>,
+    queue: BTreeMap<(u64, u64), SimulationEvent>,
     endpoints: Vec<LruCache<BlockKey, ()>>,
-    store: BTreeMap<BlockKey, Stored>,
-    used: BTreeMap<Tier, u64>,
-    running: BTreeMap<RequestId, Running>,
+    store: BTreeMap<BlockKey, StoredBlock>,
+    used_blocks: BTreeMap<Tier, u64>,
+    running: BTreeMap<RequestId, RunningRequest>,
     statistics: Statistics,
 }
 
@@ -102,12 +102,12 @@
     ByteCount::new(count * BLOCK_BYTES.get())
 }
 
-fn configuration(link_share: f64) -> Configuration {
+fn configuration(link_rate_factor: f64) -> Configuration {
     let store = Store {
         id: store_id(),
         address: ([127, 0, 0, 1], 9).into(),
         availability_zone: name("a"),
-        link_rate_bytes_per_s: ByteRate::new((LINK_BYTES_PER_S * link_share) as u64),
+        link_rate_bytes_per_s: ByteRate::new((LINK_BYTES_PER_S * link_rate_factor) as u64),
         memory_bytes: blocks(MEMORY_BLOCKS),
         disk_bytes: blocks(DISK_BLOCKS),
     };
@@ -146,11 +146,11 @@
 impl Simulation {
     pub(crate) fn new(setup: Setup, order: Box<dyn LinkOrder>) -> Self {
         let mut tiers = Tiers::with_order(order);
-        tiers.configured(&configuration(setup.link_share));
+        tiers.apply_configuration(&configuration(setup.link_rate_factor));
         tiers.set_prefetch(setup.has_prefetch);
         Self {
-            source: Source::new(setup.workload.clone(), setup.seed),
-            wire: Wire::new(LINK_BYTES_PER_S * setup.link_share),
+            source: PromptSource::new(setup.workload.clone(), setup.seed),
+            link: SharedLink::new(LINK_BYTES_PER_S * setup.link_rate_factor),
             tiers,
             setup,
             now_us: 0,
@@ -160,18 +160,18 @@
                 .map(|_| LruCache::new(ENDPOINT_BLOCKS))
                 .collect(),
             store: BTreeMap::new(),
-            used: BTreeMap::new(),
+            used_blocks: BTreeMap::new(),
             running: BTreeMap::new(),
             statistics: Statistics::default(),
         }
     }
 
     pub(crate) fn run(mut self) -> Statistics {
-        let end_us = self.setup.span_s * SECOND_US as u64;
-        self.at(0, Happening::Report);
-        self.at(1, Happening::Tick);
-        self.at(2, Happening::New { is_single: true });
-        self.at(3, Happening::New { is_single: false });
+        let end_us = self.setup.span_s * US_PER_S as u64;
+        self.schedule(0, SimulationEvent::Report);
+        self.schedule(1, SimulationEvent::Tick);
+        self.schedule(2, SimulationEvent::New { is_single: true });
+        self.schedule(3, SimulationEvent::New { is_single: false });
         while self.now_us < end_us {
             self.step();
         }
@@ -183,27 +183,27 @@
         self.statistics
     }
 
-    fn at(&mut self, delay_us: u64, happening: Happening) {
+    fn schedule(&mut self, delay_us: u64, scheduled: SimulationEvent) {
         self.sequence += 1;
         self.queue
-            .insert((self.now_us + delay_us, self.sequence), happening);
+            .insert((self.now_us + delay_us, self.sequence), scheduled);
     }
 
     fn step(&mut self) {
         let next_us = self.queue.first_key_value().map(|(key, _)| key.0);
-        let wire_us = self.wire.next_us().filter(|us| Some(*us) <= next_us);
-        if let Some(us) = wire_us {
+        let link_us = self.link.next_us().filter(|us| Some(*us) <= next_us);
+        if let Some(us) = link_us {
             self.now_us = self.now_us.max(us);
-            while let Some(event) = self.wire.take_crossed(self.now_us) {
-                self.tell(event);
+            while let Some(event) = self.link.pop_finished(self.now_us) {
+                self.deliver(event);
             }
             return;
         }
-        let Some(((us, _), happening)) = self.queue.pop_first() else {
+        let Some(((us, _), scheduled)) = self.queue.pop_first() else {
             return;
         };
         self.now_us = us;
-        self.happen(happening);
+        self.handle(scheduled);
     }
 
     fn time(&self) -> TimeUs {
@@ -211,30 +211,35 @@
     }
 
     fn is_measured(&self) -> bool {
-        self.now_us as f64 > self.setup.span_s as f64 * SECOND_US * WARM_UP_PART
+        self.now_us as f64 > self.setup.span_s as f64 * US_PER_S * WARM_UP_FRACTION
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::New { is_single } => {
-                let now_s = self.now_us as f64 / SECOND_US;
+    fn handle(&mut self, scheduled: SimulationEvent) {
+        match scheduled {
+            SimulationEvent::New { is_single } => {
+                let now_s = self.now_us as f64 / US_PER_S;
                 let next_s = self.source.next_arrival_s(now_s, is_single);
-                self.at((next_s * SECOND_US) as u64, Happening::New { is_single });
+                self.schedule(
+                    (next_s * US_PER_S) as u64,
+                    SimulationEvent::New { is_single },
+                );
                 let prompt = self.source.new_prompt(is_single);
                 self.arrive(prompt);
             }
-            Happening::Return(prompt) => self.arrive(prompt),
-            Happening::Answer(event) => self.tell(event),
-            Happening::Computed(request) => self.computed(&request),
-            Happening::Tick => {
-                self.at(TICK_US, Happening::Tick);
+            SimulationEvent::Return(prompt) => self.arrive(prompt),
+            SimulationEvent::Answer(event) => self.deliver(event),
+            SimulationEvent::Computed(request) => self.computed(&request),
+            SimulationEvent::Tick => {
+                self.schedule(TICK_INTERVAL_US, SimulationEvent::Tick);
                 let commands = self.tiers.tick(self.time());
-                self.obey(commands);
+                self.execute_all(commands);
             }
-            Happening::Report => {
-                self.at(REPORT_US, Happening::Report);
+            SimulationEvent::Report => {
+                self.schedule(REPORT_INTERVAL_US, SimulationEvent::Report);
                 let free = |tier, capacity: u64| {
-                    blocks(capacity.saturating_sub(self.used.get(&tier).copied().unwrap_or(0)))
+                    blocks(
+                        capacity.saturating_sub(self.used_blocks.get(&tier).copied().unwrap_or(0)),
+                    )
                 };
                 let event = TierEvent::StoreSeen {
                     store: store_id(),
@@ -244,34 +249,36 @@
                     queued_bytes: ByteCount::ZERO,
                     is_leaving: false,
                 };
-                self.tell(event);
+                self.deliver(event);
             }
         }
     }
 
-    fn tell(&mut self, event: TierEvent) {
-        let commands = self.tiers.on(event, self.time());
-        self.obey(commands);
+    fn deliver(&mut self, event: TierEvent) {
+        let commands = self.tiers.handle_event(event, self.time());
+        self.execute_all(commands);
     }
 
     fn arrive(&mut self, prompt: Prompt) {
         let endpoint = prompt.number as usize % ENDPOINTS;
         let is_resident = |piece: &u32| self.endpoints[endpoint].contains(&prompt.key(*piece));
-        let resident = (0..prompt.pieces).take_while(is_resident).count() as u32;
+        let resident_pieces = (0..prompt.pieces).take_while(is_resident).count() as u32;
         let is_stored = |piece: &u32| {
-            let place = Place {
+            let location = BlockLocation {
                 store: store_id(),
                 key: prompt.key(*piece),
             };
-            let block = self.tiers.blocks().get(&place);
+            let block = self.tiers.blocks().get(&location);
             block.is_some_and(|block| block.state() == BlockState::Readable)
         };
-        let stored = (resident..prompt.pieces).take_while(is_stored).count() as u64;
+        let stored = (resident_pieces..prompt.pieces)
+            .take_while(is_stored)
+            .count() as u64;
         let import_us = self
             .tiers
             .transfer_time(&store_id(), blocks(stored), self.time());
-        let compute_us = PREFILL.time_for(TokenCount::new(stored * BLOCK_TOKENS.get()));
-        let planned = if import_us < compute_us { stored } else { 0 };
+        let compute_us = PREFILL_RATE.time_for(TokenCount::new(stored * BLOCK_TOKENS.get()));
+        let planned_pieces = if import_us < compute_us { stored } else { 0 };
         self.sequence += 1;
         let request: RequestId = name(&format!("r-{}", self.sequence));
         let step = |piece: u32| ImportStep {
@@ -287,31 +294,33 @@
                 weight_version: name("v1"),
             },
             endpoint: endpoint_id(endpoint),
-            steps: (resident..resident + planned as u32).map(step).collect(),
+            steps: (resident_pieces..resident_pieces + planned_pieces as u32)
+                .map(step)
+                .collect(),
             limit_us: compute_us,
         };
-        let running = Running {
+        let running = RunningRequest {
             prompt,
             endpoint,
-            arrived_us: self.now_us,
-            resident,
-            planned: planned as usize,
+            arrived_at_us: self.now_us,
+            resident_pieces,
+            planned_pieces: planned_pieces as usize,
         };
         self.running.insert(request, running);
         let commands = self.tiers.plan_import(plan, self.time());
-        self.obey(commands);
+        self.execute_all(commands);
     }
 
     fn proceed(&mut self, request: RequestId, imported: usize) {
         let is_measured = self.is_measured();
         let running = &self.running[&request];
-        let wait_us = self.now_us - running.arrived_us;
+        let wait_us = self.now_us - running.arrived_at_us;
         let pieces = u64::from(running.prompt.pieces);
-        let recomputed = pieces - u64::from(running.resident) - imported as u64;
+        let recomputed = pieces - u64::from(running.resident_pieces) - imported as u64;
         let tokens = TokenCount::new(recomputed * BLOCK_TOKENS.get());
-        let compute_us = PREFILL.time_for(tokens).get();
+        let compute_us = PREFILL_RATE.time_for(tokens).get();
         if is_measured {
-            if running.planned > 0 {
+            if running.planned_pieces > 0 {
                 self.statistics.import_waits_us.push(wait_us);
             }
             if running.prompt.returns > 0 {
@@ -320,14 +329,14 @@
             self.statistics.prompt_tokens += pieces * BLOCK_TOKENS.get();
             self.statistics.recomputed_tokens += tokens.get();
         }
-        self.at(compute_us, Happening::Computed(request));
+        self.schedule(compute_us, SimulationEvent::Computed(request));
     }
 
     fn computed(&mut self, request: &RequestId) {
         let mut running = self.running.remove(request).expect("running");
         let prompt = running.prompt.clone();
         for piece in (0..prompt.pieces).rev() {
-            self.hold(running.endpoint, prompt.key(piece));
+            self.cache_block(running.endpoint, prompt.key(piece));
         }
         let block = |piece| ChainBlock {
             key: prompt.key(piece),
@@ -339,34 +348,35 @@
             weight_version: name("v1"),
             endpoint: endpoint_id(running.endpoint),
             policy: self.setup.policy,
-            prefill_tokens_per_s: PREFILL,
+            prefill_tokens_per_s: PREFILL_RATE,
             chain: (0..prompt.pieces).map(block).collect(),
         };
-        let commands = self.tiers.finished(&finished, self.time());
-        self.obey(commands);
+        let commands = self.tiers.request_finished(&finished, self.time());
+        self.execute_all(commands);
         if let Some(gap_s) = self.source.next_return_s(&mut running.prompt) {
-            self.at(
-                (gap_s * SECOND_US) as u64,
-                Happening::Return(running.prompt),
+            self.schedule(
+                (gap_s * US_PER_S) as u64,
+                SimulationEvent::Return(running.prompt),
             );
         }
     }
 
-    /// Puts a block into an endpoint's memory; the one used longest ago goes.
-    fn hold(&mut self, endpoint: usize, key: BlockKey) {
+    /// Adds a block to an endpoint's cache, which evicts its least recently used block if it is
+    /// full.
+    fn cache_block(&mut self, endpoint: usize, key: BlockKey) {
         let evicted = self.endpoints[endpoint].push(key, ());
         if let Some((old, ())) = evicted.filter(|(old, ())| *old != key) {
-            self.tell(TierEvent::EndpointEvicted { key: old });
+            self.deliver(TierEvent::EndpointEvicted { key: old });
         }
     }
 
-    fn obey(&mut self, commands: Vec<TierCommand>) {
+    fn execute_all(&mut self, commands: Vec<TierCommand>) {
         for command in commands {
-            self.obey_one(command);
+            self.execute(command);
         }
     }
 
-    fn obey_one(&mut self, command: TierCommand) {
+    fn execute(&mut self, command: TierCommand) {
         match command {
             TierCommand::Pin { transfer, key, .. } => {
                 let result = self.pin(key);
@@ -380,19 +390,19 @@
             } => {
                 let tier = self.store.get(&key).map(|stored| stored.tier);
                 let factor = if tier == Some(Tier::Disk) {
-                    DISK_FACTOR
+                    DISK_SLOWDOWN
                 } else {
                     1.0
                 };
-                self.statistics.note_read(key);
+                self.statistics.record_read(key);
                 let index = (0..ENDPOINTS).find(|index| endpoint_id(*index) == endpoint);
-                self.hold(index.expect("an endpoint"), key);
+                self.cache_block(index.expect("an endpoint"), key);
                 let event = TierEvent::Imported {
                     transfer,
                     result: Ok(()),
                 };
                 let bytes = BLOCK_BYTES.as_f64() * factor;
-                self.wire.add(bytes, event, self.now_us);
+                self.link.add(bytes, event, self.now_us);
             }
             TierCommand::Proceed {
                 request,
@@ -431,7 +441,7 @@
     }
 
     fn answer(&mut self, event: TierEvent) {
-        self.at(CALL_US, Happening::Answer(event));
+        self.schedule(CALL_LATENCY_US, SimulationEvent::Answer(event));
     }
 
     fn pin(&self, key: BlockKey) -> Result<PinGrant, TransferFailure> {
@@ -446,31 +456,31 @@
         })
     }
 
-    fn reserve(&mut self, key: BlockKey, tier: Tier) -> Result<ReservedRoom, TransferFailure> {
+    fn reserve(&mut self, key: BlockKey, tier: Tier) -> Result<ReserveOutcome, TransferFailure> {
         let capacity = match tier {
             Tier::Memory => MEMORY_BLOCKS,
             Tier::Disk => DISK_BLOCKS,
         };
-        let used = self.used.entry(tier).or_default();
+        let used = self.used_blocks.entry(tier).or_default();
         if *used >= capacity {
             return Err(TransferFailure::Full);
         }
         *used += 1;
         self.sequence += 1;
         let generation = Generation::new(self.sequence);
-        self.store.insert(key, Stored { generation, tier });
-        Ok(ReservedRoom::Room(generation))
+        self.store.insert(key, StoredBlock { generation, tier });
+        Ok(ReserveOutcome::Granted(generation))
     }
 
     fn export(&mut self, transfer: TransferId, endpoint: &EndpointId, key: BlockKey) {
         let index = (0..ENDPOINTS).find(|index| endpoint_id(*index) == *endpoint);
-        let is_held = index.is_some_and(|index| self.endpoints[index].contains(&key));
-        if !is_held {
+        let is_cached = index.is_some_and(|index| self.endpoints[index].contains(&key));
+        if !is_cached {
             let result = Err(TransferFailure::Gone);
             return self.answer(TierEvent::Exported { transfer, result });
         }
         if self.is_measured() {
-            self.statistics.note_saved(key);
+            self.statistics.record_save(key);
         }
         let event = TierEvent::Exported {
             transfer,
@@ -479,14 +489,14 @@
                 crc32c: 1,
             }),
         };
-        self.wire.add(BLOCK_BYTES.as_f64(), event, self.now_us);
+        self.link.add(BLOCK_BYTES.as_f64(), event, self.now_us);
     }
 
     fn move_to(&mut self, key: BlockKey, tier: Tier) -> Result<(), TransferFailure> {
         let stored = self.store.get_mut(&key).ok_or(TransferFailure::Gone)?;
         if stored.tier != tier {
-            *self.used.entry(stored.tier).or_default() -= 1;
-            *self.used.entry(tier).or_default() += 1;
+            *self.used_blocks.entry(stored.tier).or_default() -= 1;
+            *self.used_blocks.entry(tier).or_default() += 1;
             stored.tier = tier;
         }
         Ok(())
@@ -498,7 +508,7 @@
             .get(&key)
             .is_some_and(|stored| stored.generation == generation);
         if let Some(stored) = self.store.remove(&key).filter(|_| is_same) {
-            *self.used.entry(stored.tier).or_default() -= 1;
+            *self.used_blocks.entry(stored.tier).or_default() -= 1;
         }
     }
 }
--- a/crates/wisteriahitch-core/benches/links/statistics.rs
+++ b/crates/wisteriahitch-core/benches/links/statistics.rs
@@ -1,22 +1,22 @@
-//! What a run has shown.
+//! The measurements of a run.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use wisteriahitch_types::BlockKey;
 
-pub(crate) const HEAD: &str = "site      link seed compared order    policy     \
+pub(crate) const HEADER: &str = "site      link seed compared order    policy     \
     | wait p50 ms  p95 ms | again p50 ms  p95 ms | saves  read again | recomputed | link busy \
     | promoted used";
 
-/// Gathers figures after the warm-up.
+/// Measurements after the warm-up.
 #[derive(Debug, Default)]
 pub(crate) struct Statistics {
     pub(crate) import_waits_us: Vec<u64>,
     pub(crate) first_answers_us: Vec<u64>,
     pub(crate) prompt_tokens: u64,
     pub(crate) recomputed_tokens: u64,
-    /// Blocks saved, and whether each was read since.
+    /// Saved blocks, and whether each has been read since its save.
     pub(crate) saved: BTreeMap<BlockKey, bool>,
     pub(crate) saves: u64,
     pub(crate) saves_read: u64,
@@ -26,12 +26,12 @@
 }
 
 impl Statistics {
-    pub(crate) fn note_saved(&mut self, key: BlockKey) {
+    pub(crate) fn record_save(&mut self, key: BlockKey) {
         self.saves += 1;
         self.saved.insert(key, false);
     }
 
-    pub(crate) fn note_read(&mut self, key: BlockKey) {
+    pub(crate) fn record_read(&mut self, key: BlockKey) {
         if let Some(is_read) = self.saved.get_mut(&key)
             && !*is_read
         {
@@ -41,10 +41,10 @@
     }
 }
 
-fn percentile_ms(values: &[u64], part: f64) -> f64 {
+fn percentile_ms(values: &[u64], quantile: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let index = (sorted.len() as f64 * part) as usize;
+    let index = (sorted.len() as f64 * quantile) as usize;
     sorted
         .get(index.min(sorted.len().saturating_sub(1)))
         .map_or(0.0, |us| *us as f64 / 1e3)
--- a/crates/wisteriahitch-core/src/tier/import_planner.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner.rs
@@ -1,4 +1,4 @@
-//! Imports that requests wait for, from the pin to the engine's word that it holds the block.
+//! Importing blocks for waiting requests, from the pin to the endpoint's confirmation.
 
 mod requests;
 
@@ -8,37 +8,41 @@
 
 use super::context::Context;
 use super::import_request::{ImportRequest, StepState};
-use super::import_right::{end_if_same, failure_of, free_corrupt, give_up_pin, hold, release};
+use super::import_right::{
+    acquire_pin, free_corrupt, invalidate_if_current, release, release_unused_pin, transfer_failure,
+};
 use super::import_transfer::{ImportPhase, ImportTransfer};
 use super::{ImportCounts, PinGrant, TierCommand, TransferClass, TransferFailure, TransferId};
 
-/// Longest wait for the answer to one call; afterwards the answer counts as lost.
-const ANSWER_LIMIT_US: DurationUs = DurationUs::from_ms(60_000);
+/// Time after which an unanswered call counts as lost.
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Runs the imports of requests, and lets each request go on as soon as it can.
+/// Runs the imports of requests, and releases each request as soon as it can proceed.
 ///
-/// No request waits longer than its plan's limit, nor behind the pace of computing: whatever
-/// fails, it goes on and recomputes what is missing (`docs/design/blocks.md`).
+/// No request waits longer than its plan's limit, or falls behind the rate at which the endpoint
+/// would compute the blocks. After any failure the request proceeds and recomputes what is missing
+/// (`docs/design/blocks.md`).
 #[derive(Debug, Default)]
 pub struct ImportPlanner {
     requests: BTreeMap<RequestId, ImportRequest>,
     transfers: BTreeMap<TransferId, ImportTransfer>,
+    /// Imports in progress by endpoint and block, which later requests join.
     by_target: BTreeMap<(EndpointId, BlockKey), TransferId>,
     counts: ImportCounts,
 }
 
 impl ImportPlanner {
-    /// Returns how imports have ended.
+    /// Returns the counts of imports by result.
     pub fn counts(&self) -> ImportCounts {
         self.counts
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of requests that wait for imports.
     pub fn waiting_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns how many imports are under way.
+    /// Returns the number of imports in progress.
     pub fn transfers(&self) -> usize {
         self.transfers.len()
     }
@@ -57,25 +61,25 @@
         }
         let grant = match result {
             Ok(grant) => grant,
-            // An answer that makes no sense says nothing of the block, which nobody has looked at;
-            // freeing it would cost every later reader the import.
+            // A malformed answer to a pin says nothing about the block itself, which nobody has
+            // read. Freeing the block would make every later reader recompute it.
             Err(TransferFailure::Corrupt) => return self.fail(id, TransferFailure::Lost, cx),
             Err(failure) => return self.fail(id, failure, cx),
         };
         if transfer.waiters.is_empty() {
-            give_up_pin(transfer, grant.pin, cx);
+            release_unused_pin(transfer, grant.pin, cx);
             self.remove(id);
             return;
         }
-        match hold(transfer, &grant, cx) {
-            Ok(held) => {
-                transfer.phase = ImportPhase::Queued(held);
-                transfer.asked_at_us = cx.now;
+        match acquire_pin(transfer, &grant, cx) {
+            Ok(acquired) => {
+                transfer.phase = ImportPhase::Queued(acquired);
+                transfer.call_sent_at_us = cx.now;
                 self.enqueue(id, cx);
             }
             Err(error) => {
-                give_up_pin(transfer, grant.pin, cx);
-                self.fail(id, failure_of(&error), cx);
+                release_unused_pin(transfer, grant.pin, cx);
+                self.fail(id, transfer_failure(&error), cx);
             }
         }
     }
@@ -84,43 +88,43 @@
         let Some(transfer) = self.transfers.get(&id) else {
             return;
         };
-        let store = &transfer.place.store;
+        let store = &transfer.location.store;
         let is_queued = cx
             .links
-            .enqueue(store, id, TransferClass::Wait, transfer.bytes, cx.now);
+            .enqueue(store, id, TransferClass::Import, transfer.bytes, cx.now);
         if !is_queued {
             self.fail(id, TransferFailure::Full, cx);
         }
     }
 
-    /// Lets an import cross its link, if its block is still the one that was pinned.
+    /// Starts an import on its link, if the pinned generation still exists.
     pub(crate) fn start(&mut self, id: TransferId, cx: &mut Context<'_>) {
         let Some(transfer) = self.transfers.get_mut(&id) else {
             return;
         };
-        let ImportPhase::Queued(held) = &transfer.phase else {
+        let ImportPhase::Queued(acquired) = &transfer.phase else {
             return;
         };
-        let held = held.clone();
-        // The block may have been freed while its reader waited in the link's queue. Importing
-        // it all the same would read whatever lies there now; the store's generation check would
-        // show it as `gone`, only later, with the caller waiting all the while.
-        if !cx.blocks.is_held(&held.handle) {
+        let acquired = acquired.clone();
+        // The block may have been freed while the import waited in the link's queue. An import
+        // would then read whatever is stored there now. The store's generation check would refuse
+        // it as `gone`, but later, while the caller waits.
+        if !cx.blocks.is_pin_valid(&acquired.handle) {
             return self.fail(id, TransferFailure::Gone, cx);
         }
         cx.send(TierCommand::Import {
             transfer: id,
             endpoint: transfer.endpoint.clone(),
-            store: transfer.place.store.clone(),
-            key: transfer.place.key,
-            generation: held.handle.generation,
-            pin: held.pin.clone(),
+            store: transfer.location.store.clone(),
+            key: transfer.location.key,
+            generation: acquired.handle.generation,
+            pin: acquired.pin.clone(),
             weight_version: transfer.reader.weight_version.clone(),
             bytes: transfer.bytes,
-            crc32c: held.crc32c,
+            crc32c: acquired.crc32c,
         });
-        transfer.phase = ImportPhase::Running(held);
-        transfer.asked_at_us = cx.now;
+        transfer.phase = ImportPhase::Running(acquired);
+        transfer.call_sent_at_us = cx.now;
     }
 
     pub(crate) fn imported(
@@ -154,24 +158,29 @@
         }
     }
 
-    /// Ends an import that failed; everyone who waits for it goes on without it.
+    /// Ends a failed import; the requests that wait for it proceed without it.
     fn fail(&mut self, id: TransferId, failure: TransferFailure, cx: &mut Context<'_>) {
         let Some(transfer) = self.remove(id) else {
             return;
         };
         release(&transfer, id, false, cx);
-        self.blame(&transfer, failure, cx);
+        self.handle_failure(&transfer, failure, cx);
         for (request, index) in transfer.waiters {
-            self.cut(&request, index, cx);
+            self.truncate_plan(&request, index, cx);
             self.proceed_if_done(&request, cx);
         }
     }
 
-    fn blame(&mut self, transfer: &ImportTransfer, failure: TransferFailure, cx: &mut Context<'_>) {
+    fn handle_failure(
+        &mut self,
+        transfer: &ImportTransfer,
+        failure: TransferFailure,
+        cx: &mut Context<'_>,
+    ) {
         match failure {
             TransferFailure::Gone | TransferFailure::InProgress => {
                 self.counts.gone += 1;
-                end_if_same(transfer, cx);
+                invalidate_if_current(transfer, cx);
             }
             TransferFailure::Corrupt => {
                 self.counts.corrupt += 1;
@@ -179,13 +188,13 @@
             }
             TransferFailure::Lost => {
                 self.counts.lost += 1;
-                cx.suspect(&transfer.place);
+                cx.mark_suspect(&transfer.location);
             }
             TransferFailure::OtherVersion | TransferFailure::Full => self.counts.refused += 1,
         }
     }
 
-    /// Ends every import from a store that died or can't be reached.
+    /// Ends every import from a store that restarted or can't be reached.
     pub(crate) fn store_lost(
         &mut self,
         store: &StoreId,
@@ -195,7 +204,7 @@
         let lost: Vec<TransferId> = self
             .transfers
             .iter()
-            .filter(|(_, transfer)| transfer.place.store == *store)
+            .filter(|(_, transfer)| transfer.location.store == *store)
             .map(|(id, _)| *id)
             .collect();
         for id in lost {
@@ -203,18 +212,19 @@
         }
     }
 
-    /// Lets requests go on whose imports are slower than computing, and gives up answers that never came.
+    /// Releases requests whose imports are slower than recomputing, and ends imports whose call
+    /// wasn't answered in time.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
-        let late: Vec<RequestId> = self
+        let overdue: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, request)| request.deadline() <= cx.now)
             .map(|(id, _)| id.clone())
             .collect();
-        for request in late {
+        for request in overdue {
             let done = self.requests.get(&request).map(ImportRequest::done_steps);
             self.counts.late += 1;
-            self.cut(&request, done.unwrap_or(0), cx);
+            self.truncate_plan(&request, done.unwrap_or(0), cx);
             self.proceed_if_done(&request, cx);
         }
         for id in self.unanswered(cx.now) {
@@ -226,7 +236,7 @@
         self.transfers
             .iter()
             .filter(|(_, transfer)| !matches!(transfer.phase, ImportPhase::Queued(_)))
-            .filter(|(_, transfer)| now.since(transfer.asked_at_us) >= ANSWER_LIMIT_US)
+            .filter(|(_, transfer)| now.since(transfer.call_sent_at_us) >= CALL_TIMEOUT_US)
             .map(|(id, _)| *id)
             .collect()
     }
@@ -234,7 +244,7 @@
     fn remove(&mut self, id: TransferId) -> Option<ImportTransfer> {
         let transfer = self.transfers.remove(&id)?;
         self.by_target
-            .remove(&(transfer.endpoint.clone(), transfer.place.key));
+            .remove(&(transfer.endpoint.clone(), transfer.location.key));
         Some(transfer)
     }
 }
--- a/crates/wisteriahitch-core/src/tier/import_planner/requests.rs
+++ b/crates/wisteriahitch-core/src/tier/import_planner/requests.rs
@@ -1,22 +1,22 @@
-//! Requests that wait for imports, from their plan to the word that they may go on.
+//! The requests that wait for imports, from their plan to their release.
 
 use wisteriahitch_types::RequestId;
 
 use super::ImportPlanner;
 use crate::tier::context::Context;
 use crate::tier::import_request::{ImportRequest, StepState};
-use crate::tier::import_right::{is_worth_a_pin, release};
+use crate::tier::import_right::{can_request_pin, release};
 use crate::tier::import_transfer::{ImportPhase, ImportTransfer};
-use crate::tier::{ImportPlan, ImportStep, Place, TierCommand, TransferId};
+use crate::tier::{BlockLocation, ImportPlan, ImportStep, TierCommand, TransferId};
 
-/// Bounds the imports under way; a request beyond it recomputes.
+/// Maximum number of imports in progress; a request beyond it recomputes.
 const MAX_TRANSFERS: usize = 4_096;
 
-/// Bounds the steps of one plan.
+/// Maximum number of steps per plan.
 const MAX_STEPS: usize = 256;
 
 impl ImportPlanner {
-    /// Starts a request's imports; a plan that was under way under the same id is given up.
+    /// Starts a request's imports; an earlier plan with the same request id is cancelled.
     pub(crate) fn plan(&mut self, plan: ImportPlan, cx: &mut Context<'_>) {
         self.cancel(&plan.request, cx);
         let mut request = ImportRequest {
@@ -35,7 +35,7 @@
         self.proceed_if_done(&plan.request, cx);
     }
 
-    /// Returns the transfer that a step waits for, or nothing where it is to be computed.
+    /// Returns the transfer that a step waits for, or `None` if the block is to be recomputed.
     fn join_or_start(
         &mut self,
         plan: &ImportPlan,
@@ -52,7 +52,7 @@
             self.counts.refused += 1;
             return None;
         }
-        let (id, transfer) = ask_for_pin(plan, step, waiter, cx)?;
+        let (id, transfer) = request_pin(plan, step, waiter, cx)?;
         self.counts.started += 1;
         self.by_target.insert(target, id);
         self.transfers.insert(id, transfer);
@@ -74,8 +74,9 @@
         Some(id)
     }
 
-    /// Cuts a request's plan, and gives up the imports that nobody waits for any more.
-    pub(super) fn cut(&mut self, request: &RequestId, len: usize, cx: &mut Context<'_>) {
+    /// Truncates a request's plan to `len` steps, and drops queued imports that no request waits
+    /// for any more.
+    pub(super) fn truncate_plan(&mut self, request: &RequestId, len: usize, cx: &mut Context<'_>) {
         let Some(waiting) = self.requests.get_mut(request) else {
             return;
         };
@@ -111,29 +112,29 @@
         });
     }
 
-    /// Forgets a request whose caller went away; it gets no `Proceed`.
+    /// Drops a request whose caller has disconnected; no `Proceed` follows.
     pub(crate) fn cancel(&mut self, request: &RequestId, cx: &mut Context<'_>) {
-        self.cut(request, 0, cx);
+        self.truncate_plan(request, 0, cx);
         self.requests.remove(request);
     }
 }
 
-/// Asks the store for a pin, if the block that it is known to hold is worth one.
-fn ask_for_pin(
+/// Requests a pin from the store, unless the block is known to be unusable.
+fn request_pin(
     plan: &ImportPlan,
     step: &ImportStep,
     waiter: (RequestId, usize),
     cx: &mut Context<'_>,
 ) -> Option<(TransferId, ImportTransfer)> {
-    let place = Place {
+    let location = BlockLocation {
         store: step.store.clone(),
         key: step.key,
     };
-    if !is_worth_a_pin(&place, &plan.reader, cx) {
+    if !can_request_pin(&location, &plan.reader, cx) {
         return None;
     }
     let incarnation = cx.blocks.incarnation(&step.store)?.clone();
-    let id = cx.new_transfer();
+    let id = cx.new_transfer_id();
     cx.send(TierCommand::Pin {
         transfer: id,
         store: step.store.clone(),
@@ -142,13 +143,13 @@
     });
     let transfer = ImportTransfer {
         endpoint: plan.endpoint.clone(),
-        place,
+        location,
         incarnation,
         reader: plan.reader.clone(),
         tokens: step.tokens,
         bytes: step.bytes,
         phase: ImportPhase::Pinning,
-        asked_at_us: cx.now,
+        call_sent_at_us: cx.now,
         waiters: vec![waiter],
     };
     Some((id, transfer))
--- a/crates/wisteriahitch-core/tests/all/tier_generation.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_generation.rs
@@ -1,6 +1,6 @@
-//! Readers of one generation against those of the next.
+//! Access by handles of an earlier generation.
 
-use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockTable, Place};
+use wisteriahitch_core::tier::{BlockError, BlockIdentity, BlockLocation, BlockTable};
 use wisteriahitch_types::{Generation, Tier};
 
 use crate::tier::{BLOCK_BYTES, BLOCK_TOKENS, CRC32C, key, name, reader};
@@ -16,15 +16,15 @@
     }
 }
 
-/// Symptom: a request reads a block that was freed, under the pin of another one's reader.
-/// Sequence: a reader holds a block; the store frees it and gives its place to new content; a
-/// second reader pins that. Cause: a right names the place alone, so that the first reader's
-/// check finds the second one's pin, and its end takes that pin away.
+/// Guards against access to a freed block through another reader's pin. A reader holds a pin, the
+/// store frees the block and reuses its location for new content, and a second reader pins that. If
+/// handles named only the location, the first reader's check would succeed through the second pin,
+/// and its unpin would release that pin.
 #[test]
-fn an_earlier_reader_never_meets_the_next_generation() {
+fn a_stale_handle_never_reaches_the_next_generation() {
     let mut table = BlockTable::default();
-    table.store_seen(&name("hub-cache"), &name("i-1"));
-    let place = Place {
+    table.record_incarnation(&name("hub-cache"), &name("i-1"));
+    let location = BlockLocation {
         store: name("hub-cache"),
         key: key(1),
     };
@@ -32,14 +32,17 @@
     let mut pinned = Vec::new();
     for generation in [1, 2] {
         let identity = identity(generation);
-        let adopted = table.adopt(place.clone(), identity, Tier::Memory, Some(CRC32C));
+        let adopted = table.adopt(location.clone(), identity, Tier::Memory, Some(CRC32C));
         assert!(adopted.is_ok(), "{adopted:?}");
-        pinned.push(table.pin(&place, &reader).expect("readable"));
+        pinned.push(table.pin(&location, &reader).expect("readable"));
     }
     let [earlier, later] = [&pinned[0], &pinned[1]];
-    assert!(!table.is_held(earlier));
-    assert!(table.is_held(later));
+    assert!(!table.is_pin_valid(earlier));
+    assert!(table.is_pin_valid(later));
     assert_eq!(table.unpin(earlier), Err(BlockError::Gone));
-    assert!(table.is_held(later), "the earlier reader took the pin away");
+    assert!(
+        table.is_pin_valid(later),
+        "the stale handle released the later pin"
+    );
     assert_eq!(table.unpin(later), Ok(()));
 }
--- a/crates/wisteriahitch-core/tests/all/tier_import.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_import.rs
@@ -1,13 +1,13 @@
-//! Imports, whole and failing at each step.
+//! Tests of imports that succeed and that fail at each step.
 
 use wisteriahitch_core::tier::{TierEvent, TransferFailure, TransferId};
 
 use crate::tier::{at_ms, briefs, imported, pinned, plan, store_seen, tiers};
 
-/// Names one event of a run.
+/// One input of a test run.
 enum Step {
     Plan(&'static str, &'static [u8]),
-    /// A plan for another endpoint.
+    /// A plan for another endpoint: endpoint, request and keys.
     PlanAt(&'static str, &'static str, &'static [u8]),
     Event(TierEvent),
     Tick,
@@ -15,7 +15,7 @@
 
 struct Case {
     name: &'static str,
-    /// What happens, by the time in milliseconds, and the commands that must follow.
+    /// The inputs by time in milliseconds, and the commands that must follow.
     run: Vec<(u64, Step, &'static [&'static str])>,
 }
 
@@ -50,12 +50,12 @@
                 (
                     900,
                     Event(imported(1)),
-                    &["unpin p-4", "r-1 goes on: 1 imported, 0 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 1 imported, 0 recomputed"],
                 ),
             ],
         },
         Case {
-            name: "equal imports are joined",
+            name: "requests for the same block share one import",
             run: vec![
                 (0, Plan("r-1", &[1]), &["pin t1"]),
                 (1, Plan("r-2", &[1]), &[]),
@@ -65,14 +65,14 @@
                     Event(imported(1)),
                     &[
                         "unpin p-4",
-                        "r-1 goes on: 1 imported, 0 recomputed",
-                        "r-2 goes on: 1 imported, 0 recomputed",
+                        "r-1 proceeds: 1 imported, 0 recomputed",
+                        "r-2 proceeds: 1 imported, 0 recomputed",
                     ],
                 ),
             ],
         },
         Case {
-            name: "an answer that comes twice changes nothing",
+            name: "a repeated answer changes nothing",
             run: vec![
                 (0, Plan("r-1", &[1, 2]), &["pin t1", "pin t2"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
@@ -82,11 +82,11 @@
             ],
         },
         Case {
-            name: "a plan without steps goes on at once",
+            name: "a plan without steps proceeds at once",
             run: vec![(
                 0,
                 Plan("r-1", &[]),
-                &["r-1 goes on: 0 imported, 0 recomputed"],
+                &["r-1 proceeds: 0 imported, 0 recomputed"],
             )],
         },
     ]
@@ -95,10 +95,10 @@
 fn failing_cases() -> Vec<Case> {
     use Step::{Event, Plan};
     vec![
-        // Symptom: a caller waits for a block that its store has freed. Sequence: the directory
-        // names the block, the store frees it, the pin is asked for. Cause: the directory lags.
+        // The directory lags behind the store, so the plan contains a block that the store has
+        // freed. The caller must not wait for it.
         Case {
-            name: "a block that is gone cuts the plan behind it",
+            name: "a missing block truncates the plan",
             run: vec![
                 (0, Plan("r-1", &[1, 2, 3]), &["pin t1", "pin t2", "pin t3"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
@@ -107,12 +107,12 @@
                 (
                     4,
                     Event(imported(1)),
-                    &["unpin p-4", "r-1 goes on: 1 imported, 2 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 1 imported, 2 recomputed"],
                 ),
             ],
         },
-        // Symptom: the engine refuses a block's content. Sequence: the block is damaged at the
-        // store, pinned and imported. Cause: memory or disk of the store VM.
+        // The block was damaged in the memory or on the disk of the store VM, and the engine
+        // refuses its content.
         Case {
             name: "a corrupt block is freed and the request recomputes",
             run: vec![
@@ -124,13 +124,13 @@
                     &[
                         "unpin p-4",
                         "free generation 4",
-                        "r-1 goes on: 0 imported, 1 recomputed",
+                        "r-1 proceeds: 0 imported, 1 recomputed",
                     ],
                 ),
             ],
         },
-        // Symptom: an import never ends. Sequence: pinned, started, the store VM dies. Cause: the
-        // VM is gone, so no answer comes.
+        // The store VM dies during an import, so that its answer never comes. The import must end
+        // all the same.
         Case {
             name: "the store dies during an import",
             run: vec![
@@ -139,18 +139,18 @@
                 (
                     2,
                     Event(store_lost()),
-                    &["unpin p-4", "r-1 goes on: 0 imported, 2 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 0 imported, 2 recomputed"],
                 ),
                 (
                     3,
                     Plan("r-2", &[1]),
-                    &["r-2 goes on: 0 imported, 1 recomputed"],
+                    &["r-2 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
-        // Symptom: an engine reads another block's bytes. Sequence: two imports cross the link, a
-        // third waits pinned, the store comes back empty under its old address, the link is free.
-        // Cause: the third still holds a right from the store's earlier life.
+        // Guards against an import of another block's bytes. Two imports are running and a third
+        // waits with its pin when the store restarts empty under its old address; the third one's
+        // pin belongs to the earlier incarnation.
         Case {
             name: "a block is freed while its reader waits in the link's queue",
             run: vec![
@@ -165,11 +165,11 @@
                     Event(store_seen("i-2")),
                     &[
                         "unpin p-4",
-                        "r-1 goes on: 0 imported, 1 recomputed",
+                        "r-1 proceeds: 0 imported, 1 recomputed",
                         "unpin p-5",
-                        "r-2 goes on: 0 imported, 1 recomputed",
+                        "r-2 proceeds: 0 imported, 1 recomputed",
                         "unpin p-6",
-                        "r-3 goes on: 0 imported, 1 recomputed",
+                        "r-3 proceeds: 0 imported, 1 recomputed",
                     ],
                 ),
                 (3, Event(imported(1)), &[]),
@@ -181,23 +181,23 @@
 fn answer_cases() -> Vec<Case> {
     use Step::{Event, Plan};
     vec![
-        // Symptom: good blocks are freed. Sequence: a store's answer to a pin is cut off. Cause:
-        // what was damaged is the answer, and nobody has looked at the block.
+        // Guards against freeing an intact block because a store's answer to a pin was cut off: the
+        // answer is damaged, and the block wasn't read.
         Case {
-            name: "a pin's answer that makes no sense frees nothing",
+            name: "a malformed answer to a pin frees nothing",
             run: vec![
                 (0, Plan("r-1", &[1]), &["pin t1"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
                 (
                     2,
                     Event(imported(1)),
-                    &["unpin p-4", "r-1 goes on: 1 imported, 0 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 1 imported, 0 recomputed"],
                 ),
                 (3, Plan("r-2", &[1]), &["pin t2"]),
                 (
                     4,
                     Event(failed_pin(2, TransferFailure::Corrupt)),
-                    &["r-2 goes on: 0 imported, 1 recomputed"],
+                    &["r-2 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
@@ -207,10 +207,10 @@
 fn late_cases() -> Vec<Case> {
     use Step::{Event, Plan, PlanAt, Tick};
     vec![
-        // Symptom: an engine imports a block that was found corrupt. Sequence: three endpoints
-        // want it, two imports cross the link, the third waits pinned, the first engine finds it
-        // corrupt, so that the block is freed and the link has room. Cause: the right was
-        // checked before the wait alone.
+        // Guards against importing a block that was already found corrupt. Three endpoints import
+        // it, two at once while the third waits with its pin; the first engine finds it corrupt, so
+        // the block is freed and the third could start. A check of the pin only before the wait
+        // would miss this.
         Case {
             name: "a corrupt block is freed while another reader waits in the link's queue",
             run: vec![
@@ -226,37 +226,37 @@
                     &[
                         "unpin p-4",
                         "free generation 4",
-                        "r-1 goes on: 0 imported, 1 recomputed",
+                        "r-1 proceeds: 0 imported, 1 recomputed",
                         "unpin p-4",
-                        "r-3 goes on: 0 imported, 1 recomputed",
+                        "r-3 proceeds: 0 imported, 1 recomputed",
                     ],
                 ),
                 (
                     3,
                     Event(failed_import(2, TransferFailure::Gone)),
-                    &["unpin p-4", "r-2 goes on: 0 imported, 1 recomputed"],
+                    &["unpin p-4", "r-2 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
-        // Symptom: an import costs the caller more than computing would have. Sequence: the first
-        // block arrives, the link slows, the second doesn't. Cause: the estimate was too good.
+        // Guards against an import that takes longer than recomputing. The estimate was too low:
+        // the first block arrives, then the link slows down and the second doesn't.
         Case {
-            name: "an import that takes longer than recomputing is left behind",
+            name: "the request proceeds when an import takes longer than recomputing",
             run: vec![
                 (0, Plan("r-1", &[1, 2]), &["pin t1", "pin t2"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
                 (2, Event(pinned(2, 5)), &["import t2"]),
                 (900, Event(imported(1)), &["unpin p-4"]),
                 (9_999, Tick, &[]),
-                (10_000, Tick, &["r-1 goes on: 1 imported, 1 recomputed"]),
+                (10_000, Tick, &["r-1 proceeds: 1 imported, 1 recomputed"]),
                 (11_000, Event(imported(2)), &["unpin p-5"]),
             ],
         },
-        // Symptom: a first answer takes twice as long as without any import. Sequence: six
-        // blocks are wanted, the link has slowed, none arrives, the whole limit passes, and all
-        // six are computed. Cause: the wait was held to the limit alone.
+        // Guards against a first answer that takes twice as long as without any import. Six blocks
+        // are planned, the link has slowed down, and none arrives; with a check of the limit alone,
+        // the request would wait all of it and then compute all six.
         Case {
-            name: "an import that falls behind the pace of computing is left behind",
+            name: "the request proceeds when an import falls behind the rate of computing",
             run: vec![
                 (
                     0,
@@ -265,21 +265,21 @@
                 ),
                 (1, Event(pinned(1, 4)), &["import t1"]),
                 (4_999, Tick, &[]),
-                (5_000, Tick, &["r-1 goes on: 0 imported, 6 recomputed"]),
+                (5_000, Tick, &["r-1 proceeds: 0 imported, 6 recomputed"]),
             ],
         },
-        // Symptom: a new version's request reads an old version's block. Sequence: planned for
-        // v1, the weights are swapped at the endpoint, the import arrives. Cause: decision and
-        // run lie apart. The engine refuses, and the block isn't to blame.
+        // Guards against reading a block of an old weight version after the weights were swapped at
+        // the endpoint between routing and import. The engine refuses the import, and the block
+        // must not be freed.
         Case {
-            name: "weights are swapped with a transfer under way",
+            name: "weights are swapped during an import",
             run: vec![
                 (0, Plan("r-1", &[1]), &["pin t1"]),
                 (1, Event(pinned(1, 4)), &["import t1"]),
                 (
                     2,
                     Event(failed_import(1, TransferFailure::OtherVersion)),
-                    &["unpin p-4", "r-1 goes on: 0 imported, 1 recomputed"],
+                    &["unpin p-4", "r-1 proceeds: 0 imported, 1 recomputed"],
                 ),
             ],
         },
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn imports_run_as_told() {
+fn imports_follow_the_expected_sequence() {
     let cases = [whole_cases(), failing_cases(), answer_cases(), late_cases()];
     for case in cases.into_iter().flatten() {
         let mut tiers = tiers();
@@ -301,7 +301,7 @@
                 Step::Plan(request, keys) => {
                     tiers.plan_import(plan(request, "kandy", keys), at_ms(ms))
                 }
-                Step::Event(event) => tiers.on(event, at_ms(ms)),
+                Step::Event(event) => tiers.handle_event(event, at_ms(ms)),
                 Step::Tick => tiers.tick(at_ms(ms)),
             };
             assert_eq!(briefs(&commands), expected, "{} at {ms} ms", case.name);
--- a/crates/wisteriahitch-core/tests/all/tier_save.rs
+++ b/crates/wisteriahitch-core/tests/all/tier_save.rs
@@ -1,8 +1,8 @@
-//! Saves, whole and failing at each step.
+//! Tests of saves that succeed and that fail at each step.
 
 use wisteriahitch_config::SavePolicy;
 use wisteriahitch_core::tier::{
-    ExportReceipt, Place, ReservedRoom, TierEvent, Tiers, TransferFailure, TransferId,
+    BlockLocation, ExportReceipt, ReserveOutcome, TierEvent, Tiers, TransferFailure, TransferId,
 };
 use wisteriahitch_types::{BlockState, ByteCount, Generation};
 
@@ -18,24 +18,24 @@
 
 struct Case {
     name: &'static str,
-    /// Room that the workspace may take, in blocks.
+    /// Quota of the workspace, in blocks.
     quota_blocks: u64,
     run: Vec<(u64, Step, &'static [&'static str])>,
-    /// Blocks that are readable in the end.
+    /// Blocks that must be readable at the end.
     readable: &'static [u8],
 }
 
-fn reserved(transfer: u64, result: Result<ReservedRoom, TransferFailure>) -> Step {
+fn reserved(transfer: u64, result: Result<ReserveOutcome, TransferFailure>) -> Step {
     Step::Event(TierEvent::Reserved {
         transfer: TransferId::new(transfer),
         result,
     })
 }
 
-fn room(transfer: u64, generation: u64) -> Step {
+fn granted(transfer: u64, generation: u64) -> Step {
     reserved(
         transfer,
-        Ok(ReservedRoom::Room(Generation::new(generation))),
+        Ok(ReserveOutcome::Granted(Generation::new(generation))),
     )
 }
 
@@ -58,16 +58,16 @@
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (1_001, exported(1, Ok(BLOCK_BYTES)), &["reserve t2 memory"]),
-                (1_002, room(2, 8), &["export t2"]),
+                (1_002, granted(2, 8), &["export t2"]),
                 (2_002, exported(2, Ok(BLOCK_BYTES)), &[]),
                 (3_000, Finished(Always, &[1, 2]), &[]),
             ],
             readable: &[1, 2],
         },
         Case {
-            name: "nothing is saved where the rule says so",
+            name: "nothing is saved with the policy Never",
             quota_blocks: 10,
             run: vec![(0, Finished(Never, &[1]), &[])],
             readable: &[],
@@ -78,32 +78,32 @@
             run: vec![
                 (0, Finished(SecondUse, &[1, 2]), &[]),
                 (5, Finished(SecondUse, &[1, 3]), &["reserve t1 memory"]),
-                (6, room(1, 7), &["export t1"]),
+                (6, granted(1, 7), &["export t1"]),
                 (1_006, exported(1, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[1],
         },
         Case {
-            name: "an unknown workspace's blocks are saved until its history speaks against it",
+            name: "an unknown workspace's blocks are saved until its history shows no returns",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Learned, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (1_001, exported(1, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[1],
         },
         Case {
-            name: "a block that the store holds already isn't sent again",
+            name: "a block that the store already holds isn't exported again",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
                 (
                     1,
-                    reserved(1, Ok(ReservedRoom::AlreadyReadable(Generation::new(3)))),
+                    reserved(1, Ok(ReserveOutcome::AlreadyReadable(Generation::new(3)))),
                     &["reserve t2 memory"],
                 ),
-                (2, room(2, 8), &["export t2"]),
+                (2, granted(2, 8), &["export t2"]),
                 (1_002, exported(2, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[1, 2],
@@ -116,8 +116,8 @@
     use Step::Finished;
     use TransferFailure::{Full, Gone, Lost};
     vec![
-        // Symptom: saves are refused. Sequence: memory fills up during the save, then the disk.
-        // Cause: other daemons save to the same store.
+        // The store fills up during the save, first its memory and then its disk, because other
+        // daemons save to it too.
         Case {
             name: "the store fills up during a save",
             quota_blocks: 10,
@@ -129,33 +129,33 @@
             ],
             readable: &[],
         },
-        // Symptom: the endpoint can't export. Sequence: finished, evicted, asked to export.
-        // Cause: accelerator memory is short.
+        // The endpoint evicts the block after the request has finished and before the export,
+        // because accelerator memory is short.
         Case {
             name: "the endpoint evicted the block before the export",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (2, exported(1, Err(Gone)), &["free generation 7"]),
             ],
             readable: &[],
         },
-        // Symptom: no answer to an export. Sequence: the endpoint may be writing still, the room
-        // is given back, a second try is made, and its answer is lost too. Cause: the endpoint
-        // or its link.
+        // The answer to an export is lost while the endpoint may still be writing. The space must
+        // be freed and the retry must use a new generation; after a second lost answer the save
+        // ends.
         Case {
-            name: "a lost export is tried once more under another generation",
+            name: "a lost export is retried once with a new generation",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (
                     2,
                     exported(1, Err(Lost)),
                     &["free generation 7", "reserve t2 memory"],
                 ),
-                (3, room(2, 8), &["export t2"]),
+                (3, granted(2, 8), &["export t2"]),
                 (4, exported(1, Ok(BLOCK_BYTES)), &[]),
                 (5, exported(2, Err(Lost)), &["free generation 8"]),
             ],
@@ -169,14 +169,13 @@
     use Step::{Event, Finished, Tick};
     use TransferFailure::InProgress;
     vec![
-        // Symptom: a block that can't be read whole. Sequence: the endpoint says it wrote less
-        // than was reserved. Cause: the endpoint cut the block off.
+        // The endpoint wrote fewer bytes than were reserved. The block must not become readable.
         Case {
             name: "a block of another length is never published",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (
                     2,
                     exported(1, Ok(ByteCount::new(5))),
@@ -185,40 +184,40 @@
             ],
             readable: &[],
         },
-        // Symptom: room is lost at the store. Sequence: the reservation's answer takes over a
-        // minute, the save is given up, the answer names room. Cause: a paused store VM.
+        // Guards against leaked space: a paused store confirms a reservation after more than a
+        // minute, when the save has already been abandoned.
         Case {
-            name: "room that is granted too late is given back",
+            name: "space that is reserved too late is freed",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
                 (60_000, Tick, &[]),
-                (61_000, room(1, 7), &["free generation 7"]),
-                (61_001, room(1, 7), &[]),
+                (61_000, granted(1, 7), &["free generation 7"]),
+                (61_001, granted(1, 7), &[]),
             ],
             readable: &[],
         },
-        // Symptom: blocks are named that nobody holds. Sequence: saved, the store VM dies and
-        // comes back empty under its old address during the next save. Cause: the name survives.
+        // Guards against blocks that are listed as readable but no longer exist: the store VM
+        // restarts empty under its old address during a save.
         Case {
             name: "the store comes back empty during a save",
             quota_blocks: 10,
             run: vec![
                 (0, Finished(Always, &[1, 2]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (2, exported(1, Ok(BLOCK_BYTES)), &["reserve t2 memory"]),
-                (3, room(2, 8), &["export t2"]),
+                (3, granted(2, 8), &["export t2"]),
                 (4, Event(store_seen("i-2")), &[]),
                 (5, exported(2, Ok(BLOCK_BYTES)), &[]),
             ],
             readable: &[],
         },
         Case {
-            name: "a workspace at its quota gives up nothing of more value",
+            name: "a workspace at its quota evicts no block of higher value",
             quota_blocks: 1,
             run: vec![
                 (0, Finished(Always, &[1]), &["reserve t1 memory"]),
-                (1, room(1, 7), &["export t1"]),
+                (1, granted(1, 7), &["export t1"]),
                 (1_001, exported(1, Ok(BLOCK_BYTES)), &[]),
                 (60_000, Finished(Always, &[2]), &[]),
             ],
@@ -236,38 +235,45 @@
     ]
 }
 
-fn readable(tiers: &Tiers) -> Vec<Place> {
+fn readable(tiers: &Tiers) -> Vec<BlockLocation> {
     let blocks = tiers.blocks().iter();
     blocks
         .filter(|(_, block)| block.state() == BlockState::Readable)
-        .map(|(place, _)| place.clone())
+        .map(|(location, _)| location.clone())
         .collect()
 }
 
 #[test]
-fn saves_run_as_told() {
+fn saves_follow_the_expected_sequence() {
     let cases = [policy_cases(), failing_cases(), late_cases()];
     for case in cases.into_iter().flatten() {
         let mut tiers = Tiers::new();
-        tiers.configured(&configuration_with(case.quota_blocks));
-        tiers.on(store_seen("i-1"), at_ms(0));
+        tiers.apply_configuration(&configuration_with(case.quota_blocks));
+        tiers.handle_event(store_seen("i-1"), at_ms(0));
         for (ms, step, expected) in case.run {
             let commands = match step {
-                Step::Finished(policy, keys) => tiers.finished(&finished(policy, keys), at_ms(ms)),
-                Step::Event(event) => tiers.on(event, at_ms(ms)),
+                Step::Finished(policy, keys) => {
+                    tiers.request_finished(&finished(policy, keys), at_ms(ms))
+                }
+                Step::Event(event) => tiers.handle_event(event, at_ms(ms)),
                 Step::Tick => tiers.tick(at_ms(ms)),
             };
             assert_eq!(briefs(&commands), expected, "{} at {ms} ms", case.name);
         }
-        let places: Vec<Place> = case
+        let places: Vec<BlockLocation> = case
             .readable
             .iter()
-            .map(|number| Place {
+            .map(|number| BlockLocation {
                 store: name("hub-cache"),
                 key: key(*number),
             })
             .collect();
         assert_eq!(readable(&tiers), places, "{}", case.name);
-        assert_eq!(tiers.saves().jobs(), 0, "{}: a save is left", case.name);
+        assert_eq!(
+            tiers.saves().jobs(),
+            0,
+            "{}: a save is still in progress",
+            case.name
+        );
     }
 }
--- a/crates/wisteriahitch-node/src/config/apply.rs
+++ b/crates/wisteriahitch-node/src/config/apply.rs
@@ -52,7 +52,8 @@
             .lock()
             .endpoints
             .apply_endpoint_configuration(&configuration, now);
-        self.tiers.with(|tiers| tiers.configured(&configuration));
+        self.tiers
+            .with(|tiers| tiers.apply_configuration(&configuration));
         self.admission.configured(&configuration, daemons, now);
         let in_force = InForce {
             version,
