--- a/crates/wisteriahitch-node/src/caller/body.rs
+++ b/crates/wisteriahitch-node/src/caller/body.rs
@@ -13,7 +13,7 @@
 pub(crate) type ResponseBody = BoxBody<Bytes, Infallible>;
 
 /// How many times the limit is read of a body that is too large.
-const DISCARD_FACTOR: u64 = 4;
+const DISCARD_LIMIT_FACTOR: u64 = 4;
 
 /// Wraps a body that is known whole.
 pub(crate) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
@@ -55,7 +55,7 @@
         } else {
             whole.clear();
         }
-        if read_bytes > limit.saturating_mul(DISCARD_FACTOR) {
+        if read_bytes > limit.saturating_mul(DISCARD_LIMIT_FACTOR) {
             break;
         }
     }
--- a/crates/wisteriahitch-node/src/caller/completion.rs
+++ b/crates/wisteriahitch-node/src/caller/completion.rs
@@ -12,18 +12,18 @@
 
 use super::Refusal;
 use super::body::{ResponseBody, full_body};
-use super::completion_body::{AnswerName, CompletionBody, Usage, render};
-use super::gate::{decide, labels};
+use super::completion_body::{AnswerIdentity, CompletionBody, Usage, render};
 use super::identity::Identity;
 use super::request_id::set_request_id;
+use super::rules::{apply_rules, request_labels};
 use super::stream_body::{data_event, done_event, error_event, open_stream};
-use crate::dispatch::completion_call::{CompletionCall, Piece};
+use crate::dispatch::completion_call::{CompletionCall, CompletionEvent};
 use crate::dispatch::completion_run;
 use crate::shared::Shared;
 use crate::state::OpenStream;
 
 /// Tokens that wait for their caller before the attempt's reading waits too.
-const PIECE_BUFFER: usize = 64;
+const EVENT_BUFFER_LEN: usize = 64;
 
 /// Answers `POST /v1/completions`.
 pub(crate) async fn answer(
@@ -50,16 +50,16 @@
     let request_id = call.request_id.clone();
     let model = call.model.name.clone();
     let prompt_tokens = call.prompt_tokens;
-    let (sender, mut pieces) = mpsc::channel(PIECE_BUFFER);
+    let (sender, mut events) = mpsc::channel(EVENT_BUFFER_LEN);
     let task_shared = Arc::clone(shared);
     tokio::spawn(async move {
         // The answer's head is sent long before its end; draining waits for the end.
-        let _accepted = task_shared.accept();
+        let _accepted = task_shared.track_request();
         completion_run::run(&task_shared, &call, &sender).await;
         drop(opened);
     });
-    let head = get_head(&mut pieces).await?;
-    let name = AnswerName {
+    let head = receive_head(&mut events).await?;
+    let name = AnswerIdentity {
         request_id: request_id.clone(),
         model,
         weight_version: head.weight_version.clone(),
@@ -72,26 +72,28 @@
     let answer = Answer {
         name,
         usage,
-        pieces,
+        events,
     };
     let mut response = match is_stream {
         true => answer.stream(shared),
-        false => answer.whole().await?,
+        false => answer.collect().await?,
     };
     set_request_id(&mut response, &request_id);
-    set_head(&mut response, &head);
+    set_head_headers(&mut response, &head);
     Ok(response)
 }
 
-async fn get_head(pieces: &mut mpsc::Receiver<Piece>) -> Result<CompletionHead, Refusal> {
-    match pieces.recv().await {
-        Some(Piece::Head(head)) => Ok(head),
-        Some(Piece::Refused(refusal)) => Err(refusal),
-        Some(Piece::Token(_)) | None => Err(Refusal::new(Code::Internal)),
+async fn receive_head(
+    events: &mut mpsc::Receiver<CompletionEvent>,
+) -> Result<CompletionHead, Refusal> {
+    match events.recv().await {
+        Some(CompletionEvent::Head(head)) => Ok(head),
+        Some(CompletionEvent::Refused(refusal)) => Err(refusal),
+        Some(CompletionEvent::Token(_)) | None => Err(Refusal::new(Code::Internal)),
     }
 }
 
-fn set_head(response: &mut Response<ResponseBody>, head: &CompletionHead) {
+fn set_head_headers(response: &mut Response<ResponseBody>, head: &CompletionHead) {
     let headers = response.headers_mut();
     if let Ok(value) = HeaderValue::from_str(head.weight_version.as_str()) {
         headers.insert("x-weight-version", value);
@@ -119,10 +121,10 @@
         adapter: body.adapter.clone(),
         prompt_tokens: Some(prompt_tokens),
         stream: body.stream,
-        labels: labels(&parts.headers),
+        labels: request_labels(&parts.headers),
         availability_zone: Some(shared.settings.availability_zone.clone()),
     };
-    let route = decide(&identity, &facts)?;
+    let route = apply_rules(&identity, &facts)?;
     let model = find_model(&identity, &body, prompt_tokens)?;
     let adapter = route.adapter.clone().or(body.adapter);
     Ok(CompletionCall {
@@ -160,16 +162,16 @@
 
 /// Carries the tokens of one answer to its caller.
 struct Answer {
-    name: AnswerName,
+    name: AnswerIdentity,
     usage: Usage,
-    pieces: mpsc::Receiver<Piece>,
+    events: mpsc::Receiver<CompletionEvent>,
 }
 
 impl Answer {
     fn stream(self, shared: &Arc<Shared>) -> Response<ResponseBody> {
         let (sender, body) = open_stream();
         let shared = Arc::clone(shared);
-        tokio::spawn(self.pump(shared, sender));
+        tokio::spawn(self.send_events(shared, sender));
         let mut response = Response::new(body);
         let event_stream = HeaderValue::from_static("text/event-stream");
         response
@@ -179,16 +181,16 @@
     }
 
     /// Sends each token as an event; a broken answer ends with an `error` event, never silently.
-    async fn pump(mut self, shared: Arc<Shared>, sender: mpsc::Sender<Bytes>) {
-        let mut is_whole = false;
-        while let Some(piece) = self.pieces.recv().await {
-            let event = match piece {
-                Piece::Head(_) => continue,
-                Piece::Token(token) => {
-                    is_whole = token.finish_reason.is_some();
+    async fn send_events(mut self, shared: Arc<Shared>, sender: mpsc::Sender<Bytes>) {
+        let mut is_complete = false;
+        while let Some(completion_event) = self.events.recv().await {
+            let event = match completion_event {
+                CompletionEvent::Head(_) => continue,
+                CompletionEvent::Token(token) => {
+                    is_complete = token.finish_reason.is_some();
                     data_event(&self.render_token(&token))
                 }
-                Piece::Refused(refusal) => {
+                CompletionEvent::Refused(refusal) => {
                     shared.metrics.count_refusal(refusal.code());
                     let event = error_event(&refusal.to_json(&self.name.request_id));
                     // The caller may have gone; then nobody is left to tell.
@@ -200,7 +202,7 @@
                 return;
             }
         }
-        let event = match is_whole {
+        let event = match is_complete {
             true => done_event(),
             false => {
                 let refusal = Refusal::new(Code::StreamIncomplete);
@@ -217,18 +219,18 @@
         render(&self.name, token.position, &token.text, reason, usage)
     }
 
-    async fn whole(mut self) -> Result<Response<ResponseBody>, Refusal> {
+    async fn collect(mut self) -> Result<Response<ResponseBody>, Refusal> {
         let mut text = String::new();
         let mut finish_reason = None;
-        while let Some(piece) = self.pieces.recv().await {
-            match piece {
-                Piece::Head(_) => {}
-                Piece::Token(token) => {
+        while let Some(completion_event) = self.events.recv().await {
+            match completion_event {
+                CompletionEvent::Head(_) => {}
+                CompletionEvent::Token(token) => {
                     self.usage.completion_tokens += TokenCount::new(1);
                     text.push_str(&token.text);
                     finish_reason = token.finish_reason;
                 }
-                Piece::Refused(refusal) => return Err(refusal),
+                CompletionEvent::Refused(refusal) => return Err(refusal),
             }
         }
         let Some(reason) = finish_reason else {
--- a/crates/wisteriahitch-node/src/caller/completion_body.rs
+++ b/crates/wisteriahitch-node/src/caller/completion_body.rs
@@ -68,7 +68,7 @@
 
 /// Names the answer that chunks belong to.
 #[derive(Clone, Debug)]
-pub(crate) struct AnswerName {
+pub(crate) struct AnswerIdentity {
     /// The request.
     pub(crate) request_id: RequestId,
     /// Model that answers.
@@ -98,7 +98,7 @@
 
 /// Renders text of an answer: one token of a stream, or the whole.
 pub(crate) fn render(
-    name: &AnswerName,
+    name: &AnswerIdentity,
     position: u64,
     text: &str,
     finish_reason: Option<&str>,
--- a/crates/wisteriahitch-node/src/caller/handler.rs
+++ b/crates/wisteriahitch-node/src/caller/handler.rs
@@ -22,7 +22,7 @@
 const COMPLETIONS_PATH: &str = "/v1/completions";
 const REQUESTS_PREFIX: &str = "/v1/requests/";
 /// Paths below this are the system's own and never reach a plain service.
-const OWN_PREFIX: &str = "/v1/";
+const RESERVED_PATH_PREFIX: &str = "/v1/";
 
 /// Answers callers.
 pub(crate) struct CallerHandler {
@@ -40,16 +40,16 @@
         request_id: &RequestId,
         request: Request<Incoming>,
     ) -> Result<Response<ResponseBody>, Refusal> {
-        let _accepted = self.shared.accept();
+        let _accepted = self.shared.track_request();
         let (parts, body) = request.into_parts();
-        let taken_in = self.take_in(&parts, body).await;
+        let received = self.authenticate_and_read_body(&parts, body).await;
         // What is refused here was never looked for, neither its key nor its stream.
-        let (identity, body) = match is_decided_elsewhere(&parts) {
-            true => taken_in.map_err(Refusal::with_outcome_unknown)?,
-            false => taken_in?,
+        let (identity, body) = match may_have_run_elsewhere(&parts) {
+            true => received.map_err(Refusal::with_outcome_unknown)?,
+            false => received?,
         };
         let path = parts.uri.path().to_owned();
-        self.count(&path);
+        self.count_request(&path);
         match (&parts.method, path.as_str()) {
             (&Method::GET, ENTRIES_PATH) => Ok(entries::answer(&self.shared, &identity)),
             (&Method::POST, TICKETS_PATH) => tickets::answer(&self.shared, &identity, &body),
@@ -59,13 +59,19 @@
             (&Method::GET, path) if path.starts_with(REQUESTS_PREFIX) => {
                 resume::answer(&self.shared, &identity, &parts).await
             }
-            (_, path) if path.starts_with(OWN_PREFIX) => Err(Refusal::new(Code::UnknownPath)),
+            (_, path) if path.starts_with(RESERVED_PATH_PREFIX) => {
+                Err(Refusal::new(Code::UnknownPath))
+            }
             _ => plain::answer(&self.shared, identity, request_id, &parts, body).await,
         }
     }
 
     /// Finds out whose request it is and reads its body.
-    async fn take_in(&self, parts: &Parts, body: Incoming) -> Result<(Identity, Bytes), Refusal> {
+    async fn authenticate_and_read_body(
+        &self,
+        parts: &Parts,
+        body: Incoming,
+    ) -> Result<(Identity, Bytes), Refusal> {
         let identity = identify(&self.shared, &parts.headers)?;
         let limits = &self.shared.settings.limits;
         let body = read_body(body, limits.body_bytes, limits.body_timeout_us.into())
@@ -74,7 +80,7 @@
         Ok((identity, body))
     }
 
-    fn count(&self, path: &str) {
+    fn count_request(&self, path: &str) {
         let label = match path {
             ENTRIES_PATH => "entries",
             TICKETS_PATH => "tickets",
@@ -95,9 +101,10 @@
 /// A copy of a keyed request, or the rest of a stream, can reach a daemon that has only just
 /// started. That one knows nothing of it; were it to say `not run`, a caller whose booking stands
 /// would book again (`docs/design/at-most-once.md`).
-fn is_decided_elsewhere(parts: &Parts) -> bool {
+fn may_have_run_elsewhere(parts: &Parts) -> bool {
     let path = parts.uri.path();
-    let is_keyed = !path.starts_with(OWN_PREFIX) && parts.headers.contains_key(KEY_HEADER);
+    let is_keyed =
+        !path.starts_with(RESERVED_PATH_PREFIX) && parts.headers.contains_key(KEY_HEADER);
     is_keyed || path.starts_with(REQUESTS_PREFIX)
 }
 
--- a/crates/wisteriahitch-node/src/caller/keyed.rs
+++ b/crates/wisteriahitch-node/src/caller/keyed.rs
@@ -13,13 +13,13 @@
 use super::request_id::set_request_id;
 use crate::dispatch::plain_call::{PlainCall, RunMode, run_plain};
 use crate::shared::Shared;
-use crate::state::once::WaitedDecision;
+use crate::state::once::PendingDecision;
 
 /// When a caller may ask again about a key that nobody can decide now.
-const ASK_AGAIN_US: DurationUs = DurationUs::from_ms(1_000);
+const KEYED_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(1_000);
 
 /// Statuses of refusals that pass with time.
-const BUSY_STATUSES: [u16; 2] = [429, 503];
+const TRANSIENT_STATUSES: [u16; 2] = [429, 503];
 
 /// Holds a call with the key that its caller gave it.
 pub(crate) struct KeyedCall {
@@ -66,7 +66,7 @@
                 .forward_ticket(&call, &key, address, ticket.incarnation())
                 .await
         }
-        None => Err(ask_again(Code::TicketHolderLost)),
+        None => Err(outcome_unknown_refusal(Code::TicketHolderLost)),
     }
 }
 
@@ -107,24 +107,24 @@
         &call.path_and_query,
         &call.body,
     );
-    let waited = shared.submit_key(&key, fingerprint);
-    match get_decision(waited).await {
+    let pending = shared.submit_key(&key, fingerprint);
+    match await_decision(pending).await {
         Decision::Run => run(shared, call, key).await,
         Decision::Answer(answer) => Ok(answer),
-        Decision::Refuse(code) => Err(refuse(code)),
+        Decision::Refuse(code) => Err(refusal_for_code(code)),
         Decision::Forward(holder) if forwarding == ForwardPolicy::Allowed => {
             shared.forward_claim(&call, &key, &holder).await
         }
-        Decision::Forward(_) => Err(ask_again(Code::ClaimHeldElsewhere)),
+        Decision::Forward(_) => Err(outcome_unknown_refusal(Code::ClaimHeldElsewhere)),
         Decision::Wait | Decision::Claim(_) => Err(Refusal::new(Code::Internal)),
     }
 }
 
 /// Waits until the key's decision concerns this copy.
-async fn get_decision(waited: WaitedDecision) -> Decision {
-    match waited {
-        WaitedDecision::Now(decision) => decision,
-        WaitedDecision::Later(receiver) => {
+async fn await_decision(pending: PendingDecision) -> Decision {
+    match pending {
+        PendingDecision::Ready(decision) => decision,
+        PendingDecision::Waiting(receiver) => {
             receiver.await.unwrap_or(Decision::Refuse(Code::Internal))
         }
     }
@@ -140,7 +140,9 @@
         is_allowed
     };
     match run_plain(shared, &call, RunMode::Once, may_send).await {
-        Ok(response) => outcome(settlement.finish(Arc::new(keep(&response))), None),
+        Ok(response) => {
+            decision_to_outcome(settlement.finish(Arc::new(to_kept_answer(&response))), None)
+        }
         Err(refusal) => {
             let decision = match refusal.meaning() {
                 // After the dispatch a refusal says `not run` only where the endpoint said so, or
@@ -149,26 +151,28 @@
                     settlement.refuse_by_endpoint()
                 }
                 Meaning::NotRun => settlement.refuse(refusal.code()),
-                Meaning::OutcomeUnknown | Meaning::Notice => settlement.lose(refusal.code()),
+                Meaning::OutcomeUnknown | Meaning::Notice => {
+                    settlement.mark_outcome_unknown(refusal.code())
+                }
             };
-            outcome(decision, Some(refusal))
+            decision_to_outcome(decision, Some(refusal))
         }
     }
 }
 
 /// Turns the table's decision into this copy's outcome; `refusal` says more where both agree.
-fn outcome(decision: Decision, refusal: Option<Refusal>) -> Outcome {
+fn decision_to_outcome(decision: Decision, refusal: Option<Refusal>) -> Outcome {
     match decision {
         Decision::Answer(answer) => Ok(answer),
         Decision::Refuse(code) => match refusal {
             Some(refusal) if refusal.meaning() == code.meaning() => Err(refusal),
-            _ => Err(refuse(code)),
+            _ => Err(refusal_for_code(code)),
         },
         _ => Err(refusal.unwrap_or_else(|| Refusal::new(Code::Internal))),
     }
 }
 
-fn keep(response: &ServiceResponse) -> KeptAnswer {
+fn to_kept_answer(response: &ServiceResponse) -> KeptAnswer {
     let content_type = response.headers.get(header::CONTENT_TYPE);
     KeptAnswer {
         status: response.status.as_u16(),
@@ -179,29 +183,29 @@
     }
 }
 
-/// Builds a refusal of which only the code is known: of a copy that waited, or of a peer.
-pub(crate) fn refuse(code: Code) -> Refusal {
+/// Builds a refusal of which only the code is known: of a copy that pending, or of a peer.
+pub(crate) fn refusal_for_code(code: Code) -> Refusal {
     match code.meaning() {
-        Meaning::OutcomeUnknown => ask_again(code),
+        Meaning::OutcomeUnknown => outcome_unknown_refusal(code),
         // A refusal for want of room or of an endpoint passes; without a time callers would come
         // back at once.
-        Meaning::NotRun | Meaning::Notice if BUSY_STATUSES.contains(&code.http_status()) => {
-            Refusal::new(code).with_retry_after_us(ASK_AGAIN_US)
+        Meaning::NotRun | Meaning::Notice if TRANSIENT_STATUSES.contains(&code.http_status()) => {
+            Refusal::new(code).with_retry_after_us(KEYED_RETRY_AFTER_US)
         }
         Meaning::NotRun | Meaning::Notice => Refusal::new(code),
     }
 }
 
 /// Builds the refusal of a daemon that doesn't know what became of a key.
-pub(crate) fn ask_again(code: Code) -> Refusal {
+pub(crate) fn outcome_unknown_refusal(code: Code) -> Refusal {
     Refusal::new(code)
         .with_outcome_unknown()
-        .with_retry_after_us(ASK_AGAIN_US)
+        .with_retry_after_us(KEYED_RETRY_AFTER_US)
 }
 
 /// Renders a kept answer, the same for the first copy and for each repeat.
 fn render(answer: &KeptAnswer, request_id: &RequestId) -> Response<ResponseBody> {
-    const KEPT: HeaderName = HeaderName::from_static("x-wisteriahitch-keyed");
+    const KEYED_HEADER: HeaderName = HeaderName::from_static("x-wisteriahitch-keyed");
     let mut response = Response::new(full_body(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let content_type = answer.content_type.as_deref();
@@ -210,7 +214,7 @@
     }
     response
         .headers_mut()
-        .insert(KEPT, HeaderValue::from_static("1"));
+        .insert(KEYED_HEADER, HeaderValue::from_static("1"));
     set_request_id(&mut response, request_id);
     response
 }
--- a/crates/wisteriahitch-node/src/caller/mod.rs
+++ b/crates/wisteriahitch-node/src/caller/mod.rs
@@ -4,7 +4,6 @@
 mod completion;
 mod completion_body;
 mod entries;
-pub(crate) mod gate;
 mod handler;
 mod identity;
 pub(crate) mod keyed;
@@ -12,6 +11,7 @@
 mod refusal;
 mod request_id;
 mod resume;
+pub(crate) mod rules;
 mod stream_body;
 mod tickets;
 
--- a/crates/wisteriahitch-node/src/caller/plain.rs
+++ b/crates/wisteriahitch-node/src/caller/plain.rs
@@ -11,10 +11,10 @@
 
 use super::Refusal;
 use super::body::{ResponseBody, full_body};
-use super::gate::{decide, labels};
 use super::identity::Identity;
 use super::keyed::{self, KeyedCall};
 use super::request_id::set_request_id;
+use super::rules::{apply_rules, request_labels};
 use crate::dispatch::plain_call::{PlainCall, RunMode, run_plain};
 use crate::shared::Shared;
 
@@ -29,9 +29,9 @@
     parts: &Parts,
     body: Bytes,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let facts = facts(shared, &identity, parts);
+    let facts = request_facts(shared, &identity, parts);
     let key = parts.headers.get(KEY_HEADER);
-    let route = decide(&identity, &facts).map_err(|refusal| match key {
+    let route = apply_rules(&identity, &facts).map_err(|refusal| match key {
         // Another copy of a keyed request may be on its way to a daemon that decides otherwise,
         // so that this one can't say that the request was not run.
         Some(_) if refusal.meaning() == Meaning::NotRun => refusal.with_outcome_unknown(),
@@ -51,12 +51,12 @@
     }
 }
 
-fn facts(shared: &Shared, identity: &Identity, parts: &Parts) -> RequestFacts {
+fn request_facts(shared: &Shared, identity: &Identity, parts: &Parts) -> RequestFacts {
     RequestFacts {
         workspace: Some(identity.workspace.clone()),
         method: parts.method.as_str().to_owned(),
         path: parts.uri.path().to_owned(),
-        labels: labels(&parts.headers),
+        labels: request_labels(&parts.headers),
         availability_zone: Some(shared.settings.availability_zone.clone()),
         ..RequestFacts::default()
     }
--- a/crates/wisteriahitch-node/src/caller/refusal.rs
+++ b/crates/wisteriahitch-node/src/caller/refusal.rs
@@ -103,7 +103,7 @@
             .header("content-type", "application/json")
             .header("x-request-id", request_id.as_str())
             .header("x-wisteriahitch-code", self.code.to_string())
-            .header("x-wisteriahitch-meaning", meaning_token(self.meaning));
+            .header("x-wisteriahitch-meaning", meaning_label(self.meaning));
         if let Some(wait_us) = self.retry_after_us {
             builder = builder
                 .header("retry-after", wait_us.as_ms().div_ceil(MS_PER_S))
@@ -116,7 +116,7 @@
 }
 
 /// Returns the meaning as it stands in the header `x-wisteriahitch-meaning`.
-pub(crate) fn meaning_token(meaning: Meaning) -> &'static str {
+pub(crate) fn meaning_label(meaning: Meaning) -> &'static str {
     match meaning {
         Meaning::NotRun => "not_run",
         Meaning::OutcomeUnknown => "outcome_unknown",
--- a/crates/wisteriahitch-node/src/caller/resume.rs
+++ b/crates/wisteriahitch-node/src/caller/resume.rs
@@ -45,7 +45,7 @@
     let opened = shared.try_open_stream()?;
     // A request of another workspace is as unknown as one that never was.
     let call = shared
-        .resumable(&id, &identity.workspace, position)
+        .find_resumable_call(&id, &identity.workspace, position)
         .ok_or_else(unknown)?;
     completion::run(shared, call, opened, true).await
 }
--- a/crates/wisteriahitch-node/src/caller/gate.rs
+++ b/crates/wisteriahitch-node/src/caller/rules.rs
@@ -12,7 +12,7 @@
 const LABEL_PREFIX: &str = "x-label-";
 
 /// Tries the rules in their order; the first that holds decides.
-pub(crate) fn decide(identity: &Identity, facts: &RequestFacts) -> Result<Route, Refusal> {
+pub(crate) fn apply_rules(identity: &Identity, facts: &RequestFacts) -> Result<Route, Refusal> {
     let rule = identity.in_force.configuration.decide(facts);
     log::debug!("rule {} decides", rule.name);
     match &rule.then {
@@ -24,7 +24,7 @@
 }
 
 /// Reads the labels that the caller sent.
-pub(crate) fn labels(headers: &HeaderMap) -> BTreeMap<String, String> {
+pub(crate) fn request_labels(headers: &HeaderMap) -> BTreeMap<String, String> {
     headers
         .iter()
         .filter_map(|(name, value)| {
--- a/crates/wisteriahitch-node/src/caller/tickets.rs
+++ b/crates/wisteriahitch-node/src/caller/tickets.rs
@@ -11,7 +11,7 @@
 use crate::shared::Shared;
 
 const MAX_TICKETS: usize = 100;
-const RETRY_US: DurationUs = DurationUs::from_ms(1_000);
+const TICKET_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(1_000);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -39,21 +39,21 @@
     identity: &Identity,
     body: &[u8],
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let wanted = parse_count(body)?;
+    let count = parse_count(body)?;
     let lifetime_us = identity.in_force.configuration.limits.ticket_lifetime_us;
     let now = shared.clock.now();
     let issued = shared
         .once
         .lock()
         .issuer
-        .issue(&identity.workspace, wanted, now, lifetime_us);
+        .issue(&identity.workspace, count, now, lifetime_us);
     if issued.is_empty() {
         let code = if shared.is_draining() {
             Code::Draining
         } else {
             Code::QuotaExceeded
         };
-        return Err(Refusal::new(code).with_retry_after_us(RETRY_US));
+        return Err(Refusal::new(code).with_retry_after_us(TICKET_RETRY_AFTER_US));
     }
     let tickets = issued.iter().map(ToString::to_string).collect();
     Ok(json_response(&Tickets {
--- a/crates/wisteriahitch-node/src/config/apply.rs
+++ b/crates/wisteriahitch-node/src/config/apply.rs
@@ -23,16 +23,16 @@
             });
         match built {
             Ok((sections, configuration)) => {
-                self.put_in_force(head.version, sections, configuration);
+                self.activate_configuration(head.version, sections, configuration);
             }
             Err(detail) => {
                 log::error!("configuration {} can't be built: {detail}", head.version);
-                self.step_config(ConfigEvent::Rejected(head.version));
+                self.handle_config_event(ConfigEvent::Rejected(head.version));
             }
         }
     }
 
-    fn put_in_force(
+    fn activate_configuration(
         self: &Arc<Self>,
         version: ConfigVersion,
         sections: Sections,
@@ -41,7 +41,7 @@
         // Two appliers may finish in the other order than they began. Without the lock the lower one
         // could look before the higher one has stored and store after it: the daemon would go back,
         // and stay there until the next version. Under it the higher version stays.
-        let _applying = self.config.applying.lock();
+        let _activation = self.config.activation_lock.lock();
         let current = self.in_force.load_full();
         if current.is_some_and(|current| current.version >= version) {
             return;
@@ -53,7 +53,8 @@
             .endpoints
             .apply_endpoint_configuration(&configuration, now);
         self.tiers.with(|tiers| tiers.configured(&configuration));
-        self.admission.configured(&configuration, daemons, now);
+        self.admission
+            .apply_configuration(&configuration, daemons, now);
         let in_force = InForce {
             version,
             sections,
@@ -63,7 +64,7 @@
         self.metrics
             .config_version
             .set(i64::try_from(version.get()).unwrap_or(i64::MAX));
-        self.step_members(MembershipEvent::ConfigApplied(version));
+        self.handle_membership_event(MembershipEvent::ConfigApplied(version));
         log::info!("configuration {version} is in force");
     }
 
@@ -71,16 +72,16 @@
     ///
     /// A daemon that was alone when its configuration came into force would otherwise grant the
     /// whole of every quota for as long as that one is in force, and so would each of its peers.
-    pub(crate) fn share_quotas(&self) {
-        let _applying = self.config.applying.lock();
+    pub(crate) fn update_quota_shares(&self) {
+        let _activation = self.config.activation_lock.lock();
         let daemons = self.count_daemons();
         let Some(in_force) = self.in_force.load_full() else {
             return;
         };
-        if self.admission.is_shared_by_others(daemons) {
+        if self.admission.daemon_count_differs(daemons) {
             let now = self.clock.now();
             self.admission
-                .configured(&in_force.configuration, daemons, now);
+                .apply_configuration(&in_force.configuration, daemons, now);
         }
     }
 
--- a/crates/wisteriahitch-node/src/config/changes.rs
+++ b/crates/wisteriahitch-node/src/config/changes.rs
@@ -5,7 +5,7 @@
 use wisteriahitch_config::{Section, SectionHash, SectionName, Sections};
 
 /// Returns the sections that differ from those in force, with the hashes that they are to have.
-pub(super) fn changes(
+pub(super) fn section_changes(
     base: &Sections,
     merged: &Sections,
 ) -> BTreeMap<SectionName, Option<SectionHash>> {
--- a/crates/wisteriahitch-node/src/config/peers.rs
+++ b/crates/wisteriahitch-node/src/config/peers.rs
@@ -15,7 +15,7 @@
 use crate::shared::Shared;
 
 /// Longest wait for a peer's answer.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Shared {
     /// Asks a peer for its head.
@@ -28,7 +28,7 @@
             },
             None => ConfigEvent::PeerFailed(peer),
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
     /// Asks a peer for sections.
@@ -43,7 +43,7 @@
             }
             None => ConfigEvent::PeerFailed(peer),
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
     async fn pull(
@@ -58,9 +58,9 @@
             after_version: after.get(),
             wanted: wanted.iter().map(ToString::to_string).collect(),
         };
-        self.outside
+        self.clients
             .peers
-            .pull_configuration(address, request, TIMEOUT)
+            .pull_configuration(address, request, PEER_TIMEOUT)
             .await
             .ok()
     }
@@ -76,7 +76,7 @@
             Some(answer) => ConfigEvent::PushAnswered { to: peer, answer },
             None => ConfigEvent::PeerFailed(peer),
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
     async fn push(
@@ -93,19 +93,19 @@
             sections: write_sections(sections),
         };
         let reply = self
-            .outside
+            .clients
             .peers
-            .push_configuration(address, request, TIMEOUT)
+            .push_configuration(address, request, PEER_TIMEOUT)
             .await
             .ok()?;
         Some(PushAnswer {
             held_version: ConfigVersion::new(reply.held_version),
-            missing: parse_hashes(&reply.missing),
+            missing: parse_section_hashes(&reply.missing),
         })
     }
 
     /// Takes a version that a peer hands over.
-    pub(crate) fn take_pushed(
+    pub(crate) fn apply_pushed_configuration(
         self: &Arc<Self>,
         from: Incarnation,
         request: PushConfigurationRequest,
@@ -113,7 +113,7 @@
         let version = request.version;
         let Ok(change) = serde_json::from_slice::<HeadChange>(&request.head_change) else {
             log::warn!("a pushed head from {from} doesn't parse");
-            let held_version = self.held_head().map_or(0, |head| head.version.get());
+            let held_version = self.complete_head().map_or(0, |head| head.version.get());
             return PushConfigurationReply {
                 held: false,
                 held_version,
@@ -127,7 +127,7 @@
             let members = self.fleet.members.lock();
             replica.answer_push(from, &change, sections, now, &members)
         };
-        self.run_config(commands);
+        self.execute_config_commands(commands);
         PushConfigurationReply {
             held: answer.held_version.get() >= version,
             held_version: answer.held_version.get(),
@@ -138,7 +138,7 @@
     /// Gives a peer the head and the sections that it asks for.
     pub(crate) fn answer_pull(&self, request: &PullConfigurationRequest) -> PullConfigurationReply {
         let after = ConfigVersion::new(request.after_version);
-        let wanted = parse_hashes(&request.wanted);
+        let wanted = parse_section_hashes(&request.wanted);
         let answer = self.config.replica.lock().answer_pull(after, &wanted);
         let head = answer
             .head
@@ -156,7 +156,7 @@
     serde_json::from_slice(&reply.head).ok()
 }
 
-fn parse_hashes(texts: &[String]) -> Vec<SectionHash> {
+fn parse_section_hashes(texts: &[String]) -> Vec<SectionHash> {
     texts.iter().filter_map(|text| text.parse().ok()).collect()
 }
 
--- a/crates/wisteriahitch-node/src/config/replica.rs
+++ b/crates/wisteriahitch-node/src/config/replica.rs
@@ -14,10 +14,10 @@
 use crate::shared::Shared;
 
 /// Time for which one watch of the head waits.
-const WATCH_US: DurationUs = DurationUs::from_ms(20_000);
+const WATCH_TIMEOUT_US: DurationUs = DurationUs::from_ms(20_000);
 
 /// Pause after a watch failed.
-const WATCH_PAUSE: std::time::Duration = std::time::Duration::from_millis(500);
+const WATCH_RETRY_BACKOFF: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// Holds the replica and the watch that it asked for.
 ///
@@ -26,7 +26,7 @@
     /// Versions held and in force.
     pub(crate) replica: Mutex<ConfigReplica>,
     /// Held while a configuration is put in force.
-    pub(super) applying: Mutex<()>,
+    pub(super) activation_lock: Mutex<()>,
     watch: Mutex<Option<CancellationToken>>,
 }
 
@@ -36,7 +36,7 @@
         let replica = ConfigReplica::new(ConfigSettings::default());
         Self {
             replica: Mutex::new(replica),
-            applying: Mutex::new(()),
+            activation_lock: Mutex::new(()),
             watch: Mutex::new(None),
         }
     }
@@ -45,21 +45,21 @@
 impl Shared {
     /// Runs what depends on the time alone.
     pub(crate) fn tick_config(self: &Arc<Self>) {
-        self.step_config(ConfigEvent::Tick);
+        self.handle_config_event(ConfigEvent::Tick);
     }
 
     /// Tells the replica an event and carries out what it asks for.
-    pub(crate) fn step_config(self: &Arc<Self>, event: ConfigEvent) {
+    pub(crate) fn handle_config_event(self: &Arc<Self>, event: ConfigEvent) {
         let now = self.clock.now();
         let commands = {
             let mut replica = self.config.replica.lock();
             replica.handle(event, now, &self.fleet.members.lock())
         };
-        self.run_config(commands);
+        self.execute_config_commands(commands);
     }
 
     /// Carries out what the replica asks for.
-    pub(crate) fn run_config(self: &Arc<Self>, commands: Vec<ConfigCommand>) {
+    pub(crate) fn execute_config_commands(self: &Arc<Self>, commands: Vec<ConfigCommand>) {
         for command in commands {
             match command {
                 ConfigCommand::Apply { head, sections } => self.apply_config(&head, &sections),
@@ -68,7 +68,7 @@
                     log::error!("{code} configuration {version}: {}", code.summary());
                 }
                 command => {
-                    tokio::spawn(call(Arc::clone(self), command));
+                    tokio::spawn(execute_command(Arc::clone(self), command));
                 }
             }
         }
@@ -82,11 +82,11 @@
         if is_wanted {
             let token = self.end.child_token();
             *watch = Some(token.clone());
-            tokio::spawn(watch_until(Arc::clone(self), token));
+            tokio::spawn(watch_until_cancelled(Arc::clone(self), token));
         }
     }
 
-    fn note_head(self: &Arc<Self>, read: Result<Option<Object>, PlatformError>) {
+    fn apply_head_read(self: &Arc<Self>, read: Result<Option<Object>, PlatformError>) {
         let event = match read {
             Ok(None) => ConfigEvent::StoreHead(None),
             Ok(Some(object)) => match parse_head(&object) {
@@ -101,20 +101,25 @@
                 ConfigEvent::StoreFailed
             }
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
     /// Returns the head that is held whole, if there is one.
-    pub(crate) fn held_head(&self) -> Option<HeadObject> {
+    pub(crate) fn complete_head(&self) -> Option<HeadObject> {
         self.config.replica.lock().held().cloned()
     }
 }
 
-async fn watch_until(shared: Arc<Shared>, token: CancellationToken) {
-    let mut seen = ObjectVersion::default();
+async fn watch_until_cancelled(shared: Arc<Shared>, token: CancellationToken) {
+    let mut last_version = ObjectVersion::default();
     loop {
-        let platform = &shared.outside.platform;
-        let watching = platform.watch(ObjectKind::ConfigHead, HEAD_NAME, seen, WATCH_US);
+        let platform = &shared.clients.platform;
+        let watching = platform.watch(
+            ObjectKind::ConfigHead,
+            HEAD_NAME,
+            last_version,
+            WATCH_TIMEOUT_US,
+        );
         let read = tokio::select! {
             () = token.cancelled() => return,
             read = watching => read,
@@ -122,34 +127,34 @@
         match read {
             Ok(None) => {}
             Ok(Some(object)) => {
-                seen = object.version;
-                shared.note_head(Ok(Some(object)));
+                last_version = object.version;
+                shared.apply_head_read(Ok(Some(object)));
             }
             Err(error) => {
-                shared.note_head(Err(error));
-                tokio::time::sleep(WATCH_PAUSE).await;
+                shared.apply_head_read(Err(error));
+                tokio::time::sleep(WATCH_RETRY_BACKOFF).await;
             }
         }
     }
 }
 
-async fn call(shared: Arc<Shared>, command: ConfigCommand) {
+async fn execute_command(shared: Arc<Shared>, command: ConfigCommand) {
     match command {
         ConfigCommand::ReadHead => {
             let read = shared
-                .outside
+                .clients
                 .platform
                 .get(ObjectKind::ConfigHead, HEAD_NAME)
                 .await;
-            shared.note_head(read);
+            shared.apply_head_read(read);
         }
         ConfigCommand::ReadSection(hash) => {
-            let read = read_section(&*shared.outside.platform, hash).await;
+            let read = read_section(&*shared.clients.platform, hash).await;
             let event = match read {
                 Ok(Some(text)) => ConfigEvent::SectionRead { hash, text },
                 Ok(None) | Err(_) => ConfigEvent::SectionFailed(hash),
             };
-            shared.step_config(event);
+            shared.handle_config_event(event);
         }
         ConfigCommand::PullHead { peer, after } => shared.pull_head(peer, after).await,
         ConfigCommand::PullSections { peer, wanted } => shared.pull_sections(peer, &wanted).await,
--- a/crates/wisteriahitch-node/src/config/submit.rs
+++ b/crates/wisteriahitch-node/src/config/submit.rs
@@ -12,15 +12,15 @@
 use wisteriahitch_types::{Code, ConfigVersion, SubmissionId};
 use wisteriahitch_wire::platform::{ObjectKind, ObjectVersion, PlatformErrorKind};
 
-use super::changes::changes;
+use super::changes::section_changes;
 use super::objects::{HEAD_NAME, build_sections, parse_head, read_section, write_section};
 use crate::shared::Shared;
 
 /// Time between two counts of the peers that hold an accepted version.
-const SPREAD_PAUSE: Duration = Duration::from_millis(50);
+const ACTIVATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Counts after which the operator is told with those that hold it by then.
-const MAX_SPREAD_COUNTS: u32 = 40;
+const MAX_ACTIVATION_POLLS: u32 = 40;
 
 /// Holds a checked submission.
 pub(crate) struct Submitted {
@@ -45,7 +45,7 @@
 }
 
 /// Follows one submission.
-struct Run<'a> {
+struct SubmissionRun<'a> {
     shared: &'a Arc<Shared>,
     texts: BTreeMap<SectionHash, String>,
     report: Option<Report>,
@@ -53,14 +53,14 @@
 
 impl Shared {
     /// Brings a submission to its end and returns the acceptance.
-    pub(crate) async fn submit_config(
+    pub(crate) async fn submit_configuration(
         self: &Arc<Self>,
         submitted: Submitted,
     ) -> Result<SubmissionOutcome, SubmitError> {
-        let changes = changes(&submitted.base, &submitted.merged);
+        let changes = section_changes(&submitted.base, &submitted.merged);
         let texts = submitted.merged.iter();
         let texts = texts.map(|(_, section)| (section.hash(), section.text().to_owned()));
-        let mut run = Run {
+        let mut run = SubmissionRun {
             shared: self,
             texts: texts.collect(),
             report: None,
@@ -73,14 +73,14 @@
             if let SubmissionCommand::Finish(outcome) = command {
                 return run.finish(outcome);
             }
-            let event = run.call(command).await;
+            let event = run.execute(command).await;
             commands.extend(submission.handle(&event));
         }
         Err(SubmitError::Failed(Code::Internal))
     }
 }
 
-impl Run<'_> {
+impl SubmissionRun<'_> {
     fn finish(self, outcome: SubmissionOutcome) -> Result<SubmissionOutcome, SubmitError> {
         match (outcome, self.report) {
             (SubmissionOutcome::Accepted { .. }, _) => Ok(outcome),
@@ -91,7 +91,7 @@
         }
     }
 
-    async fn call(&mut self, command: SubmissionCommand) -> SubmissionEvent {
+    async fn execute(&mut self, command: SubmissionCommand) -> SubmissionEvent {
         match command {
             SubmissionCommand::WriteSection(hash) => self.write_section(hash).await,
             SubmissionCommand::ReadHead => self.read_head().await,
@@ -99,7 +99,7 @@
             SubmissionCommand::UpdateHead { head, expected } => {
                 self.update_head(&head, expected).await
             }
-            SubmissionCommand::Spread(head) => self.spread(&head).await,
+            SubmissionCommand::Spread(head) => self.publish_and_count_holders(&head).await,
             SubmissionCommand::Finish(_) => SubmissionEvent::Start,
         }
     }
@@ -110,7 +110,7 @@
             .get(&hash)
             .map(String::as_str)
             .unwrap_or_default();
-        match write_section(&*self.shared.outside.platform, hash, text).await {
+        match write_section(&*self.shared.clients.platform, hash, text).await {
             Ok(()) => SubmissionEvent::SectionWritten(hash),
             Err(error) => {
                 log::warn!("a section can't be written: {error}");
@@ -122,7 +122,7 @@
     async fn read_head(&self) -> SubmissionEvent {
         let read = self
             .shared
-            .outside
+            .clients
             .platform
             .get(ObjectKind::ConfigHead, HEAD_NAME)
             .await;
@@ -153,7 +153,7 @@
 
     /// Checks the whole that would come out, with the sections that others submitted meanwhile.
     async fn check(&mut self, head: &HeadObject) -> SubmissionEvent {
-        let Some(sections) = self.collect(head).await else {
+        let Some(sections) = self.collect_sections(head).await else {
             return SubmissionEvent::Checked { is_good: false };
         };
         let is_good = match build_sections(head, &sections) {
@@ -172,11 +172,11 @@
         SubmissionEvent::Checked { is_good }
     }
 
-    async fn collect(&mut self, head: &HeadObject) -> Option<Vec<Section>> {
+    async fn collect_sections(&mut self, head: &HeadObject) -> Option<Vec<Section>> {
         let mut sections = Vec::new();
         for hash in head.sections.values() {
             if !self.texts.contains_key(hash) {
-                let read = read_section(&*self.shared.outside.platform, *hash).await;
+                let read = read_section(&*self.shared.clients.platform, *hash).await;
                 self.texts.insert(*hash, read.ok()??);
             }
             let text = self.texts.get(hash)?;
@@ -186,7 +186,7 @@
     }
 
     async fn update_head(&self, head: &HeadObject, expected: u64) -> SubmissionEvent {
-        let platform = &self.shared.outside.platform;
+        let platform = &self.shared.clients.platform;
         let Ok(spec) = serde_json::to_value(head) else {
             return SubmissionEvent::UpdateUnavailable;
         };
@@ -221,15 +221,15 @@
     }
 
     /// Learns the accepted version here, which hands it to peers, and counts who holds it.
-    async fn spread(&self, head: &HeadObject) -> SubmissionEvent {
+    async fn publish_and_count_holders(&self, head: &HeadObject) -> SubmissionEvent {
         let shared = self.shared;
-        shared.step_config(ConfigEvent::StoreHead(Some(head.clone())));
-        for _ in 0..MAX_SPREAD_COUNTS {
+        shared.handle_config_event(ConfigEvent::StoreHead(Some(head.clone())));
+        for _ in 0..MAX_ACTIVATION_POLLS {
             let in_force = shared.in_force.load_full();
             if in_force.is_some_and(|in_force| in_force.version >= head.version) {
                 break;
             }
-            tokio::time::sleep(SPREAD_PAUSE).await;
+            tokio::time::sleep(ACTIVATION_POLL_INTERVAL).await;
         }
         let replica = shared.config.replica.lock();
         let holders = replica.holders(&shared.fleet.members.lock());
--- a/crates/wisteriahitch-node/src/daemon.rs
+++ b/crates/wisteriahitch-node/src/daemon.rs
@@ -27,26 +27,26 @@
 use crate::observe::Metrics;
 use crate::operator::OperatorHandler;
 use crate::orders::{OrderState, run_orders};
-use crate::peering::{PeerSide, run_leaving_news, run_membership};
+use crate::peering::{PeerRequestHandler, run_leaving_updates, run_membership};
 use crate::server::{ConnectionLimits, serve};
-use crate::shared::{Outside, Shared};
+use crate::shared::{ExternalClients, Shared};
 use crate::state::{AdmissionState, FleetState, OnceState, ResumeState, TierState};
 use crate::task;
 
 /// Part of the requests that may be retries until a configuration says otherwise.
-const FIRST_RETRY_SHARE: f64 = 0.1;
+const INITIAL_RETRY_SHARE: f64 = 0.1;
 
 /// Longest wait for a connection to a peer.
 const PEER_CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
 /// Longest wait for the connections of peers to end, once nothing is asked on them.
-const LONGEST_GOODBYE: std::time::Duration = std::time::Duration::from_secs(2);
+const PEER_SHUTDOWN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// Callers' connections at once for each stream that may run.
 const CONNECTIONS_PER_STREAM: usize = 2;
 
 /// Connections that wait to be accepted.
-const LISTEN_QUEUE: u32 = 4_096;
+const LISTEN_BACKLOG: u32 = 4_096;
 
 /// Operators' connections at once.
 const OPERATOR_CONNECTIONS: usize = 64;
@@ -80,12 +80,15 @@
             incarnation,
             clock: Clock::new(),
             in_force: ArcSwapOption::empty(),
-            outside: outside(&settings),
-            router: Mutex::new(Router::new(policy(settings.run.policy), incarnation.get())),
+            clients: build_clients(&settings),
+            router: Mutex::new(Router::new(
+                build_policy(settings.run.policy),
+                incarnation.get(),
+            )),
             tiers: TierState::new(),
             once: Mutex::new(OnceState::new(holder)),
             resume: ResumeState::new(),
-            admission: AdmissionState::new(FIRST_RETRY_SHARE),
+            admission: AdmissionState::new(INITIAL_RETRY_SHARE),
             config: ConfigState::new(),
             orders: OrderState::new(lease_holder),
             fleet: FleetState::new(&settings, incarnation),
@@ -116,35 +119,38 @@
         let callers = bind(listen.callers, "callers")?;
         let operators = bind(listen.operators, "operators")?;
         let peers = bind(listen.peers, "peers")?;
-        shared.step_config(ConfigEvent::Restart);
+        shared.handle_config_event(ConfigEvent::Restart);
         let mut tasks = JoinSet::new();
-        let mut sides = JoinSet::new();
+        let mut listeners = JoinSet::new();
         tasks.spawn(task::run_housekeeping(Arc::clone(&shared)));
         tasks.spawn(task::run_endpoints(Arc::clone(&shared)));
         tasks.spawn(task::run_stores(Arc::clone(&shared)));
         tasks.spawn(task::run_vm_list(Arc::clone(&shared)));
         tasks.spawn(run_orders(Arc::clone(&shared)));
         tasks.spawn(run_membership(Arc::clone(&shared)));
-        tasks.spawn(run_leaving_news(Arc::clone(&shared)));
-        tasks.spawn(serve_peer_side(Arc::clone(&shared), peers));
+        tasks.spawn(run_leaving_updates(Arc::clone(&shared)));
+        tasks.spawn(serve_peer_listener(Arc::clone(&shared), peers));
         let operator_side = Arc::new(OperatorHandler::new(Arc::clone(&shared)));
-        let limits = limits(&shared.settings, OPERATOR_CONNECTIONS);
-        sides.spawn(serve(operators, limits, operator_side, shared.stop.clone()));
+        let limits = connection_limits(&shared.settings, OPERATOR_CONNECTIONS);
+        listeners.spawn(serve(operators, limits, operator_side, shared.stop.clone()));
         let caller_side = Arc::new(CallerHandler::new(Arc::clone(&shared)));
-        let limits = limits_for_callers(&shared.settings);
-        sides.spawn(serve(callers, limits, caller_side, shared.stop.clone()));
+        let limits = caller_connection_limits(&shared.settings);
+        listeners.spawn(serve(callers, limits, caller_side, shared.stop.clone()));
         log::info!(
             "daemon {} incarnation {}",
             shared.settings.id,
             shared.incarnation
         );
-        while sides.join_next().await.is_some() {}
+        while listeners.join_next().await.is_some() {}
         shared.wait_for_late_work().await;
         shared.end.cancel();
         // A peer that is frozen never confirms the end of its connection, and nothing that it
         // could still want is left here. Without a bound one such peer would hold up an update.
         let ended = async { while tasks.join_next().await.is_some() {} };
-        if tokio::time::timeout(LONGEST_GOODBYE, ended).await.is_err() {
+        if tokio::time::timeout(PEER_SHUTDOWN_TIMEOUT, ended)
+            .await
+            .is_err()
+        {
             log::warn!("a connection to a peer didn't end in time");
         }
         Ok(())
@@ -163,13 +169,13 @@
         };
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(LISTEN_QUEUE)
+        socket.listen(LISTEN_BACKLOG)
     };
     listen().with_context(|| format!("the {side}' address {address} can't be listened on"))
 }
 
-async fn serve_peer_side(shared: Arc<Shared>, listener: TcpListener) {
-    let handler = Arc::new(PeerSide::new(Arc::clone(&shared)));
+async fn serve_peer_listener(shared: Arc<Shared>, listener: TcpListener) {
+    let handler = Arc::new(PeerRequestHandler::new(Arc::clone(&shared)));
     let stop = shared.end.clone();
     if let Err(error) = serve_peers(listener, handler, stop.cancelled_owned()).await {
         log::error!("the peers' side ended: {error}");
@@ -177,12 +183,12 @@
 }
 
 /// Leaves room for connections that wait beside the streams that run.
-fn limits_for_callers(settings: &Settings) -> ConnectionLimits {
+fn caller_connection_limits(settings: &Settings) -> ConnectionLimits {
     let streams = settings.limits.streams as usize;
-    limits(settings, streams.saturating_mul(CONNECTIONS_PER_STREAM))
+    connection_limits(settings, streams.saturating_mul(CONNECTIONS_PER_STREAM))
 }
 
-fn limits(settings: &Settings, connections: usize) -> ConnectionLimits {
+fn connection_limits(settings: &Settings, connections: usize) -> ConnectionLimits {
     let limits = &settings.limits;
     ConnectionLimits {
         connections,
@@ -193,7 +199,7 @@
     }
 }
 
-fn policy(name: PolicyName) -> Box<dyn Policy> {
+fn build_policy(name: PolicyName) -> Box<dyn Policy> {
     match name {
         PolicyName::Cost => Box::new(CostPolicy::default()),
         PolicyName::RoundRobin => Box::new(RoundRobin::default()),
@@ -202,7 +208,7 @@
     }
 }
 
-fn outside(settings: &Settings) -> Outside {
+fn build_clients(settings: &Settings) -> ExternalClients {
     let platform = HttpPlatformOptions {
         addresses: settings.platform.addresses.clone(),
         call_timeout_us: settings.platform.timeout_us,
@@ -211,7 +217,7 @@
         ..HttpPlatformOptions::default()
     };
     let client = HttpClient::new(HttpClientOptions::default());
-    Outside {
+    ExternalClients {
         platform: Arc::new(HttpPlatform::new(platform)),
         engine: Arc::new(HttpEngine::new(client.clone())),
         service: Arc::new(HttpService::new(HttpServiceOptions::default())),
--- a/crates/wisteriahitch-node/src/dispatch/completion_attempt.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_attempt.rs
@@ -6,21 +6,21 @@
 use wisteriahitch_core::route::{AttemptFailure, engine_priority};
 use wisteriahitch_wire::engine::{BlockRef, CompletionRequest, EngineError, EngineErrorKind};
 
-use super::completion_plan::Plan;
-use super::completion_run::{Ended, Run};
+use super::completion_plan::AttemptPlan;
+use super::completion_run::{AttemptEnd, CompletionRun};
 use super::import;
-use crate::state::Flight;
+use crate::state::AttemptGuard;
 
-impl Run<'_> {
-    pub(super) async fn attempt(&mut self, plan: &Plan) -> Ended {
+impl CompletionRun<'_> {
+    pub(super) async fn attempt(&mut self, plan: &AttemptPlan) -> AttemptEnd {
         let choice = &plan.choice;
         let expected_us = choice.estimate.first_token_us;
         let recompute = choice.plan.recompute_tokens;
-        let Some(flight) = self
+        let Some(guard) = self
             .shared
-            .take_off(&choice.endpoint, recompute, expected_us)
+            .start_attempt(&choice.endpoint, recompute, expected_us)
         else {
-            return Ended::Failed(EngineError::new(
+            return AttemptEnd::Failed(EngineError::new(
                 EngineErrorKind::NotSent,
                 "endpoint is gone",
             ));
@@ -28,30 +28,30 @@
         let imported = import::run(self.shared, self.call, choice, &plan.weight_version);
         tokio::select! {
             () = imported => {}
-            () = self.pieces.closed() => return self.cancel_import(),
+            () = self.events.closed() => return self.cancel_import(),
         }
-        self.wait_for_cancellations(flight.address()).await;
+        self.wait_for_cancellations(guard.address()).await;
         let request = self.completion_request(plan);
-        let head_timeout_us = self.first_token_wait(choice.estimate.first_token_us);
+        let head_timeout_us = self.first_token_timeout(choice.estimate.first_token_us);
         let opening =
             self.shared
-                .outside
+                .clients
                 .engine
-                .complete(flight.address(), request, head_timeout_us);
+                .complete(guard.address(), request, head_timeout_us);
         let opened = tokio::select! {
             opened = opening => opened,
-            () = self.pieces.closed() => return self.land(flight, plan, Ended::CallerGone),
+            () = self.events.closed() => return self.finish_attempt(guard, plan, AttemptEnd::CallerGone),
         };
         let ended = match opened {
-            Ok((head, stream)) => self.follow(plan, &flight, head, stream).await,
-            Err(error) => Ended::Failed(error),
+            Ok((head, stream)) => self.relay_tokens(plan, &guard, head, stream).await,
+            Err(error) => AttemptEnd::Failed(error),
         };
-        self.land(flight, plan, ended)
+        self.finish_attempt(guard, plan, ended)
     }
 
-    fn cancel_import(&self) -> Ended {
+    fn cancel_import(&self) -> AttemptEnd {
         self.shared.cancel_import(&self.call.request_id);
-        Ended::CallerGone
+        AttemptEnd::CallerGone
     }
 
     /// Waits until no cancellation of an earlier attempt is on its way to this endpoint.
@@ -59,17 +59,19 @@
     /// An engine cancels by the request's id alone. A cancellation that arrives late would end the
     /// new attempt, seen as a retry that breaks at once at an endpoint that is well.
     async fn wait_for_cancellations(&mut self, address: SocketAddr) {
-        let cancelling = std::mem::take(&mut self.cancelling);
-        let (here, elsewhere) = cancelling.into_iter().partition(|(to, _)| *to == address);
-        self.cancelling = elsewhere;
-        let here: Vec<(SocketAddr, JoinHandle<()>)> = here;
-        for (_, cancellation) in here {
+        let pending_cancellations = std::mem::take(&mut self.pending_cancellations);
+        let (same_endpoint, other_endpoints) = pending_cancellations
+            .into_iter()
+            .partition(|(to, _)| *to == address);
+        self.pending_cancellations = other_endpoints;
+        let same_endpoint: Vec<(SocketAddr, JoinHandle<()>)> = same_endpoint;
+        for (_, cancellation) in same_endpoint {
             // A task that panicked has nothing on its way either.
             let _ = cancellation.await;
         }
     }
 
-    fn completion_request(&self, plan: &Plan) -> CompletionRequest {
+    fn completion_request(&self, plan: &AttemptPlan) -> CompletionRequest {
         let blocks = plan.chain.blocks.iter();
         CompletionRequest {
             request_id: self.call.request_id.clone(),
@@ -95,40 +97,45 @@
     }
 
     /// Ends the flight as the attempt ended, and lets go of what it still holds at the endpoint.
-    fn land(&mut self, flight: Flight, plan: &Plan, ended: Ended) -> Ended {
+    fn finish_attempt(
+        &mut self,
+        guard: AttemptGuard,
+        plan: &AttemptPlan,
+        ended: AttemptEnd,
+    ) -> AttemptEnd {
         let outcome = match &ended {
-            Ended::Whole => "answered",
-            Ended::CallerGone => "caller_gone",
-            Ended::Failed(error) => outcome(error.kind()),
+            AttemptEnd::Complete => "answered",
+            AttemptEnd::CallerGone => "caller_gone",
+            AttemptEnd::Failed(error) => outcome_label(error.kind()),
         };
         self.shared
             .metrics
             .attempts
             .with_label_values(&[outcome])
             .inc();
-        let address = flight.address();
+        let address = guard.address();
         match &ended {
-            Ended::Whole => {
-                flight.finished();
-                self.shared.used(
+            AttemptEnd::Complete => {
+                guard.mark_succeeded();
+                self.shared.record_completed_request(
                     self.call,
                     &plan.chain,
                     &plan.choice.endpoint,
                     &plan.weight_version,
                 );
             }
-            Ended::CallerGone => {
-                flight.failed(AttemptFailure::Cancelled);
-                self.keep_for_resumption(plan);
+            AttemptEnd::CallerGone => {
+                guard.mark_failed(AttemptFailure::Cancelled);
+                self.store_for_resumption(plan);
                 // There is no further attempt that this could end.
                 drop(self.shared.cancel_at(address, &self.call.request_id));
             }
-            Ended::Failed(error) => {
-                flight.failed(failure(error.kind()));
+            AttemptEnd::Failed(error) => {
+                guard.mark_failed(attempt_failure(error.kind()));
                 let may_still_run = !error.is_not_run();
                 if may_still_run && !self.has_sent_head {
                     let cancellation = self.shared.cancel_at(address, &self.call.request_id);
-                    self.cancelling.push((address, cancellation));
+                    self.pending_cancellations.push((address, cancellation));
                 }
             }
         }
@@ -136,11 +143,11 @@
     }
 
     /// Keeps a stream whose caller has its beginning, since it may come back for the rest.
-    fn keep_for_resumption(&self, plan: &Plan) {
+    fn store_for_resumption(&self, plan: &AttemptPlan) {
         if !self.has_sent_head {
             return;
         }
-        self.shared.keep_for_resumption(
+        self.shared.store_for_resumption(
             self.call,
             &plan.choice.endpoint,
             &plan.weight_version,
@@ -150,7 +157,7 @@
     }
 }
 
-fn outcome(kind: EngineErrorKind) -> &'static str {
+fn outcome_label(kind: EngineErrorKind) -> &'static str {
     match kind {
         EngineErrorKind::NotSent => "not_sent",
         EngineErrorKind::NotRun => "not_run",
@@ -161,7 +168,7 @@
     }
 }
 
-fn failure(kind: EngineErrorKind) -> AttemptFailure {
+fn attempt_failure(kind: EngineErrorKind) -> AttemptFailure {
     match kind {
         EngineErrorKind::NotRun | EngineErrorKind::OtherVersion | EngineErrorKind::Rejected => {
             AttemptFailure::Refused
--- a/crates/wisteriahitch-node/src/dispatch/completion_call.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_call.rs
@@ -48,7 +48,7 @@
 }
 
 /// What a running completion tells the side that answers its caller.
-pub(crate) enum Piece {
+pub(crate) enum CompletionEvent {
     /// The answer begins; sent right before its first token.
     Head(CompletionHead),
     /// The next token.
--- a/crates/wisteriahitch-node/src/dispatch/completion_plan.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_plan.rs
@@ -9,19 +9,19 @@
 use crate::shared::Shared;
 
 /// Holds where and how an attempt runs.
-pub(super) struct Plan {
+pub(super) struct AttemptPlan {
     pub(super) choice: Choice,
     pub(super) chain: PieceChain,
     pub(super) weight_version: WeightVersion,
 }
 
 /// Chooses endpoint and weight version; of two versions in use during a rollout the faster one.
-pub(super) fn plan(
+pub(super) fn plan_attempt(
     shared: &Shared,
     call: &CompletionCall,
     tried: &[EndpointId],
-) -> Result<Plan, Refusal> {
-    let mut best: Option<Plan> = None;
+) -> Result<AttemptPlan, Refusal> {
+    let mut best: Option<AttemptPlan> = None;
     let mut refused = Refusal::new(Code::NoEndpoint).with_retry_after_us(RETRY_AFTER_US);
     for weight_version in shared.candidate_versions(&call.route.service, &call.model) {
         let chain = call.chain(&weight_version);
@@ -32,7 +32,7 @@
                     choice.estimate.first_token_us < best.choice.estimate.first_token_us
                 });
                 if is_better {
-                    best = Some(Plan {
+                    best = Some(AttemptPlan {
                         choice,
                         chain: request.chain,
                         weight_version,
@@ -46,7 +46,7 @@
 }
 
 /// Plans to go on where an answer began: only there the same answer goes on.
-pub(super) fn resume(call: &CompletionCall, resumption: &Resumption) -> Plan {
+pub(super) fn plan_resumption(call: &CompletionCall, resumption: &Resumption) -> AttemptPlan {
     let choice = Choice {
         endpoint: resumption.endpoint.clone(),
         plan: RoutePlan::default(),
@@ -54,7 +54,7 @@
         weighed: Vec::new(),
     };
     let weight_version = resumption.weight_version.clone();
-    Plan {
+    AttemptPlan {
         choice,
         chain: call.chain(&weight_version),
         weight_version,
--- a/crates/wisteriahitch-node/src/dispatch/completion_run.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_run.rs
@@ -9,15 +9,15 @@
 use wisteriahitch_types::{Code, EndpointId};
 use wisteriahitch_wire::engine::EngineError;
 
-use super::completion_call::{CompletionCall, Piece};
-use super::completion_plan::{Plan, plan, resume};
+use super::completion_call::{CompletionCall, CompletionEvent};
+use super::completion_plan::{AttemptPlan, plan_attempt, plan_resumption};
 use crate::caller::Refusal;
 use crate::shared::Shared;
 
 /// Says how an attempt ended.
-pub(super) enum Ended {
+pub(super) enum AttemptEnd {
     /// The answer is whole.
-    Whole,
+    Complete,
     /// The caller went away.
     CallerGone,
     /// The endpoint failed.
@@ -25,10 +25,10 @@
 }
 
 /// Follows one completion through its attempts.
-pub(super) struct Run<'a> {
+pub(super) struct CompletionRun<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) call: &'a CompletionCall,
-    pub(super) pieces: &'a mpsc::Sender<Piece>,
+    pub(super) events: &'a mpsc::Sender<CompletionEvent>,
     pub(super) check: StreamCheck,
     /// Endpoints that this request isn't tried at again.
     pub(super) tried: Vec<EndpointId>,
@@ -36,24 +36,28 @@
     /// Whether some attempt may have run, so that `not run` would no longer be true.
     pub(super) may_have_run: bool,
     /// Cancellations of earlier attempts that may still be on their way.
-    pub(super) cancelling: Vec<(SocketAddr, JoinHandle<()>)>,
+    pub(super) pending_cancellations: Vec<(SocketAddr, JoinHandle<()>)>,
 }
 
 /// Runs a completion to its end and sends what the caller is to get.
-pub(crate) async fn run(shared: &Arc<Shared>, call: &CompletionCall, pieces: &mpsc::Sender<Piece>) {
-    if let Err(refusal) = run_until_whole(shared, call, pieces).await {
+pub(crate) async fn run(
+    shared: &Arc<Shared>,
+    call: &CompletionCall,
+    events: &mpsc::Sender<CompletionEvent>,
+) {
+    if let Err(refusal) = run_to_completion(shared, call, events).await {
         // The receiver may be gone, and then nobody waits for the refusal.
-        let _ = pieces.send(Piece::Refused(refusal)).await;
+        let _ = events.send(CompletionEvent::Refused(refusal)).await;
     }
 }
 
-async fn run_until_whole(
+async fn run_to_completion(
     shared: &Arc<Shared>,
     call: &CompletionCall,
-    pieces: &mpsc::Sender<Piece>,
+    events: &mpsc::Sender<CompletionEvent>,
 ) -> Result<(), Refusal> {
     let cost_tokens = call.prompt_tokens + call.max_tokens;
-    let turn = shared.enter(
+    let permit = shared.acquire_permit(
         &call.identity,
         &call.route,
         call.due_us(),
@@ -61,12 +65,12 @@
         cost_tokens,
     );
     let _permit = tokio::select! {
-        turn = turn => turn?,
-        () = pieces.closed() => return Ok(()),
+        permit = permit => permit?,
+        () = events.closed() => return Ok(()),
     };
     let first = match &call.resumption {
-        Some(resumption) => resume(call, resumption),
-        None => plan(shared, call, &[])?,
+        Some(resumption) => plan_resumption(call, resumption),
+        None => plan_attempt(shared, call, &[])?,
     };
     let mut check = StreamCheck::new(
         call.request_id.clone(),
@@ -78,17 +82,17 @@
             .resumed_by_caller(resumption.position)
             .starting_with(resumption.attempt);
     }
-    let mut run = Run {
+    let mut run = CompletionRun {
         shared,
         call,
-        pieces,
+        events,
         check,
         tried: Vec::new(),
         has_sent_head: false,
         may_have_run: false,
-        cancelling: Vec::new(),
+        pending_cancellations: Vec::new(),
     };
-    let result = run.follow_attempts(first).await;
+    let result = run.run_attempts(first).await;
     run.count_dropped();
     // Whatever ends the request now, an endpoint may have run it before.
     match run.may_have_run {
@@ -97,17 +101,17 @@
     }
 }
 
-impl Run<'_> {
-    async fn follow_attempts(&mut self, first: Plan) -> Result<(), Refusal> {
+impl CompletionRun<'_> {
+    async fn run_attempts(&mut self, first: AttemptPlan) -> Result<(), Refusal> {
         let mut plan = first;
         loop {
             match self.attempt(&plan).await {
-                Ended::Whole => return Ok(()),
-                Ended::CallerGone => {
+                AttemptEnd::Complete => return Ok(()),
+                AttemptEnd::CallerGone => {
                     self.shared.metrics.count_refusal(Code::CallerGone);
                     return Ok(());
                 }
-                Ended::Failed(error) => plan = self.plan_next(plan, &error)?,
+                AttemptEnd::Failed(error) => plan = self.plan_next(plan, &error)?,
             }
         }
     }
--- a/crates/wisteriahitch-node/src/dispatch/completion_stream.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_stream.rs
@@ -11,44 +11,44 @@
     CompletionHead, EngineError, EngineErrorKind, Token, TokenStream,
 };
 
-use super::completion_call::Piece;
-use super::completion_plan::Plan;
-use super::completion_run::{Ended, Run};
-use crate::state::Flight;
+use super::completion_call::CompletionEvent;
+use super::completion_plan::AttemptPlan;
+use super::completion_run::{AttemptEnd, CompletionRun};
+use crate::state::AttemptGuard;
 
 /// Longest pause between two tokens before the endpoint counts as frozen.
-const TOKEN_STALL_US: DurationUs = DurationUs::from_ms(5_000);
+const TOKEN_STALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(5_000);
 
 /// Shortest wait for a first token before the endpoint counts as frozen.
-const MIN_FIRST_TOKEN_WAIT_US: DurationUs = DurationUs::from_ms(2_000);
+const MIN_FIRST_TOKEN_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_000);
 
 /// How many times as long as estimated a first token may take.
-const FIRST_TOKEN_SLACK: u64 = 4;
+const FIRST_TOKEN_TIMEOUT_FACTOR: u64 = 4;
 
-impl Run<'_> {
+impl CompletionRun<'_> {
     /// Passes tokens on as long as each is the next one of this very attempt.
-    pub(super) async fn follow(
+    pub(super) async fn relay_tokens(
         &mut self,
-        plan: &Plan,
-        flight: &Flight,
+        plan: &AttemptPlan,
+        guard: &AttemptGuard,
         head: CompletionHead,
         mut stream: TokenStream,
-    ) -> Ended {
+    ) -> AttemptEnd {
         if let Err(error) = self.check_head(&head) {
-            return Ended::Failed(error);
+            return AttemptEnd::Failed(error);
         }
-        let wait_us = self.first_token_wait(plan.choice.estimate.first_token_us);
-        let mut due = Instant::now() + Duration::from(wait_us);
+        let first_token_timeout_us = self.first_token_timeout(plan.choice.estimate.first_token_us);
+        let mut stall_deadline = Instant::now() + Duration::from(first_token_timeout_us);
         loop {
             // The time runs on over tokens that are dropped: an endpoint that sends nothing but
             // another request's tokens would otherwise hold the caller for ever.
             let next = tokio::select! {
-                next = timeout_at(due, stream.next()) => next,
-                () = self.pieces.closed() => return Ended::CallerGone,
+                next = timeout_at(stall_deadline, stream.next()) => next,
+                () = self.events.closed() => return AttemptEnd::CallerGone,
             };
             let token = match next {
                 Ok(Some(Ok(token))) => token,
-                Ok(Some(Err(error))) => return Ended::Failed(error),
+                Ok(Some(Err(error))) => return AttemptEnd::Failed(error),
                 Ok(None) => return failed(EngineErrorKind::Lost, "the stream ended early"),
                 Err(_) => return failed(EngineErrorKind::Timeout, "no token in time"),
             };
@@ -60,28 +60,30 @@
                     return failed(EngineErrorKind::Nonsense, "a token is missing");
                 }
             }
-            if self.pass_on(flight, &head, token).await.is_err() {
-                return Ended::CallerGone;
+            if self.forward_token(guard, &head, token).await.is_err() {
+                return AttemptEnd::CallerGone;
             }
-            due = Instant::now() + Duration::from(TOKEN_STALL_US);
+            stall_deadline = Instant::now() + Duration::from(TOKEN_STALL_TIMEOUT_US);
             if verdict == TokenVerdict::PassLast {
-                return Ended::Whole;
+                return AttemptEnd::Complete;
             }
         }
     }
 
-    async fn pass_on(
+    async fn forward_token(
         &mut self,
-        flight: &Flight,
+        guard: &AttemptGuard,
         head: &CompletionHead,
         token: Token,
-    ) -> Result<(), SendError<Piece>> {
+    ) -> Result<(), SendError<CompletionEvent>> {
         if !self.has_sent_head {
             self.has_sent_head = true;
-            self.note_first_token(flight, head);
-            self.pieces.send(Piece::Head(head.clone())).await?;
+            self.record_first_token(guard, head);
+            self.events
+                .send(CompletionEvent::Head(head.clone()))
+                .await?;
         }
-        self.pieces.send(Piece::Token(token)).await
+        self.events.send(CompletionEvent::Token(token)).await
     }
 
     /// Checks that the answer is this attempt's and comes from the version that was decided for.
@@ -103,23 +105,24 @@
     ///
     /// A frozen endpoint keeps its connections open and says nothing. Waiting for the deadline
     /// would use up the time in which another one could answer.
-    pub(super) fn first_token_wait(&self, expected_us: DurationUs) -> DurationUs {
-        let patient_us = DurationUs::new(expected_us.get().saturating_mul(FIRST_TOKEN_SLACK));
-        let patient_us = patient_us.max(MIN_FIRST_TOKEN_WAIT_US);
+    pub(super) fn first_token_timeout(&self, expected_us: DurationUs) -> DurationUs {
+        let timeout_us =
+            DurationUs::new(expected_us.get().saturating_mul(FIRST_TOKEN_TIMEOUT_FACTOR));
+        let timeout_us = timeout_us.max(MIN_FIRST_TOKEN_TIMEOUT_US);
         match self.has_sent_head {
             // The deadline is that of the first token, which the caller has.
-            true => patient_us,
-            false => patient_us.min(self.call.due_us().since(self.shared.clock.now())),
+            true => timeout_us,
+            false => timeout_us.min(self.call.due_us().since(self.shared.clock.now())),
         }
     }
 
-    fn note_first_token(&self, flight: &Flight, head: &CompletionHead) {
-        flight.first_token();
+    fn record_first_token(&self, guard: &AttemptGuard, head: &CompletionHead) {
+        guard.mark_first_token();
         let metrics = &self.shared.metrics;
         metrics.prompt_tokens.inc_by(self.call.prompt_tokens.get());
         metrics.cached_tokens.inc_by(head.cached_tokens.get());
-        let taken_us = self.shared.clock.now().since(self.call.arrived_us);
-        metrics.observe_first_token(taken_us);
+        let elapsed_us = self.shared.clock.now().since(self.call.arrived_us);
+        metrics.observe_first_token(elapsed_us);
     }
 }
 
@@ -132,6 +135,6 @@
     }
 }
 
-fn failed(kind: EngineErrorKind, detail: &str) -> Ended {
-    Ended::Failed(EngineError::new(kind, detail))
+fn failed(kind: EngineErrorKind, detail: &str) -> AttemptEnd {
+    AttemptEnd::Failed(EngineError::new(kind, detail))
 }
--- a/crates/wisteriahitch-node/src/dispatch/engine_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/engine_calls.rs
@@ -23,7 +23,7 @@
     else {
         return None;
     };
-    let Some((address, from)) = find_ends(shared, &endpoint, &store, key) else {
+    let Some((address, from)) = resolve_addresses(shared, &endpoint, &store, key) else {
         return Some(TierEvent::Imported {
             transfer,
             result: Err(TransferFailure::Lost),
@@ -38,7 +38,7 @@
         bytes,
         crc32c,
     };
-    let result = shared.outside.engine.import(address, request).await;
+    let result = shared.clients.engine.import(address, request).await;
     if result.is_ok() {
         shared
             .router
@@ -62,7 +62,7 @@
     else {
         return None;
     };
-    let Some((address, to)) = find_ends(shared, &endpoint, &store, key) else {
+    let Some((address, to)) = resolve_addresses(shared, &endpoint, &store, key) else {
         return Some(TierEvent::Exported {
             transfer,
             result: Err(TransferFailure::Lost),
@@ -74,7 +74,7 @@
         generation,
         weight_version,
     };
-    let result = shared.outside.engine.export(address, request).await;
+    let result = shared.clients.engine.export(address, request).await;
     let result = result
         .map(|done| ExportReceipt {
             bytes: done.bytes,
@@ -85,7 +85,7 @@
 }
 
 /// Returns the endpoint's address and the block's at its store, if both are configured.
-fn find_ends(
+fn resolve_addresses(
     shared: &Shared,
     endpoint: &EndpointId,
     store: &StoreId,
@@ -93,7 +93,7 @@
 ) -> Option<(SocketAddr, String)> {
     let address = shared.endpoint_address(endpoint)?;
     let store = shared.store_address(store)?;
-    Some((address, shared.outside.store.block_url(store, key)))
+    Some((address, shared.clients.store.block_url(store, key)))
 }
 
 fn engine_failure(error: &EngineError) -> TransferFailure {
--- a/crates/wisteriahitch-node/src/dispatch/plain_call.rs
+++ b/crates/wisteriahitch-node/src/dispatch/plain_call.rs
@@ -56,14 +56,14 @@
 }
 
 impl Attempts {
-    fn note(&mut self, endpoint: EndpointId, error: &ServiceError) {
+    fn record(&mut self, endpoint: EndpointId, error: &ServiceError) {
         self.tried.push(endpoint);
         self.may_have_run |= !error.is_not_run();
     }
 
     /// Makes a refusal true: an endpoint that was tried before may have run the call, and then the
     /// refusal of the next choice can't say that it was not run.
-    fn refuse(&self, refusal: Refusal) -> Refusal {
+    fn qualify_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run {
             true => refusal.with_outcome_unknown(),
             false => refusal,
@@ -82,7 +82,7 @@
     may_send: impl FnOnce() -> bool,
 ) -> Result<ServiceResponse, Refusal> {
     let _permit = shared
-        .enter(
+        .acquire_permit(
             &call.identity,
             &call.route,
             call.due_us,
@@ -94,7 +94,7 @@
     let mut attempts = Attempts::default();
     loop {
         let chosen = choose(shared, call, &attempts.tried);
-        let endpoint = chosen.map_err(|refusal| attempts.refuse(refusal))?;
+        let endpoint = chosen.map_err(|refusal| attempts.qualify_refusal(refusal))?;
         if permission.take().is_some_and(|may_send| !may_send()) {
             return Err(Refusal::new(Code::KeyRefused));
         }
@@ -102,11 +102,11 @@
             Ok(response) => return Ok(response),
             Err(error) => error,
         };
-        attempts.note(endpoint, &error);
+        attempts.record(endpoint, &error);
         let is_last = attempts.tried.len() >= MAX_ATTEMPTS;
         if is_last || !may_try_again(shared, mode, &error) {
             let refusal = Refusal::new(error.code()).with_retry_after_us(RETRY_AFTER_US);
-            return Err(attempts.refuse(refusal));
+            return Err(attempts.qualify_refusal(refusal));
         }
     }
 }
@@ -152,8 +152,8 @@
     call: &PlainCall,
     endpoint: &EndpointId,
 ) -> Result<ServiceResponse, ServiceError> {
-    let flight = shared
-        .take_off(endpoint, TokenCount::ZERO, DurationUs::ZERO)
+    let guard = shared
+        .start_attempt(endpoint, TokenCount::ZERO, DurationUs::ZERO)
         .ok_or_else(|| ServiceError::new(ServiceErrorKind::NotSent, "the endpoint is gone"))?;
     let request = ServiceRequest {
         request_id: call.request_id.clone(),
@@ -165,19 +165,19 @@
         timeout_us: call.due_us.since(shared.clock.now()),
         answer_limit_bytes: shared.settings.limits.answer_bytes,
     };
-    let result = shared.outside.service.call(flight.address(), request).await;
+    let result = shared.clients.service.call(guard.address(), request).await;
     let outcome = result
         .as_ref()
-        .map_or_else(|error| outcome(error.kind()), |_| "answered");
+        .map_or_else(|error| outcome_label(error.kind()), |_| "answered");
     shared.metrics.attempts.with_label_values(&[outcome]).inc();
     match &result {
-        Ok(_) => flight.finished(),
-        Err(error) => flight.failed(failure(error.kind())),
+        Ok(_) => guard.mark_succeeded(),
+        Err(error) => guard.mark_failed(attempt_failure(error.kind())),
     }
     result
 }
 
-fn outcome(kind: ServiceErrorKind) -> &'static str {
+fn outcome_label(kind: ServiceErrorKind) -> &'static str {
     match kind {
         ServiceErrorKind::NotSent => "not_sent",
         ServiceErrorKind::NotRun => "not_run",
@@ -188,7 +188,7 @@
     }
 }
 
-fn failure(kind: ServiceErrorKind) -> AttemptFailure {
+fn attempt_failure(kind: ServiceErrorKind) -> AttemptFailure {
     match kind {
         ServiceErrorKind::NotRun | ServiceErrorKind::TooLarge => AttemptFailure::Refused,
         _ => AttemptFailure::Broken,
--- a/crates/wisteriahitch-node/src/dispatch/store_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/store_calls.rs
@@ -18,8 +18,8 @@
     else {
         return None;
     };
-    let pin = async |address| shared.outside.store.pin(address, key, &incarnation).await;
-    let result = ask(shared, &store, pin).await;
+    let pin = async |address| shared.clients.store.pin(address, key, &incarnation).await;
+    let result = call_store(shared, &store, pin).await;
     let result = result
         .map(|pin| PinGrant {
             pin: pin.pin,
@@ -55,8 +55,8 @@
         tier,
         workspace,
     };
-    let reserve = async |address| shared.outside.store.reserve(address, request).await;
-    let result = match ask(shared, &store, reserve).await {
+    let reserve = async |address| shared.clients.store.reserve(address, request).await;
+    let result = match call_store(shared, &store, reserve).await {
         Ok(Reserved::Room(generation)) => Ok(ReservedRoom::Room(generation)),
         Ok(Reserved::AlreadyReadable(generation)) => Ok(ReservedRoom::AlreadyReadable(generation)),
         Ok(Reserved::InProgress) => Err(TransferFailure::InProgress),
@@ -76,9 +76,9 @@
     else {
         return None;
     };
-    let outside = &shared.outside;
-    let move_to = async |address| outside.store.move_to(address, key, generation, tier).await;
-    let result = ask(shared, &store, move_to).await;
+    let clients = &shared.clients;
+    let move_to = async |address| clients.store.move_to(address, key, generation, tier).await;
+    let result = call_store(shared, &store, move_to).await;
     Some(TierEvent::Moved {
         transfer,
         result: result.map_err(|error| store_failure(&error)),
@@ -87,11 +87,11 @@
 
 /// Gives something back at a store; one that fails runs out there by itself.
 pub(super) async fn release(shared: &Shared, command: TierCommand) {
-    let calls = &shared.outside.store;
+    let calls = &shared.clients.store;
     let result = match command {
         TierCommand::Unpin { store, key, pin } => {
             let unpin = async |address| calls.unpin(address, key, &pin).await;
-            ask(shared, &store, unpin).await
+            call_store(shared, &store, unpin).await
         }
         TierCommand::Free {
             store,
@@ -99,7 +99,7 @@
             generation,
         } => {
             let free = async |address| calls.free(address, key, generation).await;
-            ask(shared, &store, free).await
+            call_store(shared, &store, free).await
         }
         _ => Ok(()),
     };
@@ -109,7 +109,7 @@
 }
 
 /// Calls a store; what lay at one that isn't configured any more is gone.
-async fn ask<T>(
+async fn call_store<T>(
     shared: &Shared,
     store: &StoreId,
     call: impl AsyncFnOnce(SocketAddr) -> Result<T, StoreError>,
--- a/crates/wisteriahitch-node/src/dispatch/transfer.rs
+++ b/crates/wisteriahitch-node/src/dispatch/transfer.rs
@@ -24,7 +24,7 @@
     };
     if let Some(event) = event {
         count(&shared, &event);
-        shared.note_tier(event);
+        shared.handle_tier_event(event);
     }
 }
 
--- a/crates/wisteriahitch-node/src/operator/config.rs
+++ b/crates/wisteriahitch-node/src/operator/config.rs
@@ -38,7 +38,7 @@
         merged,
         expected,
     };
-    match shared.submit_config(submitted).await {
+    match shared.submit_configuration(submitted).await {
         Ok(outcome) => Ok(render_accepted(&outcome, &submission)),
         Err(SubmitError::Refused(report)) => Ok(render_report(&report)),
         Err(SubmitError::Failed(code)) => Err(Refusal::new(code)),
@@ -130,7 +130,7 @@
         .in_force
         .load_full()
         .ok_or_else(|| Refusal::new(Code::NotReady))?;
-    let head = shared.held_head();
+    let head = shared.complete_head();
     let history = head.map_or_else(Vec::new, |head| head.history);
     Ok(json_response(
         &json!({ "in_force": in_force.version, "history": history }),
--- a/crates/wisteriahitch-node/src/operator/dump.rs
+++ b/crates/wisteriahitch-node/src/operator/dump.rs
@@ -24,7 +24,7 @@
         "once": shared.once.lock().table.snapshot(),
         "members": *shared.fleet.members.lock(),
         "orders": shared.orders.snapshot(),
-        "platform_calls": shared.outside.platform.counts(),
+        "platform_calls": shared.clients.platform.counts(),
         "config": *shared.config.replica.lock().table(),
     })
 }
--- a/crates/wisteriahitch-node/src/operator/explain.rs
+++ b/crates/wisteriahitch-node/src/operator/explain.rs
@@ -54,7 +54,7 @@
     body: &Bytes,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let (question, in_force) = read_question(shared, body)?;
-    let facts = facts(shared, &question);
+    let facts = request_facts(shared, &question);
     let traces = in_force.configuration.explain(&facts);
     let rule = in_force.configuration.decide(&facts);
     let tried: Vec<Value> = traces
@@ -77,7 +77,7 @@
     Ok((question, in_force))
 }
 
-fn facts(shared: &Shared, question: &Question) -> RequestFacts {
+fn request_facts(shared: &Shared, question: &Question) -> RequestFacts {
     let prompt_tokens = question
         .prompt
         .as_ref()
@@ -110,7 +110,7 @@
         Ok(choice) => {
             answer["endpoint"] = json!(choice.endpoint);
             answer["plan"] = json!(choice.plan);
-            answer["weighed"] = choice.weighed.iter().map(weighed_json).collect();
+            answer["weighed"] = choice.weighed.iter().map(candidate_json).collect();
         }
         Err(refusal) => answer["refusal"] = json!(refusal.code()),
     }
@@ -128,7 +128,7 @@
     });
     let adapter = route.adapter.clone().or(question.adapter.clone());
     let chain = match (model, &version) {
-        (Some(model), Some(version)) => chain(question, adapter.as_ref(), model, version),
+        (Some(model), Some(version)) => prompt_chain(question, adapter.as_ref(), model, version),
         _ => PieceChain::default(),
     };
     RouteRequest {
@@ -148,18 +148,18 @@
     }
 }
 
-fn weighed_json(weighed: &ScoredCandidate) -> Value {
+fn candidate_json(candidate: &ScoredCandidate) -> Value {
     json!({
-        "endpoint": weighed.endpoint,
-        "cost": weighed.cost_us,
-        "first_token_us": weighed.estimate.first_token_us,
-        "queue_us": weighed.estimate.queue_us,
-        "transfer_us": weighed.estimate.transfer_us,
-        "prefill_us": weighed.estimate.prefill_us,
+        "endpoint": candidate.endpoint,
+        "cost": candidate.cost_us,
+        "first_token_us": candidate.estimate.first_token_us,
+        "queue_us": candidate.estimate.queue_us,
+        "transfer_us": candidate.estimate.transfer_us,
+        "prefill_us": candidate.estimate.prefill_us,
     })
 }
 
-fn chain(
+fn prompt_chain(
     question: &Question,
     adapter: Option<&AdapterName>,
     model: &Model,
@@ -185,7 +185,7 @@
         .find_model(&in_force)
         .ok_or_else(|| Refusal::new(Code::UnknownModel))?;
     let adapter = question.adapter.as_ref();
-    let chain = chain(&question, adapter, model, &model.weight_version);
+    let chain = prompt_chain(&question, adapter, model, &model.weight_version);
     let router = shared.router.lock();
     let tiers = router.directory.tier_locations(&chain);
     let mut start = TokenCount::ZERO;
--- a/crates/wisteriahitch-node/src/operator/handler.rs
+++ b/crates/wisteriahitch-node/src/operator/handler.rs
@@ -39,7 +39,7 @@
         if (&parts.method, path) == (&Method::GET, "/metrics") {
             shared
                 .metrics
-                .set_platform_calls(&shared.outside.platform.counts());
+                .set_platform_calls(&shared.clients.platform.counts());
             return Ok(Response::new(full_body(shared.metrics.render())));
         }
         self.check_key(&parts.headers)?;
--- a/crates/wisteriahitch-node/src/orders/lease.rs
+++ b/crates/wisteriahitch-node/src/orders/lease.rs
@@ -9,19 +9,19 @@
 
 impl Shared {
     /// Tells the leases an event and carries out what they ask for.
-    pub(super) fn step_leases(self: &Arc<Self>, event: LeaseEvent) {
+    pub(super) fn handle_lease_event(self: &Arc<Self>, event: LeaseEvent) {
         let now = self.clock.now();
         let commands = {
             let members = self.fleet.members.lock();
             self.orders.leases.lock().handle(event, now, &members)
         };
         for command in commands {
-            tokio::spawn(call(Arc::clone(self), command));
+            tokio::spawn(execute_command(Arc::clone(self), command));
         }
     }
 }
 
-async fn call(shared: Arc<Shared>, command: LeaseCommand) {
+async fn execute_command(shared: Arc<Shared>, command: LeaseCommand) {
     let event = match command {
         LeaseCommand::Read(group) => read(&shared, group).await,
         LeaseCommand::Write {
@@ -30,12 +30,12 @@
             expected,
         } => write(&shared, group, object, expected).await,
     };
-    shared.step_leases(event);
+    shared.handle_lease_event(event);
 }
 
 async fn read(shared: &Shared, group: LeaseGroup) -> LeaseEvent {
     match shared
-        .outside
+        .clients
         .platform
         .get(ObjectKind::Lease, &group.to_string())
         .await
@@ -76,7 +76,7 @@
             failure,
         };
     };
-    let platform = &shared.outside.platform;
+    let platform = &shared.clients.platform;
     let name = group.to_string();
     let written = match expected {
         0 => platform.create(ObjectKind::Lease, &name, spec).await,
@@ -97,7 +97,7 @@
             }
         }
         Err(error) => {
-            let failure = failure(&error);
+            let failure = write_failure(&error);
             LeaseEvent::WriteFailed {
                 group,
                 write_number,
@@ -107,7 +107,7 @@
     }
 }
 
-fn failure(error: &PlatformError) -> WriteFailure {
+fn write_failure(error: &PlatformError) -> WriteFailure {
     match error.kind() {
         PlatformErrorKind::AlreadyExists
         | PlatformErrorKind::Conflict
--- a/crates/wisteriahitch-node/src/orders/planning.rs
+++ b/crates/wisteriahitch-node/src/orders/planning.rs
@@ -14,11 +14,11 @@
 use crate::shared::{InForce, Shared};
 
 /// Time between two looks at what is to be ordered.
-const PAUSE: Duration = Duration::from_millis(200);
+const PLANNING_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Holds leases and gives orders until the process stops.
 pub(crate) async fn run_orders(shared: Arc<Shared>) {
-    let mut ticks = tokio::time::interval(PAUSE);
+    let mut ticks = tokio::time::interval(PLANNING_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -27,26 +27,30 @@
         }
         if let Some(in_force) = shared.in_force.load_full() {
             shared.orders.leases.lock().want([OrderState::group()]);
-            shared.step_leases(LeaseEvent::Tick);
-            plan(&shared, &in_force);
+            shared.handle_lease_event(LeaseEvent::Tick);
+            plan_orders(&shared, &in_force);
         }
     }
 }
 
-fn plan(shared: &Arc<Shared>, in_force: &InForce) {
+fn plan_orders(shared: &Arc<Shared>, in_force: &InForce) {
     let now = shared.clock.now();
     let wanted = WantedState::from_configuration(&in_force.configuration);
-    let is_held = shared
+    let holds_lease = shared
         .orders
         .leases
         .lock()
         .held()
         .any(|group| *group == OrderState::group());
-    let owned: BTreeSet<EndpointId> = match is_held {
+    let owned: BTreeSet<EndpointId> = match holds_lease {
         true => wanted.endpoints.keys().cloned().collect(),
         false => BTreeSet::new(),
     };
-    let load_slots = if is_held { wanted.rollout_parallel } else { 0 };
+    let load_slots = if holds_lease {
+        wanted.rollout_parallel
+    } else {
+        0
+    };
     let planned = {
         let reports = shared.orders.reports.lock();
         let view = SiteView {
@@ -61,12 +65,12 @@
         planned
     };
     for order in planned {
-        give(shared, order);
+        issue_order(shared, order);
     }
 }
 
 /// Gives an order if the lease still allows it right now.
-fn give(shared: &Arc<Shared>, planned: PlannedOrder) {
+fn issue_order(shared: &Arc<Shared>, planned: PlannedOrder) {
     let now = shared.clock.now();
     let grant = shared
         .orders
@@ -75,7 +79,7 @@
         .try_order(&OrderState::group(), now);
     match grant {
         Ok(grant) => {
-            tokio::spawn(send(Arc::clone(shared), planned, grant));
+            tokio::spawn(send_order(Arc::clone(shared), planned, grant));
         }
         Err(code) => {
             log::debug!("{code} no order to {}", planned.endpoint);
@@ -88,14 +92,14 @@
     }
 }
 
-async fn send(shared: Arc<Shared>, planned: PlannedOrder, grant: OrderGrant) {
+async fn send_order(shared: Arc<Shared>, planned: PlannedOrder, grant: OrderGrant) {
     let PlannedOrder { endpoint, order } = planned;
     log::info!("order to {endpoint} under {}: {order:?}", grant.fence);
     let result = match shared.endpoint_address(&endpoint) {
         Some(address) => {
             let order = wire_order(order);
             shared
-                .outside
+                .clients
                 .engine
                 .order(address, grant.fence, order, grant.timeout_us)
                 .await
@@ -106,7 +110,7 @@
         log::warn!("{} order to {endpoint} failed: {error}", error.code());
     }
     // One that timed out may still take effect: what the endpoint reports then decides.
-    let is_good = match &result {
+    let may_have_applied = match &result {
         Ok(()) => true,
         Err(error) => error.kind() == EngineErrorKind::Timeout,
     };
@@ -115,8 +119,8 @@
         .orders
         .planner
         .lock()
-        .order_done(&endpoint, is_good, now);
-    shared.step_leases(LeaseEvent::OrderDone(OrderState::group()));
+        .order_done(&endpoint, may_have_applied, now);
+    shared.handle_lease_event(LeaseEvent::OrderDone(OrderState::group()));
 }
 
 fn wire_order(order: EndpointOrder) -> Order {
--- a/crates/wisteriahitch-node/src/orders/state.rs
+++ b/crates/wisteriahitch-node/src/orders/state.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes over an engine's report.
-    pub(crate) fn note_report(&self, endpoint: &EndpointId, report: &LoadReport) {
+    pub(crate) fn record_engine_report(&self, endpoint: &EndpointId, report: &LoadReport) {
         let models = report.models.iter().map(|model| ModelOnEndpoint {
             model: model.model.clone(),
             weight_version: model.weight_version.clone(),
--- a/crates/wisteriahitch-node/src/peering/forward.rs
+++ b/crates/wisteriahitch-node/src/peering/forward.rs
@@ -12,8 +12,10 @@
 };
 use wisteriahitch_types::{Code, DurationUs, Incarnation, Meaning};
 
-use crate::caller::gate::{decide, labels};
-use crate::caller::keyed::{ForwardPolicy, Outcome, ask_again, refuse, submit, submit_ticket};
+use crate::caller::keyed::{
+    ForwardPolicy, Outcome, outcome_unknown_refusal, refusal_for_code, submit, submit_ticket,
+};
+use crate::caller::rules::{apply_rules, request_labels};
 use crate::caller::{Identity, Refusal, new_request_id};
 use crate::dispatch::plain_call::PlainCall;
 use crate::shared::Shared;
@@ -22,7 +24,7 @@
 const CONTENT_TYPE: &str = "content-type";
 
 /// How much longer than the call itself a forwarder waits.
-const FORWARD_SLACK: Duration = Duration::from_millis(500);
+const FORWARD_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 impl Shared {
     /// Hands over a request whose ticket another incarnation issued.
@@ -46,7 +48,7 @@
         holder: &ClaimHolder,
     ) -> Outcome {
         let OnceKey::Claimed { hash, .. } = key else {
-            return Err(ask_again(Code::Internal));
+            return Err(outcome_unknown_refusal(Code::Internal));
         };
         let request =
             self.forward_request(call, KeyKind::Claim, &hash.to_string(), holder.incarnation);
@@ -86,17 +88,17 @@
         call: &PlainCall,
         address: SocketAddr,
         request: ForwardRequest,
-        lost: Code,
+        failure_code: Code,
     ) -> Outcome {
         let left_us = call.due_us.since(self.clock.now());
-        let timeout = Duration::from(left_us) + FORWARD_SLACK;
-        match self.outside.peers.forward(address, request, timeout).await {
+        let timeout = Duration::from(left_us) + FORWARD_TIMEOUT_MARGIN;
+        match self.clients.peers.forward(address, request, timeout).await {
             Ok(reply) => read_reply(reply),
             Err(error) => {
                 if error.kind() == PeerErrorKind::WrongIncarnation {
                     log::info!("the holder of a key has been replaced at {address}");
                 }
-                Err(ask_again(lost))
+                Err(outcome_unknown_refusal(failure_code))
             }
         }
     }
@@ -111,7 +113,7 @@
         let task = tokio::spawn(async move { decide_forwarded(&shared, request).await });
         match task.await {
             Ok(outcome) => write_reply(outcome),
-            Err(_) => write_reply(Err(ask_again(Code::Internal))),
+            Err(_) => write_reply(Err(outcome_unknown_refusal(Code::Internal))),
         }
     }
 }
@@ -131,12 +133,12 @@
             let key = OnceKey::Claimed { workspace, hash };
             submit(shared, call, key, ForwardPolicy::Forbidden).await
         }
-        KeyKind::Unspecified => Err(ask_again(Code::BadKey)),
+        KeyKind::Unspecified => Err(outcome_unknown_refusal(Code::BadKey)),
     }
 }
 
 fn build_call(shared: &Arc<Shared>, request: ForwardRequest) -> Result<PlainCall, Refusal> {
-    let not_ready = || ask_again(Code::NotReady);
+    let not_ready = || outcome_unknown_refusal(Code::NotReady);
     let in_force = shared.in_force.load_full().ok_or_else(not_ready)?;
     let workspace = request
         .workspace
@@ -145,7 +147,7 @@
     // The sender's configuration may be older than ours. Without this look a workspace that an
     // operator has removed would go on booking through the daemons that haven't heard of it.
     if !in_force.configuration.workspaces.contains_key(&workspace) {
-        return Err(ask_again(Code::UnknownKey));
+        return Err(outcome_unknown_refusal(Code::UnknownKey));
     }
     let identity = Identity {
         in_force,
@@ -159,11 +161,11 @@
         workspace: Some(identity.workspace.clone()),
         method: request.method.clone(),
         path: path.to_owned(),
-        labels: labels(&headers),
+        labels: request_labels(&headers),
         availability_zone: Some(shared.settings.availability_zone.clone()),
         ..RequestFacts::default()
     };
-    let route = decide(&identity, &facts).map_err(Refusal::with_outcome_unknown)?;
+    let route = apply_rules(&identity, &facts).map_err(Refusal::with_outcome_unknown)?;
     // The caller's time runs since its arrival at the sender, which waits no longer than that.
     let left_us = DurationUs::new(request.deadline_us).min(route.deadline_us);
     Ok(PlainCall {
@@ -234,7 +236,7 @@
     }
     let code = reply.result_code().unwrap_or(Code::Internal);
     match reply.meaning() {
-        ForwardMeaning::NotRun if code.meaning() == Meaning::NotRun => Err(refuse(code)),
-        _ => Err(ask_again(code)),
+        ForwardMeaning::NotRun if code.meaning() == Meaning::NotRun => Err(refusal_for_code(code)),
+        _ => Err(outcome_unknown_refusal(code)),
     }
 }
--- a/crates/wisteriahitch-node/src/peering/handler.rs
+++ b/crates/wisteriahitch-node/src/peering/handler.rs
@@ -18,11 +18,11 @@
 use crate::shared::Shared;
 
 /// Answers peers with this daemon's tables.
-pub(crate) struct PeerSide {
+pub(crate) struct PeerRequestHandler {
     shared: Arc<Shared>,
 }
 
-impl PeerSide {
+impl PeerRequestHandler {
     /// Builds the handler over a daemon's tables.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
@@ -30,7 +30,7 @@
 }
 
 #[async_trait]
-impl PeerHandler for PeerSide {
+impl PeerHandler for PeerRequestHandler {
     fn identity(&self) -> PeerIdentity {
         self.shared.identity()
     }
@@ -43,7 +43,7 @@
             let mut members = self.shared.fleet.members.lock();
             members.answer_probe(sender.incarnation, &news, sync_after, now)
         };
-        self.shared.run_members(commands);
+        self.shared.execute_membership_commands(commands);
         ProbeReply {
             envelope: self.shared.envelope(Some(sender.incarnation)),
             news: reply.iter().map(to_wire).collect(),
@@ -67,8 +67,13 @@
             sync: false,
             sync_after: 0,
         };
-        let limit = Duration::from_millis(u64::from(request.timeout_ms)).min(PROBE_TIMEOUT);
-        let answer = self.shared.outside.peers.probe(address, probe, limit).await;
+        let timeout = Duration::from_millis(u64::from(request.timeout_ms)).min(PROBE_TIMEOUT);
+        let answer = self
+            .shared
+            .clients
+            .peers
+            .probe(address, probe, timeout)
+            .await;
         let Ok(reply) = answer else {
             return IndirectProbeReply {
                 reached: false,
@@ -91,7 +96,8 @@
         sender: Sender,
         request: PushConfigurationRequest,
     ) -> PushConfigurationReply {
-        self.shared.take_pushed(sender.incarnation, request)
+        self.shared
+            .apply_pushed_configuration(sender.incarnation, request)
     }
 
     async fn pull_configuration(
@@ -113,7 +119,7 @@
     ) -> PublishBlocksReply {
         let mut accepted = 0;
         for hint in &request.hints {
-            accepted += u32::from(self.shared.take_hint(hint).is_some());
+            accepted += u32::from(self.shared.apply_hint(hint).is_some());
         }
         PublishBlocksReply { accepted }
     }
@@ -133,7 +139,7 @@
 
 impl Shared {
     /// Takes a peer's news of an endpoint or a block; nothing where it doesn't parse.
-    fn take_hint(&self, hint: &wisteriahitch_peer::BlockHint) -> Option<()> {
+    fn apply_hint(&self, hint: &wisteriahitch_peer::BlockHint) -> Option<()> {
         let now = self.clock.now();
         if hint.kind() == HintKind::Leaving {
             let endpoint: EndpointId = hint.holder.parse().ok()?;
--- a/crates/wisteriahitch-node/src/peering/leaving.rs
+++ b/crates/wisteriahitch-node/src/peering/leaving.rs
@@ -15,56 +15,57 @@
 use crate::shared::Shared;
 
 /// Time between two looks at what is leaving.
-const PAUSE: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longest wait for a peer's answer.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+const PUBLISH_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Peers that each daemon tells, once, what it has learned; each of these that didn't know tells
 /// as many, so that the news reaches all while no daemon sends more than this.
-const TOLD_PEERS: usize = 6;
+const UPDATE_FANOUT: usize = 6;
 
-/// Endpoints whose leaving has been told, with the life that leaves.
-type Told = HashMap<EndpointId, Option<String>>;
+/// Endpoints whose leaving has been published, with the instance that leaves.
+type LeavingEndpoints = HashMap<EndpointId, Option<String>>;
 
 /// Tells peers of endpoints that begin to leave until the process stops.
-pub(crate) async fn run_leaving_news(shared: Arc<Shared>) {
-    let mut told = Told::new();
-    let mut ticks = tokio::time::interval(PAUSE);
+pub(crate) async fn run_leaving_updates(shared: Arc<Shared>) {
+    let mut published = LeavingEndpoints::new();
+    let mut ticks = tokio::time::interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             () = shared.end.cancelled() => return,
-            _ = ticks.tick() => tell_new(&shared, &mut told),
+            _ = ticks.tick() => publish_new(&shared, &mut published),
         }
     }
 }
 
-fn tell_new(shared: &Arc<Shared>, told: &mut Told) {
+fn publish_new(shared: &Arc<Shared>, published: &mut LeavingEndpoints) {
     let leaving = find_leaving(shared);
-    let is_new = |(id, life): &(&EndpointId, &Option<String>)| told.get(*id) != Some(*life);
-    let hints: Vec<BlockHint> = leaving.iter().filter(is_new).map(hint).collect();
-    *told = leaving;
+    let is_new =
+        |(id, instance): &(&EndpointId, &Option<String>)| published.get(*id) != Some(*instance);
+    let hints: Vec<BlockHint> = leaving.iter().filter(is_new).map(leaving_hint).collect();
+    *published = leaving;
     if hints.is_empty() {
         return;
     }
     for (peer, address) in choose_peers(shared) {
-        tokio::spawn(tell(Arc::clone(shared), peer, address, hints.clone()));
+        tokio::spawn(publish(Arc::clone(shared), peer, address, hints.clone()));
     }
 }
 
-fn find_leaving(shared: &Shared) -> Told {
+fn find_leaving(shared: &Shared) -> LeavingEndpoints {
     let router = shared.router.lock();
     let leaving = router.endpoints.confirmed_leaving();
     leaving
-        .map(|(id, life)| (id.clone(), life.map(str::to_owned)))
+        .map(|(id, instance)| (id.clone(), instance.map(str::to_owned)))
         .collect()
 }
 
-fn hint((id, life): (&EndpointId, &Option<String>)) -> BlockHint {
+fn leaving_hint((id, instance): (&EndpointId, &Option<String>)) -> BlockHint {
     BlockHint {
         holder: id.to_string(),
-        holder_incarnation: life.clone().unwrap_or_default(),
+        holder_incarnation: instance.clone().unwrap_or_default(),
         kind: HintKind::Leaving.into(),
         ..BlockHint::default()
     }
@@ -77,23 +78,28 @@
         .map(|peer| (peer.incarnation, peer.addresses.peer))
         .collect();
     peers.sort_by_cached_key(|_| rand::random::<u64>());
-    peers.truncate(TOLD_PEERS);
+    peers.truncate(UPDATE_FANOUT);
     peers
 }
 
 /// Tells one peer; one that doesn't answer hears of it from others or sees it by itself.
-async fn tell(shared: Arc<Shared>, peer: Incarnation, address: SocketAddr, hints: Vec<BlockHint>) {
+async fn publish(
+    shared: Arc<Shared>,
+    peer: Incarnation,
+    address: SocketAddr,
+    hints: Vec<BlockHint>,
+) {
     let request = PublishBlocksRequest {
         envelope: shared.envelope(Some(peer)),
         batch_number: 0,
         hints,
     };
     let answer = shared
-        .outside
+        .clients
         .peers
-        .publish_blocks(address, request, TIMEOUT)
+        .publish_blocks(address, request, PUBLISH_TIMEOUT)
         .await;
     if let Err(error) = answer {
-        log::debug!("{peer} wasn't told of a leaving endpoint: {error}");
+        log::debug!("{peer} wasn't published of a leaving endpoint: {error}");
     }
 }
--- a/crates/wisteriahitch-node/src/peering/mod.rs
+++ b/crates/wisteriahitch-node/src/peering/mod.rs
@@ -6,6 +6,6 @@
 mod news;
 mod probe;
 
-pub(crate) use handler::PeerSide;
-pub(crate) use leaving::run_leaving_news;
+pub(crate) use handler::PeerRequestHandler;
+pub(crate) use leaving::run_leaving_updates;
 pub(crate) use probe::run_membership;
--- a/crates/wisteriahitch-node/src/peering/news.rs
+++ b/crates/wisteriahitch-node/src/peering/news.rs
@@ -37,7 +37,7 @@
 }
 
 /// Highest number that news may carry; counting on from it never reaches the end of its type.
-const MAX_NUMBER: u64 = 1 << 62;
+const MAX_PEER_NUMBER: u64 = 1 << 62;
 
 /// Takes one item of news; nothing where it breaks the protocol.
 ///
@@ -45,7 +45,7 @@
 /// number. One broken peer that tells the largest number would stop it doing so, and with it every
 /// task that looks at the members.
 fn try_from_wire(news: &MemberNews) -> Option<News> {
-    if news.news_number > MAX_NUMBER || news.config_version > MAX_NUMBER {
+    if news.news_number > MAX_PEER_NUMBER || news.config_version > MAX_PEER_NUMBER {
         return None;
     }
     let addresses = match news.is_short() {
--- a/crates/wisteriahitch-node/src/peering/probe.rs
+++ b/crates/wisteriahitch-node/src/peering/probe.rs
@@ -12,21 +12,21 @@
 use crate::shared::Shared;
 
 /// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest wait for a probe's answer.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Longest wait for a peer that probes somebody else for us.
-const INDIRECT_TIMEOUT: Duration = Duration::from_millis(1_500);
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Keeps up the view of the other daemons until the process stops.
 pub(crate) async fn run_membership(shared: Arc<Shared>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     loop {
         tokio::select! {
             () = shared.end.cancelled() => return,
-            _ = ticks.tick() => shared.step_members(MembershipEvent::Tick),
+            _ = ticks.tick() => shared.handle_membership_event(MembershipEvent::Tick),
         }
     }
 }
@@ -43,28 +43,28 @@
     }
 
     /// Tells membership an event and carries out what it asks for.
-    pub(crate) fn step_members(self: &Arc<Self>, event: MembershipEvent) {
+    pub(crate) fn handle_membership_event(self: &Arc<Self>, event: MembershipEvent) {
         let now = self.clock.now();
         let commands = self.fleet.members.lock().handle(event, now);
-        self.run_members(commands);
+        self.execute_membership_commands(commands);
     }
 
     /// Carries out what membership asks for.
-    pub(crate) fn run_members(self: &Arc<Self>, commands: Vec<MembershipCommand>) {
+    pub(crate) fn execute_membership_commands(self: &Arc<Self>, commands: Vec<MembershipCommand>) {
         for command in commands {
             match command {
                 MembershipCommand::Changed { incarnation, state } => {
                     log::info!("member {incarnation} is now {state:?}");
                 }
                 command => {
-                    tokio::spawn(send(Arc::clone(self), command));
+                    tokio::spawn(execute_command(Arc::clone(self), command));
                 }
             }
         }
     }
 }
 
-async fn send(shared: Arc<Shared>, command: MembershipCommand) {
+async fn execute_command(shared: Arc<Shared>, command: MembershipCommand) {
     match command {
         MembershipCommand::Probe {
             address,
@@ -92,7 +92,7 @@
                 target_incarnation: target.get(),
                 timeout_ms: u32::try_from(PROBE_TIMEOUT.as_millis()).unwrap_or(u32::MAX),
             };
-            ask_helper(&shared, helper, target, request).await;
+            send_indirect_probe(&shared, helper, target, request).await;
         }
         MembershipCommand::Changed { .. } => {}
     }
@@ -105,7 +105,7 @@
     request: ProbeRequest,
 ) {
     let answer = shared
-        .outside
+        .clients
         .peers
         .probe(address, request, PROBE_TIMEOUT)
         .await;
@@ -122,25 +122,25 @@
         },
         None => MembershipEvent::ProbeFailed { meant_for },
     };
-    shared.step_members(event);
+    shared.handle_membership_event(event);
 }
 
-async fn ask_helper(
+async fn send_indirect_probe(
     shared: &Arc<Shared>,
     helper: SocketAddr,
     target: Incarnation,
     request: IndirectProbeRequest,
 ) {
     let answer = shared
-        .outside
+        .clients
         .peers
-        .indirect_probe(helper, request, INDIRECT_TIMEOUT)
+        .indirect_probe(helper, request, INDIRECT_PROBE_TIMEOUT)
         .await;
     let (is_reached, news) = match answer {
         Ok(reply) => (reply.reached, from_wire(&reply.news)),
         Err(_) => (false, Vec::new()),
     };
-    shared.step_members(MembershipEvent::IndirectAnswered {
+    shared.handle_membership_event(MembershipEvent::IndirectAnswered {
         target,
         is_reached,
         news,
--- a/crates/wisteriahitch-node/src/server/connection.rs
+++ b/crates/wisteriahitch-node/src/server/connection.rs
@@ -17,16 +17,16 @@
 use tokio_util::sync::CancellationToken;
 use wisteriahitch_types::ByteCount;
 
-use super::head_guard::{HeadGuard, RequestMark};
+use super::head_guard::{HeadGuard, RequestProgress};
 use super::numbered_refusal::NumberedRefusal;
 use super::stall_guard::StallGuard;
 use crate::caller::body::ResponseBody;
 
 /// How long the listener rests after an accept fails, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
 /// How long a connection without a request stays open after the stop, for one that is on its way.
-const LAST_REQUEST_GRACE: Duration = Duration::from_millis(300);
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
 
 /// Smallest header buffer that the HTTP library takes.
 const MIN_HEADER_BYTES: u64 = 8_192;
@@ -75,23 +75,23 @@
             Ok((stream, peer)) => {
                 let handler = Arc::clone(&handler);
                 let connection = serve_connection(stream, peer, limits, handler, stop.clone());
-                tokio::spawn(hold_permit(permit, connection));
+                tokio::spawn(run_with_permit(permit, connection));
             }
             Err(error) => {
                 log::warn!("accept failed: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_BACKOFF).await;
             }
         }
     }
-    take_backlog(&listener, &permits, limits, &handler, &stop);
+    accept_backlog(&listener, &permits, limits, &handler, &stop);
     drop(listener);
-    wait_for_all(&permits, limits.connections).await;
+    wait_for_connections(&permits, limits.connections).await;
 }
 
 /// Takes the connections that are open already and haven't been accepted yet.
 ///
 /// Closing the listener would reset them, with the requests that callers have sent on them.
-fn take_backlog(
+fn accept_backlog(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
     limits: ConnectionLimits,
@@ -104,16 +104,16 @@
         };
         let handler = Arc::clone(handler);
         let connection = serve_connection(stream, peer, limits, handler, stop.clone());
-        tokio::spawn(hold_permit(permit, connection));
+        tokio::spawn(run_with_permit(permit, connection));
     }
 }
 
-async fn hold_permit(permit: OwnedSemaphorePermit, connection: impl Future<Output = ()>) {
+async fn run_with_permit(permit: OwnedSemaphorePermit, connection: impl Future<Output = ()>) {
     connection.await;
     drop(permit);
 }
 
-async fn wait_for_all(permits: &Semaphore, connections: usize) {
+async fn wait_for_connections(permits: &Semaphore, connections: usize) {
     let all = u32::try_from(connections).unwrap_or(u32::MAX);
     let _all_ended = permits.acquire_many(all).await;
 }
@@ -128,17 +128,17 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("no-delay for {peer} failed: {error}");
     }
-    let mark = RequestMark::default();
+    let progress = RequestProgress::default();
     let guarded = StallGuard::new(stream, limits.reader_stall);
-    let guarded = HeadGuard::new(guarded, limits.header_timeout, mark.clone());
+    let guarded = HeadGuard::new(guarded, limits.header_timeout, progress.clone());
     let io = TokioIo::new(NumberedRefusal::new(guarded));
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
-        let mark = mark.clone();
+        let progress = progress.clone();
         async move {
-            mark.begin();
+            progress.begin();
             let response = handler.handle(request).await;
-            mark.end();
+            progress.end();
             Ok::<_, Infallible>(response)
         }
     });
@@ -150,7 +150,7 @@
     tokio::pin!(connection);
     let stopped = async {
         stop.cancelled().await;
-        tokio::time::sleep(LAST_REQUEST_GRACE).await;
+        tokio::time::sleep(SHUTDOWN_GRACE).await;
     };
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
--- a/crates/wisteriahitch-node/src/server/head_guard.rs
+++ b/crates/wisteriahitch-node/src/server/head_guard.rs
@@ -13,18 +13,18 @@
 
 /// Tells the guard of a connection whether a request is being answered on it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RequestMark(Arc<RequestState>);
+pub(crate) struct RequestProgress(Arc<RequestState>);
 
 #[derive(Debug, Default)]
 struct RequestState {
     is_answering: AtomicBool,
-    whole_heads: AtomicU64,
+    completed_heads: AtomicU64,
 }
 
-impl RequestMark {
+impl RequestProgress {
     /// Notes that a head has arrived whole.
     pub(crate) fn begin(&self) {
-        self.0.whole_heads.fetch_add(1, Ordering::Release);
+        self.0.completed_heads.fetch_add(1, Ordering::Release);
         self.0.is_answering.store(true, Ordering::Release);
     }
 
@@ -33,12 +33,12 @@
         self.0.is_answering.store(false, Ordering::Release);
     }
 
-    fn is_set(&self) -> bool {
+    fn is_answering_request(&self) -> bool {
         self.0.is_answering.load(Ordering::Acquire)
     }
 
-    fn whole_heads(&self) -> u64 {
-        self.0.whole_heads.load(Ordering::Acquire)
+    fn completed_heads(&self) -> u64 {
+        self.0.completed_heads.load(Ordering::Acquire)
     }
 }
 
@@ -52,41 +52,41 @@
 pub(crate) struct HeadGuard<S> {
     inner: S,
     limit: Duration,
-    mark: RequestMark,
+    progress: RequestProgress,
     timer: Pin<Box<Sleep>>,
-    has_begun: bool,
-    whole_heads: u64,
+    is_reading_head: bool,
+    completed_heads: u64,
 }
 
 impl<S> HeadGuard<S> {
     /// Wraps `inner`; a head must be whole `limit` after its first byte.
-    pub(crate) fn new(inner: S, limit: Duration, mark: RequestMark) -> Self {
+    pub(crate) fn new(inner: S, limit: Duration, progress: RequestProgress) -> Self {
         Self {
             inner,
             limit,
-            mark,
+            progress,
             timer: Box::pin(sleep(limit)),
-            has_begun: false,
-            whole_heads: 0,
+            is_reading_head: false,
+            completed_heads: 0,
         }
     }
 
     /// Stops counting once the head that began is whole.
     ///
-    /// A request that is answered in one go is begun and ended between two reads, so that the mark
+    /// A request that is answered in one go is begun and ended between two reads, so that the progress
     /// alone doesn't show it: the time of its head would go on and end the kept connection, perhaps
     /// with the next request on its way.
-    fn note_whole_heads(&mut self) {
-        let whole_heads = self.mark.whole_heads();
-        if whole_heads != self.whole_heads {
-            self.whole_heads = whole_heads;
-            self.has_begun = false;
+    fn update_completed_heads(&mut self) {
+        let completed_heads = self.progress.completed_heads();
+        if completed_heads != self.completed_heads {
+            self.completed_heads = completed_heads;
+            self.is_reading_head = false;
         }
     }
 
     fn begin(&mut self) {
-        if !self.has_begun {
-            self.has_begun = true;
+        if !self.is_reading_head {
+            self.is_reading_head = true;
             let deadline = Instant::now() + self.limit;
             self.timer.as_mut().reset(deadline);
         }
@@ -99,20 +99,20 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.note_whole_heads();
+        self.update_completed_heads();
         let filled = buf.filled().len();
-        let progress = Pin::new(&mut self.inner).poll_read(cx, buf);
-        if self.mark.is_set() {
-            self.has_begun = false;
-            return progress;
+        let read = Pin::new(&mut self.inner).poll_read(cx, buf);
+        if self.progress.is_answering_request() {
+            self.is_reading_head = false;
+            return read;
         }
-        if progress.is_ready() {
+        if read.is_ready() {
             if buf.filled().len() > filled {
                 self.begin();
             }
-            return progress;
+            return read;
         }
-        if self.has_begun && self.timer.as_mut().poll(cx).is_ready() {
+        if self.is_reading_head && self.timer.as_mut().poll(cx).is_ready() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         Poll::Pending
--- a/crates/wisteriahitch-node/src/server/numbered_refusal.rs
+++ b/crates/wisteriahitch-node/src/server/numbered_refusal.rs
@@ -8,19 +8,19 @@
 use wisteriahitch_types::{Code, DurationUs};
 
 /// Start of the library's answer to a head that doesn't parse.
-const BAD_HEAD: &[u8] = b"HTTP/1.1 400 Bad Request\r\n";
+const BAD_REQUEST_PREFIX: &[u8] = b"HTTP/1.1 400 Bad Request\r\n";
 /// Start of the library's answer to a head that is too large.
-const LARGE_HEAD: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\n";
+const LARGE_HEAD_PREFIX: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\n";
 /// Start of the library's answer to a target beyond a limit of its own, which holds even where the
 /// settings allow a longer head.
-const LONG_TARGET: &[u8] = b"HTTP/1.1 414 URI Too Long\r\n";
+const LONG_TARGET_PREFIX: &[u8] = b"HTTP/1.1 414 URI Too Long\r\n";
 /// Header that every answer of the daemon carries and no answer of the library does.
-const OWN_MARK: &[u8] = b"x-request-id";
+const DAEMON_HEADER: &[u8] = b"x-request-id";
 /// Header by which the library says that it closes the connection.
-const CLOSE_MARK: &[u8] = b"connection: close";
+const CLOSE_HEADER: &[u8] = b"connection: close";
 
 /// When a caller whose head was refused may come back, once it is mended.
-const RETRY_US: DurationUs = DurationUs::ZERO;
+const BAD_HEAD_RETRY_AFTER_US: DurationUs = DurationUs::ZERO;
 
 /// Wraps a connection and puts the numbered refusal in place of the library's bare one.
 ///
@@ -31,7 +31,7 @@
 pub(crate) struct NumberedRefusal<S> {
     inner: S,
     pending: Vec<u8>,
-    replaced: usize,
+    replaced_bytes: usize,
 }
 
 impl<S> NumberedRefusal<S> {
@@ -40,20 +40,20 @@
         Self {
             inner,
             pending: Vec::new(),
-            replaced: 0,
+            replaced_bytes: 0,
         }
     }
 }
 
 fn find_code(bytes: &[u8]) -> Option<Code> {
     let code = match bytes {
-        bytes if bytes.starts_with(BAD_HEAD) => Code::BadHttp,
-        bytes if bytes.starts_with(LARGE_HEAD) => Code::HeaderTooLarge,
-        bytes if bytes.starts_with(LONG_TARGET) => Code::HeaderTooLarge,
+        bytes if bytes.starts_with(BAD_REQUEST_PREFIX) => Code::BadHttp,
+        bytes if bytes.starts_with(LARGE_HEAD_PREFIX) => Code::HeaderTooLarge,
+        bytes if bytes.starts_with(LONG_TARGET_PREFIX) => Code::HeaderTooLarge,
         _ => return None,
     };
-    let contains = |mark: &[u8]| bytes.windows(mark.len()).any(|window| window == mark);
-    let is_library = contains(CLOSE_MARK) && !contains(OWN_MARK);
+    let contains = |header: &[u8]| bytes.windows(header.len()).any(|window| window == header);
+    let is_library = contains(CLOSE_HEADER) && !contains(DAEMON_HEADER);
     is_library.then_some(code)
 }
 
@@ -67,7 +67,7 @@
          \"message\":\"{}\",\"retry_after_ms\":{}}}}}",
         code.name(),
         code.summary(),
-        RETRY_US.as_ms()
+        BAD_HEAD_RETRY_AFTER_US.as_ms()
     );
     let head = format!(
         "HTTP/1.1 {status}\r\nconnection: close\r\ncontent-type: application/json\r\n\
@@ -99,7 +99,7 @@
                 Poll::Pending => return Poll::Pending,
             }
         }
-        Poll::Ready(Ok(std::mem::take(&mut self.replaced)))
+        Poll::Ready(Ok(std::mem::take(&mut self.replaced_bytes)))
     }
 }
 
@@ -109,13 +109,13 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.replaced == 0
+        if self.replaced_bytes == 0
             && let Some(code) = find_code(buf)
         {
             self.pending = render(code);
-            self.replaced = buf.len();
+            self.replaced_bytes = buf.len();
         }
-        if self.replaced > 0 {
+        if self.replaced_bytes > 0 {
             return self.poll_pending(cx);
         }
         Pin::new(&mut self.inner).poll_write(cx, buf)
--- a/crates/wisteriahitch-node/src/shared.rs
+++ b/crates/wisteriahitch-node/src/shared.rs
@@ -32,7 +32,7 @@
 }
 
 /// Holds the outside systems behind their traits.
-pub(crate) struct Outside {
+pub(crate) struct ExternalClients {
     /// Object API.
     pub(crate) platform: Arc<dyn Platform>,
     /// Model engines.
@@ -61,7 +61,7 @@
     /// Configuration in force, if there is one yet.
     pub(crate) in_force: ArcSwapOption<InForce>,
     /// Outside systems.
-    pub(crate) outside: Outside,
+    pub(crate) clients: ExternalClients,
     /// Endpoints and hints of where blocks lie.
     pub(crate) router: Mutex<Router>,
     /// Blocks, links, imports and saves.
--- a/crates/wisteriahitch-node/src/state/admission.rs
+++ b/crates/wisteriahitch-node/src/state/admission.rs
@@ -14,7 +14,7 @@
 use crate::caller::{Identity, Refusal, new_request_id};
 use crate::shared::Shared;
 
-type Turn = Result<(), Refusal>;
+type AdmissionResult = Result<(), Refusal>;
 
 /// When a caller may come back to a daemon whose queues are full.
 const QUEUE_FULL_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
@@ -29,7 +29,7 @@
     budget: RetryBudget,
     /// How many daemons the quotas are shared by now.
     daemons: u32,
-    waiters: HashMap<RequestId, oneshot::Sender<Turn>>,
+    waiters: HashMap<RequestId, oneshot::Sender<AdmissionResult>>,
 }
 
 impl AdmissionState {
@@ -51,7 +51,7 @@
         let mut inner = self.inner.lock();
         let commands = step(&mut inner.admission);
         for command in commands {
-            let (request, turn) = match command {
+            let (request, result) = match command {
                 AdmissionCommand::Start(request) => (request, Ok(())),
                 AdmissionCommand::Refuse {
                     request,
@@ -64,13 +64,18 @@
             };
             if let Some(waiter) = inner.waiters.remove(&request) {
                 // A caller that left gives its turn back when its permit is dropped.
-                let _ = waiter.send(turn);
+                let _ = waiter.send(result);
             }
         }
     }
 
     /// Takes over a configuration that `daemons` daemons share.
-    pub(crate) fn configured(&self, configuration: &Configuration, daemons: u32, now: TimeUs) {
+    pub(crate) fn apply_configuration(
+        &self,
+        configuration: &Configuration,
+        daemons: u32,
+        now: TimeUs,
+    ) {
         let mut inner = self.inner.lock();
         inner.daemons = daemons;
         inner.budget.set_share(configuration.limits.retry_share);
@@ -80,7 +85,7 @@
     }
 
     /// Returns whether the quotas are shared by another number of daemons.
-    pub(crate) fn is_shared_by_others(&self, daemons: u32) -> bool {
+    pub(crate) fn daemon_count_differs(&self, daemons: u32) -> bool {
         self.inner.lock().daemons != daemons
     }
 
@@ -117,7 +122,7 @@
     ///
     /// The turn has an id of its own: two resumptions of one request would otherwise share an
     /// entry, and the end of the first would take the turn of the second.
-    pub(crate) async fn enter(
+    pub(crate) async fn acquire_permit(
         self: &Arc<Self>,
         identity: &Identity,
         route: &Route,
@@ -126,9 +131,9 @@
         cost_tokens: TokenCount,
     ) -> Result<Permit, Refusal> {
         let now = self.clock.now();
-        let turn_id = new_request_id(self);
+        let entry_id = new_request_id(self);
         let request = AdmissionRequest {
-            request: turn_id.clone(),
+            request: entry_id.clone(),
             workspace: identity.workspace.clone(),
             service: route.service.clone(),
             priority: route.priority,
@@ -145,13 +150,13 @@
                 let refusal = Refusal::new(Code::QueueFull);
                 return Err(refusal.with_retry_after_us(QUEUE_FULL_RETRY_US));
             }
-            inner.waiters.insert(turn_id.clone(), sender);
+            inner.waiters.insert(entry_id.clone(), sender);
         }
         // The permit exists from the arrival on, so that a caller that leaves while it waits, or
         // in the very moment of its start, gives its place back.
         let permit = Permit {
             shared: Arc::clone(self),
-            request: turn_id,
+            request: entry_id,
         };
         self.admission
             .step(|admission| admission.submit_request(request, now));
--- a/crates/wisteriahitch-node/src/state/claims.rs
+++ b/crates/wisteriahitch-node/src/state/claims.rs
@@ -15,10 +15,10 @@
 use crate::shared::Shared;
 
 /// Longest pause before the first repetition after a conflict; it doubles with each further one.
-const CONFLICT_PAUSE_MS: u64 = 5;
+const BASE_CONFLICT_BACKOFF_MS: u64 = 5;
 
 /// Doublings after which the pause grows no more.
-const MAX_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Shared {
     /// Asks for a claim on a key.
@@ -30,7 +30,7 @@
     ) {
         let time = self.claim_time();
         let commands = self.once.lock().claims.claim(key, fingerprint, nonce, time);
-        self.run_claims(commands);
+        self.execute_claim_commands(commands);
     }
 
     /// Writes down what became of a claimed request, for repeats that come after this process.
@@ -42,14 +42,14 @@
     ) {
         let time = self.claim_time();
         let commands = self.once.lock().claims.settle(key, nonce, state, time);
-        self.run_claims(commands);
+        self.execute_claim_commands(commands);
     }
 
     /// Gives up claims that waited too long.
     pub(crate) fn tick_claims(self: &Arc<Self>) {
         let time = self.claim_time();
         let commands = self.once.lock().claims.tick(time);
-        self.run_claims(commands);
+        self.execute_claim_commands(commands);
     }
 
     fn claim_time(&self) -> ClaimTime {
@@ -60,14 +60,14 @@
         }
     }
 
-    fn run_claims(self: &Arc<Self>, commands: Vec<ClaimCommand>) {
+    fn execute_claim_commands(self: &Arc<Self>, commands: Vec<ClaimCommand>) {
         for command in commands {
             match command {
-                ClaimCommand::Written(key) => self.note_claim_written(&key),
-                ClaimCommand::Lost(key, standing) => {
+                ClaimCommand::Written(key) => self.apply_claim_written(&key),
+                ClaimCommand::Lost(key, winning_claim) => {
                     let now = self.clock.now();
                     let mut once = self.once.lock();
-                    if let Some(delivery) = once.table.claim_lost(&key, &standing) {
+                    if let Some(delivery) = once.table.claim_lost(&key, &winning_claim) {
                         once.deliver(&key, delivery, now);
                     }
                 }
@@ -86,7 +86,7 @@
         }
     }
 
-    fn note_claim_written(&self, key: &OnceKey) {
+    fn apply_claim_written(&self, key: &OnceKey) {
         let now = self.clock.now();
         let mut once = self.once.lock();
         if let Some(delivery) = once.table.claim_written(key) {
@@ -113,23 +113,23 @@
             shared.once.lock().claims.on_write(shard, result, time)
         }
         ClaimCommand::Retry { shard, tries } => {
-            tokio::time::sleep(conflict_pause(tries)).await;
+            tokio::time::sleep(conflict_backoff(tries)).await;
             shared.once.lock().claims.retry(shard)
         }
         ClaimCommand::Written(_) | ClaimCommand::Lost(..) | ClaimCommand::Undecided(..) => return,
     };
-    shared.run_claims(commands);
+    shared.execute_claim_commands(commands);
 }
 
 /// Draws a pause, so that daemons that met in a conflict don't meet again.
-fn conflict_pause(tries: u32) -> Duration {
-    let longest_ms = CONFLICT_PAUSE_MS << tries.min(MAX_DOUBLINGS);
+fn conflict_backoff(tries: u32) -> Duration {
+    let longest_ms = BASE_CONFLICT_BACKOFF_MS << tries.min(MAX_BACKOFF_DOUBLINGS);
     Duration::from_millis(rand::random_range(1..=longest_ms))
 }
 
 async fn read(shared: &Shared, shard: ClaimShard) -> ReadResult {
     match shared
-        .outside
+        .clients
         .platform
         .get(ObjectKind::Claim, &shard.to_string())
         .await
@@ -164,7 +164,7 @@
     let Ok(spec) = serde_json::to_value(content) else {
         return WriteResult::Unavailable;
     };
-    let platform = &shared.outside.platform;
+    let platform = &shared.clients.platform;
     let name = shard.to_string();
     let written = match expected {
         None => platform.create(ObjectKind::Claim, &name, spec).await,
--- a/crates/wisteriahitch-node/src/state/drain.rs
+++ b/crates/wisteriahitch-node/src/state/drain.rs
@@ -11,42 +11,45 @@
 use crate::shared::Shared;
 
 /// How long other daemons may go on naming this one before the news of its draining is everywhere.
-const SPREAD_US: DurationUs = DurationUs::from_ms(2_000);
+const DRAIN_GOSSIP_TIME_US: DurationUs = DurationUs::from_ms(2_000);
 
 /// Rounds of probes on which the word of a daemon that has left travels.
-const LEAVE_ROUNDS: u64 = 3;
+const LEAVE_PROBE_ROUNDS: u64 = 3;
 
 /// Time between two looks at the work that is left.
-const LATE_WORK_PAUSE: Duration = Duration::from_millis(20);
+const LATE_WORK_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Holds how far this daemon's draining has come.
 #[derive(Default)]
 pub(crate) struct DrainState {
-    accepted: AtomicU64,
+    open_requests: AtomicU64,
     has_left: AtomicBool,
     drain: Mutex<Drain>,
 }
 
 /// Counts a request as accepted until it is dropped.
-pub(crate) struct Accepted {
+pub(crate) struct AcceptedRequest {
     shared: Arc<Shared>,
 }
 
-impl Drop for Accepted {
+impl Drop for AcceptedRequest {
     fn drop(&mut self) {
         self.shared
             .fleet
             .drain
-            .accepted
+            .open_requests
             .fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Shared {
     /// Counts a request that a draining daemon waits for, until its whole answer is sent.
-    pub(crate) fn accept(self: &Arc<Self>) -> Accepted {
-        self.fleet.drain.accepted.fetch_add(1, Ordering::AcqRel);
-        Accepted {
+    pub(crate) fn track_request(self: &Arc<Self>) -> AcceptedRequest {
+        self.fleet
+            .drain
+            .open_requests
+            .fetch_add(1, Ordering::AcqRel);
+        AcceptedRequest {
             shared: Arc::clone(self),
         }
     }
@@ -64,9 +67,13 @@
         let now = self.clock.now();
         let in_force = self.in_force.load_full();
         let ttl_us = in_force.map_or(DurationUs::ZERO, |c| c.configuration.limits.entries_ttl_us);
-        self.fleet.drain.drain.lock().start(now, ttl_us + SPREAD_US);
+        self.fleet
+            .drain
+            .drain
+            .lock()
+            .start(now, ttl_us + DRAIN_GOSSIP_TIME_US);
         self.once.lock().issuer.stop();
-        self.step_members(MembershipEvent::Drain);
+        self.handle_membership_event(MembershipEvent::Drain);
         log::info!("draining");
     }
 
@@ -78,10 +85,10 @@
             return;
         }
         log::info!("drained");
-        self.step_members(MembershipEvent::Leave);
+        self.handle_membership_event(MembershipEvent::Leave);
         let shared = Arc::clone(self);
         tokio::spawn(async move {
-            let rounds = shared.settings.peers.probe_interval_us.get() * LEAVE_ROUNDS;
+            let rounds = shared.settings.peers.probe_interval_us.get() * LEAVE_PROBE_ROUNDS;
             tokio::time::sleep(DurationUs::new(rounds).into()).await;
             shared.stop.cancel();
         });
@@ -109,7 +116,7 @@
             if work.requests == 0 {
                 return;
             }
-            tokio::time::sleep(LATE_WORK_PAUSE).await;
+            tokio::time::sleep(LATE_WORK_POLL_INTERVAL).await;
         }
     }
 
@@ -122,7 +129,7 @@
         let under_way = once.table.under_way() as u64;
         let claims = u64::from(once.claims.has_open_work(now));
         OpenWork {
-            requests: self.fleet.drain.accepted.load(Ordering::Acquire) + under_way + claims,
+            requests: self.fleet.drain.open_requests.load(Ordering::Acquire) + under_way + claims,
             tickets: u64::from(once.issuer.has_live_tickets(now)),
         }
     }
--- a/crates/wisteriahitch-node/src/state/mod.rs
+++ b/crates/wisteriahitch-node/src/state/mod.rs
@@ -15,6 +15,6 @@
 pub(crate) use fleet::FleetState;
 pub(crate) use once::OnceState;
 pub(crate) use resume::ResumeState;
-pub(crate) use route::Flight;
+pub(crate) use route::AttemptGuard;
 pub(crate) use streams::OpenStream;
 pub(crate) use tiers::TierState;
--- a/crates/wisteriahitch-node/src/state/models.rs
+++ b/crates/wisteriahitch-node/src/state/models.rs
@@ -57,7 +57,7 @@
     }
 
     /// Learns from a whole answer, and saves what is worth it.
-    pub(crate) fn used(
+    pub(crate) fn record_completed_request(
         self: &Arc<Self>,
         call: &CompletionCall,
         chain: &PieceChain,
@@ -84,7 +84,7 @@
                 router.directory.record_stored(endpoint, &piece.key);
             }
         }
-        self.step_tiers(|tiers, now| tiers.finished(&finished, now));
+        self.run_tier_step(|tiers, now| tiers.finished(&finished, now));
     }
 
     /// Cancels a request at an endpoint, without waiting for the answer; the task ends with it.
@@ -96,7 +96,7 @@
         let shared = Arc::clone(self);
         let request = request.clone();
         tokio::spawn(async move {
-            if let Err(error) = shared.outside.engine.cancel(address, &request).await {
+            if let Err(error) = shared.clients.engine.cancel(address, &request).await {
                 log::debug!("cancelling {request} failed: {error}");
             }
         })
--- a/crates/wisteriahitch-node/src/state/once.rs
+++ b/crates/wisteriahitch-node/src/state/once.rs
@@ -25,11 +25,11 @@
 }
 
 /// What a copy of a request waits for.
-pub(crate) enum WaitedDecision {
+pub(crate) enum PendingDecision {
     /// The decision is there.
-    Now(Decision),
+    Ready(Decision),
     /// The decision comes later.
-    Later(oneshot::Receiver<Decision>),
+    Waiting(oneshot::Receiver<Decision>),
 }
 
 impl OnceState {
@@ -50,9 +50,9 @@
     /// Each waits in a task of its own, with its body, also after its caller has left. While the
     /// platform is slow, callers that leave and come back would fill the memory with them. Nothing
     /// is known of the key, so its refusal says just that.
-    fn is_crowded(&self, key: &OnceKey, room: usize) -> bool {
+    fn exceeds_waiter_limit(&self, key: &OnceKey, max_waiters: usize) -> bool {
         let needs_claim = matches!(key, OnceKey::Claimed { .. });
-        needs_claim && self.waiters.len() >= room && self.table.nonce(key).is_none()
+        needs_claim && self.waiters.len() >= max_waiters && self.table.nonce(key).is_none()
     }
 
     fn open_waiter(&mut self) -> (WaiterId, oneshot::Receiver<Decision>) {
@@ -71,8 +71,8 @@
         let mut is_run_lost = false;
         for waiter in delivery.waiters {
             let sender = self.waiters.remove(&waiter);
-            let is_told = sender.is_some_and(|s| s.send(delivery.decision.clone()).is_ok());
-            is_run_lost |= !is_told && delivery.decision == Decision::Run;
+            let is_delivered = sender.is_some_and(|s| s.send(delivery.decision.clone()).is_ok());
+            is_run_lost |= !is_delivered && delivery.decision == Decision::Run;
         }
         if is_run_lost {
             let next = self.table.lost(key, Code::CallerGone, now);
@@ -87,25 +87,25 @@
         self: &Arc<Self>,
         key: &OnceKey,
         fingerprint: Fingerprint,
-    ) -> WaitedDecision {
+    ) -> PendingDecision {
         let now = self.clock.now();
         let mut once = self.once.lock();
-        if once.is_crowded(key, self.settings.limits.queued_requests as usize) {
-            return WaitedDecision::Now(Decision::Refuse(Code::ClaimUndecided));
+        if once.exceeds_waiter_limit(key, self.settings.limits.queued_requests as usize) {
+            return PendingDecision::Ready(Decision::Refuse(Code::ClaimUndecided));
         }
         let (waiter, receiver) = once.open_waiter();
         let decision = once.table.submit(key, fingerprint, waiter, now);
         once.issuer.note_used(key);
         match decision {
-            Decision::Wait => WaitedDecision::Later(receiver),
+            Decision::Wait => PendingDecision::Waiting(receiver),
             Decision::Claim(nonce) => {
                 drop(once);
                 self.claim(key, fingerprint, nonce);
-                WaitedDecision::Later(receiver)
+                PendingDecision::Waiting(receiver)
             }
             decided => {
                 once.waiters.remove(&waiter);
-                WaitedDecision::Now(decided)
+                PendingDecision::Ready(decided)
             }
         }
     }
@@ -148,7 +148,7 @@
     }
 
     /// Notes that nobody knows whether the request ran.
-    pub(crate) fn lose(self, code: Code) -> Decision {
+    pub(crate) fn mark_outcome_unknown(self, code: Code) -> Decision {
         self.settle(|once, key, now| once.table.lost(key, code, now))
     }
 
--- a/crates/wisteriahitch-node/src/state/resume.rs
+++ b/crates/wisteriahitch-node/src/state/resume.rs
@@ -11,40 +11,40 @@
 use crate::shared::Shared;
 
 /// How long a broken stream may be resumed.
-const KEPT_US: DurationUs = DurationUs::from_ms(60_000);
+const RESUME_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Most streams that are kept for a resumption.
-const MAX_KEPT: usize = 256;
+/// Most streams that are resumable for a resumption.
+const MAX_RESUMABLE_STREAMS: usize = 256;
 
 /// Most bytes that their prompts may take; by number alone, large prompts would take a gigabyte.
-const MAX_KEPT_BYTES: ByteCount = ByteCount::new(64 << 20);
+const MAX_RESUMABLE_BYTES: ByteCount = ByteCount::new(64 << 20);
 
-/// Room that a kept stream takes beside its prompt, roughly.
-const ENTRY_BYTES: u64 = 1_024;
+/// Room that a resumable stream takes beside its prompt, roughly.
+const ENTRY_OVERHEAD_BYTES: u64 = 1_024;
 
 /// Attempts left free between a broken stream and its resumption.
-const ATTEMPT_GAP: u64 = 16;
+const RESUME_ATTEMPT_STEP: u64 = 16;
 
 /// Holds the streams that broke lately.
 pub(crate) struct ResumeState {
-    kept: Mutex<KeptStreams>,
+    resumable: Mutex<ResumableStreams>,
 }
 
 /// Keeps broken streams within bounds of number, size and time.
 #[derive(Default)]
-struct KeptStreams {
-    streams: HashMap<RequestId, Kept>,
+struct ResumableStreams {
+    streams: HashMap<RequestId, ResumableStream>,
     bytes: ByteCount,
 }
 
-impl KeptStreams {
-    fn put(&mut self, kept: Kept) {
-        let request = kept.call.request_id.clone();
+impl ResumableStreams {
+    fn add(&mut self, resumable: ResumableStream) {
+        let request = resumable.call.request_id.clone();
         self.remove(&request);
-        self.bytes += kept.bytes();
-        self.streams.insert(request, kept);
-        while self.streams.len() > MAX_KEPT || self.bytes > MAX_KEPT_BYTES {
-            let Some(oldest) = self.oldest_of_largest() else {
+        self.bytes += resumable.bytes();
+        self.streams.insert(request, resumable);
+        while self.streams.len() > MAX_RESUMABLE_STREAMS || self.bytes > MAX_RESUMABLE_BYTES {
+            let Some(oldest) = self.oldest_stream_of_largest_workspace() else {
                 return;
             };
             self.remove(&oldest);
@@ -57,52 +57,57 @@
         }
     }
 
-    fn forget_late(&mut self, now: TimeUs) {
-        let late = self.streams.iter().filter(|(_, kept)| kept.is_late(now));
-        let late: Vec<RequestId> = late.map(|(request, _)| request.clone()).collect();
-        for request in late {
+    fn remove_expired(&mut self, now: TimeUs) {
+        let expired = self
+            .streams
+            .iter()
+            .filter(|(_, resumable)| resumable.is_expired(now));
+        let expired: Vec<RequestId> = expired.map(|(request, _)| request.clone()).collect();
+        for request in expired {
             self.remove(&request);
         }
     }
 
-    /// Returns the oldest stream of the workspace that takes most room.
+    /// Returns the oldest stream of the workspace that takes most bytes_by_workspace.
     ///
     /// Were the oldest of all to go, one workspace that breaks its streams again and again would
     /// take the rest of everybody's answers.
-    fn oldest_of_largest(&self) -> Option<RequestId> {
-        let mut room: HashMap<&WorkspaceId, ByteCount> = HashMap::new();
-        for kept in self.streams.values() {
-            *room.entry(kept.workspace()).or_default() += kept.bytes();
+    fn oldest_stream_of_largest_workspace(&self) -> Option<RequestId> {
+        let mut bytes_by_workspace: HashMap<&WorkspaceId, ByteCount> = HashMap::new();
+        for resumable in self.streams.values() {
+            *bytes_by_workspace.entry(resumable.workspace()).or_default() += resumable.bytes();
         }
-        let (largest, _) = room.into_iter().max_by_key(|(_, bytes)| *bytes)?;
-        let of_largest = self.streams.iter();
-        of_largest
-            .filter(|(_, kept)| kept.workspace() == largest)
-            .min_by_key(|(_, kept)| kept.broke_at_us)
+        let (largest, _) = bytes_by_workspace
+            .into_iter()
+            .max_by_key(|(_, bytes)| *bytes)?;
+        let candidates = self.streams.iter();
+        candidates
+            .filter(|(_, resumable)| resumable.workspace() == largest)
+            .min_by_key(|(_, resumable)| resumable.interrupted_at_us)
             .map(|(request, _)| request.clone())
     }
 }
 
-struct Kept {
+struct ResumableStream {
     call: CompletionCall,
     endpoint: EndpointId,
     weight_version: WeightVersion,
     last_attempt: AttemptNumber,
     next_position: u64,
-    broke_at_us: TimeUs,
+    interrupted_at_us: TimeUs,
 }
 
-impl Kept {
+impl ResumableStream {
     fn workspace(&self) -> &WorkspaceId {
         &self.call.identity.workspace
     }
 
-    fn is_late(&self, now: TimeUs) -> bool {
-        now.since(self.broke_at_us) > KEPT_US
+    fn is_expired(&self, now: TimeUs) -> bool {
+        now.since(self.interrupted_at_us) > RESUME_TTL_US
     }
 
     fn bytes(&self) -> ByteCount {
-        ByteCount::new(ENTRY_BYTES + self.call.prompt.len() as u64)
+        ByteCount::new(ENTRY_OVERHEAD_BYTES + self.call.prompt.len() as u64)
     }
 }
 
@@ -110,14 +115,14 @@
     /// Builds an empty state.
     pub(crate) fn new() -> Self {
         Self {
-            kept: Mutex::default(),
+            resumable: Mutex::default(),
         }
     }
 }
 
 impl Shared {
     /// Keeps what a caller needs that comes back for the rest of its answer.
-    pub(crate) fn keep_for_resumption(
+    pub(crate) fn store_for_resumption(
         &self,
         call: &CompletionCall,
         endpoint: &EndpointId,
@@ -125,40 +130,43 @@
         last_attempt: AttemptNumber,
         next_position: u64,
     ) {
-        let kept = Kept {
+        let resumable = ResumableStream {
             call: call.clone(),
             endpoint: endpoint.clone(),
             weight_version: weight_version.clone(),
             last_attempt,
             next_position,
-            broke_at_us: self.clock.now(),
+            interrupted_at_us: self.clock.now(),
         };
-        self.resume.kept.lock().put(kept);
+        self.resume.resumable.lock().add(resumable);
     }
 
     /// Forgets streams whose callers didn't come back in time.
-    pub(crate) fn forget_late_streams(&self) {
-        self.resume.kept.lock().forget_late(self.clock.now());
+    pub(crate) fn expire_resumable_streams(&self) {
+        self.resume
+            .resumable
+            .lock()
+            .remove_expired(self.clock.now());
     }
 
     /// Returns the call that goes on with a broken stream of this workspace.
-    pub(crate) fn resumable(
+    pub(crate) fn find_resumable_call(
         &self,
         request: &RequestId,
         workspace: &WorkspaceId,
         position: u64,
     ) -> Option<CompletionCall> {
         let now = self.clock.now();
-        let mut kept = self.resume.kept.lock();
-        let found = kept.streams.get_mut(request)?;
+        let mut resumable = self.resume.resumable.lock();
+        let found = resumable.streams.get_mut(request)?;
         let is_foreign = found.workspace() != workspace;
         // An engine refuses a position after the last token, which would count as its failure.
         let is_beyond = position > found.next_position || position >= found.call.max_tokens.get();
-        if found.is_late(now) || is_foreign || is_beyond {
+        if found.is_expired(now) || is_foreign || is_beyond {
             return None;
         }
         // Every resumption counts on, so that tokens of an earlier one can't be taken for its own.
-        found.last_attempt = AttemptNumber::new(found.last_attempt.get() + ATTEMPT_GAP);
+        found.last_attempt = AttemptNumber::new(found.last_attempt.get() + RESUME_ATTEMPT_STEP);
         let mut call = found.call.clone();
         call.arrived_us = now;
         call.resumption = Some(Resumption {
--- a/crates/wisteriahitch-node/src/state/route.rs
+++ b/crates/wisteriahitch-node/src/state/route.rs
@@ -32,23 +32,23 @@
     }
 
     /// Notes an attempt that is sent now; nothing where the endpoint is gone.
-    pub(crate) fn take_off(
+    pub(crate) fn start_attempt(
         self: &Arc<Self>,
         endpoint: &EndpointId,
         prefill_tokens: TokenCount,
         expected_us: DurationUs,
-    ) -> Option<Flight> {
+    ) -> Option<AttemptGuard> {
         let now = self.clock.now();
         let mut router = self.router.lock();
         let address = router.endpoints.get_address(endpoint)?;
         let id = router
             .endpoints
             .begin_attempt(endpoint, prefill_tokens, expected_us, now)?;
-        Some(Flight {
+        Some(AttemptGuard {
             shared: Arc::clone(self),
             id,
             address,
-            has_landed: false,
+            is_recorded: false,
         })
     }
 }
@@ -57,21 +57,21 @@
 ///
 /// One that is dropped without an end counts as cancelled: an attempt that stayed in the table
 /// would make its endpoint look busier for ever, and it would slowly get no work.
-pub(crate) struct Flight {
+pub(crate) struct AttemptGuard {
     shared: Arc<Shared>,
     id: AttemptId,
     address: SocketAddr,
-    has_landed: bool,
+    is_recorded: bool,
 }
 
-impl Flight {
+impl AttemptGuard {
     /// Returns the endpoint's address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Notes the first token.
-    pub(crate) fn first_token(&self) {
+    pub(crate) fn mark_first_token(&self) {
         let now = self.shared.clock.now();
         self.shared
             .router
@@ -81,23 +81,23 @@
     }
 
     /// Notes a whole answer.
-    pub(crate) fn finished(mut self) {
+    pub(crate) fn mark_succeeded(mut self) {
         let now = self.shared.clock.now();
         self.shared
             .router
             .lock()
             .endpoints
             .record_success(self.id, now);
-        self.has_landed = true;
+        self.is_recorded = true;
     }
 
     /// Notes that there is no whole answer.
-    pub(crate) fn failed(mut self, failure: AttemptFailure) {
-        self.land(failure);
+    pub(crate) fn mark_failed(mut self, failure: AttemptFailure) {
+        self.record_failure_once(failure);
     }
 
-    fn land(&mut self, failure: AttemptFailure) {
-        if self.has_landed {
+    fn record_failure_once(&mut self, failure: AttemptFailure) {
+        if self.is_recorded {
             return;
         }
         let now = self.shared.clock.now();
@@ -106,12 +106,12 @@
             .lock()
             .endpoints
             .record_failure(self.id, failure, now);
-        self.has_landed = true;
+        self.is_recorded = true;
     }
 }
 
-impl Drop for Flight {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.land(AttemptFailure::Cancelled);
+        self.record_failure_once(AttemptFailure::Cancelled);
     }
 }
--- a/crates/wisteriahitch-node/src/state/streams.rs
+++ b/crates/wisteriahitch-node/src/state/streams.rs
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 
 /// When a caller may come back to a daemon that holds as many streams as it may.
-const RETRY_US: DurationUs = DurationUs::from_ms(1_000);
+const STREAMS_FULL_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
 
 /// Counts an answer as running until it is dropped, also by a panic of its task.
 pub(crate) struct OpenStream {
@@ -33,7 +33,7 @@
             shared: Arc::clone(self),
         };
         match streams.get() > i64::from(self.settings.limits.streams) {
-            true => Err(Refusal::new(Code::StreamsFull).with_retry_after_us(RETRY_US)),
+            true => Err(Refusal::new(Code::StreamsFull).with_retry_after_us(STREAMS_FULL_RETRY_US)),
             false => Ok(opened),
         }
     }
--- a/crates/wisteriahitch-node/src/state/tiers.rs
+++ b/crates/wisteriahitch-node/src/state/tiers.rs
@@ -51,7 +51,7 @@
             .waiters
             .lock()
             .insert(plan.request.clone(), sender);
-        self.step_tiers(|tiers, now| tiers.plan_import(plan, now));
+        self.run_tier_step(|tiers, now| tiers.plan_import(plan, now));
         // An error means that the import was cancelled; the request goes on without it.
         let _ = receiver.await;
     }
@@ -59,16 +59,16 @@
     /// Forgets the imports of a request whose caller went away.
     pub(crate) fn cancel_import(self: &Arc<Self>, request: &RequestId) {
         self.tiers.waiters.lock().remove(request);
-        self.step_tiers(|tiers, now| tiers.cancel(request, now));
+        self.run_tier_step(|tiers, now| tiers.cancel(request, now));
     }
 
     /// Tells the tier core an event.
-    pub(crate) fn note_tier(self: &Arc<Self>, event: TierEvent) {
-        self.step_tiers(|tiers, now| tiers.on(event, now));
+    pub(crate) fn handle_tier_event(self: &Arc<Self>, event: TierEvent) {
+        self.run_tier_step(|tiers, now| tiers.on(event, now));
     }
 
     /// Runs a step of the tier core and carries out what it asks for.
-    pub(crate) fn step_tiers(
+    pub(crate) fn run_tier_step(
         self: &Arc<Self>,
         step: impl FnOnce(&mut Tiers, TimeUs) -> Vec<TierCommand>,
     ) {
--- a/crates/wisteriahitch-node/src/task/capacity.rs
+++ b/crates/wisteriahitch-node/src/task/capacity.rs
@@ -10,25 +10,25 @@
 
 /// How many times the endpoints' slots may be under way, so that an endpoint always finds its next
 /// request; what is above waits here, where shares among workspaces are kept.
-const SLOT_FACTOR: f64 = 1.25;
+const CAPACITY_PER_SLOT: f64 = 1.25;
 
 /// Least requests of a service that a daemon lets run, whatever the endpoints report.
 const MIN_CAPACITY: usize = 4;
 
 /// Load that is told to the other daemons as full.
-const FULL_PERMILLE: f64 = 1_000.0;
+const MAX_LOAD_PERMILLE: f64 = 1_000.0;
 
 /// Sets the capacity of every service from its endpoints' reports, and tells the load.
 ///
-/// The daemons share the endpoints. Without a bound at each of them a burst of one workspace would
+/// The daemons capacity the endpoints. Without a bound at each of them a burst of one workspace would
 /// queue at the endpoints, where it can no longer be put behind the other workspaces' requests.
 pub(crate) fn update_capacity(shared: &Arc<Shared>) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
     };
-    shared.share_quotas();
+    shared.update_quota_shares();
     let now = shared.clock.now();
-    for (name, capacity) in capacities(shared, &in_force.configuration) {
+    for (name, capacity) in service_capacities(shared, &in_force.configuration) {
         shared
             .admission
             .step(|admission| admission.set_capacity(&name, capacity, now));
@@ -40,19 +40,19 @@
         .sum();
     let capacity: usize = snapshot.iter().map(|gate| gate.capacity).sum();
     let load = (running as f64 / capacity.max(1) as f64).min(1.0);
-    let permille = (load * FULL_PERMILLE) as u32;
-    shared.step_members(MembershipEvent::Load(permille));
+    let permille = (load * MAX_LOAD_PERMILLE) as u32;
+    shared.handle_membership_event(MembershipEvent::Load(permille));
 }
 
-fn capacities(shared: &Shared, configuration: &Configuration) -> Vec<(ServiceName, usize)> {
+fn service_capacities(shared: &Shared, configuration: &Configuration) -> Vec<(ServiceName, usize)> {
     let daemons = f64::from(shared.count_daemons());
     let router = shared.router.lock();
     let services = configuration.services.keys();
     services
         .map(|name| {
             let slots = router.endpoints.ready_slots(name) as f64;
-            let share = slots * SLOT_FACTOR / daemons;
-            (name.clone(), (share.ceil() as usize).max(MIN_CAPACITY))
+            let capacity = slots * CAPACITY_PER_SLOT / daemons;
+            (name.clone(), (capacity.ceil() as usize).max(MIN_CAPACITY))
         })
         .collect()
 }
--- a/crates/wisteriahitch-node/src/task/endpoint_changes.rs
+++ b/crates/wisteriahitch-node/src/task/endpoint_changes.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 
 /// Logs the endpoints' changes of state since the last call.
-pub(crate) fn log_changes(shared: &Shared) {
+pub(crate) fn log_state_changes(shared: &Shared) {
     let changes = shared.router.lock().endpoints.drain_state_changes();
     for change in changes {
         log::info!(
--- a/crates/wisteriahitch-node/src/task/endpoints.rs
+++ b/crates/wisteriahitch-node/src/task/endpoints.rs
@@ -12,88 +12,96 @@
 use wisteriahitch_wire::engine::{CacheEventKind, CacheEvents, LoadReport};
 use wisteriahitch_wire::service::ServiceLoad;
 
-use super::in_flight::InFlight;
+use super::in_flight::InFlightCalls;
 use crate::shared::Shared;
 
 /// Time between two looks at every endpoint.
-const PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How far the cache events of an endpoint have been read.
 #[derive(Clone, Debug)]
-struct CachePlace {
+struct CacheCursor {
     incarnation: String,
     next: u64,
 }
 
-type CachePlaces = Mutex<HashMap<EndpointId, CachePlace>>;
+type CacheCursors = Mutex<HashMap<EndpointId, CacheCursor>>;
 
 /// Asks every endpoint for its load and its cache events until the process stops.
 pub(crate) async fn run_endpoints(shared: Arc<Shared>) {
-    let places = Arc::new(CachePlaces::default());
-    let asked = InFlight::default();
-    let mut ticks = tokio::time::interval(PAUSE);
+    let cursors = Arc::new(CacheCursors::default());
+    let in_flight = InFlightCalls::default();
+    let mut ticks = tokio::time::interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             () = shared.end.cancelled() => return,
-            _ = ticks.tick() => ask_all(&shared, &places, &asked),
+            _ = ticks.tick() => poll_endpoints(&shared, &cursors, &in_flight),
         }
     }
 }
 
-/// Asks all that aren't being asked; a frozen endpoint holds up no other's report.
-fn ask_all(shared: &Arc<Shared>, places: &Arc<CachePlaces>, asked: &InFlight<EndpointId>) {
+/// Asks all that aren't being in_flight; a frozen endpoint holds up no other's report.
+fn poll_endpoints(
+    shared: &Arc<Shared>,
+    cursors: &Arc<CacheCursors>,
+    in_flight: &InFlightCalls<EndpointId>,
+) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
     };
     let configuration = &in_force.configuration;
-    forget_removed(shared, places, configuration);
+    remove_unconfigured(shared, cursors, configuration);
     for service in configuration.services.values() {
         for endpoint in &service.endpoints {
-            let Some(asking) = asked.try_begin(&endpoint.id) else {
+            let Some(call) = in_flight.try_begin(&endpoint.id) else {
                 continue;
             };
             let (shared, endpoint) = (Arc::clone(shared), endpoint.clone());
-            let (kind, places) = (service.kind, Arc::clone(places));
+            let (kind, cursors) = (service.kind, Arc::clone(cursors));
             tokio::spawn(async move {
                 match kind {
-                    ServiceKind::Engine => ask_engine(shared, endpoint, places).await,
-                    ServiceKind::Plain => ask_service(shared, endpoint).await,
+                    ServiceKind::Engine => poll_engine(shared, endpoint, cursors).await,
+                    ServiceKind::Plain => poll_service(shared, endpoint).await,
                 }
-                drop(asking);
+                drop(call);
             });
         }
     }
 }
 
 /// Forgets what was read of endpoints that are no longer configured.
-fn forget_removed(shared: &Shared, places: &CachePlaces, configuration: &Configuration) {
-    let is_known = |id: &EndpointId| configuration.endpoint(id).is_some();
-    places.lock().retain(|id, _| is_known(id));
-    shared.orders.reports.lock().retain(|id, _| is_known(id));
+fn remove_unconfigured(shared: &Shared, cursors: &CacheCursors, configuration: &Configuration) {
+    let is_configured = |id: &EndpointId| configuration.endpoint(id).is_some();
+    cursors.lock().retain(|id, _| is_configured(id));
+    shared
+        .orders
+        .reports
+        .lock()
+        .retain(|id, _| is_configured(id));
 }
 
-async fn ask_engine(shared: Arc<Shared>, endpoint: Endpoint, places: Arc<CachePlaces>) {
-    let Ok(report) = shared.outside.engine.load(endpoint.address).await else {
+async fn poll_engine(shared: Arc<Shared>, endpoint: Endpoint, cursors: Arc<CacheCursors>) {
+    let Ok(report) = shared.clients.engine.load(endpoint.address).await else {
         return;
     };
-    shared.orders.note_report(&endpoint.id, &report);
-    follow_cache(&shared, &endpoint, &places).await;
-    let life = places
+    shared.orders.record_engine_report(&endpoint.id, &report);
+    sync_cache_events(&shared, &endpoint, &cursors).await;
+    let incarnation = cursors
         .lock()
         .get(&endpoint.id)
-        .map(|place| place.incarnation.clone());
-    let load = engine_load(report, life);
-    note_load(&shared, &endpoint, load);
+        .map(|cursor| cursor.incarnation.clone());
+    let load = engine_load(report, incarnation);
+    record_load(&shared, &endpoint, load);
 }
 
-async fn ask_service(shared: Arc<Shared>, endpoint: Endpoint) {
-    if let Ok(report) = shared.outside.service.load(endpoint.address).await {
-        note_load(&shared, &endpoint, service_load(&report));
+async fn poll_service(shared: Arc<Shared>, endpoint: Endpoint) {
+    if let Ok(report) = shared.clients.service.load(endpoint.address).await {
+        record_load(&shared, &endpoint, service_load(&report));
     }
 }
 
-fn note_load(shared: &Arc<Shared>, endpoint: &Endpoint, load: EndpointLoad) {
+fn record_load(shared: &Arc<Shared>, endpoint: &Endpoint, load: EndpointLoad) {
     let now = shared.clock.now();
     let is_leaving = load.leaving;
     let mut router = shared.router.lock();
@@ -138,36 +146,36 @@
 }
 
 /// Reads the events since the last look; after a gap or a new life it lists the whole cache.
-async fn follow_cache(shared: &Arc<Shared>, endpoint: &Endpoint, places: &CachePlaces) {
-    let known = places.lock().get(&endpoint.id).cloned();
-    let Some(place) = known else {
-        list_cache(shared, endpoint, places).await;
+async fn sync_cache_events(shared: &Arc<Shared>, endpoint: &Endpoint, cursors: &CacheCursors) {
+    let known = cursors.lock().get(&endpoint.id).cloned();
+    let Some(cursor) = known else {
+        reload_cache_listing(shared, endpoint, cursors).await;
         return;
     };
-    let after = place.next.saturating_sub(1);
+    let after = cursor.next.saturating_sub(1);
     let Ok(events) = shared
-        .outside
+        .clients
         .engine
         .cache_events(endpoint.address, after)
         .await
     else {
         return;
     };
-    let is_same_life = events.incarnation == place.incarnation;
-    if !is_same_life || events.first > place.next {
+    let is_same_incarnation = events.incarnation == cursor.incarnation;
+    if !is_same_incarnation || events.first > cursor.next {
         shared.router.lock().directory.mark_event_gap(&endpoint.id);
-        list_cache(shared, endpoint, places).await;
+        reload_cache_listing(shared, endpoint, cursors).await;
         return;
     }
-    take_events(shared, endpoint, &events, place.next);
-    let place = CachePlace {
+    apply_cache_events(shared, endpoint, &events, cursor.next);
+    let cursor = CacheCursor {
         incarnation: events.incarnation,
         next: events.next,
     };
-    places.lock().insert(endpoint.id.clone(), place);
+    cursors.lock().insert(endpoint.id.clone(), cursor);
 }
 
-fn take_events(shared: &Arc<Shared>, endpoint: &Endpoint, events: &CacheEvents, next: u64) {
+fn apply_cache_events(shared: &Arc<Shared>, endpoint: &Endpoint, events: &CacheEvents, next: u64) {
     for event in events.events.iter().filter(|event| event.number >= next) {
         match event.kind {
             CacheEventKind::Stored => {
@@ -183,14 +191,14 @@
                     .lock()
                     .directory
                     .record_evicted(&endpoint.id, &event.key);
-                shared.note_tier(TierEvent::EndpointEvicted { key: event.key });
+                shared.handle_tier_event(TierEvent::EndpointEvicted { key: event.key });
             }
         }
     }
 }
 
-async fn list_cache(shared: &Arc<Shared>, endpoint: &Endpoint, places: &CachePlaces) {
-    let Ok(listing) = shared.outside.engine.cache_listing(endpoint.address).await else {
+async fn reload_cache_listing(shared: &Arc<Shared>, endpoint: &Endpoint, cursors: &CacheCursors) {
+    let Ok(listing) = shared.clients.engine.cache_listing(endpoint.address).await else {
         return;
     };
     shared
@@ -198,9 +206,9 @@
         .lock()
         .directory
         .replace_endpoint_listing(&endpoint.id, &listing.keys);
-    let place = CachePlace {
+    let cursor = CacheCursor {
         incarnation: listing.incarnation,
         next: listing.next,
     };
-    places.lock().insert(endpoint.id.clone(), place);
+    cursors.lock().insert(endpoint.id.clone(), cursor);
 }
--- a/crates/wisteriahitch-node/src/task/housekeeping.rs
+++ b/crates/wisteriahitch-node/src/task/housekeeping.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 
 use super::capacity::update_capacity;
-use super::endpoint_changes::log_changes;
-use super::shares::update_shares;
+use super::endpoint_changes::log_state_changes;
+use super::shares::update_eviction_shares;
 use crate::shared::Shared;
 
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Ticks between two looks at the endpoints' capacity.
-const TICKS_PER_CAPACITY: u64 = 10;
+const TICKS_PER_CAPACITY_UPDATE: u64 = 10;
 
 /// Runs the systems of every table at each tick until the process stops.
 pub(crate) async fn run_housekeeping(shared: Arc<Shared>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut count: u64 = 0;
     loop {
@@ -23,10 +23,10 @@
             () = shared.end.cancelled() => return,
             _ = ticks.tick() => tick(&shared),
         }
-        if count.is_multiple_of(TICKS_PER_CAPACITY) {
+        if count.is_multiple_of(TICKS_PER_CAPACITY_UPDATE) {
             update_capacity(&shared);
-            update_shares(&shared);
-            shared.forget_late_streams();
+            update_eviction_shares(&shared);
+            shared.expire_resumable_streams();
         }
         count += 1;
     }
@@ -36,7 +36,7 @@
     let now = shared.clock.now();
     shared.router.lock().tick(now);
     shared.admission.step(|admission| admission.tick(now));
-    shared.step_tiers(|tiers, now| tiers.tick(now));
+    shared.run_tier_step(|tiers, now| tiers.tick(now));
     {
         let mut once = shared.once.lock();
         once.issuer.tick(now);
@@ -45,5 +45,5 @@
     shared.tick_claims();
     shared.tick_config();
     shared.tick_drain();
-    log_changes(shared);
+    log_state_changes(shared);
 }
--- a/crates/wisteriahitch-node/src/task/in_flight.rs
+++ b/crates/wisteriahitch-node/src/task/in_flight.rs
@@ -12,38 +12,38 @@
 /// all the same would pile up connections, and the answers could come in another order than they
 /// were made in.
 #[derive(Debug)]
-pub(super) struct InFlight<K> {
-    asked: Arc<Mutex<HashSet<K>>>,
+pub(super) struct InFlightCalls<K> {
+    keys: Arc<Mutex<HashSet<K>>>,
 }
 
 /// Marks a call as under way until it is dropped.
 #[derive(Debug)]
-pub(super) struct Asking<K: Hash + Eq> {
+pub(super) struct InFlightCall<K: Hash + Eq> {
     key: K,
-    asked: Arc<Mutex<HashSet<K>>>,
+    keys: Arc<Mutex<HashSet<K>>>,
 }
 
-impl<K> Default for InFlight<K> {
+impl<K> Default for InFlightCalls<K> {
     fn default() -> Self {
         Self {
-            asked: Arc::default(),
+            keys: Arc::default(),
         }
     }
 }
 
-impl<K: Hash + Eq + Clone> InFlight<K> {
+impl<K: Hash + Eq + Clone> InFlightCalls<K> {
     /// Begins a call; nothing where the last one hasn't ended.
-    pub(super) fn try_begin(&self, key: &K) -> Option<Asking<K>> {
-        let is_first = self.asked.lock().insert(key.clone());
-        is_first.then(|| Asking {
+    pub(super) fn try_begin(&self, key: &K) -> Option<InFlightCall<K>> {
+        let is_first = self.keys.lock().insert(key.clone());
+        is_first.then(|| InFlightCall {
             key: key.clone(),
-            asked: Arc::clone(&self.asked),
+            keys: Arc::clone(&self.keys),
         })
     }
 }
 
-impl<K: Hash + Eq> Drop for Asking<K> {
+impl<K: Hash + Eq> Drop for InFlightCall<K> {
     fn drop(&mut self) {
-        self.asked.lock().remove(&self.key);
+        self.keys.lock().remove(&self.key);
     }
 }
--- a/crates/wisteriahitch-node/src/task/stores.rs
+++ b/crates/wisteriahitch-node/src/task/stores.rs
@@ -1,4 +1,4 @@
-//! Following the store VMs: which life they are in, their room, their links and their blocks.
+//! Following the store VMs: which incarnation they are in, their room, their links and their blocks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,58 +10,64 @@
 use wisteriahitch_types::{BlockKey, BlockState, StoreId, StoreIncarnation, Tier};
 use wisteriahitch_wire::store::{BlockListing, StoreReport, StoredBlock};
 
-use super::in_flight::InFlight;
+use super::in_flight::InFlightCalls;
 use crate::shared::Shared;
 
-/// Time between two looks at every store VM.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time between two polls at every store VM.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Looks after which the blocks are listed again, for what other daemons saved or freed.
-const LOOKS_PER_LISTING: u64 = 4;
+const POLLS_PER_LISTING: u64 = 4;
 
 /// Blocks of a listing that are taken over before other work on the thread has its turn.
-const BLOCKS_BETWEEN_PAUSES: usize = 256;
+const BLOCKS_PER_YIELD: usize = 256;
 
-/// The life that each store VM was last seen in.
-type Lives = Mutex<HashMap<StoreId, StoreIncarnation>>;
+/// The incarnation that each store VM was last seen in.
+type StoreIncarnations = Mutex<HashMap<StoreId, StoreIncarnation>>;
 
 /// Asks every store VM for its state until the process stops.
 pub(crate) async fn run_stores(shared: Arc<Shared>) {
-    let lives = Arc::new(Lives::default());
-    let asked = InFlight::default();
-    let mut ticks = tokio::time::interval(PAUSE);
+    let incarnations = Arc::new(StoreIncarnations::default());
+    let in_flight = InFlightCalls::default();
+    let mut ticks = tokio::time::interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut looks = 0;
+    let mut polls = 0;
     loop {
         tokio::select! {
             () = shared.end.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        ask_all(&shared, &lives, &asked, looks % LOOKS_PER_LISTING == 0);
-        looks += 1;
+        poll_stores(
+            &shared,
+            &incarnations,
+            &in_flight,
+            polls % POLLS_PER_LISTING == 0,
+        );
+        polls += 1;
     }
 }
 
-/// Asks all that aren't being asked; a frozen store VM holds up no other's report.
-fn ask_all(
+/// Asks all that aren't being in_flight; a frozen store VM holds up no other's report.
+fn poll_stores(
     shared: &Arc<Shared>,
-    lives: &Arc<Lives>,
-    asked: &InFlight<StoreId>,
+    incarnations: &Arc<StoreIncarnations>,
+    in_flight: &InFlightCalls<StoreId>,
     is_listing_due: bool,
 ) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
     };
     let stores = &in_force.configuration.stores;
-    forget_removed(shared, lives, &in_force.configuration);
+    remove_unconfigured(shared, incarnations, &in_force.configuration);
     for store in stores.values() {
-        let Some(asking) = asked.try_begin(&store.id) else {
+        let Some(call) = in_flight.try_begin(&store.id) else {
             continue;
         };
-        let (shared, store, lives) = (Arc::clone(shared), store.clone(), Arc::clone(lives));
+        let (shared, store, incarnations) =
+            (Arc::clone(shared), store.clone(), Arc::clone(incarnations));
         tokio::spawn(async move {
-            ask(&shared, &store, &lives, is_listing_due).await;
-            drop(asking);
+            poll_store(&shared, &store, &incarnations, is_listing_due).await;
+            drop(call);
         });
     }
 }
@@ -70,38 +76,53 @@
 ///
 /// They would go on counting as readable: prompts would be sent where they seem cheap, and computed
 /// again there.
-fn forget_removed(shared: &Shared, lives: &Lives, configuration: &Configuration) {
-    let mut lives = lives.lock();
-    let is_known = |id: &StoreId| configuration.stores.contains_key(id);
-    let removed: Vec<StoreId> = lives.keys().filter(|id| !is_known(id)).cloned().collect();
+fn remove_unconfigured(
+    shared: &Shared,
+    incarnations: &StoreIncarnations,
+    configuration: &Configuration,
+) {
+    let mut incarnations = incarnations.lock();
+    let is_configured = |id: &StoreId| configuration.stores.contains_key(id);
+    let removed: Vec<StoreId> = incarnations
+        .keys()
+        .filter(|id| !is_configured(id))
+        .cloned()
+        .collect();
     for store in removed {
-        lives.remove(&store);
+        incarnations.remove(&store);
         shared.router.lock().directory.remove_store(&store);
     }
 }
 
-/// Asks one store VM and notes the life that it is in.
-async fn ask(shared: &Arc<Shared>, store: &Store, lives: &Lives, is_listing_due: bool) {
-    let Ok(report) = shared.outside.store.report(store.address).await else {
-        shared.note_tier(TierEvent::StoreLost {
+/// Asks one store VM and notes the incarnation that it is in.
+async fn poll_store(
+    shared: &Arc<Shared>,
+    store: &Store,
+    incarnations: &StoreIncarnations,
+    is_listing_due: bool,
+) {
+    let Ok(report) = shared.clients.store.report(store.address).await else {
+        shared.handle_tier_event(TierEvent::StoreLost {
             store: store.id.clone(),
         });
         shared.router.lock().directory.remove_store(&store.id);
         return;
     };
-    let life = report.incarnation.clone();
-    let known = lives.lock().insert(store.id.clone(), life.clone());
-    let is_new_life = known.as_ref() != Some(&life);
-    if is_new_life {
+    let incarnation = report.incarnation.clone();
+    let previous = incarnations
+        .lock()
+        .insert(store.id.clone(), incarnation.clone());
+    let is_new_incarnation = previous.as_ref() != Some(&incarnation);
+    if is_new_incarnation {
         shared.router.lock().directory.remove_store(&store.id);
     }
-    shared.note_tier(seen(&store.id, &report));
-    if is_new_life || is_listing_due {
-        list(shared, store, &life).await;
+    shared.handle_tier_event(store_seen_event(&store.id, &report));
+    if is_new_incarnation || is_listing_due {
+        sync_listing(shared, store, &incarnation).await;
     }
 }
 
-fn seen(store: &StoreId, report: &StoreReport) -> TierEvent {
+fn store_seen_event(store: &StoreId, report: &StoreReport) -> TierEvent {
     TierEvent::StoreSeen {
         store: store.clone(),
         incarnation: report.incarnation.clone(),
@@ -112,8 +133,8 @@
     }
 }
 
-async fn list(shared: &Arc<Shared>, store: &Store, incarnation: &StoreIncarnation) {
-    let Ok(listing) = shared.outside.store.list(store.address).await else {
+async fn sync_listing(shared: &Arc<Shared>, store: &Store, incarnation: &StoreIncarnation) {
+    let Ok(listing) = shared.clients.store.list(store.address).await else {
         return;
     };
     if listing.incarnation != *incarnation {
@@ -130,15 +151,15 @@
         // A large listing takes a good part of a second. Without a pause the requests that are
         // queued on this thread wait for all of it, which shows as late first tokens every two
         // seconds.
-        if number % BLOCKS_BETWEEN_PAUSES == 0 {
+        if number % BLOCKS_PER_YIELD == 0 {
             tokio::task::yield_now().await;
         }
-        shared.note_tier(listed(&store.id, incarnation, block));
+        shared.handle_tier_event(block_listed_event(&store.id, incarnation, block));
     }
     // What the listing doesn't hold is gone: without this a block that another daemon freed would
     // count as saved here for ever, and would never be saved again.
     let (store, incarnation) = (store.id.clone(), incarnation.clone());
-    shared.note_tier(TierEvent::StoreListed {
+    shared.handle_tier_event(TierEvent::StoreListed {
         store,
         incarnation,
         keys,
@@ -152,7 +173,11 @@
         .map(|block| (block.key, block.tier))
 }
 
-fn listed(store: &StoreId, incarnation: &StoreIncarnation, block: StoredBlock) -> TierEvent {
+fn block_listed_event(
+    store: &StoreId,
+    incarnation: &StoreIncarnation,
+    block: StoredBlock,
+) -> TierEvent {
     TierEvent::BlockListed {
         store: store.clone(),
         incarnation: incarnation.clone(),
--- a/crates/wisteriahitch-node/src/task/vm_list.rs
+++ b/crates/wisteriahitch-node/src/task/vm_list.rs
@@ -14,27 +14,27 @@
 use crate::shared::Shared;
 
 /// Time between two readings; each is one call of the platform.
-const PAUSE: Duration = Duration::from_secs(2);
+const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Entries that were reported as damaged, so that each one is reported once.
-type Damaged = HashSet<(String, ObjectVersion)>;
+/// Entries that were reported as malformed, so that each one is reported once.
+type MalformedEntries = HashSet<(String, ObjectVersion)>;
 
 /// Reads the list until the process stops.
 pub(crate) async fn run_vm_list(shared: Arc<Shared>) {
-    let mut ticks = tokio::time::interval(PAUSE);
+    let mut ticks = tokio::time::interval(READ_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut damaged = Damaged::new();
+    let mut malformed = MalformedEntries::new();
     loop {
         tokio::select! {
             () = shared.end.cancelled() => return,
-            _ = ticks.tick() => read(&shared, &mut damaged).await,
+            _ = ticks.tick() => read(&shared, &mut malformed).await,
         }
     }
 }
 
-async fn read(shared: &Arc<Shared>, damaged: &mut Damaged) {
+async fn read(shared: &Arc<Shared>, malformed: &mut MalformedEntries) {
     let listing = match shared
-        .outside
+        .clients
         .platform
         .list(ObjectKind::VirtualMachine)
         .await
@@ -49,7 +49,7 @@
             return;
         }
     };
-    let vms = parse(listing.items, damaged);
+    let vms = parse(listing.items, malformed);
     let notices = vms.iter().filter_map(|vm| {
         let address: IpAddr = vm.address.parse().ok()?;
         Some(VmNotice {
@@ -57,17 +57,17 @@
             is_leaving: vm.phase == VmPhase::Leaving,
         })
     });
-    shared.step_members(MembershipEvent::VmList(notices.collect()));
-    note_endpoints(shared, &vms);
+    shared.handle_membership_event(MembershipEvent::VmList(notices.collect()));
+    apply_endpoint_phases(shared, &vms);
 }
 
 /// Takes the entries that parse, and reports each other one once.
 ///
 /// An entry that is dropped without a word may be the one that says that a VM is leaving; new work
 /// would go there, and nothing would show why.
-fn parse(items: Vec<Object>, damaged: &mut Damaged) -> Vec<VirtualMachine> {
+fn parse(items: Vec<Object>, malformed: &mut MalformedEntries) -> Vec<VirtualMachine> {
     let mut vms = Vec::new();
-    let mut found = Damaged::new();
+    let mut found = MalformedEntries::new();
     for object in items {
         let Object {
             name,
@@ -78,14 +78,14 @@
             Ok(vm) => vms.push(vm),
             Err(error) => {
                 let entry = (name, version);
-                if !damaged.contains(&entry) {
+                if !malformed.contains(&entry) {
                     log::warn!("VM list: the entry {} doesn't parse: {error}", entry.0);
                 }
                 found.insert(entry);
             }
         }
     }
-    *damaged = found;
+    *malformed = found;
     vms
 }
 
@@ -93,7 +93,7 @@
 ///
 /// An entry names a VM by its IP address; where several endpoints share one, as in tests on one
 /// machine, it may name the port too.
-fn note_endpoints(shared: &Shared, vms: &[VirtualMachine]) {
+fn apply_endpoint_phases(shared: &Shared, vms: &[VirtualMachine]) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
     };
