--- a/crates/wisteriahitch-node/src/caller/body.rs
+++ b/crates/wisteriahitch-node/src/caller/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' requests and of the answers to them.
+//! Request and response bodies.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -9,22 +9,25 @@
 use hyper::body::Incoming;
 use wisteriahitch_types::{ByteCount, Code};
 
-/// The body of every response.
+/// Body type of every response.
 pub(crate) type ResponseBody = BoxBody<Bytes, Infallible>;
 
-/// How many times the limit is read of a body that is too large.
+/// An oversized body is read, and discarded, up to this multiple of the size limit.
 const DISCARD_LIMIT_FACTOR: u64 = 4;
 
-/// Wraps a body that is known whole.
+/// Wraps bytes that are already complete as a response body.
 pub(crate) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).boxed()
 }
 
-/// Reads a whole request body within a bound of size and of time.
+/// Reads a whole request body, bounded in size and time.
 ///
-/// A sender that trickles its body would hold a connection and its memory for as long as it likes;
-/// it shows as connections that stay open without a request. The time limit covers the whole body,
-/// so that sending one byte now and then doesn't help.
+/// The timeout covers the whole body, so a sender that trickles single bytes can't extend it.
+/// Without the bound such a sender would occupy a connection and its memory indefinitely, visible
+/// as connections that stay open without a request.
+///
+/// Returns [`Code::SlowSender`] on timeout, [`Code::BodyTooLarge`] above `limit_bytes` and
+/// [`Code::BadHttp`] for a body that breaks off.
 pub(crate) async fn read_body(
     body: Incoming,
     limit_bytes: ByteCount,
@@ -36,10 +39,11 @@
     }
 }
 
-/// Reads a body; one that is too large is read on for a while without being kept.
+/// Reads a body. An oversized body is read on and discarded, up to [`DISCARD_LIMIT_FACTOR`] times
+/// the limit.
 ///
-/// A sender that is still writing when the connection closes sees a broken pipe in place of the
-/// refusal. Reading on lets it finish, within a bound.
+/// A sender that is still writing when the connection closes gets a broken pipe instead of the
+/// refusal; reading on lets it finish first.
 async fn collect(mut body: Incoming, limit_bytes: ByteCount) -> Result<Bytes, Code> {
     let limit = limit_bytes.get();
     let mut whole = BytesMut::new();
--- a/crates/wisteriahitch-node/src/caller/completion.rs
+++ b/crates/wisteriahitch-node/src/caller/completion.rs
@@ -1,4 +1,4 @@
-//! Completions: streamed token by token, or whole.
+//! Completion requests, answered as a stream of tokens or as one whole response.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::shared::Shared;
 use crate::state::OpenStream;
 
-/// Tokens that wait for their caller before the attempt's reading waits too.
+/// Tokens buffered for a slow caller before reading from the endpoint pauses.
 const EVENT_BUFFER_LEN: usize = 64;
 
 /// Answers `POST /v1/completions`.
@@ -40,7 +40,7 @@
     run(shared, call, opened, is_stream).await
 }
 
-/// Starts a completion and answers with its tokens.
+/// Runs a completion in a task of its own and returns the response that carries its tokens.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     call: CompletionCall,
@@ -53,7 +53,8 @@
     let (sender, mut events) = mpsc::channel(EVENT_BUFFER_LEN);
     let task_shared = Arc::clone(shared);
     tokio::spawn(async move {
-        // The answer's head is sent long before its end; draining waits for the end.
+        // The response head is sent long before its end. Counting the request here makes draining
+        // wait for the end of the stream.
         let _accepted = task_shared.track_request();
         completion_run::run(&task_shared, &call, &sender).await;
         drop(opened);
@@ -160,7 +161,7 @@
     Ok(model.clone())
 }
 
-/// Carries the tokens of one answer to its caller.
+/// Turns the events of one completion into the response to its caller.
 struct Answer {
     name: AnswerIdentity,
     usage: Usage,
@@ -180,7 +181,8 @@
         response
     }
 
-    /// Sends each token as an event; a broken answer ends with an `error` event, never silently.
+    /// Sends each token as a server-sent event. An incomplete answer always ends with an `error`
+    /// event, so that a caller can't take it for a complete one.
     async fn send_events(mut self, shared: Arc<Shared>, sender: mpsc::Sender<Bytes>) {
         let mut is_complete = false;
         while let Some(completion_event) = self.events.recv().await {
@@ -193,7 +195,8 @@
                 CompletionEvent::Refused(refusal) => {
                     shared.metrics.count_refusal(refusal.code());
                     let event = error_event(&refusal.to_json(&self.name.request_id));
-                    // The caller may have gone; then nobody is left to tell.
+                    // Sending fails when the caller has disconnected, and then nobody is left to
+                    // notify.
                     let _ = sender.send(event).await;
                     return;
                 }
--- a/crates/wisteriahitch-node/src/caller/completion_body.rs
+++ b/crates/wisteriahitch-node/src/caller/completion_body.rs
@@ -1,4 +1,4 @@
-//! The caller's side of the completions form.
+//! JSON bodies of the completions API.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -9,27 +9,27 @@
 const OBJECT_NAME: &str = "text_completion";
 const DEFAULT_MAX_TOKENS: TokenCount = TokenCount::new(16);
 
-/// A completion as the caller asks for it.
+/// Body of a completion request.
 ///
-/// A field that isn't known is refused instead of dropped: an answer that ignores what was asked
-/// for isn't the answer to the caller's own request.
+/// Unknown fields are refused instead of ignored, because an answer that ignores a requested option
+/// isn't the answer to the caller's request.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct CompletionBody {
     /// Model to run.
     pub(crate) model: ModelName,
-    /// Adapter on top of the model.
+    /// Adapter to apply to the model.
     #[serde(default)]
     pub(crate) adapter: Option<AdapterName>,
     /// Prompt text.
     pub(crate) prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub(crate) max_tokens: TokenCount,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed as they are generated.
     #[serde(default)]
     pub(crate) stream: bool,
-    /// The caller's own name for its user; it plays no part.
+    /// The caller's own identifier of its end user; accepted and ignored.
     #[serde(default, rename = "user")]
     _user: Option<String>,
 }
@@ -39,10 +39,11 @@
 }
 
 impl CompletionBody {
-    /// Reads the JSON of a request.
+    /// Parses the JSON body of a request.
     ///
-    /// An answer of no tokens is refused here: an engine's refusal of it would count as the
-    /// endpoint's failure, and one workspace's mistake would eject endpoints for all others.
+    /// A `max_tokens` of 0 is refused here. An engine would refuse it too, but that refusal would
+    /// count as a failure of the endpoint, and one workspace's mistake would eject endpoints for
+    /// all others.
     pub(crate) fn try_parse(body: &[u8]) -> Result<Self, Refusal> {
         let parsed: Self = serde_json::from_slice(body)
             .map_err(|error| Refusal::new(Code::BadJson).with_message(error.to_string()))?;
@@ -55,25 +56,25 @@
     }
 }
 
-/// Counts the prompt's tokens in an answer.
+/// Token counts reported with the last part of an answer.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct Usage {
     /// Tokens of the prompt.
     pub(crate) prompt_tokens: TokenCount,
-    /// Tokens of the prompt that were not computed again.
+    /// Prompt tokens served from a cache instead of being computed.
     pub(crate) cached_tokens: TokenCount,
-    /// Tokens that were generated.
+    /// Tokens generated so far.
     pub(crate) completion_tokens: TokenCount,
 }
 
-/// Names the answer that chunks belong to.
+/// Fields that identify an answer and are repeated in each chunk of it.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerIdentity {
-    /// The request.
+    /// Id of the request.
     pub(crate) request_id: RequestId,
-    /// Model that answers.
+    /// Model that generates the answer.
     pub(crate) model: ModelName,
-    /// Weight version that answers.
+    /// Weight version of the model.
     pub(crate) weight_version: WeightVersion,
 }
 
@@ -96,7 +97,7 @@
     finish_reason: Option<&'a str>,
 }
 
-/// Renders text of an answer: one token of a stream, or the whole.
+/// Renders one chunk of an answer as JSON: a single token of a stream, or the whole text.
 pub(crate) fn render(
     name: &AnswerIdentity,
     position: u64,
--- a/crates/wisteriahitch-node/src/caller/entries.rs
+++ b/crates/wisteriahitch-node/src/caller/entries.rs
@@ -1,4 +1,4 @@
-//! Which addresses a caller should use.
+//! The list of daemon addresses that a caller should use.
 
 use bytes::Bytes;
 use http::Response;
@@ -21,13 +21,14 @@
     availability_zone: String,
 }
 
-/// How long a caller should wait before it resumes a broken stream elsewhere.
+/// Time, in milliseconds, that a caller should wait before it resumes an interrupted stream at
+/// another daemon.
 const RESUME_AFTER_MS: u64 = 200;
 
-/// Answers `GET /v1/entries`, best address first for this caller.
+/// Answers `GET /v1/entries` with the daemons' addresses, the best one for this caller first.
 ///
-/// The order is drawn for each answer: callers keep an answer for a while, and an equal order for
-/// all of them would send them all to the same daemon.
+/// The order is randomized for each response. Callers cache the list, so a fixed order would send
+/// all of them to the same daemon.
 pub(crate) fn answer(shared: &Shared, identity: &Identity) -> Response<ResponseBody> {
     let ttl_us = identity.in_force.configuration.limits.entries_ttl_us;
     let addresses = shared.list_entries(&identity.workspace);
@@ -46,7 +47,7 @@
     json_response(&entries)
 }
 
-/// Renders a value as a JSON answer.
+/// Renders a value as a JSON response.
 pub(crate) fn json_response<T: Serialize>(value: &T) -> Response<ResponseBody> {
     let body = Bytes::from(serde_json::to_vec(value).unwrap_or_default());
     let mut response = Response::new(full_body(body));
--- a/crates/wisteriahitch-node/src/caller/handler.rs
+++ b/crates/wisteriahitch-node/src/caller/handler.rs
@@ -1,4 +1,4 @@
-//! Which part answers which path.
+//! Routes callers' requests by method and path.
 
 use std::sync::Arc;
 
@@ -21,16 +21,16 @@
 const TICKETS_PATH: &str = "/v1/tickets";
 const COMPLETIONS_PATH: &str = "/v1/completions";
 const REQUESTS_PREFIX: &str = "/v1/requests/";
-/// Paths below this are the system's own and never reach a plain service.
+/// Paths with this prefix are reserved for the daemon's own API and never reach a plain service.
 const RESERVED_PATH_PREFIX: &str = "/v1/";
 
-/// Answers callers.
+/// HTTP handler of the callers' listener.
 pub(crate) struct CallerHandler {
     shared: Arc<Shared>,
 }
 
 impl CallerHandler {
-    /// Builds the handler over a daemon's tables.
+    /// Creates the handler.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -43,7 +43,8 @@
         let _accepted = self.shared.track_request();
         let (parts, body) = request.into_parts();
         let received = self.authenticate_and_read_body(&parts, body).await;
-        // What is refused here was never looked for, neither its key nor its stream.
+        // A request refused at this point was never looked up, neither its key nor its stream, so a
+        // copy of it may have run.
         let (identity, body) = match may_have_run_elsewhere(&parts) {
             true => received.map_err(Refusal::with_outcome_unknown)?,
             false => received?,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Finds out whose request it is and reads its body.
+    /// Identifies the workspace of a request and reads its body.
     async fn authenticate_and_read_body(
         &self,
         parts: &Parts,
@@ -96,11 +97,12 @@
     }
 }
 
-/// Returns whether a request names one that may have run at another daemon or in another life.
+/// Returns whether a request may already have run at another daemon or in an earlier incarnation of
+/// this one.
 ///
-/// A copy of a keyed request, or the rest of a stream, can reach a daemon that has only just
-/// started. That one knows nothing of it; were it to say `not run`, a caller whose booking stands
-/// would book again (`docs/design/at-most-once.md`).
+/// A copy of a keyed request, or a request to resume a stream, can reach a daemon that has only
+/// just started and knows nothing of the original. If it answered `not run`, a caller whose booking
+/// succeeded would book again (`docs/design/at-most-once.md`).
 fn may_have_run_elsewhere(parts: &Parts) -> bool {
     let path = parts.uri.path();
     let is_keyed =
@@ -117,8 +119,9 @@
             self.shared.metrics.count_refusal(refusal.code());
             refusal.to_response(&request_id)
         });
-        // A caller that sends one request after the other on a kept connection would have one on
-        // its way when the process ends, and get no answer to it. This tells it to leave before.
+        // A caller that sends requests one after the other on a keep-alive connection would have
+        // one in transit when the process exits, and get no answer to it. `connection: close` makes
+        // it reconnect elsewhere first.
         if self.shared.is_draining() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
--- a/crates/wisteriahitch-node/src/caller/identity.rs
+++ b/crates/wisteriahitch-node/src/caller/identity.rs
@@ -1,4 +1,4 @@
-//! Whose request it is.
+//! Authentication of callers by their API key.
 
 use std::sync::Arc;
 
@@ -13,22 +13,23 @@
 const BEARER: &str = "Bearer ";
 const API_KEY_HEADER: &str = "x-api-key";
 
-/// When a caller may come back to a daemon that has no configuration yet.
+/// `retry-after` of a daemon that has no configuration yet.
 const NOT_READY_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Holds who sent a request, and the configuration that it is served under.
+/// The workspace that sent a request, and the configuration that the request is served under.
 ///
-/// The configuration is taken once, so that a version that comes into force meanwhile never mixes
-/// with the one that the request was decided under.
+/// The configuration is loaded once for each request, so that a version activated meanwhile never
+/// mixes with the one under which the request was routed.
 #[derive(Clone)]
 pub(crate) struct Identity {
-    /// Configuration for the whole life of the request.
+    /// Configuration used for the whole duration of the request.
     pub(crate) in_force: Arc<InForce>,
-    /// Workspace that the caller's key belongs to.
+    /// Workspace that owns the caller's key.
     pub(crate) workspace: WorkspaceId,
 }
 
-/// Finds the workspace of the caller's key, and of nothing else that the caller sends.
+/// Identifies the workspace by the caller's key alone; nothing else that the caller sends is
+/// trusted for it.
 pub(crate) fn identify(shared: &Shared, headers: &HeaderMap) -> Result<Identity, Refusal> {
     let Some(in_force) = shared.in_force.load_full() else {
         return Err(Refusal::new(Code::NotReady).with_retry_after_us(NOT_READY_RETRY_US));
@@ -53,10 +54,9 @@
     bearer.or_else(|| headers.get(API_KEY_HEADER)?.to_str().ok())
 }
 
-/// Draws the id of a new request.
+/// Generates the id of a new request from the daemon's incarnation and a random number.
 ///
-/// It is never taken from the caller: two callers that chose the same one could be given each
-/// other's answers.
+/// Callers can't choose it: two callers that chose the same id could be given each other's answers.
 pub(crate) fn new_request_id(shared: &Shared) -> RequestId {
     let number: u128 = rand::random();
     let text = format!("r-{:x}-{number:032x}", shared.incarnation.get());
--- a/crates/wisteriahitch-node/src/caller/keyed.rs
+++ b/crates/wisteriahitch-node/src/caller/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated, told apart by their key.
+//! Non-repeatable requests, deduplicated by a ticket or by the caller's idempotency key.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,27 +15,27 @@
 use crate::shared::Shared;
 use crate::state::once::PendingDecision;
 
-/// When a caller may ask again about a key that nobody can decide now.
+/// `retry-after` for a key whose outcome can't be determined now.
 const KEYED_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Statuses of refusals that pass with time.
+/// HTTP statuses of refusals for a temporary condition, to which a `retry-after` is added.
 const TRANSIENT_STATUSES: [u16; 2] = [429, 503];
 
-/// Holds a call with the key that its caller gave it.
+/// A call to a plain service with its key.
 pub(crate) struct KeyedCall {
     /// The call.
     pub(crate) call: PlainCall,
-    /// Ticket, or the caller's own idempotency key.
+    /// A ticket issued by a daemon, or the caller's own idempotency key.
     pub(crate) key: String,
 }
 
-/// What a copy of a keyed request ends with.
+/// Result of one copy of a keyed request.
 pub(crate) type Outcome = Result<Arc<KeptAnswer>, Refusal>;
 
 /// Answers a keyed call.
 ///
-/// The work goes on in a task of its own: a caller that goes away must not leave a key half
-/// decided, since its repeat is to get the answer.
+/// The work runs in a task of its own, so that a caller that disconnects can't leave the key half
+/// decided: its retry must get the answer.
 pub(crate) async fn answer(
     shared: &Arc<Shared>,
     keyed: KeyedCall,
@@ -58,8 +58,8 @@
     if ticket.incarnation() == shared.incarnation {
         return submit_ticket(&shared, call, &ticket).await;
     }
-    // Only the life of a process that issued the ticket may dispatch it. Where that one can't be
-    // found this daemon knows nothing of the request, and says just that.
+    // Only the incarnation that issued the ticket may dispatch it. If that daemon can't be found,
+    // this one knows nothing of the request, so the refusal says that the outcome is unknown.
     match shared.find_peer(ticket.incarnation()) {
         Some(address) => {
             shared
@@ -70,7 +70,7 @@
     }
 }
 
-/// Redeems a ticket of this incarnation.
+/// Submits a call under a ticket that this incarnation issued.
 pub(crate) async fn submit_ticket(
     shared: &Arc<Shared>,
     call: PlainCall,
@@ -85,16 +85,16 @@
     submit(shared, call, key, ForwardPolicy::Forbidden).await
 }
 
-/// Says whether a copy may be passed on to the daemon that holds the claim.
+/// Whether a copy may be forwarded to the daemon that owns the claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ForwardPolicy {
     /// The copy came from a caller.
     Allowed,
-    /// The copy came from a peer already; passing it on again could go round for ever.
+    /// The copy came from a peer; forwarding it again could loop forever.
     Forbidden,
 }
 
-/// Brings a copy of a request to the table of keys and does what that one decides.
+/// Submits a copy of a request to the key table and acts on the table's decision.
 pub(crate) async fn submit(
     shared: &Arc<Shared>,
     call: PlainCall,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Waits until the key's decision concerns this copy.
+/// Waits for the table's decision on this copy.
 async fn await_decision(pending: PendingDecision) -> Decision {
     match pending {
         PendingDecision::Ready(decision) => decision,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Runs the request, which the table lets happen once, and tells every copy of the outcome.
+/// Runs the request, which the table allows once, and delivers the outcome to every waiting copy.
 async fn run(shared: &Arc<Shared>, call: PlainCall, key: OnceKey) -> Outcome {
     let settlement = shared.open_settlement(key.clone());
     let is_dispatched = AtomicBool::new(false);
@@ -145,8 +145,8 @@
         }
         Err(refusal) => {
             let decision = match refusal.meaning() {
-                // After the dispatch a refusal says `not run` only where the endpoint said so, or
-                // where no connection to one opened.
+                // After dispatch a refusal means `not run` only if the endpoint said so or if no
+                // connection to one opened.
                 Meaning::NotRun if is_dispatched.load(Ordering::Acquire) => {
                     settlement.refuse_by_endpoint()
                 }
@@ -160,7 +160,8 @@
     }
 }
 
-/// Turns the table's decision into this copy's outcome; `refusal` says more where both agree.
+/// Converts the table's decision into the outcome of this copy. `refusal`, which has more detail,
+/// is used if its meaning agrees with the decision.
 fn decision_to_outcome(decision: Decision, refusal: Option<Refusal>) -> Outcome {
     match decision {
         Decision::Answer(answer) => Ok(answer),
@@ -183,12 +184,12 @@
     }
 }
 
-/// Builds a refusal of which only the code is known: of a copy that pending, or of a peer.
+/// Builds a refusal from its code alone, for a copy that waited or for an answer from a peer.
 pub(crate) fn refusal_for_code(code: Code) -> Refusal {
     match code.meaning() {
         Meaning::OutcomeUnknown => outcome_unknown_refusal(code),
-        // A refusal for want of room or of an endpoint passes; without a time callers would come
-        // back at once.
+        // Refusals for lack of capacity or of an endpoint are temporary. Without a `retry-after`
+        // callers would come back at once.
         Meaning::NotRun | Meaning::Notice if TRANSIENT_STATUSES.contains(&code.http_status()) => {
             Refusal::new(code).with_retry_after_us(KEYED_RETRY_AFTER_US)
         }
@@ -196,14 +197,14 @@
     }
 }
 
-/// Builds the refusal of a daemon that doesn't know what became of a key.
+/// Builds a refusal for a key whose outcome this daemon doesn't know.
 pub(crate) fn outcome_unknown_refusal(code: Code) -> Refusal {
     Refusal::new(code)
         .with_outcome_unknown()
         .with_retry_after_us(KEYED_RETRY_AFTER_US)
 }
 
-/// Renders a kept answer, the same for the first copy and for each repeat.
+/// Renders a stored answer, identical for the first copy and every repeat.
 fn render(answer: &KeptAnswer, request_id: &RequestId) -> Response<ResponseBody> {
     const KEYED_HEADER: HeaderName = HeaderName::from_static("x-wisteriahitch-keyed");
     let mut response = Response::new(full_body(answer.body.clone()));
--- a/crates/wisteriahitch-node/src/caller/mod.rs
+++ b/crates/wisteriahitch-node/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP in, answers and refusals out.
+//! HTTP API for callers.
 
 pub(crate) mod body;
 mod completion;
--- a/crates/wisteriahitch-node/src/caller/plain.rs
+++ b/crates/wisteriahitch-node/src/caller/plain.rs
@@ -18,7 +18,7 @@
 use crate::dispatch::plain_call::{PlainCall, RunMode, run_plain};
 use crate::shared::Shared;
 
-/// Header that carries a ticket or the caller's own key.
+/// Request header that carries a ticket or the caller's own idempotency key.
 pub(super) const KEY_HEADER: &str = "idempotency-key";
 
 /// Answers a call to a plain service.
@@ -32,8 +32,8 @@
     let facts = request_facts(shared, &identity, parts);
     let key = parts.headers.get(KEY_HEADER);
     let route = apply_rules(&identity, &facts).map_err(|refusal| match key {
-        // Another copy of a keyed request may be on its way to a daemon that decides otherwise,
-        // so that this one can't say that the request was not run.
+        // Another copy of a keyed request may be in transit to a daemon whose rules decide
+        // differently, so this daemon can't claim that the request was not run.
         Some(_) if refusal.meaning() == Meaning::NotRun => refusal.with_outcome_unknown(),
         _ => refusal,
     })?;
@@ -86,10 +86,9 @@
     }
 }
 
-/// Runs a call that carries no key: once, or again where it may be repeated.
+/// Runs a call that carries no key. It is retried only if it may be repeated.
 ///
-/// Without a key every arrival is a request of its own. One that may not be repeated is sent once
-/// and never again by the system.
+/// Without a key every arrival counts as a new request. A non-repeatable one is sent at most once.
 async fn run_unkeyed(
     shared: &Arc<Shared>,
     call: PlainCall,
@@ -110,7 +109,8 @@
     service.is_some_and(|service| is_repeatable(&call.route, service, call))
 }
 
-/// Returns whether a call may be repeated; one that nothing speaks of may not.
+/// Returns whether a call may be repeated: by the route's setting or else by the service's
+/// patterns. A call that matches neither may not.
 fn is_repeatable(route: &Route, service: &Service, call: &PlainCall) -> bool {
     if let Some(may_repeat) = route.may_repeat {
         return may_repeat;
@@ -122,7 +122,7 @@
         .any(|pattern| pattern.is_match(call.method.as_str(), path))
 }
 
-/// Turns a service's answer into the caller's.
+/// Converts a service's response into the response to the caller.
 pub(crate) fn to_response(
     answer: ServiceResponse,
     request_id: &RequestId,
--- a/crates/wisteriahitch-node/src/caller/refusal.rs
+++ b/crates/wisteriahitch-node/src/caller/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers see them.
+//! Refusals: the error responses to callers.
 
 use bytes::Bytes;
 use http::{Response, StatusCode};
@@ -9,10 +9,10 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Ends a request with a numbered code, what it means, and when to come back.
+/// An error response: a numbered code, its meaning for the request and an optional retry time.
 ///
-/// A refusal is sent as soon as it is decided; a request that was given up on is never held until
-/// its deadline (`docs/ERRORS.md`).
+/// A refusal is sent as soon as it is decided; a request that has been given up is never kept open
+/// until its deadline (`docs/ERRORS.md`).
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     code: Code,
@@ -38,7 +38,7 @@
 }
 
 impl Refusal {
-    /// Builds a refusal with the code's own sentence and meaning.
+    /// Creates a refusal with the code's default message and meaning.
     pub(crate) fn new(code: Code) -> Self {
         Self {
             code,
@@ -48,22 +48,22 @@
         }
     }
 
-    /// Replaces the sentence; it must not name anything of another workspace.
+    /// Replaces the message, which must not name anything of another workspace.
     pub(crate) fn with_message(mut self, message: impl Into<String>) -> Self {
         self.message = message.into();
         self
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller may retry.
     pub(crate) fn with_retry_after_us(mut self, retry_after_us: DurationUs) -> Self {
         self.retry_after_us = Some(retry_after_us);
         self
     }
 
-    /// Takes `not run` back where this daemon isn't the one that decides.
+    /// Changes the meaning to `outcome unknown`.
     ///
-    /// While another copy of a keyed request may still be on its way to another daemon, only the
-    /// decider knows that the request was not run (`docs/design/at-most-once.md`).
+    /// While another copy of a keyed request may be in transit to another daemon, only the daemon
+    /// that decides for the key knows that the request was not run (`docs/design/at-most-once.md`).
     pub(crate) fn with_outcome_unknown(mut self) -> Self {
         self.meaning = Meaning::OutcomeUnknown;
         self
@@ -74,12 +74,13 @@
         self.code
     }
 
-    /// Returns what the refusal says of the request.
+    /// Returns what the refusal says about the request: whether it was not run or its outcome is
+    /// unknown.
     pub(crate) fn meaning(&self) -> Meaning {
         self.meaning
     }
 
-    /// Renders the JSON form that stands in bodies and in the last event of a broken stream.
+    /// Renders the JSON used in response bodies and in the `error` event of an incomplete stream.
     pub(crate) fn to_json(&self, request_id: &RequestId) -> Bytes {
         let body = RefusalBody {
             error: RefusalFields {
@@ -94,7 +95,7 @@
         Bytes::from(serde_json::to_vec(&body).unwrap_or_default())
     }
 
-    /// Renders the whole HTTP response.
+    /// Renders the HTTP response.
     pub(crate) fn to_response(&self, request_id: &RequestId) -> Response<ResponseBody> {
         let status = StatusCode::from_u16(self.code.http_status())
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -115,7 +116,7 @@
     }
 }
 
-/// Returns the meaning as it stands in the header `x-wisteriahitch-meaning`.
+/// Returns the value of the header `x-wisteriahitch-meaning`.
 pub(crate) fn meaning_label(meaning: Meaning) -> &'static str {
     match meaning {
         Meaning::NotRun => "not_run",
--- a/crates/wisteriahitch-node/src/caller/resume.rs
+++ b/crates/wisteriahitch-node/src/caller/resume.rs
@@ -1,4 +1,4 @@
-//! Going on with a stream whose connection broke.
+//! Resuming a stream whose connection broke.
 
 use std::sync::Arc;
 
@@ -17,9 +17,11 @@
 
 /// Answers `GET /v1/requests/{id}/stream?position=N`.
 ///
-/// The rest comes from the same endpoint and weight version, which alone can go on with the same
-/// answer; where they are gone the caller is told that its answer stays incomplete. No refusal
-/// says `not run`: it would be read as speaking of the request that is to go on, which did run.
+/// The rest comes from the same endpoint and weight version, since no other can continue the same
+/// answer. If they are no longer available, the caller learns that its answer stays incomplete.
+///
+/// No refusal here says `not run`: a caller would take it to mean the original request, which did
+/// run.
 pub(crate) async fn answer(
     shared: &Arc<Shared>,
     identity: &Identity,
@@ -43,7 +45,7 @@
     let id: RequestId = id.and_then(|id| id.parse().ok()).ok_or_else(unknown)?;
     let position = parse_position(parts.uri.query().unwrap_or_default())?;
     let opened = shared.try_open_stream()?;
-    // A request of another workspace is as unknown as one that never was.
+    // To its caller a request of another workspace must look like one that never existed.
     let call = shared
         .find_resumable_call(&id, &identity.workspace, position)
         .ok_or_else(unknown)?;
--- a/crates/wisteriahitch-node/src/caller/rules.rs
+++ b/crates/wisteriahitch-node/src/caller/rules.rs
@@ -1,4 +1,4 @@
-//! Which rule decides for a request, and what it says.
+//! Applies the configured rules to a request.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 const LABEL_PREFIX: &str = "x-label-";
 
-/// Tries the rules in their order; the first that holds decides.
+/// Returns the route of the first matching rule, or the refusal that the rule demands.
 pub(crate) fn apply_rules(identity: &Identity, facts: &RequestFacts) -> Result<Route, Refusal> {
     let rule = identity.in_force.configuration.decide(facts);
     log::debug!("rule {} decides", rule.name);
@@ -23,7 +23,8 @@
     }
 }
 
-/// Reads the labels that the caller sent.
+/// Returns the labels of a request: its `x-label-*` headers, without the prefix. Values that aren't
+/// visible ASCII are skipped.
 pub(crate) fn request_labels(headers: &HeaderMap) -> BTreeMap<String, String> {
     headers
         .iter()
--- a/crates/wisteriahitch-node/src/caller/stream_body.rs
+++ b/crates/wisteriahitch-node/src/caller/stream_body.rs
@@ -1,4 +1,4 @@
-//! Answers as server-sent events.
+//! Responses as server-sent events.
 
 use std::convert::Infallible;
 
@@ -11,10 +11,10 @@
 
 use super::body::ResponseBody;
 
-/// Events that wait for a slow reader before its answer's pump waits too.
+/// Events buffered for a slow reader before sending pauses.
 pub(crate) const STREAM_BUFFER_EVENTS: usize = 64;
 
-/// Opens a body that carries each event sent to it.
+/// Creates a response body and the sender for its events.
 pub(crate) fn open_stream() -> (mpsc::Sender<Bytes>, ResponseBody) {
     let (sender, receiver) = mpsc::channel(STREAM_BUFFER_EVENTS);
     let frames = ReceiverStream::new(receiver).map(|event| Ok::<_, Infallible>(Frame::data(event)));
@@ -26,12 +26,12 @@
     event(b"data: ", json)
 }
 
-/// Renders the event that ends a whole answer.
+/// Renders the event that ends a complete answer.
 pub(crate) fn done_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
-/// Renders the event that ends an answer which is not whole.
+/// Renders the event that ends an incomplete answer.
 pub(crate) fn error_event(json: &[u8]) -> Bytes {
     event(b"event: error\ndata: ", json)
 }
--- a/crates/wisteriahitch-node/src/caller/tickets.rs
+++ b/crates/wisteriahitch-node/src/caller/tickets.rs
@@ -1,4 +1,4 @@
-//! Issuing tickets: keys for requests that may not be repeated.
+//! Issues tickets, which are daemon-generated keys for non-repeatable requests.
 
 use http::Response;
 use serde::{Deserialize, Serialize};
@@ -32,8 +32,8 @@
 
 /// Answers `POST /v1/tickets`.
 ///
-/// A draining daemon issues none: it stays until its last one has run out, so each new one would
-/// keep it alive.
+/// A draining daemon issues none. It runs until its last ticket has expired, so each new one would
+/// prolong the drain.
 pub(crate) fn answer(
     shared: &Shared,
     identity: &Identity,
