--- a/crates/wisteriahitch-node/src/dispatch/completion_attempt.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a completion, from its sending to its end.
+//! A single attempt at a completion, from dispatch to its end.
 
 use std::net::SocketAddr;
 
@@ -40,13 +40,13 @@
                 .complete(guard.address(), request, head_timeout_us);
         let opened = tokio::select! {
             opened = opening => opened,
-            () = self.events.closed() => return self.finish_attempt(guard, plan, AttemptEnd::CallerGone),
+            () = self.events.closed() => return self.finish(guard, plan, AttemptEnd::CallerGone),
         };
         let ended = match opened {
             Ok((head, stream)) => self.relay_tokens(plan, &guard, head, stream).await,
             Err(error) => AttemptEnd::Failed(error),
         };
-        self.finish_attempt(guard, plan, ended)
+        self.finish(guard, plan, ended)
     }
 
     fn cancel_import(&self) -> AttemptEnd {
@@ -54,10 +54,11 @@
         AttemptEnd::CallerGone
     }
 
-    /// Waits until no cancellation of an earlier attempt is on its way to this endpoint.
+    /// Waits for the pending cancellations of earlier attempts at this endpoint.
     ///
-    /// An engine cancels by the request's id alone. A cancellation that arrives late would end the
-    /// new attempt, seen as a retry that breaks at once at an endpoint that is well.
+    /// An engine cancels by the request's id alone, without the attempt number. A cancellation that
+    /// arrives late would end the new attempt, visible as a retry that fails at once at a healthy
+    /// endpoint.
     async fn wait_for_cancellations(&mut self, address: SocketAddr) {
         let pending_cancellations = std::mem::take(&mut self.pending_cancellations);
         let (same_endpoint, other_endpoints) = pending_cancellations
@@ -66,7 +67,7 @@
         self.pending_cancellations = other_endpoints;
         let same_endpoint: Vec<(SocketAddr, JoinHandle<()>)> = same_endpoint;
         for (_, cancellation) in same_endpoint {
-            // A task that panicked has nothing on its way either.
+            // A task that panicked has no cancellation in transit either, so its error is ignored.
             let _ = cancellation.await;
         }
     }
@@ -96,13 +97,8 @@
         }
     }
 
-    /// Ends the flight as the attempt ended, and lets go of what it still holds at the endpoint.
-    fn finish_attempt(
-        &mut self,
-        guard: AttemptGuard,
-        plan: &AttemptPlan,
-        ended: AttemptEnd,
-    ) -> AttemptEnd {
+    /// Records how the attempt ended and cancels what may still run at the endpoint.
+    fn finish(&mut self, guard: AttemptGuard, plan: &AttemptPlan, ended: AttemptEnd) -> AttemptEnd {
         let outcome = match &ended {
             AttemptEnd::Complete => "answered",
             AttemptEnd::CallerGone => "caller_gone",
@@ -127,7 +123,8 @@
             AttemptEnd::CallerGone => {
                 guard.mark_failed(AttemptFailure::Cancelled);
                 self.store_for_resumption(plan);
-                // There is no further attempt that this could end.
+                // No later attempt follows that a late cancellation could end, so its completion
+                // isn't awaited.
                 drop(self.shared.cancel_at(address, &self.call.request_id));
             }
             AttemptEnd::Failed(error) => {
@@ -142,7 +139,7 @@
         ended
     }
 
-    /// Keeps a stream whose caller has its beginning, since it may come back for the rest.
+    /// Stores an interrupted stream for resumption if its caller has received the beginning.
     fn store_for_resumption(&self, plan: &AttemptPlan) {
         if !self.has_sent_head {
             return;
--- a/crates/wisteriahitch-node/src/dispatch/completion_call.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_call.rs
@@ -1,4 +1,4 @@
-//! A completion as the daemon runs it.
+//! Data of a completion while the daemon runs it.
 
 use wisteriahitch_config::{Model, Route};
 use wisteriahitch_core::route::{ChainScope, PieceChain, piece_chain};
@@ -9,56 +9,56 @@
 
 use crate::caller::{Identity, Refusal};
 
-/// Holds one caller's completion.
+/// A completion requested by a caller.
 #[derive(Clone)]
 pub(crate) struct CompletionCall {
-    /// Whose call it is.
+    /// Workspace and configuration of the call.
     pub(crate) identity: Identity,
-    /// What the rules decided.
+    /// Route that the rules chose.
     pub(crate) route: Route,
-    /// Name of the request.
+    /// Id of the request.
     pub(crate) request_id: RequestId,
-    /// When it arrived.
+    /// Arrival time at this daemon; for a resumption, the time of the resumption.
     pub(crate) arrived_us: TimeUs,
     /// Model to run.
     pub(crate) model: Model,
-    /// Adapter on top of the model.
+    /// Adapter to apply to the model.
     pub(crate) adapter: Option<AdapterName>,
     /// Prompt text.
     pub(crate) prompt: String,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub(crate) prompt_tokens: TokenCount,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub(crate) max_tokens: TokenCount,
-    /// Where the answer goes on, when a caller resumes.
+    /// Where to continue the answer; `None` for a new request.
     pub(crate) resumption: Option<Resumption>,
 }
 
-/// Says where an answer goes on whose caller has its beginning.
+/// The point at which an interrupted answer continues.
 #[derive(Clone, Debug)]
 pub(crate) struct Resumption {
-    /// Endpoint that gave the beginning.
+    /// Endpoint that generated the beginning.
     pub(crate) endpoint: EndpointId,
-    /// Weight version that gave it.
+    /// Weight version that generated the beginning.
     pub(crate) weight_version: WeightVersion,
-    /// First token wanted.
+    /// Position of the first token to send.
     pub(crate) position: u64,
-    /// Attempt to go on with, above every earlier one.
+    /// Number of the first attempt, higher than every earlier one.
     pub(crate) attempt: AttemptNumber,
 }
 
-/// What a running completion tells the side that answers its caller.
+/// An event of a running completion, sent to the task that writes the response.
 pub(crate) enum CompletionEvent {
-    /// The answer begins; sent right before its first token.
+    /// The answer begins; sent right before the first token.
     Head(CompletionHead),
     /// The next token.
     Token(Token),
-    /// The answer is not whole and won't be.
+    /// The answer is incomplete and will stay so.
     Refused(Refusal),
 }
 
 impl CompletionCall {
-    /// Returns when the first token must be there, whatever the call waits for until then.
+    /// Returns the deadline of the first token, which includes all time spent waiting.
     pub(crate) fn due_us(&self) -> TimeUs {
         self.arrived_us + self.route.deadline_us
     }
--- a/crates/wisteriahitch-node/src/dispatch/completion_failure.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_failure.rs
@@ -1,4 +1,4 @@
-//! What comes after an attempt that failed.
+//! Decides how a completion continues after a failed attempt.
 
 use wisteriahitch_core::route::{Choice, Plan as RoutePlan};
 use wisteriahitch_core::stream::{BreakDecision, StreamBreak};
@@ -10,18 +10,18 @@
 use super::retry_after::RETRY_AFTER_US;
 use crate::caller::Refusal;
 
-/// Most attempts at one request.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u64 = 4;
 
 impl CompletionRun<'_> {
-    /// Decides after a failed attempt how the next one runs, or that there is none.
+    /// Plans the next attempt after a failed one, or returns why there is none.
     pub(super) fn plan_next(
         &mut self,
         last: AttemptPlan,
         error: &EngineError,
     ) -> Result<AttemptPlan, Refusal> {
         let endpoint = last.choice.endpoint.clone();
-        // The engine's own words may quote the prompt, so they are told to no shared log.
+        // The engine's error text may quote the prompt, so it is logged only at debug level.
         log::info!(
             "request {} attempt {} at {endpoint}: {}",
             self.call.request_id,
@@ -30,12 +30,13 @@
         );
         log::debug!("attempt at {endpoint}: {error}");
         self.may_have_run |= !error.is_not_run();
-        // A request that is wrong is so everywhere. Trying it at one endpoint after the other would
-        // use up the retries of everybody, and could take the endpoints out one by one.
+        // A request that an engine rejects as invalid is invalid at every endpoint. Retrying it
+        // would use up the retry budget that all requests share, and could eject the endpoints one
+        // by one.
         let is_rejected = error.kind() == EngineErrorKind::Rejected;
         let has_attempts = !is_rejected && self.check.attempt().get() < MAX_ATTEMPTS;
-        // Where nothing has reached the caller, another endpoint may well do better than the one
-        // that just failed; only an answer that has begun depends on its own endpoint.
+        // Before the caller has received anything, any endpoint may serve the request, and another
+        // one is more likely to succeed. Only an answer that has begun is tied to its endpoint.
         let endpoint_version = match self.has_sent_head {
             true => self.shared.ready_version(&endpoint, &self.call.model.name),
             false => None,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Plans at an endpoint that wasn't tried yet or, where there is none, at any.
+    /// Plans an attempt at an endpoint that hasn't been tried yet or, if there is none, at any.
     fn plan_elsewhere(&self) -> Result<AttemptPlan, Refusal> {
         let elsewhere = plan_attempt(self.shared, self.call, &self.tried);
         elsewhere.or_else(|_| plan_attempt(self.shared, self.call, &[]))
--- a/crates/wisteriahitch-node/src/dispatch/completion_plan.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_plan.rs
@@ -1,4 +1,4 @@
-//! Where an attempt at a completion runs.
+//! Chooses the endpoint and weight version of an attempt at a completion.
 
 use wisteriahitch_core::route::{Choice, Estimate, PieceChain, Plan as RoutePlan, RouteRequest};
 use wisteriahitch_types::{Code, EndpointId, WeightVersion};
@@ -8,14 +8,15 @@
 use crate::caller::Refusal;
 use crate::shared::Shared;
 
-/// Holds where and how an attempt runs.
+/// Endpoint, prompt chain and weight version of one attempt.
 pub(super) struct AttemptPlan {
     pub(super) choice: Choice,
     pub(super) chain: PieceChain,
     pub(super) weight_version: WeightVersion,
 }
 
-/// Chooses endpoint and weight version; of two versions in use during a rollout the faster one.
+/// Chooses endpoint and weight version. During a rollout two versions are in use; the one with the
+/// earlier estimated first token is chosen.
 pub(super) fn plan_attempt(
     shared: &Shared,
     call: &CompletionCall,
@@ -45,7 +46,7 @@
     best.ok_or(refused)
 }
 
-/// Plans to go on where an answer began: only there the same answer goes on.
+/// Plans a resumption at the endpoint where the answer began, the only one that can continue it.
 pub(super) fn plan_resumption(call: &CompletionCall, resumption: &Resumption) -> AttemptPlan {
     let choice = Choice {
         endpoint: resumption.endpoint.clone(),
--- a/crates/wisteriahitch-node/src/dispatch/completion_run.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_run.rs
@@ -1,4 +1,4 @@
-//! Running a completion: attempts, restarts and resumption until the answer is whole.
+//! Runs a completion through attempts, retries and resumption until the answer is complete.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,39 +14,39 @@
 use crate::caller::Refusal;
 use crate::shared::Shared;
 
-/// Says how an attempt ended.
+/// How an attempt ended.
 pub(super) enum AttemptEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// The endpoint failed.
     Failed(EngineError),
 }
 
-/// Follows one completion through its attempts.
+/// State of one completion across its attempts.
 pub(super) struct CompletionRun<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) call: &'a CompletionCall,
     pub(super) events: &'a mpsc::Sender<CompletionEvent>,
     pub(super) check: StreamCheck,
-    /// Endpoints that this request isn't tried at again.
+    /// Endpoints that already failed for this request. Retries avoid them while there is another.
     pub(super) tried: Vec<EndpointId>,
     pub(super) has_sent_head: bool,
-    /// Whether some attempt may have run, so that `not run` would no longer be true.
+    /// Whether an attempt may have run, so that a refusal can no longer say `not run`.
     pub(super) may_have_run: bool,
-    /// Cancellations of earlier attempts that may still be on their way.
+    /// Cancellations of earlier attempts that may not have reached their endpoint yet.
     pub(super) pending_cancellations: Vec<(SocketAddr, JoinHandle<()>)>,
 }
 
-/// Runs a completion to its end and sends what the caller is to get.
+/// Runs a completion to its end and sends its events to the caller's task.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     call: &CompletionCall,
     events: &mpsc::Sender<CompletionEvent>,
 ) {
     if let Err(refusal) = run_to_completion(shared, call, events).await {
-        // The receiver may be gone, and then nobody waits for the refusal.
+        // Sending fails when the caller has disconnected, and then nobody waits for the refusal.
         let _ = events.send(CompletionEvent::Refused(refusal)).await;
     }
 }
@@ -94,7 +94,7 @@
     };
     let result = run.run_attempts(first).await;
     run.count_dropped();
-    // Whatever ends the request now, an endpoint may have run it before.
+    // Whichever error ends the request, an earlier attempt may have run it.
     match run.may_have_run {
         true => result.map_err(Refusal::with_outcome_unknown),
         false => result,
--- a/crates/wisteriahitch-node/src/dispatch/completion_stream.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_stream.rs
@@ -1,4 +1,4 @@
-//! Following the tokens of one attempt.
+//! Relays the tokens of one attempt to the caller.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 use super::completion_run::{AttemptEnd, CompletionRun};
 use crate::state::AttemptGuard;
 
-/// Longest pause between two tokens before the endpoint counts as frozen.
+/// Maximum time between two tokens before the endpoint counts as frozen.
 const TOKEN_STALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(5_000);
 
-/// Shortest wait for a first token before the endpoint counts as frozen.
+/// Minimum timeout of the first token, whatever the estimate.
 const MIN_FIRST_TOKEN_TIMEOUT_US: DurationUs = DurationUs::from_ms(2_000);
 
-/// How many times as long as estimated a first token may take.
+/// The first token's timeout is its estimated time multiplied by this factor.
 const FIRST_TOKEN_TIMEOUT_FACTOR: u64 = 4;
 
 impl CompletionRun<'_> {
-    /// Passes tokens on as long as each is the next one of this very attempt.
+    /// Relays tokens as long as each is the next one of this attempt.
     pub(super) async fn relay_tokens(
         &mut self,
         plan: &AttemptPlan,
@@ -40,8 +40,8 @@
         let first_token_timeout_us = self.first_token_timeout(plan.choice.estimate.first_token_us);
         let mut stall_deadline = Instant::now() + Duration::from(first_token_timeout_us);
         loop {
-            // The time runs on over tokens that are dropped: an endpoint that sends nothing but
-            // another request's tokens would otherwise hold the caller for ever.
+            // Dropped tokens don't extend the deadline. Otherwise an endpoint that sends only
+            // tokens of another request would keep the caller waiting forever.
             let next = tokio::select! {
                 next = timeout_at(stall_deadline, stream.next()) => next,
                 () = self.events.closed() => return AttemptEnd::CallerGone,
@@ -86,7 +86,7 @@
         self.events.send(CompletionEvent::Token(token)).await
     }
 
-    /// Checks that the answer is this attempt's and comes from the version that was decided for.
+    /// Checks that the answer belongs to this attempt and comes from the planned weight version.
     fn check_head(&mut self, head: &CompletionHead) -> Result<(), EngineError> {
         let verdict = self.check.on_head(&StreamHead {
             request: head.request_id.clone(),
@@ -101,16 +101,16 @@
         Err(EngineError::new(EngineErrorKind::Nonsense, detail))
     }
 
-    /// Returns how long the first token may take before another endpoint is tried.
+    /// Returns the timeout after which a missing first token makes the attempt fail.
     ///
-    /// A frozen endpoint keeps its connections open and says nothing. Waiting for the deadline
-    /// would use up the time in which another one could answer.
+    /// A frozen endpoint keeps its connections open and sends nothing. Waiting until the request's
+    /// deadline would use up the time in which another endpoint could answer.
     pub(super) fn first_token_timeout(&self, expected_us: DurationUs) -> DurationUs {
         let timeout_us =
             DurationUs::new(expected_us.get().saturating_mul(FIRST_TOKEN_TIMEOUT_FACTOR));
         let timeout_us = timeout_us.max(MIN_FIRST_TOKEN_TIMEOUT_US);
         match self.has_sent_head {
-            // The deadline is that of the first token, which the caller has.
+            // The request's deadline applies to the first token only, which the caller already has.
             true => timeout_us,
             false => timeout_us.min(self.call.due_us().since(self.shared.clock.now())),
         }
--- a/crates/wisteriahitch-node/src/dispatch/engine_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/engine_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to engines that import and export blocks.
+//! Block imports and exports at engines.
 
 use std::net::SocketAddr;
 
@@ -84,7 +84,8 @@
     Some(TierEvent::Exported { transfer, result })
 }
 
-/// Returns the endpoint's address and the block's at its store, if both are configured.
+/// Returns the endpoint's address and the URL of the block at its store, or `None` unless both are
+/// configured.
 fn resolve_addresses(
     shared: &Shared,
     endpoint: &EndpointId,
--- a/crates/wisteriahitch-node/src/dispatch/import.rs
+++ b/crates/wisteriahitch-node/src/dispatch/import.rs
@@ -1,4 +1,4 @@
-//! Bringing blocks from a store VM to an endpoint before a request runs there.
+//! Imports blocks from a store VM into an endpoint before a request runs there.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use super::completion_call::CompletionCall;
 use crate::shared::Shared;
 
-/// Waits for a request's imports; whatever fails is computed again at the endpoint.
+/// Waits for the imports of a request. The endpoint computes whatever fails to import.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     call: &CompletionCall,
@@ -45,7 +45,8 @@
         .collect()
 }
 
-/// Returns what computing the imported pieces again would take, which an import may not exceed.
+/// Returns the time limit of an import: the time to compute the imported pieces instead, but no
+/// more than is left until the deadline.
 fn recompute_time(shared: &Shared, call: &CompletionCall, choice: &Choice) -> DurationUs {
     let tokens: TokenCount = choice.plan.import.iter().map(|step| step.tokens).sum();
     let rate = shared.prefill_rate(&choice.endpoint);
--- a/crates/wisteriahitch-node/src/dispatch/mod.rs
+++ b/crates/wisteriahitch-node/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts at endpoints.
+//! Sends requests to endpoints and moves blocks between endpoints and stores.
 
 mod completion_attempt;
 pub(crate) mod completion_call;
--- a/crates/wisteriahitch-node/src/dispatch/plain_call.rs
+++ b/crates/wisteriahitch-node/src/dispatch/plain_call.rs
@@ -1,4 +1,4 @@
-//! Running a call at an endpoint of a plain service.
+//! Runs a call at an endpoint of a plain service.
 
 use std::sync::Arc;
 
@@ -15,40 +15,40 @@
 use crate::caller::{Identity, Refusal};
 use crate::shared::Shared;
 
-/// Most endpoints that one call tries.
+/// Maximum number of endpoints tried for one call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Holds one caller's call to a plain service.
+/// A call to a plain service.
 #[derive(Clone)]
 pub(crate) struct PlainCall {
-    /// Whose call it is.
+    /// Workspace and configuration of the call.
     pub(crate) identity: Identity,
-    /// What the rules decided.
+    /// Route that the rules chose.
     pub(crate) route: Route,
-    /// Name of the request.
+    /// Id of the request.
     pub(crate) request_id: RequestId,
-    /// When the whole answer must be there, whatever it waits for until then.
+    /// Deadline of the whole answer, which includes all time spent waiting.
     pub(crate) due_us: TimeUs,
-    /// Method as sent.
+    /// Method as the caller sent it.
     pub(crate) method: Method,
-    /// Path and query as sent.
+    /// Path and query as the caller sent them.
     pub(crate) path_and_query: String,
-    /// Headers as sent.
+    /// Headers as the caller sent them.
     pub(crate) headers: HeaderMap,
-    /// Whole body.
+    /// The complete request body.
     pub(crate) body: Bytes,
 }
 
-/// Says whether a call may be sent again.
+/// When a call may be sent to another endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunMode {
-    /// Again after any failure, within the retry budget.
+    /// After any failure, within the retry budget.
     Repeatable,
-    /// Again only while no byte has left for any endpoint.
+    /// Only as long as no byte has been sent to any endpoint.
     Once,
 }
 
-/// Remembers the attempts at one call.
+/// The failed attempts at one call.
 #[derive(Debug, Default)]
 struct Attempts {
     tried: Vec<EndpointId>,
@@ -61,8 +61,8 @@
         self.may_have_run |= !error.is_not_run();
     }
 
-    /// Makes a refusal true: an endpoint that was tried before may have run the call, and then the
-    /// refusal of the next choice can't say that it was not run.
+    /// Changes a refusal to `outcome unknown` if an earlier attempt may have run the call, since
+    /// the refusal itself only knows of the latest step.
     fn qualify_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run {
             true => refusal.with_outcome_unknown(),
@@ -73,8 +73,8 @@
 
 /// Runs a call and returns the whole answer, or why there is none.
 ///
-/// `may_send` is asked once, right before the first byte may leave; without its word nothing is
-/// sent.
+/// `may_send` is called once, right before the first byte may be sent. If it returns false, nothing
+/// is sent.
 pub(crate) async fn run_plain(
     shared: &Arc<Shared>,
     call: &PlainCall,
@@ -113,8 +113,8 @@
 
 /// Returns whether another endpoint may be tried.
 ///
-/// A call that may run once goes on only where the connection never opened, so that no byte of it
-/// can have arrived. Sending it again after anything else could book a bay twice.
+/// A non-repeatable call goes on only if the connection never opened, so that no byte of it can
+/// have arrived. Resending it after any other failure could book a bay twice.
 fn may_try_again(shared: &Shared, mode: RunMode, error: &ServiceError) -> bool {
     match mode {
         RunMode::Repeatable => shared.try_retry(),
@@ -122,7 +122,7 @@
     }
 }
 
-/// Chooses an endpoint that wasn't tried yet, while there is time left for an answer.
+/// Chooses an endpoint that hasn't been tried yet, if there is time left before the deadline.
 fn choose(shared: &Shared, call: &PlainCall, tried: &[EndpointId]) -> Result<EndpointId, Refusal> {
     let left_us = call.due_us.since(shared.clock.now());
     if left_us == DurationUs::ZERO {
--- a/crates/wisteriahitch-node/src/dispatch/retry_after.rs
+++ b/crates/wisteriahitch-node/src/dispatch/retry_after.rs
@@ -1,7 +1,7 @@
-//! When callers may come back.
+//! Retry time of refusals after a failed attempt.
 
 use wisteriahitch_types::DurationUs;
 
-/// When a caller may come back after an endpoint failed: by then another one has been found, or its
-/// failure has been noticed by all daemons.
+/// `retry-after` for a request whose endpoint failed. By then another endpoint is available or all
+/// daemons have noticed the failure.
 pub(super) const RETRY_AFTER_US: DurationUs = DurationUs::from_ms(500);
--- a/crates/wisteriahitch-node/src/dispatch/store_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/store_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to store VMs that hold, move and release blocks.
+//! Calls to store VMs that reserve, pin, move and release blocks.
 
 use std::net::SocketAddr;
 
@@ -85,7 +85,8 @@
     })
 }
 
-/// Gives something back at a store; one that fails runs out there by itself.
+/// Releases a pin or a block at a store. A failed release is only logged, since whatever isn't
+/// released expires at the store.
 pub(super) async fn release(shared: &Shared, command: TierCommand) {
     let calls = &shared.clients.store;
     let result = match command {
@@ -104,11 +105,11 @@
         _ => Ok(()),
     };
     if let Err(error) = result {
-        log::debug!("a release failed: {error}");
+        log::debug!("releasing a pin or block at a store failed: {error}");
     }
 }
 
-/// Calls a store; what lay at one that isn't configured any more is gone.
+/// Calls a store. If the store is no longer configured, its blocks count as gone.
 async fn call_store<T>(
     shared: &Shared,
     store: &StoreId,
--- a/crates/wisteriahitch-node/src/dispatch/transfer.rs
+++ b/crates/wisteriahitch-node/src/dispatch/transfer.rs
@@ -1,4 +1,4 @@
-//! The calls to store VMs and engines that move blocks.
+//! Executes the tier core's commands at store VMs and engines.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::store_calls::{move_block, pin, release, reserve};
 use crate::shared::Shared;
 
-/// Carries out one command and tells the tier core how it ended.
+/// Executes one command and reports the result to the tier core.
 pub(crate) async fn run(shared: Arc<Shared>, command: TierCommand) {
     let event = match command {
         TierCommand::Pin { .. } => pin(&shared, command).await,
