--- a/crates/wisteriahitch-node/src/shared.rs
+++ b/crates/wisteriahitch-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What every part of a daemon shares.
+//! State shared by all parts of a daemon.
 
 use std::sync::Arc;
 
@@ -20,20 +20,20 @@
 use crate::orders::OrderState;
 use crate::state::{AdmissionState, FleetState, OnceState, ResumeState, TierState};
 
-/// Holds the configuration that is in force.
+/// The active configuration.
 #[derive(Debug)]
 pub(crate) struct InForce {
-    /// Version of the head.
+    /// Version of the head object.
     pub(crate) version: ConfigVersion,
     /// Sections as they were accepted.
     pub(crate) sections: Sections,
-    /// The checked whole.
+    /// Configuration assembled from the sections and validated.
     pub(crate) configuration: Configuration,
 }
 
-/// Holds the outside systems behind their traits.
+/// Clients of the external systems, behind their traits.
 pub(crate) struct ExternalClients {
-    /// Object API.
+    /// The platform's object API.
     pub(crate) platform: Arc<dyn Platform>,
     /// Model engines.
     pub(crate) engine: Arc<dyn Engine>,
@@ -45,43 +45,44 @@
     pub(crate) peers: PeerClient,
 }
 
-/// Holds a daemon's tables, each behind its own lock.
+/// A daemon's tables, each behind its own lock.
 ///
-/// Locks are held only for a step of a table, never across a wait. Where two are needed, `router`
-/// is taken before `tiers`, and the replica of `config` before the members, and the members
-/// before the leases; the lock of `config` under which a configuration is put in force is taken
-/// before any other; no other pair is held at once.
+/// A lock is held only for one step of a table, never across an `await`. Lock order: `router`
+/// before `tiers`; the replica of `config` before the members, and the members before the leases;
+/// the lock of `config` that guards the activation of a configuration before any other. No other
+/// pair of locks is held at once.
 pub(crate) struct Shared {
     /// Settings of this daemon.
     pub(crate) settings: Settings,
-    /// Life of this process.
+    /// Incarnation of this daemon.
     pub(crate) incarnation: Incarnation,
     /// Time since the process started.
     pub(crate) clock: Clock,
-    /// Configuration in force, if there is one yet.
+    /// Active configuration; empty until the first one has been loaded.
     pub(crate) in_force: ArcSwapOption<InForce>,
-    /// Outside systems.
+    /// Clients of the external systems.
     pub(crate) clients: ExternalClients,
-    /// Endpoints and hints of where blocks lie.
+    /// Endpoints, and hints of where blocks are cached.
     pub(crate) router: Mutex<Router>,
     /// Blocks, links, imports and saves.
     pub(crate) tiers: TierState,
-    /// Keys of requests that may not be repeated.
+    /// Keys of non-repeatable requests.
     pub(crate) once: Mutex<OnceState>,
-    /// Streams that a caller may go on with.
+    /// Interrupted streams that their callers may resume.
     pub(crate) resume: ResumeState,
-    /// Who waits for its turn.
+    /// Running and queued requests.
     pub(crate) admission: AdmissionState,
-    /// Versions of the configuration.
+    /// Known versions of the configuration.
     pub(crate) config: ConfigState,
     /// Orders to endpoints.
     pub(crate) orders: OrderState,
-    /// Other daemons and draining.
+    /// Other daemons, and this daemon's draining.
     pub(crate) fleet: FleetState,
-    /// Counters.
+    /// Metrics.
     pub(crate) metrics: Metrics,
-    /// Ends the callers' and the operators' side, each connection with the request that it is at.
+    /// Stops the callers' and the operators' listeners. Each connection finishes its current
+    /// request first.
     pub(crate) stop: CancellationToken,
-    /// Ends everything else, once both sides have ended and no work is left.
+    /// Stops everything else, once both listeners have stopped and no work is left.
     pub(crate) end: CancellationToken,
 }
--- a/crates/wisteriahitch-node/src/state/admission.rs
+++ b/crates/wisteriahitch-node/src/state/admission.rs
@@ -1,4 +1,4 @@
-//! Waiting for a turn.
+//! Admission control: permits to run, queues and the retry budget.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 
 type AdmissionResult = Result<(), Refusal>;
 
-/// When a caller may come back to a daemon whose queues are full.
+/// `retry-after` of a daemon whose queues are full.
 const QUEUE_FULL_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Holds who runs and who waits, with the retry budget.
+/// Running and queued requests, with the retry budget.
 pub(crate) struct AdmissionState {
     inner: Mutex<Inner>,
 }
@@ -27,13 +27,13 @@
 struct Inner {
     admission: Admission,
     budget: RetryBudget,
-    /// How many daemons the quotas are shared by now.
+    /// Number of daemons that the quotas are divided by.
     daemons: u32,
     waiters: HashMap<RequestId, oneshot::Sender<AdmissionResult>>,
 }
 
 impl AdmissionState {
-    /// Builds an empty state whose retries are `retry_share` of the requests.
+    /// Creates an empty state. `retry_share` is the maximum ratio of retries to requests.
     pub(crate) fn new(retry_share: f64) -> Self {
         let inner = Inner {
             admission: Admission::default(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Runs a step of the table and tells those whom it concerns.
+    /// Runs `step` on the admission table and delivers its decisions to the waiting requests.
     pub(crate) fn step(&self, step: impl FnOnce(&mut Admission) -> Vec<AdmissionCommand>) {
         let mut inner = self.inner.lock();
         let commands = step(&mut inner.admission);
@@ -63,13 +63,14 @@
                 ),
             };
             if let Some(waiter) = inner.waiters.remove(&request) {
-                // A caller that left gives its turn back when its permit is dropped.
+                // Sending fails if the caller has left. Dropping its `Permit` then releases what it
+                // was granted.
                 let _ = waiter.send(result);
             }
         }
     }
 
-    /// Takes over a configuration that `daemons` daemons share.
+    /// Applies a configuration whose quotas are divided by `daemons`.
     pub(crate) fn apply_configuration(
         &self,
         configuration: &Configuration,
@@ -84,18 +85,19 @@
             .apply_quota_configuration(configuration, daemons, now);
     }
 
-    /// Returns whether the quotas are shared by another number of daemons.
+    /// Returns whether the quotas are currently divided by a number other than `daemons`.
     pub(crate) fn daemon_count_differs(&self, daemons: u32) -> bool {
         self.inner.lock().daemons != daemons
     }
 
-    /// Shows the gates, for the dump.
+    /// Returns the state of the admission gates for the debug dump.
     pub(crate) fn snapshot(&self) -> Vec<GateSnapshot> {
         self.inner.lock().admission.snapshot()
     }
 }
 
-/// Holds a request's turn; dropping it lets the next one start.
+/// Permission to run one request. Dropping it, also while still queued, removes the request and
+/// lets the next one start.
 pub(crate) struct Permit {
     shared: Arc<Shared>,
     request: RequestId,
@@ -118,10 +120,11 @@
 }
 
 impl Shared {
-    /// Waits for a request's turn until `due_us`, or returns why it gets none.
+    /// Waits until the request may start, at most until `due_us`, or returns why it may not.
     ///
-    /// The turn has an id of its own: two resumptions of one request would otherwise share an
-    /// entry, and the end of the first would take the turn of the second.
+    /// The admission entry gets an id of its own. With the request's id, two resumptions of one
+    /// request would share an entry, and the end of the first would release the permit of the
+    /// second.
     pub(crate) async fn acquire_permit(
         self: &Arc<Self>,
         identity: &Identity,
@@ -145,15 +148,15 @@
         {
             let mut inner = self.admission.inner.lock();
             inner.budget.record_request();
-            // The bound of each workspace's queue doesn't bound all of them together.
+            // The queue limit of each workspace doesn't limit the sum over all workspaces.
             if inner.waiters.len() >= self.settings.limits.queued_requests as usize {
                 let refusal = Refusal::new(Code::QueueFull);
                 return Err(refusal.with_retry_after_us(QUEUE_FULL_RETRY_US));
             }
             inner.waiters.insert(entry_id.clone(), sender);
         }
-        // The permit exists from the arrival on, so that a caller that leaves while it waits, or
-        // in the very moment of its start, gives its place back.
+        // The permit is created before the wait, so that a caller that disconnects while queued, or
+        // at the very moment of its start, frees its place.
         let permit = Permit {
             shared: Arc::clone(self),
             request: entry_id,
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Takes one retry out of the budget, if there is one left.
+    /// Takes one retry from the budget; false if the budget is exhausted.
     pub(crate) fn try_retry(&self) -> bool {
         self.admission.inner.lock().budget.try_acquire()
     }
--- a/crates/wisteriahitch-node/src/state/claims.rs
+++ b/crates/wisteriahitch-node/src/state/claims.rs
@@ -1,4 +1,4 @@
-//! Carrying claims on callers' keys to the platform.
+//! Writes claims on callers' keys to the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,15 @@
 
 use crate::shared::Shared;
 
-/// Longest pause before the first repetition after a conflict; it doubles with each further one.
+/// Maximum backoff, in milliseconds, before the first retry after a write conflict. It doubles with
+/// each further retry.
 const BASE_CONFLICT_BACKOFF_MS: u64 = 5;
 
-/// Doublings after which the pause grows no more.
+/// Number of doublings after which the backoff stays constant.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Shared {
-    /// Asks for a claim on a key.
+    /// Requests a claim on a key.
     pub(crate) fn claim(
         self: &Arc<Self>,
         key: &OnceKey,
@@ -33,7 +34,8 @@
         self.execute_claim_commands(commands);
     }
 
-    /// Writes down what became of a claimed request, for repeats that come after this process.
+    /// Records the outcome of a claimed request at the platform, for repeats that arrive after this
+    /// process has ended.
     pub(crate) fn settle_claim(
         self: &Arc<Self>,
         key: &OnceKey,
@@ -72,7 +74,7 @@
                     }
                 }
                 ClaimCommand::Undecided(key, cause) => {
-                    log::warn!("a claim is undecided: {cause:?}");
+                    log::warn!("claim on a key is undecided, cause {cause:?}");
                     let now = self.clock.now();
                     let mut once = self.once.lock();
                     if let Some(delivery) = once.table.claim_undecided(&key, now) {
@@ -95,7 +97,7 @@
     }
 }
 
-/// Carries out one call; its result leads to further commands.
+/// Executes one platform call. Its result may lead to further commands.
 async fn call_platform(shared: Arc<Shared>, command: ClaimCommand) {
     let commands = match command {
         ClaimCommand::Read(shard) => {
@@ -121,7 +123,7 @@
     shared.execute_claim_commands(commands);
 }
 
-/// Draws a pause, so that daemons that met in a conflict don't meet again.
+/// Returns a random backoff, so that daemons whose writes conflicted don't retry at the same time.
 fn conflict_backoff(tries: u32) -> Duration {
     let longest_ms = BASE_CONFLICT_BACKOFF_MS << tries.min(MAX_BACKOFF_DOUBLINGS);
     Duration::from_millis(rand::random_range(1..=longest_ms))
@@ -137,7 +139,7 @@
         Ok(None) => ReadResult::Missing,
         Ok(Some(object)) => parse(object),
         Err(error) => {
-            log::warn!("claims can't be read: {error}");
+            log::warn!("claim object {shard} can't be read: {error}");
             ReadResult::Unavailable
         }
     }
@@ -148,8 +150,12 @@
     match serde_json::from_value::<ClaimObject>(object.spec) {
         Ok(content) => ReadResult::Found(version, content),
         Err(error) => {
-            // The message would quote what stands in the object, which may be a kept answer.
-            log::error!("{} don't parse: {:?} error", object.name, error.classify());
+            // serde's message would quote the object's content, which may be a stored answer.
+            log::error!(
+                "claim object {} doesn't parse: {:?} error",
+                object.name,
+                error.classify()
+            );
             ReadResult::Unavailable
         }
     }
@@ -188,7 +194,7 @@
         | PlatformErrorKind::NotFound => WriteResult::Conflict,
         PlatformErrorKind::AnswerLost | PlatformErrorKind::Malformed => WriteResult::AnswerLost,
         _ => {
-            log::warn!("claims can't be written: {error}");
+            log::warn!("claim object can't be written: {error}");
             WriteResult::Unavailable
         }
     }
--- a/crates/wisteriahitch-node/src/state/drain.rs
+++ b/crates/wisteriahitch-node/src/state/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving without cutting off a request.
+//! Draining: leaves the site without interrupting requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,16 +10,17 @@
 
 use crate::shared::Shared;
 
-/// How long other daemons may go on naming this one before the news of its draining is everywhere.
+/// Time for the news that this daemon drains to reach all daemons. Until then others may still list
+/// it as an entry address.
 const DRAIN_GOSSIP_TIME_US: DurationUs = DurationUs::from_ms(2_000);
 
-/// Rounds of probes on which the word of a daemon that has left travels.
+/// Number of probe rounds for which a drained daemon stays up to announce that it has left.
 const LEAVE_PROBE_ROUNDS: u64 = 3;
 
-/// Time between two looks at the work that is left.
+/// Interval between two checks of the remaining work.
 const LATE_WORK_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Holds how far this daemon's draining has come.
+/// Progress of this daemon's draining.
 #[derive(Default)]
 pub(crate) struct DrainState {
     open_requests: AtomicU64,
@@ -27,7 +28,7 @@
     drain: Mutex<Drain>,
 }
 
-/// Counts a request as accepted until it is dropped.
+/// Counts a request as open until it is dropped.
 pub(crate) struct AcceptedRequest {
     shared: Arc<Shared>,
 }
@@ -43,7 +44,8 @@
 }
 
 impl Shared {
-    /// Counts a request that a draining daemon waits for, until its whole answer is sent.
+    /// Counts a request as open. A draining daemon waits until the whole answer is sent and the
+    /// returned guard is dropped.
     pub(crate) fn track_request(self: &Arc<Self>) -> AcceptedRequest {
         self.fleet
             .drain
@@ -54,12 +56,12 @@
         }
     }
 
-    /// Returns whether this daemon is leaving.
+    /// Returns whether this daemon is draining or has drained.
     pub(crate) fn is_draining(&self) -> bool {
         self.fleet.drain.drain.lock().phase() != DrainPhase::Serving
     }
 
-    /// Starts to drain; a second call changes nothing.
+    /// Starts draining; a second call has no effect.
     pub(crate) fn start_drain(self: &Arc<Self>) {
         if self.is_draining() {
             return;
@@ -77,9 +79,10 @@
         log::info!("draining");
     }
 
-    /// Tells the peers that this daemon has left, and ends the process soon after.
+    /// Announces to the peers that this daemon has left, and stops the process shortly after.
     ///
-    /// Without its word they would take it for dead, and an operator would look for a failure.
+    /// Without the announcement the peers would report it as dead, and an operator would look for a
+    /// failure.
     fn leave(self: &Arc<Self>) {
         if self.fleet.drain.has_left.swap(true, Ordering::AcqRel) {
             return;
@@ -94,7 +97,7 @@
         });
     }
 
-    /// Ends the process once nothing would be cut off.
+    /// Stops the process once no open work would be interrupted.
     pub(crate) fn tick_drain(self: &Arc<Self>) {
         if !self.is_draining() || self.stop.is_cancelled() {
             return;
@@ -106,10 +109,10 @@
         }
     }
 
-    /// Waits for work that a request left behind which came in the last moment.
+    /// Waits for the work left behind by requests that arrived at the last moment.
     ///
-    /// Whatever this waits for is bounded: a keyed run by its deadline, an outcome that is to be
-    /// written down by the platform's time-out.
+    /// The wait is bounded: a keyed run ends at its deadline, and writing an outcome ends at the
+    /// platform's timeout.
     pub(crate) async fn wait_for_late_work(&self) {
         loop {
             let work = self.open_work(self.clock.now());
@@ -120,10 +123,10 @@
         }
     }
 
-    /// Counts what still needs this daemon.
+    /// Counts the work that still needs this daemon.
     ///
-    /// Outcomes of claims belong to it: a repeat of a finished request finds its answer nowhere
-    /// else once this process has ended.
+    /// It includes outcomes of claims that aren't written yet: once this process has ended, a
+    /// repeat of a finished request finds its answer only at the platform.
     fn open_work(&self, now: TimeUs) -> OpenWork {
         let once = self.once.lock();
         let under_way = once.table.under_way() as u64;
--- a/crates/wisteriahitch-node/src/state/fleet.rs
+++ b/crates/wisteriahitch-node/src/state/fleet.rs
@@ -1,4 +1,4 @@
-//! Other daemons, and what this one tells them.
+//! This daemon's view of the other daemons.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 use super::drain::DrainState;
 use crate::shared::Shared;
 
-/// Holds who else is there and how far this daemon's draining has come.
+/// Membership of the site and this daemon's draining.
 pub(crate) struct FleetState {
     /// Members as this daemon sees them.
     pub(crate) members: Mutex<Membership>,
-    /// How far draining has come.
+    /// Progress of draining.
     pub(crate) drain: DrainState,
 }
 
 impl FleetState {
-    /// Starts with this daemon alone.
+    /// Creates a view that contains only this daemon.
     pub(crate) fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let me = Member {
             daemon: settings.id.clone(),
@@ -56,7 +56,7 @@
 }
 
 impl Shared {
-    /// Returns addresses for a caller of a workspace, the best first.
+    /// Returns the daemons' addresses for a caller of `workspace`, best first.
     pub(crate) fn list_entries(&self, workspace: &WorkspaceId) -> Vec<EntryAddress> {
         let zone = &self.settings.availability_zone;
         self.fleet
@@ -65,7 +65,7 @@
             .entries(Some(zone), workspace, rand::random())
     }
 
-    /// Returns where an incarnation can be asked, unless it is known to be gone.
+    /// Returns the peer address of an incarnation, or `None` if it is unknown, dead or has left.
     pub(crate) fn find_peer(&self, incarnation: Incarnation) -> Option<SocketAddr> {
         let members = self.fleet.members.lock();
         let member = members.by_incarnation(incarnation)?;
--- a/crates/wisteriahitch-node/src/state/mod.rs
+++ b/crates/wisteriahitch-node/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's tables, with the steps that connect them to the network.
+//! The daemon's state tables and the code that connects them to the network.
 
 mod admission;
 mod claims;
--- a/crates/wisteriahitch-node/src/state/models.rs
+++ b/crates/wisteriahitch-node/src/state/models.rs
@@ -1,4 +1,4 @@
-//! Which weight versions and speeds endpoints have, and what happens after their use.
+//! Weight versions and prefill rates of endpoints, and the bookkeeping after a completion.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Returns the versions of a model that a new request may run on.
+    /// Returns the weight versions of a model that a new request may run on.
     ///
-    /// During a rollout there are two; where no endpoint is ready the wanted one is returned, so
-    /// that the refusal is the router's.
+    /// During a rollout there are two. If no endpoint is ready, the configured version is returned,
+    /// so that the router makes the refusal.
     pub(crate) fn candidate_versions(
         &self,
         service: &ServiceName,
@@ -35,7 +35,7 @@
         ready.into_iter().map(|(version, _)| version).collect()
     }
 
-    /// Returns the version of a model that an endpoint has ready.
+    /// Returns the weight version of a model that an endpoint has ready.
     pub(crate) fn ready_version(
         &self,
         endpoint: &EndpointId,
@@ -47,7 +47,8 @@
             .get_ready_version(endpoint, model)
     }
 
-    /// Returns the speed at which an endpoint reads prompts.
+    /// Returns the rate at which an endpoint processes prompt tokens, or the default rate if it is
+    /// unknown.
     pub(crate) fn prefill_rate(&self, endpoint: &EndpointId) -> TokenRate {
         self.router
             .lock()
@@ -56,7 +57,8 @@
             .unwrap_or_default()
     }
 
-    /// Learns from a whole answer, and saves what is worth it.
+    /// Records a completed request: the blocks that the endpoint now caches, and which of them are
+    /// worth saving to a store.
     pub(crate) fn record_completed_request(
         self: &Arc<Self>,
         call: &CompletionCall,
@@ -87,7 +89,8 @@
         self.run_tier_step(|tiers, now| tiers.finished(&finished, now));
     }
 
-    /// Cancels a request at an endpoint, without waiting for the answer; the task ends with it.
+    /// Cancels a request at an endpoint in the background. The returned task ends when the endpoint
+    /// has answered.
     pub(crate) fn cancel_at(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -97,7 +100,7 @@
         let request = request.clone();
         tokio::spawn(async move {
             if let Err(error) = shared.clients.engine.cancel(address, &request).await {
-                log::debug!("cancelling {request} failed: {error}");
+                log::debug!("cancelling {request} at {address} failed: {error}");
             }
         })
     }
--- a/crates/wisteriahitch-node/src/state/once.rs
+++ b/crates/wisteriahitch-node/src/state/once.rs
@@ -1,4 +1,4 @@
-//! Keys of requests that may not be repeated, and the copies that wait for them.
+//! Keys of non-repeatable requests, and the copies that wait for their outcome.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,28 +12,28 @@
 
 use crate::shared::Shared;
 
-/// Holds everything about keys that this process decides for or waits for.
+/// All state about keys that this process decides for or waits for.
 pub(crate) struct OnceState {
-    /// Tickets of this process.
+    /// Issues and verifies the tickets of this process.
     pub(crate) issuer: TicketIssuer,
-    /// Keys that it knows.
+    /// Known keys with their state.
     pub(crate) table: KeyedTable,
-    /// Claims that are being written.
+    /// Claims that are being written to the platform.
     pub(crate) claims: ClaimBatcher,
     waiters: HashMap<WaiterId, oneshot::Sender<Decision>>,
     next_waiter: u64,
 }
 
-/// What a copy of a request waits for.
+/// The table's decision for a copy of a request, or the wait for it.
 pub(crate) enum PendingDecision {
-    /// The decision is there.
+    /// The decision has been made.
     Ready(Decision),
-    /// The decision comes later.
+    /// The decision will arrive on this channel.
     Waiting(oneshot::Receiver<Decision>),
 }
 
 impl OnceState {
-    /// Builds the empty state of one life of a process.
+    /// Creates the empty state of a daemon incarnation.
     pub(crate) fn new(holder: ClaimHolder) -> Self {
         let incarnation = holder.incarnation;
         Self {
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Returns whether a key that isn't known yet would be one claim too many.
+    /// Returns whether a new claim on `key` would exceed the number of waiting copies allowed.
     ///
-    /// Each waits in a task of its own, with its body, also after its caller has left. While the
-    /// platform is slow, callers that leave and come back would fill the memory with them. Nothing
-    /// is known of the key, so its refusal says just that.
+    /// Each copy waits in a task of its own with its body, also after its caller has disconnected.
+    /// While the platform is slow, callers that disconnect and retry would otherwise exhaust the
+    /// memory. Since nothing is known of the key, its refusal says that the outcome is unknown.
     fn exceeds_waiter_limit(&self, key: &OnceKey, max_waiters: usize) -> bool {
         let needs_claim = matches!(key, OnceKey::Claimed { .. });
         needs_claim && self.waiters.len() >= max_waiters && self.table.nonce(key).is_none()
@@ -63,10 +63,10 @@
         (waiter, receiver)
     }
 
-    /// Tells every copy that waited what was decided.
+    /// Delivers a decision to every waiting copy.
     ///
-    /// A copy that was told to run and whose task has ended gives its key back: otherwise the key
-    /// would stay claimed, and every repeat would wait for a run that never comes.
+    /// If the copy chosen to run has already ended, its key is released. Otherwise the key would
+    /// stay claimed, and every repeat would wait for a run that never starts.
     pub(crate) fn deliver(&mut self, key: &OnceKey, delivery: Delivery, now: TimeUs) {
         let mut is_run_lost = false;
         for waiter in delivery.waiters {
@@ -82,7 +82,7 @@
 }
 
 impl Shared {
-    /// Brings a copy of a keyed request to the table.
+    /// Submits a copy of a keyed request to the table.
     pub(crate) fn submit_key(
         self: &Arc<Self>,
         key: &OnceKey,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Opens the record of how a key's run ends.
+    /// Creates the guard that settles a key when its run ends.
     pub(crate) fn open_settlement(self: &Arc<Self>, key: OnceKey) -> Settlement {
         Settlement {
             shared: Arc::clone(self),
@@ -120,10 +120,10 @@
     }
 }
 
-/// Sees to it that a key's run ends in the table, whatever happens to its task.
+/// Guard that settles a key's run in the table, even if its task panics.
 ///
-/// A run that vanished, such as by a panic, would leave its key dispatched for ever, and every
-/// repeat would wait without an answer.
+/// A run that ended without settling would leave its key dispatched forever, and every repeat would
+/// wait without an answer.
 pub(crate) struct Settlement {
     shared: Arc<Shared>,
     key: OnceKey,
@@ -131,23 +131,24 @@
 }
 
 impl Settlement {
-    /// Notes the whole answer, and returns what the copy that ran gets.
+    /// Records the whole answer and returns the decision for the copy that ran.
     pub(crate) fn finish(self, answer: Arc<KeptAnswer>) -> Decision {
         self.settle(|once, key, now| once.table.finished(key, answer, now))
     }
 
-    /// Notes that the request is refused before its dispatch, and returns what its copy gets.
+    /// Records that the request was refused before its dispatch and returns the decision for its
+    /// copy.
     pub(crate) fn refuse(self, code: Code) -> Decision {
         self.settle(|once, key, now| once.table.refused(key, code, now))
     }
 
-    /// Notes that no endpoint ran the request after its dispatch, by the endpoint's own word or
-    /// because no byte of it left.
+    /// Records that no endpoint ran the request after its dispatch, either because the endpoint
+    /// said so or because no byte of it was sent.
     pub(crate) fn refuse_by_endpoint(self) -> Decision {
         self.settle(|once, key, now| once.table.endpoint_refused(key, now))
     }
 
-    /// Notes that nobody knows whether the request ran.
+    /// Records that it is unknown whether the request ran.
     pub(crate) fn mark_outcome_unknown(self, code: Code) -> Decision {
         self.settle(|once, key, now| once.table.lost(key, code, now))
     }
@@ -161,8 +162,8 @@
         let mut once = self.shared.once.lock();
         let delivery = step(&mut once, &self.key, now);
         let decision = delivery.decision.clone();
-        // Only the table knows what is certain: a refusal that came too late, written down from
-        // this run's own view, would let other daemons say `not run` of a request that ran.
+        // Only the table knows which outcome is certain. If this run wrote its own late refusal,
+        // other daemons would answer `not run` for a request that ran.
         let limit = ClaimLimits::default().answer_bytes;
         let outcome = once.table.outcome_to_write(&self.key, limit);
         once.deliver(&self.key, delivery, now);
--- a/crates/wisteriahitch-node/src/state/resume.rs
+++ b/crates/wisteriahitch-node/src/state/resume.rs
@@ -1,4 +1,4 @@
-//! Streams that a caller may go on with after its connection broke.
+//! Interrupted streams that their callers may resume.
 
 use std::collections::HashMap;
 
@@ -10,27 +10,28 @@
 use crate::dispatch::completion_call::{CompletionCall, Resumption};
 use crate::shared::Shared;
 
-/// How long a broken stream may be resumed.
+/// How long an interrupted stream can be resumed.
 const RESUME_TTL_US: DurationUs = DurationUs::from_ms(60_000);
 
-/// Most streams that are resumable for a resumption.
+/// Maximum number of interrupted streams stored for resumption.
 const MAX_RESUMABLE_STREAMS: usize = 256;
 
-/// Most bytes that their prompts may take; by number alone, large prompts would take a gigabyte.
+/// Maximum total size of the stored streams. Limited by number alone, large prompts would take a
+/// gigabyte.
 const MAX_RESUMABLE_BYTES: ByteCount = ByteCount::new(64 << 20);
 
-/// Room that a resumable stream takes beside its prompt, roughly.
+/// Approximate size of a stored stream without its prompt.
 const ENTRY_OVERHEAD_BYTES: u64 = 1_024;
 
-/// Attempts left free between a broken stream and its resumption.
+/// Step from the last attempt number of an interrupted stream to the first one of its resumption.
 const RESUME_ATTEMPT_STEP: u64 = 16;
 
-/// Holds the streams that broke lately.
+/// Recently interrupted streams.
 pub(crate) struct ResumeState {
     resumable: Mutex<ResumableStreams>,
 }
 
-/// Keeps broken streams within bounds of number, size and time.
+/// Interrupted streams, limited in number, size and age.
 #[derive(Default)]
 struct ResumableStreams {
     streams: HashMap<RequestId, ResumableStream>,
@@ -68,10 +69,10 @@
         }
     }
 
-    /// Returns the oldest stream of the workspace that takes most bytes_by_workspace.
+    /// Returns the oldest stream of the workspace whose streams take the most space.
     ///
-    /// Were the oldest of all to go, one workspace that breaks its streams again and again would
-    /// take the rest of everybody's answers.
+    /// Evicting the oldest of all instead would let one workspace that keeps interrupting its
+    /// streams evict those of every other workspace.
     fn oldest_stream_of_largest_workspace(&self) -> Option<RequestId> {
         let mut bytes_by_workspace: HashMap<&WorkspaceId, ByteCount> = HashMap::new();
         for resumable in self.streams.values() {
@@ -112,7 +113,7 @@
 }
 
 impl ResumeState {
-    /// Builds an empty state.
+    /// Creates an empty state.
     pub(crate) fn new() -> Self {
         Self {
             resumable: Mutex::default(),
@@ -121,7 +122,7 @@
 }
 
 impl Shared {
-    /// Keeps what a caller needs that comes back for the rest of its answer.
+    /// Stores what is needed to resume an interrupted stream.
     pub(crate) fn store_for_resumption(
         &self,
         call: &CompletionCall,
@@ -141,7 +142,7 @@
         self.resume.resumable.lock().add(resumable);
     }
 
-    /// Forgets streams whose callers didn't come back in time.
+    /// Removes the streams whose time for resumption has passed.
     pub(crate) fn expire_resumable_streams(&self) {
         self.resume
             .resumable
@@ -149,7 +150,9 @@
             .remove_expired(self.clock.now());
     }
 
-    /// Returns the call that goes on with a broken stream of this workspace.
+    /// Returns the call that continues an interrupted stream from `position`, or `None` if the
+    /// stream is unknown, has expired or belongs to another workspace, or if `position` lies beyond
+    /// what was sent.
     pub(crate) fn find_resumable_call(
         &self,
         request: &RequestId,
@@ -160,12 +163,14 @@
         let mut resumable = self.resume.resumable.lock();
         let found = resumable.streams.get_mut(request)?;
         let is_foreign = found.workspace() != workspace;
-        // An engine refuses a position after the last token, which would count as its failure.
+        // An engine refuses a position after the last token, and the refusal would count as a
+        // failure of the endpoint.
         let is_beyond = position > found.next_position || position >= found.call.max_tokens.get();
         if found.is_expired(now) || is_foreign || is_beyond {
             return None;
         }
-        // Every resumption counts on, so that tokens of an earlier one can't be taken for its own.
+        // Each resumption gets higher attempt numbers, so that tokens of an earlier one aren't
+        // taken for its own.
         found.last_attempt = AttemptNumber::new(found.last_attempt.get() + RESUME_ATTEMPT_STEP);
         let mut call = found.call.clone();
         call.arrived_us = now;
--- a/crates/wisteriahitch-node/src/state/route.rs
+++ b/crates/wisteriahitch-node/src/state/route.rs
@@ -1,4 +1,4 @@
-//! Choosing endpoints and following what is sent to them.
+//! Chooses endpoints and tracks the attempts sent to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 }
 
 impl Shared {
-    /// Chooses where a request runs.
+    /// Chooses the endpoint that a request runs at.
     pub(crate) fn choose(&self, request: &RouteRequest) -> Result<Choice, Refusal> {
         let now = self.clock.now();
         let choice = self.router.lock().choose(request, self, now);
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Notes an attempt that is sent now; nothing where the endpoint is gone.
+    /// Registers an attempt that is about to be sent; `None` if the endpoint has been removed.
     pub(crate) fn start_attempt(
         self: &Arc<Self>,
         endpoint: &EndpointId,
@@ -53,10 +53,10 @@
     }
 }
 
-/// Follows one attempt at an endpoint.
+/// Tracks one attempt in the endpoint table.
 ///
-/// One that is dropped without an end counts as cancelled: an attempt that stayed in the table
-/// would make its endpoint look busier for ever, and it would slowly get no work.
+/// An attempt dropped without an outcome counts as cancelled. If it stayed in the table, its
+/// endpoint would look busier than it is forever and gradually receive no more work.
 pub(crate) struct AttemptGuard {
     shared: Arc<Shared>,
     id: AttemptId,
@@ -70,7 +70,7 @@
         self.address
     }
 
-    /// Notes the first token.
+    /// Records the arrival of the first token.
     pub(crate) fn mark_first_token(&self) {
         let now = self.shared.clock.now();
         self.shared
@@ -80,7 +80,7 @@
             .record_first_token(self.id, now);
     }
 
-    /// Notes a whole answer.
+    /// Records that the attempt gave a whole answer.
     pub(crate) fn mark_succeeded(mut self) {
         let now = self.shared.clock.now();
         self.shared
@@ -91,7 +91,7 @@
         self.is_recorded = true;
     }
 
-    /// Notes that there is no whole answer.
+    /// Records that the attempt failed.
     pub(crate) fn mark_failed(mut self, failure: AttemptFailure) {
         self.record_failure_once(failure);
     }
--- a/crates/wisteriahitch-node/src/state/streams.rs
+++ b/crates/wisteriahitch-node/src/state/streams.rs
@@ -1,4 +1,4 @@
-//! How many answers run at once.
+//! Limits the number of completions that run at once.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use crate::caller::Refusal;
 use crate::shared::Shared;
 
-/// When a caller may come back to a daemon that holds as many streams as it may.
+/// `retry-after` of a daemon that runs its maximum number of completions.
 const STREAMS_FULL_RETRY_US: DurationUs = DurationUs::from_ms(1_000);
 
-/// Counts an answer as running until it is dropped, also by a panic of its task.
+/// Counts one completion as running until it is dropped, even by a panic of its task.
 pub(crate) struct OpenStream {
     shared: Arc<Shared>,
 }
@@ -22,10 +22,10 @@
 }
 
 impl Shared {
-    /// Counts another answer, or refuses where as many run as may.
+    /// Counts one more completion, or refuses it if the maximum is running.
     ///
-    /// It is counted before it is compared: many that come in one moment would otherwise all see
-    /// room for one.
+    /// It is counted before the comparison; otherwise many concurrent requests could each see the
+    /// last free place.
     pub(crate) fn try_open_stream(self: &Arc<Self>) -> Result<OpenStream, Refusal> {
         let streams = &self.metrics.streams;
         streams.inc();
--- a/crates/wisteriahitch-node/src/state/tiers.rs
+++ b/crates/wisteriahitch-node/src/state/tiers.rs
@@ -1,4 +1,4 @@
-//! Blocks, links and transfers, with the calls to stores and engines that they ask for.
+//! Blocks, links and transfers, and the calls to stores and engines that they require.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 use crate::dispatch::transfer;
 use crate::shared::Shared;
 
-/// Holds the tier core and the requests that wait for its imports.
+/// The tier core and the requests that wait for its imports.
 pub(crate) struct TierState {
     core: Mutex<Tiers>,
     waiters: Mutex<HashMap<RequestId, oneshot::Sender<()>>>,
 }
 
 impl TierState {
-    /// Builds an empty state.
+    /// Creates an empty state.
     pub(crate) fn new() -> Self {
         Self {
             core: Mutex::new(Tiers::new()),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Estimates how long an import takes from now.
+    /// Estimates how long an import started now takes.
     pub(crate) fn transfer_time(
         &self,
         store: &StoreId,
@@ -37,14 +37,14 @@
         self.core.lock().transfer_time(store, bytes, now)
     }
 
-    /// Looks at or changes the core without commands.
+    /// Runs `step` on the tier core. Only for steps that issue no commands.
     pub(crate) fn with<T>(&self, step: impl FnOnce(&mut Tiers) -> T) -> T {
         step(&mut self.core.lock())
     }
 }
 
 impl Shared {
-    /// Waits until a request's imports are done or given up.
+    /// Waits until a request's imports have finished or been given up.
     pub(crate) async fn import(self: &Arc<Self>, plan: ImportPlan) {
         let (sender, receiver) = oneshot::channel();
         self.tiers
@@ -56,18 +56,18 @@
         let _ = receiver.await;
     }
 
-    /// Forgets the imports of a request whose caller went away.
+    /// Cancels the imports of a request whose caller has disconnected.
     pub(crate) fn cancel_import(self: &Arc<Self>, request: &RequestId) {
         self.tiers.waiters.lock().remove(request);
         self.run_tier_step(|tiers, now| tiers.cancel(request, now));
     }
 
-    /// Tells the tier core an event.
+    /// Passes an event to the tier core and executes the resulting commands.
     pub(crate) fn handle_tier_event(self: &Arc<Self>, event: TierEvent) {
         self.run_tier_step(|tiers, now| tiers.on(event, now));
     }
 
-    /// Runs a step of the tier core and carries out what it asks for.
+    /// Runs a step of the tier core and executes the commands that it returns.
     pub(crate) fn run_tier_step(
         self: &Arc<Self>,
         step: impl FnOnce(&mut Tiers, TimeUs) -> Vec<TierCommand>,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns a store VM's address.
+    /// Returns a store VM's address, or `None` if it isn't configured.
     pub(crate) fn store_address(&self, store: &StoreId) -> Option<SocketAddr> {
         let in_force = self.in_force.load_full()?;
         in_force
@@ -98,7 +98,7 @@
             .map(|store| store.address)
     }
 
-    /// Returns an endpoint's address.
+    /// Returns an endpoint's address, or `None` if it is unknown.
     pub(crate) fn endpoint_address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.router.lock().endpoints.get_address(endpoint)
     }
