--- a/crates/wisteriahitch-node/src/config/apply.rs
+++ b/crates/wisteriahitch-node/src/config/apply.rs
@@ -1,4 +1,4 @@
-//! Putting a configuration in force.
+//! Activates configurations.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::shared::{InForce, Shared};
 
 impl Shared {
-    /// Builds a configuration from its sections and puts it in force.
+    /// Builds a configuration from its sections and activates it.
     ///
-    /// One that can't be built is told to the replica, and the last good one stays: a damaged
-    /// object must not leave the site without rules.
+    /// If it can't be built, the replica is notified and the last valid configuration stays active:
+    /// a damaged object must not leave the site without rules.
     pub(crate) fn apply_config(self: &Arc<Self>, head: &HeadObject, sections: &[Section]) {
         let built = build_sections(head, sections)
             .map_err(|error| error.to_string())
@@ -38,9 +38,10 @@
         sections: Sections,
         configuration: Configuration,
     ) {
-        // Two appliers may finish in the other order than they began. Without the lock the lower one
-        // could look before the higher one has stored and store after it: the daemon would go back,
-        // and stay there until the next version. Under it the higher version stays.
+        // Two activations may finish in the reverse order of their start. Without the lock, the
+        // lower version could pass the check before the higher one is stored and then replace it,
+        // and the daemon would stay on the old version until the next one. With the lock the higher
+        // version stays.
         let _activation = self.config.activation_lock.lock();
         let current = self.in_force.load_full();
         if current.is_some_and(|current| current.version >= version) {
@@ -68,10 +69,10 @@
         log::info!("configuration {version} is in force");
     }
 
-    /// Shares the quotas anew where daemons have come or gone.
+    /// Divides the quotas anew after the number of daemons has changed.
     ///
-    /// A daemon that was alone when its configuration came into force would otherwise grant the
-    /// whole of every quota for as long as that one is in force, and so would each of its peers.
+    /// Otherwise a daemon that was alone when its configuration was activated would grant the whole
+    /// of every quota for as long as that configuration is active, and so would each of its peers.
     pub(crate) fn update_quota_shares(&self) {
         let _activation = self.config.activation_lock.lock();
         let daemons = self.count_daemons();
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Counts the daemons that share the site's work, this one among them.
+    /// Returns the number of daemons that share the site's work, including this one; at least 1.
     pub(crate) fn count_daemons(&self) -> u32 {
         let daemons = self.fleet.members.lock().workers().count();
         u32::try_from(daemons).unwrap_or(u32::MAX).max(1)
--- a/crates/wisteriahitch-node/src/config/changes.rs
+++ b/crates/wisteriahitch-node/src/config/changes.rs
@@ -1,10 +1,11 @@
-//! What a submission changes.
+//! Differences between the active and the submitted configuration.
 
 use std::collections::BTreeMap;
 
 use wisteriahitch_config::{Section, SectionHash, SectionName, Sections};
 
-/// Returns the sections that differ from those in force, with the hashes that they are to have.
+/// Returns the sections that differ from the active ones, with their new hashes; `None` for a
+/// removed section.
 pub(super) fn section_changes(
     base: &Sections,
     merged: &Sections,
--- a/crates/wisteriahitch-node/src/config/mod.rs
+++ b/crates/wisteriahitch-node/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: how it gets to this daemon, comes into force and is accepted.
+//! Distribution, activation and submission of the configuration.
 //!
 //! `docs/design/configuration-acceptance.md` gives the reasons.
 
--- a/crates/wisteriahitch-node/src/config/objects.rs
+++ b/crates/wisteriahitch-node/src/config/objects.rs
@@ -1,4 +1,4 @@
-//! The platform's objects that hold the configuration.
+//! The platform objects that store the configuration.
 
 use serde_json::json;
 use wisteriahitch_config::{Section, SectionHash, SectionName, Sections};
@@ -8,26 +8,26 @@
     Object, ObjectKind, Platform, PlatformError, PlatformErrorKind,
 };
 
-/// Name of the one head object.
+/// Name of the only head object.
 pub(super) const HEAD_NAME: &str = "site";
 
-/// Field of a section object that holds its text.
+/// Field of a section object that contains its text.
 const TEXT_FIELD: &str = "text";
 
-/// Reports a section that the head names and that wasn't read.
+/// The head names a section that wasn't read.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("the section {0} is missing")]
 pub(crate) struct SectionMissing(SectionName);
 
-/// Reads a head; an error means that it doesn't parse.
+/// Parses a head object.
 pub(crate) fn parse_head(object: &Object) -> Result<HeadObject, serde_json::Error> {
     serde_json::from_value(object.spec.clone())
 }
 
-/// Reads a section's text; nothing where it isn't there or isn't text.
+/// Reads a section's text; `None` if the object is missing or has no text.
 ///
-/// Either is reported: a daemon that starts with such an object isn't ready, and nothing else would
-/// tell the operators which object to mend.
+/// Either case is logged as an error: a daemon that starts with such an object never becomes ready,
+/// and nothing else would tell the operators which object to repair.
 pub(crate) async fn read_section(
     platform: &dyn Platform,
     hash: SectionHash,
@@ -43,7 +43,8 @@
     Ok(text)
 }
 
-/// Writes a section; one that is there already has the same text, since its hash names it.
+/// Writes a section. An object that already exists has the same text, since its name is the text's
+/// hash.
 pub(crate) async fn write_section(
     platform: &dyn Platform,
     hash: SectionHash,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Puts the sections of a head together.
+/// Assembles the sections that a head names.
 pub(crate) fn build_sections(
     head: &HeadObject,
     sections: &[Section],
--- a/crates/wisteriahitch-node/src/config/peers.rs
+++ b/crates/wisteriahitch-node/src/config/peers.rs
@@ -1,4 +1,4 @@
-//! Handing versions to peers and asking them for theirs.
+//! Pushes configuration versions to peers and pulls theirs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 
 use crate::shared::Shared;
 
-/// Longest wait for a peer's answer.
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Shared {
-    /// Asks a peer for its head.
+    /// Pulls the head from a peer.
     pub(super) async fn pull_head(self: &Arc<Self>, peer: Incarnation, after: ConfigVersion) {
         let reply = self.pull(peer, after, &[]).await;
         let event = match reply {
@@ -31,7 +31,7 @@
         self.handle_config_event(event);
     }
 
-    /// Asks a peer for sections.
+    /// Pulls sections from a peer.
     pub(super) async fn pull_sections(self: &Arc<Self>, peer: Incarnation, wanted: &[SectionHash]) {
         let event = match self.pull(peer, ConfigVersion::new(u64::MAX), wanted).await {
             Some(reply) => {
@@ -65,7 +65,7 @@
             .ok()
     }
 
-    /// Hands a version to a peer.
+    /// Pushes a version to a peer.
     pub(super) async fn push_config(
         self: &Arc<Self>,
         peer: Incarnation,
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Takes a version that a peer hands over.
+    /// Accepts a version that a peer pushes.
     pub(crate) fn apply_pushed_configuration(
         self: &Arc<Self>,
         from: Incarnation,
@@ -112,7 +112,7 @@
     ) -> PushConfigurationReply {
         let version = request.version;
         let Ok(change) = serde_json::from_slice::<HeadChange>(&request.head_change) else {
-            log::warn!("a pushed head from {from} doesn't parse");
+            log::warn!("configuration head pushed by {from} doesn't parse");
             let held_version = self.complete_head().map_or(0, |head| head.version.get());
             return PushConfigurationReply {
                 held: false,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Gives a peer the head and the sections that it asks for.
+    /// Answers a peer's pull with the head and the requested sections.
     pub(crate) fn answer_pull(&self, request: &PullConfigurationRequest) -> PullConfigurationReply {
         let after = ConfigVersion::new(request.after_version);
         let wanted = parse_section_hashes(&request.wanted);
@@ -168,7 +168,7 @@
     sections.iter().map(write).collect()
 }
 
-/// Reads the sections of a message; one that doesn't fit its hash is left out.
+/// Converts the sections of a message; a section that doesn't match its hash is skipped.
 fn read_sections(sections: &[WireSection]) -> Vec<Section> {
     let read = |section: &WireSection| {
         let hash = section.hash.parse().ok()?;
--- a/crates/wisteriahitch-node/src/config/replica.rs
+++ b/crates/wisteriahitch-node/src/config/replica.rs
@@ -1,4 +1,4 @@
-//! Driving the replica of the configuration.
+//! Runs this daemon's replica of the configuration.
 
 use std::sync::Arc;
 
@@ -13,25 +13,25 @@
 use super::objects::{HEAD_NAME, parse_head, read_section};
 use crate::shared::Shared;
 
-/// Time for which one watch of the head waits.
+/// Maximum duration of one watch call on the head.
 const WATCH_TIMEOUT_US: DurationUs = DurationUs::from_ms(20_000);
 
-/// Pause after a watch failed.
+/// Backoff after a failed watch call.
 const WATCH_RETRY_BACKOFF: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// Holds the replica and the watch that it asked for.
+/// The replica and its watch on the head.
 ///
-/// The replica is locked before the members where both are needed.
+/// Where both locks are needed, the replica is locked before the members.
 pub(crate) struct ConfigState {
-    /// Versions held and in force.
+    /// Stored and active versions of the configuration.
     pub(crate) replica: Mutex<ConfigReplica>,
-    /// Held while a configuration is put in force.
+    /// Serializes the activation of configurations.
     pub(super) activation_lock: Mutex<()>,
     watch: Mutex<Option<CancellationToken>>,
 }
 
 impl ConfigState {
-    /// Builds a replica that knows nothing.
+    /// Creates an empty replica.
     pub(crate) fn new() -> Self {
         let replica = ConfigReplica::new(ConfigSettings::default());
         Self {
@@ -43,12 +43,12 @@
 }
 
 impl Shared {
-    /// Runs what depends on the time alone.
+    /// Runs the replica's time-dependent work.
     pub(crate) fn tick_config(self: &Arc<Self>) {
         self.handle_config_event(ConfigEvent::Tick);
     }
 
-    /// Tells the replica an event and carries out what it asks for.
+    /// Passes an event to the replica and executes the commands that it returns.
     pub(crate) fn handle_config_event(self: &Arc<Self>, event: ConfigEvent) {
         let now = self.clock.now();
         let commands = {
@@ -58,7 +58,7 @@
         self.execute_config_commands(commands);
     }
 
-    /// Carries out what the replica asks for.
+    /// Executes the commands of the replica.
     pub(crate) fn execute_config_commands(self: &Arc<Self>, commands: Vec<ConfigCommand>) {
         for command in commands {
             match command {
@@ -104,7 +104,7 @@
         self.handle_config_event(event);
     }
 
-    /// Returns the head that is held whole, if there is one.
+    /// Returns the latest head for which all sections are stored here, if any.
     pub(crate) fn complete_head(&self) -> Option<HeadObject> {
         self.config.replica.lock().held().cloned()
     }
--- a/crates/wisteriahitch-node/src/config/submit.rs
+++ b/crates/wisteriahitch-node/src/config/submit.rs
@@ -1,4 +1,4 @@
-//! Accepting a submission by one conditional update of the head.
+//! Accepts submitted configurations by one conditional update of the head object.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,35 +16,36 @@
 use super::objects::{HEAD_NAME, build_sections, parse_head, read_section, write_section};
 use crate::shared::Shared;
 
-/// Time between two counts of the peers that hold an accepted version.
+/// Interval between two checks whether the accepted version is active here.
 const ACTIVATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Counts after which the operator is told with those that hold it by then.
+/// Maximum number of such checks, after which the operator gets the holders known by then.
 const MAX_ACTIVATION_POLLS: u32 = 40;
 
-/// Holds a checked submission.
+/// A validated submission.
 pub(crate) struct Submitted {
-    /// Name that the operator gave it.
+    /// Id of the submission, from the operator or generated.
     pub(crate) id: SubmissionId,
-    /// Sections in force that it was checked against.
+    /// Active sections that the submission was validated against.
     pub(crate) base: Sections,
-    /// Sections that are to be in force.
+    /// Sections that are to become active.
     pub(crate) merged: Sections,
-    /// Version that it must be accepted on top of.
+    /// Version that must be the current one for the submission to be accepted; `None` if there is
+    /// none yet.
     pub(crate) expected: Option<ConfigVersion>,
 }
 
-/// Says why a submission was not accepted.
+/// Why a submission was not accepted.
 pub(crate) enum SubmitError {
-    /// The whole that would come out has faults.
+    /// The resulting configuration is invalid.
     Refused(Box<Report>),
-    /// Something else, by its outcome.
+    /// Another outcome of the submission, such as a conflict.
     Outcome(SubmissionOutcome),
-    /// A section can't be read.
+    /// The submission ended without an outcome because of an internal error.
     Failed(Code),
 }
 
-/// Follows one submission.
+/// State of one submission.
 struct SubmissionRun<'a> {
     shared: &'a Arc<Shared>,
     texts: BTreeMap<SectionHash, String>,
@@ -52,7 +53,7 @@
 }
 
 impl Shared {
-    /// Brings a submission to its end and returns the acceptance.
+    /// Runs a submission to its end and returns its acceptance.
     pub(crate) async fn submit_configuration(
         self: &Arc<Self>,
         submitted: Submitted,
@@ -113,7 +114,7 @@
         match write_section(&*self.shared.clients.platform, hash, text).await {
             Ok(()) => SubmissionEvent::SectionWritten(hash),
             Err(error) => {
-                log::warn!("a section can't be written: {error}");
+                log::warn!("section {hash} can't be written: {error}");
                 SubmissionEvent::SectionFailed(hash)
             }
         }
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Checks the whole that would come out, with the sections that others submitted meanwhile.
+    /// Validates the resulting configuration, including sections that others submitted meanwhile.
     async fn check(&mut self, head: &HeadObject) -> SubmissionEvent {
         let Some(sections) = self.collect_sections(head).await else {
             return SubmissionEvent::Checked { is_good: false };
@@ -165,7 +166,7 @@
                 }
             },
             Err(error) => {
-                log::error!("the sections don't fit their head: {error}");
+                log::error!("the sections don't match their head: {error}");
                 false
             }
         };
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Learns the accepted version here, which hands it to peers, and counts who holds it.
+    /// Applies the accepted version here, which pushes it to peers, and counts the peers that store
+    /// it.
     async fn publish_and_count_holders(&self, head: &HeadObject) -> SubmissionEvent {
         let shared = self.shared;
         shared.handle_config_event(ConfigEvent::StoreHead(Some(head.clone())));
--- a/crates/wisteriahitch-node/src/orders/lease.rs
+++ b/crates/wisteriahitch-node/src/orders/lease.rs
@@ -1,4 +1,4 @@
-//! Carrying leases to the platform.
+//! Reads and writes leases at the platform.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Tells the leases an event and carries out what they ask for.
+    /// Passes an event to the lease table and executes the commands that it returns.
     pub(super) fn handle_lease_event(self: &Arc<Self>, event: LeaseEvent) {
         let now = self.clock.now();
         let commands = {
--- a/crates/wisteriahitch-node/src/orders/mod.rs
+++ b/crates/wisteriahitch-node/src/orders/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints: the lease that allows them, and what is to be ordered.
+//! Orders to endpoints: the lease that allows them, their planning and their execution.
 //!
 //! `docs/design/orders.md` gives the reasons.
 
--- a/crates/wisteriahitch-node/src/orders/planning.rs
+++ b/crates/wisteriahitch-node/src/orders/planning.rs
@@ -1,4 +1,4 @@
-//! Planning orders and giving them.
+//! Plans orders to endpoints and sends them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use super::OrderState;
 use crate::shared::{InForce, Shared};
 
-/// Time between two looks at what is to be ordered.
+/// Interval between two planning rounds.
 const PLANNING_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Holds leases and gives orders until the process stops.
+/// Renews the lease, plans orders and sends them until the process stops.
 pub(crate) async fn run_orders(shared: Arc<Shared>) {
     let mut ticks = tokio::time::interval(PLANNING_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -69,7 +69,7 @@
     }
 }
 
-/// Gives an order if the lease still allows it right now.
+/// Sends an order if the lease still allows it at this moment.
 fn issue_order(shared: &Arc<Shared>, planned: PlannedOrder) {
     let now = shared.clock.now();
     let grant = shared
@@ -109,7 +109,7 @@
     if let Err(error) = &result {
         log::warn!("{} order to {endpoint} failed: {error}", error.code());
     }
-    // One that timed out may still take effect: what the endpoint reports then decides.
+    // An order that timed out may still take effect; the endpoint's next report decides.
     let may_have_applied = match &result {
         Ok(()) => true,
         Err(error) => error.kind() == EngineErrorKind::Timeout,
--- a/crates/wisteriahitch-node/src/orders/state.rs
+++ b/crates/wisteriahitch-node/src/orders/state.rs
@@ -1,4 +1,4 @@
-//! What is held about orders.
+//! State of the orders to endpoints.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,24 @@
 use wisteriahitch_types::EndpointId;
 use wisteriahitch_wire::engine::LoadReport;
 
-/// Holds the lease, the plan and what the endpoints last reported.
+/// The lease, the planner and the endpoints' latest reports.
 ///
-/// One lease stands for all orders of the site: at today's size one daemon gives them all, and
-/// the bound on loads at once then needs no agreement (`docs/design/orders.md`).
+/// One lease covers all orders of the site. At today's size one daemon can issue them all, and
+/// limiting concurrent model loads then needs no agreement between daemons
+/// (`docs/design/orders.md`).
 pub(crate) struct OrderState {
     /// Leases.
     pub(crate) leases: Mutex<LeaseTable>,
-    /// What is ordered next.
+    /// Plans the next orders.
     pub(crate) planner: Mutex<OrderPlanner>,
-    /// Last report of every engine.
+    /// Latest report of every engine.
     pub(crate) reports: Mutex<BTreeMap<EndpointId, EndpointReport>>,
-    /// How far each rollout has come, where this daemon gives the orders.
+    /// Progress of each rollout, as of this daemon's latest planning round.
     pub(crate) progress: Mutex<Vec<RolloutProgress>>,
 }
 
 impl OrderState {
-    /// Builds the state of a daemon that holds no lease.
+    /// Creates the state of a daemon that holds no lease.
     pub(crate) fn new(me: LeaseHolder) -> Self {
         Self {
             leases: Mutex::new(LeaseTable::new(me, LeaseSettings::default())),
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Returns the group under whose lease every order is given.
+    /// Returns the lease group that covers every order.
     pub(crate) fn group() -> LeaseGroup {
         LeaseGroup::RolloutSlot(0)
     }
 
-    /// Takes over an engine's report.
+    /// Records an engine's report.
     pub(crate) fn record_engine_report(&self, endpoint: &EndpointId, report: &LoadReport) {
         let models = report.models.iter().map(|model| ModelOnEndpoint {
             model: model.model.clone(),
@@ -61,7 +62,7 @@
         self.reports.lock().insert(endpoint.clone(), report);
     }
 
-    /// Shows leases and plan, for the dump.
+    /// Returns leases, plan and rollout progress for the debug dump.
     pub(crate) fn snapshot(&self) -> Value {
         json!({
             "leases": self.leases.lock().status(),
