--- a/crates/wisteriahitch-node/src/peering/forward.rs
+++ b/crates/wisteriahitch-node/src/peering/forward.rs
@@ -1,4 +1,4 @@
-//! Handing a keyed request to the incarnation that decides for its key.
+//! Forwards a keyed request to the incarnation that decides for its key.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 use crate::dispatch::plain_call::PlainCall;
 use crate::shared::Shared;
 
-/// Header under which an answer's content type travels.
+/// Header of a forwarded answer that carries its content type.
 const CONTENT_TYPE: &str = "content-type";
 
-/// How much longer than the call itself a forwarder waits.
+/// Extra time, beyond the call's deadline, that the forwarding daemon waits for the reply.
 const FORWARD_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 impl Shared {
-    /// Hands over a request whose ticket another incarnation issued.
+    /// Forwards a request whose ticket another incarnation issued.
     pub(crate) async fn forward_ticket(
         &self,
         call: &PlainCall,
@@ -40,7 +40,7 @@
             .await
     }
 
-    /// Hands over a request on whose key another daemon holds the claim.
+    /// Forwards a request on whose key another daemon owns the claim.
     pub(crate) async fn forward_claim(
         &self,
         call: &PlainCall,
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Sends a request once; whatever fails, only the one who decides could say `not run`.
+    /// Sends a request once. On any failure the outcome is unknown, since only the deciding daemon
+    /// could say `not run`.
     async fn forward(
         &self,
         call: &PlainCall,
@@ -96,20 +97,21 @@
             Ok(reply) => read_reply(reply),
             Err(error) => {
                 if error.kind() == PeerErrorKind::WrongIncarnation {
-                    log::info!("the holder of a key has been replaced at {address}");
+                    log::info!("the incarnation that owns a key has been replaced at {address}");
                 }
                 Err(outcome_unknown_refusal(failure_code))
             }
         }
     }
 
-    /// Answers a keyed request that a peer handed over to this incarnation.
+    /// Answers a keyed request that a peer forwarded to this incarnation.
     pub(crate) async fn answer_forwarded(
         self: &Arc<Self>,
         request: ForwardRequest,
     ) -> ForwardReply {
         let shared = Arc::clone(self);
-        // A task of its own, for the same reason as with a caller of this daemon.
+        // The work runs in a task of its own, so that a forwarding daemon that disconnects can't
+        // leave the key half decided.
         let task = tokio::spawn(async move { decide_forwarded(&shared, request).await });
         match task.await {
             Ok(outcome) => write_reply(outcome),
@@ -144,8 +146,9 @@
         .workspace
         .parse()
         .map_err(|_| Refusal::new(Code::BadKey))?;
-    // The sender's configuration may be older than ours. Without this look a workspace that an
-    // operator has removed would go on booking through the daemons that haven't heard of it.
+    // The sender's configuration may be older than ours. Without this check, a workspace that an
+    // operator has removed could go on booking through daemons that haven't received the new
+    // configuration.
     if !in_force.configuration.workspaces.contains_key(&workspace) {
         return Err(outcome_unknown_refusal(Code::UnknownKey));
     }
@@ -166,7 +169,7 @@
         ..RequestFacts::default()
     };
     let route = apply_rules(&identity, &facts).map_err(Refusal::with_outcome_unknown)?;
-    // The caller's time runs since its arrival at the sender, which waits no longer than that.
+    // The caller's deadline counts from its arrival at the sender, which waits no longer than that.
     let left_us = DurationUs::new(request.deadline_us).min(route.deadline_us);
     Ok(PlainCall {
         identity,
--- a/crates/wisteriahitch-node/src/peering/handler.rs
+++ b/crates/wisteriahitch-node/src/peering/handler.rs
@@ -1,4 +1,4 @@
-//! Answering other daemons.
+//! Handles requests from other daemons.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use super::probe::PROBE_TIMEOUT;
 use crate::shared::Shared;
 
-/// Answers peers with this daemon's tables.
+/// Handles requests from peers with this daemon's tables.
 pub(crate) struct PeerRequestHandler {
     shared: Arc<Shared>,
 }
 
 impl PeerRequestHandler {
-    /// Builds the handler over a daemon's tables.
+    /// Creates the handler.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -138,7 +138,8 @@
 }
 
 impl Shared {
-    /// Takes a peer's news of an endpoint or a block; nothing where it doesn't parse.
+    /// Applies a peer's hint about an endpoint or a block; `None` if the hint is malformed or not
+    /// supported.
     fn apply_hint(&self, hint: &wisteriahitch_peer::BlockHint) -> Option<()> {
         let now = self.clock.now();
         if hint.kind() == HintKind::Leaving {
--- a/crates/wisteriahitch-node/src/peering/leaving.rs
+++ b/crates/wisteriahitch-node/src/peering/leaving.rs
@@ -1,8 +1,8 @@
-//! Telling peers that an endpoint leaves.
+//! Publishes to peers that an endpoint is leaving.
 //!
-//! A report may reach one daemon and not the others, and the VM list lags. Without this news the
-//! others would go on sending work to an endpoint that goes away, seen as requests that fail there;
-//! `docs/design/membership.md` gives the reasons for news between peers.
+//! An endpoint's own report may reach only one daemon, and the VM list lags. Without these updates
+//! the other daemons would go on sending requests to an endpoint that is shutting down, where they
+//! fail; `docs/design/membership.md` gives the reasons for gossip between peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 
 use crate::shared::Shared;
 
-/// Time between two looks at what is leaving.
+/// Interval between two checks for leaving endpoints.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for a peer's answer.
+/// Timeout of a call to a peer.
 const PUBLISH_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Peers that each daemon tells, once, what it has learned; each of these that didn't know tells
-/// as many, so that the news reaches all while no daemon sends more than this.
+/// Number of peers to which each daemon publishes an update, once. Each of them for which it is new
+/// publishes it to as many again, so that it reaches all daemons while none sends more than this.
 const UPDATE_FANOUT: usize = 6;
 
-/// Endpoints whose leaving has been published, with the instance that leaves.
+/// Leaving endpoints, with the incarnation that leaves if it is known.
 type LeavingEndpoints = HashMap<EndpointId, Option<String>>;
 
-/// Tells peers of endpoints that begin to leave until the process stops.
+/// Publishes endpoints that begin to leave until the process stops.
 pub(crate) async fn run_leaving_updates(shared: Arc<Shared>) {
     let mut published = LeavingEndpoints::new();
     let mut ticks = tokio::time::interval(CHECK_INTERVAL);
@@ -82,7 +82,8 @@
     peers
 }
 
-/// Tells one peer; one that doesn't answer hears of it from others or sees it by itself.
+/// Publishes hints to one peer. Failures are ignored: the peer learns it from other daemons or by
+/// itself.
 async fn publish(
     shared: Arc<Shared>,
     peer: Incarnation,
@@ -100,6 +101,6 @@
         .publish_blocks(address, request, PUBLISH_TIMEOUT)
         .await;
     if let Err(error) = answer {
-        log::debug!("{peer} wasn't published of a leaving endpoint: {error}");
+        log::debug!("publishing leaving endpoints to {peer} at {address} failed: {error}");
     }
 }
--- a/crates/wisteriahitch-node/src/peering/mod.rs
+++ b/crates/wisteriahitch-node/src/peering/mod.rs
@@ -1,4 +1,4 @@
-//! Talking to other daemons.
+//! Communication with other daemons.
 
 mod forward;
 mod handler;
--- a/crates/wisteriahitch-node/src/peering/news.rs
+++ b/crates/wisteriahitch-node/src/peering/news.rs
@@ -1,4 +1,4 @@
-//! Membership news between the core's form and the message's.
+//! Converts membership news between the core's types and the wire messages.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use wisteriahitch_peer::{MemberNews, MemberState as WireState, decode_address, encode_address};
 use wisteriahitch_types::{ConfigVersion, Incarnation};
 
-/// Renders news for a message.
+/// Converts news to its message.
 pub(crate) fn to_wire(news: &News) -> MemberNews {
     let address = |pick: fn(&MemberAddresses) -> SocketAddr| {
         let picked = news.addresses.as_ref().map(pick);
@@ -31,19 +31,20 @@
     }
 }
 
-/// Reads the news of a message; a piece that doesn't parse is left out.
+/// Converts the news of a message; malformed items are skipped.
 pub(crate) fn from_wire(news: &[MemberNews]) -> Vec<News> {
     news.iter().filter_map(try_from_wire).collect()
 }
 
-/// Highest number that news may carry; counting on from it never reaches the end of its type.
+/// Maximum news number or configuration version accepted from a peer. Incrementing from here can't
+/// overflow a `u64` in practice.
 const MAX_PEER_NUMBER: u64 = 1 << 62;
 
-/// Takes one item of news; nothing where it breaks the protocol.
+/// Converts one item of news; `None` if it violates the protocol.
 ///
-/// Its numbers are counted on from: a daemon answers a wrong belief about itself with the next
-/// number. One broken peer that tells the largest number would stop it doing so, and with it every
-/// task that looks at the members.
+/// The numbers are bounded because the daemon increments them: it refutes wrong news about itself
+/// with the next number. If a faulty peer could send the largest number, the daemon would stop
+/// there, and with it every task that reads the members.
 fn try_from_wire(news: &MemberNews) -> Option<News> {
     if news.news_number > MAX_PEER_NUMBER || news.config_version > MAX_PEER_NUMBER {
         return None;
@@ -72,7 +73,7 @@
     })
 }
 
-/// Returns the message's name of a state.
+/// Returns the wire form of a member's state.
 pub(crate) fn wire_state(state: MemberState) -> WireState {
     match state {
         MemberState::Alive => WireState::Alive,
--- a/crates/wisteriahitch-node/src/peering/probe.rs
+++ b/crates/wisteriahitch-node/src/peering/probe.rs
@@ -1,4 +1,4 @@
-//! Probing a few peers in each round, with the news that travels on the probes.
+//! Probes a few peers in each round; membership news travels on the probes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use super::news::{from_wire, to_wire};
 use crate::shared::Shared;
 
-/// Time between two looks at what is due.
+/// Interval between two ticks of the membership table.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for a probe's answer.
+/// Timeout of a direct probe.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Longest wait for a peer that probes somebody else for us.
+/// Timeout of an indirect probe, which a peer sends on this daemon's behalf.
 const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Keeps up the view of the other daemons until the process stops.
+/// Keeps the view of the other daemons up to date until the process stops.
 pub(crate) async fn run_membership(shared: Arc<Shared>) {
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     loop {
@@ -32,24 +32,24 @@
 }
 
 impl Shared {
-    /// Returns how this daemon names itself to peers.
+    /// Returns the identity that this daemon sends to peers.
     pub(crate) fn identity(&self) -> PeerIdentity {
         PeerIdentity::new(self.settings.id.clone(), self.incarnation)
     }
 
-    /// Returns the envelope of a call that is meant for one incarnation, or for whoever answers.
+    /// Returns the envelope of a call addressed to one incarnation, or to any if `None`.
     pub(crate) fn envelope(&self, meant_for: Option<Incarnation>) -> Option<Envelope> {
         Some(self.identity().envelope(meant_for))
     }
 
-    /// Tells membership an event and carries out what it asks for.
+    /// Passes an event to the membership table and executes the commands that it returns.
     pub(crate) fn handle_membership_event(self: &Arc<Self>, event: MembershipEvent) {
         let now = self.clock.now();
         let commands = self.fleet.members.lock().handle(event, now);
         self.execute_membership_commands(commands);
     }
 
-    /// Carries out what membership asks for.
+    /// Executes the commands of the membership table.
     pub(crate) fn execute_membership_commands(self: &Arc<Self>, commands: Vec<MembershipCommand>) {
         for command in commands {
             match command {
--- a/crates/wisteriahitch-node/src/task/capacity.rs
+++ b/crates/wisteriahitch-node/src/task/capacity.rs
@@ -1,4 +1,4 @@
-//! How much work this daemon lets run, and how loaded it is.
+//! Computes how many requests this daemon may run and how loaded it is.
 
 use std::sync::Arc;
 
@@ -8,20 +8,21 @@
 
 use crate::shared::Shared;
 
-/// How many times the endpoints' slots may be under way, so that an endpoint always finds its next
-/// request; what is above waits here, where shares among workspaces are kept.
+/// Requests in flight allowed per batch slot of the endpoints. Above 1, so that an endpoint always
+/// has its next request; further requests queue here, where fairness among workspaces is enforced.
 const CAPACITY_PER_SLOT: f64 = 1.25;
 
-/// Least requests of a service that a daemon lets run, whatever the endpoints report.
+/// Minimum number of requests of a service that a daemon may run, whatever the endpoints report.
 const MIN_CAPACITY: usize = 4;
 
-/// Load that is told to the other daemons as full.
+/// Load, in permille, that is published as full.
 const MAX_LOAD_PERMILLE: f64 = 1_000.0;
 
-/// Sets the capacity of every service from its endpoints' reports, and tells the load.
+/// Sets the capacity of every service from its endpoints' reports, and publishes this daemon's
+/// load.
 ///
-/// The daemons capacity the endpoints. Without a bound at each of them a burst of one workspace would
-/// queue at the endpoints, where it can no longer be put behind the other workspaces' requests.
+/// The daemons share the endpoints. Without a limit at each daemon, a burst of one workspace would
+/// queue at the endpoints, where other workspaces' requests can no longer be put before it.
 pub(crate) fn update_capacity(shared: &Arc<Shared>) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
--- a/crates/wisteriahitch-node/src/task/endpoints.rs
+++ b/crates/wisteriahitch-node/src/task/endpoints.rs
@@ -1,4 +1,4 @@
-//! Following the load and the caches of endpoints.
+//! Polls the load and the cache events of endpoints.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use super::in_flight::InFlightCalls;
 use crate::shared::Shared;
 
-/// Time between two looks at every endpoint.
+/// Interval between two polls of an endpoint.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How far the cache events of an endpoint have been read.
+/// Position up to which the cache events of an endpoint have been read.
 #[derive(Clone, Debug)]
 struct CacheCursor {
     incarnation: String,
@@ -27,7 +27,7 @@
 
 type CacheCursors = Mutex<HashMap<EndpointId, CacheCursor>>;
 
-/// Asks every endpoint for its load and its cache events until the process stops.
+/// Polls every endpoint for its load and its cache events until the process stops.
 pub(crate) async fn run_endpoints(shared: Arc<Shared>) {
     let cursors = Arc::new(CacheCursors::default());
     let in_flight = InFlightCalls::default();
@@ -41,7 +41,8 @@
     }
 }
 
-/// Asks all that aren't being in_flight; a frozen endpoint holds up no other's report.
+/// Polls all endpoints that have no poll in flight, so that a frozen endpoint delays no other's
+/// report.
 fn poll_endpoints(
     shared: &Arc<Shared>,
     cursors: &Arc<CacheCursors>,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Forgets what was read of endpoints that are no longer configured.
+/// Removes cursors and reports of endpoints that are no longer configured.
 fn remove_unconfigured(shared: &Shared, cursors: &CacheCursors, configuration: &Configuration) {
     let is_configured = |id: &EndpointId| configuration.endpoint(id).is_some();
     cursors.lock().retain(|id, _| is_configured(id));
@@ -145,7 +146,8 @@
     }
 }
 
-/// Reads the events since the last look; after a gap or a new life it lists the whole cache.
+/// Applies the cache events since the last poll. After a gap, or if the endpoint has restarted,
+/// reloads the listing of the whole cache.
 async fn sync_cache_events(shared: &Arc<Shared>, endpoint: &Endpoint, cursors: &CacheCursors) {
     let known = cursors.lock().get(&endpoint.id).cloned();
     let Some(cursor) = known else {
--- a/crates/wisteriahitch-node/src/task/housekeeping.rs
+++ b/crates/wisteriahitch-node/src/task/housekeeping.rs
@@ -1,4 +1,4 @@
-//! The ticks of the tables.
+//! Runs the time-dependent work of the tables.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Ticks between two looks at the endpoints' capacity.
+/// Ticks between two updates of the service capacities.
 const TICKS_PER_CAPACITY_UPDATE: u64 = 10;
 
-/// Runs the systems of every table at each tick until the process stops.
+/// Ticks every table until the process stops.
 pub(crate) async fn run_housekeeping(shared: Arc<Shared>) {
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/wisteriahitch-node/src/task/in_flight.rs
+++ b/crates/wisteriahitch-node/src/task/in_flight.rs
@@ -1,4 +1,4 @@
-//! Asking each VM once at a time.
+//! Limits polling to one call per VM at a time.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -6,17 +6,16 @@
 
 use parking_lot::Mutex;
 
-/// Holds whom a call is under way to.
+/// The VMs to which a call is in flight.
 ///
-/// A frozen VM takes a call and answers nothing until the call's time-out. Asking it in every round
-/// all the same would pile up connections, and the answers could come in another order than they
-/// were made in.
+/// A frozen VM accepts a call and doesn't answer before the call's timeout. Polling it in every
+/// round regardless would pile up connections, and the answers could arrive out of order.
 #[derive(Debug)]
 pub(super) struct InFlightCalls<K> {
     keys: Arc<Mutex<HashSet<K>>>,
 }
 
-/// Marks a call as under way until it is dropped.
+/// Marks a call as in flight until it is dropped.
 #[derive(Debug)]
 pub(super) struct InFlightCall<K: Hash + Eq> {
     key: K,
@@ -32,7 +31,7 @@
 }
 
 impl<K: Hash + Eq + Clone> InFlightCalls<K> {
-    /// Begins a call; nothing where the last one hasn't ended.
+    /// Begins a call; `None` while the previous one to the same VM is in flight.
     pub(super) fn try_begin(&self, key: &K) -> Option<InFlightCall<K>> {
         let is_first = self.keys.lock().insert(key.clone());
         is_first.then(|| InFlightCall {
--- a/crates/wisteriahitch-node/src/task/mod.rs
+++ b/crates/wisteriahitch-node/src/task/mod.rs
@@ -1,4 +1,4 @@
-//! What a daemon does on its own, again and again.
+//! Background tasks of a daemon.
 
 mod capacity;
 mod endpoint_changes;
--- a/crates/wisteriahitch-node/src/task/shares.rs
+++ b/crates/wisteriahitch-node/src/task/shares.rs
@@ -1,4 +1,4 @@
-//! Which store VMs' full tiers fall to this daemon.
+//! Assigns the eviction of blocks at full store VMs to daemons.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 
 use crate::shared::Shared;
 
-/// Separates this share from every other use of the rendezvous hash.
+/// Keeps this use of the rendezvous hash independent of every other use.
 const EVICTION_HASH_SCOPE: &str = "room-keeper";
 
-/// Takes over this daemon's share after the other daemons have changed.
+/// Recomputes which store VMs this daemon evicts blocks at.
 pub(crate) fn update_eviction_shares(shared: &Shared) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
@@ -23,10 +23,11 @@
     shared.tiers.with(|tiers| tiers.keep_room_at(stores));
 }
 
-/// Returns the store VMs whose full tiers this daemon empties; each has one daemon at a time.
+/// Returns the store VMs at whose full tiers this daemon evicts blocks. Each store VM is assigned
+/// to one daemon.
 ///
-/// Two daemons that both evict do harm only in part: the store refuses the second one's order for a
-/// block that is gone.
+/// If two daemons evict during a membership change, little harm is done: the store refuses the
+/// second order for a block that has already been freed.
 fn assigned_stores(configuration: &Configuration, members: &Membership) -> BTreeSet<StoreId> {
     let me = members.me().incarnation;
     let is_mine = |store: &StoreId| {
--- a/crates/wisteriahitch-node/src/task/stores.rs
+++ b/crates/wisteriahitch-node/src/task/stores.rs
@@ -1,4 +1,4 @@
-//! Following the store VMs: which incarnation they are in, their room, their links and their blocks.
+//! Polls the store VMs for their incarnation, free space, links and blocks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,19 +13,20 @@
 use super::in_flight::InFlightCalls;
 use crate::shared::Shared;
 
-/// Time between two polls at every store VM.
+/// Interval between two polls of a store VM.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Looks after which the blocks are listed again, for what other daemons saved or freed.
+/// Number of polls between two listings of the blocks, which show what other daemons saved or
+/// freed.
 const POLLS_PER_LISTING: u64 = 4;
 
-/// Blocks of a listing that are taken over before other work on the thread has its turn.
+/// Number of blocks of a listing that are applied before the task yields to others on its thread.
 const BLOCKS_PER_YIELD: usize = 256;
 
 /// The incarnation that each store VM was last seen in.
 type StoreIncarnations = Mutex<HashMap<StoreId, StoreIncarnation>>;
 
-/// Asks every store VM for its state until the process stops.
+/// Polls every store VM until the process stops.
 pub(crate) async fn run_stores(shared: Arc<Shared>) {
     let incarnations = Arc::new(StoreIncarnations::default());
     let in_flight = InFlightCalls::default();
@@ -47,7 +48,7 @@
     }
 }
 
-/// Asks all that aren't being in_flight; a frozen store VM holds up no other's report.
+/// Polls all store VMs that have no poll in flight, so that a frozen one delays no other's report.
 fn poll_stores(
     shared: &Arc<Shared>,
     incarnations: &Arc<StoreIncarnations>,
@@ -72,10 +73,10 @@
     }
 }
 
-/// Forgets the blocks of store VMs that are no longer configured.
+/// Removes the blocks of store VMs that are no longer configured.
 ///
-/// They would go on counting as readable: prompts would be sent where they seem cheap, and computed
-/// again there.
+/// Otherwise they would still count as readable: prompts would be routed where they seem cheap and
+/// be computed again there.
 fn remove_unconfigured(
     shared: &Shared,
     incarnations: &StoreIncarnations,
@@ -94,7 +95,7 @@
     }
 }
 
-/// Asks one store VM and notes the incarnation that it is in.
+/// Polls one store VM and records its incarnation.
 async fn poll_store(
     shared: &Arc<Shared>,
     store: &Store,
@@ -148,16 +149,15 @@
         .replace_store_listing(&store.id, &readable);
     let keys = readable.iter().map(|(key, _)| *key).collect();
     for (number, block) in listing.blocks.into_iter().enumerate() {
-        // A large listing takes a good part of a second. Without a pause the requests that are
-        // queued on this thread wait for all of it, which shows as late first tokens every two
-        // seconds.
+        // Applying a large listing takes a good part of a second. Without yielding, requests queued
+        // on this thread wait for all of it, visible as late first tokens every two seconds.
         if number % BLOCKS_PER_YIELD == 0 {
             tokio::task::yield_now().await;
         }
         shared.handle_tier_event(block_listed_event(&store.id, incarnation, block));
     }
-    // What the listing doesn't hold is gone: without this a block that another daemon freed would
-    // count as saved here for ever, and would never be saved again.
+    // Blocks missing from the listing have been freed. Without this event, a block that another
+    // daemon freed would count as saved here forever and never be saved again.
     let (store, incarnation) = (store.id.clone(), incarnation.clone());
     shared.handle_tier_event(TierEvent::StoreListed {
         store,
--- a/crates/wisteriahitch-node/src/task/vm_list.rs
+++ b/crates/wisteriahitch-node/src/task/vm_list.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's lagging list of VMs.
+//! Reads the platform's list of VMs, which lags behind their state.
 
 use std::collections::{HashMap, HashSet};
 use std::net::IpAddr;
@@ -13,10 +13,10 @@
 
 use crate::shared::Shared;
 
-/// Time between two readings; each is one call of the platform.
+/// Interval between two reads of the list; each is one platform call.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Entries that were reported as malformed, so that each one is reported once.
+/// Malformed entries that were logged, so that each is logged once.
 type MalformedEntries = HashSet<(String, ObjectVersion)>;
 
 /// Reads the list until the process stops.
@@ -61,10 +61,10 @@
     apply_endpoint_phases(shared, &vms);
 }
 
-/// Takes the entries that parse, and reports each other one once.
+/// Parses the entries, and logs each malformed one once.
 ///
-/// An entry that is dropped without a word may be the one that says that a VM is leaving; new work
-/// would go there, and nothing would show why.
+/// A malformed entry that was silently dropped could be the one that says that a VM is leaving. New
+/// work would go there, and nothing would show why.
 fn parse(items: Vec<Object>, malformed: &mut MalformedEntries) -> Vec<VirtualMachine> {
     let mut vms = Vec::new();
     let mut found = MalformedEntries::new();
@@ -89,10 +89,10 @@
     vms
 }
 
-/// Tells the endpoint table which endpoints' VMs are leaving.
+/// Updates the endpoint table with the endpoints whose VMs are leaving.
 ///
-/// An entry names a VM by its IP address; where several endpoints share one, as in tests on one
-/// machine, it may name the port too.
+/// An entry identifies a VM by its IP address. If several endpoints share one, as in tests on one
+/// machine, the entry may contain the port too.
 fn apply_endpoint_phases(shared: &Shared, vms: &[VirtualMachine]) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
