--- a/crates/wisteriahitch-node/src/clock.rs
+++ b/crates/wisteriahitch-node/src/clock.rs
@@ -4,7 +4,7 @@
 
 use wisteriahitch_types::{DurationUs, TimeUs};
 
-/// Tells the time since the process started, which is the only time the decisions see.
+/// A clock that counts from the start of the process. Decisions use no other time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started: Instant,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Returns the time now.
+    /// Returns the time since the start.
     pub(crate) fn now(&self) -> TimeUs {
         TimeUs::new(DurationUs::from(self.started.elapsed()).get())
     }
--- a/crates/wisteriahitch-node/src/daemon.rs
+++ b/crates/wisteriahitch-node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon: every role in one process.
+//! The daemon process: builds the shared state and runs all listeners and tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,38 +33,38 @@
 use crate::state::{AdmissionState, FleetState, OnceState, ResumeState, TierState};
 use crate::task;
 
-/// Part of the requests that may be retries until a configuration says otherwise.
+/// Maximum ratio of retries to requests until a configuration sets it.
 const INITIAL_RETRY_SHARE: f64 = 0.1;
 
-/// Longest wait for a connection to a peer.
+/// Timeout of connecting to a peer.
 const PEER_CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// Longest wait for the connections of peers to end, once nothing is asked on them.
+/// Time limit, at shutdown, for peers' connections to close after all requests on them have ended.
 const PEER_SHUTDOWN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Callers' connections at once for each stream that may run.
+/// Maximum number of callers' connections per completion that may run at once.
 const CONNECTIONS_PER_STREAM: usize = 2;
 
-/// Connections that wait to be accepted.
+/// Length of the listeners' accept queues.
 const LISTEN_BACKLOG: u32 = 4_096;
 
-/// Operators' connections at once.
+/// Maximum number of operators' connections.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// One life of a daemon process.
+/// One incarnation of a daemon.
 ///
-/// It holds nothing that must last: whatever must lies in the platform's objects, and everything
-/// else is learned again at the next start (`docs/ARCHITECTURE.md`).
+/// A daemon stores nothing durably: durable data is in the platform's objects, and everything else
+/// is learned again after a restart (`docs/ARCHITECTURE.md`).
 pub struct Daemon {
     shared: Arc<Shared>,
 }
 
 impl Daemon {
-    /// Builds a daemon that knows nothing yet.
+    /// Creates a daemon with empty state.
     ///
     /// # Errors
     ///
-    /// Fails when the metrics can't be registered.
+    /// Fails if the metrics can't be registered.
     pub fn new(settings: Settings) -> anyhow::Result<Self> {
         let incarnation = Incarnation::new(rand::random_range(1..u64::MAX));
         let holder = ClaimHolder {
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Returns what starts draining, for a signal handler.
+    /// Returns a function that starts draining, for a signal handler.
     pub fn drainer(&self) -> impl Fn() + Send + Sync + use<> {
         let shared = Arc::clone(&self.shared);
         move || shared.start_drain()
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be listened on.
+    /// Fails if it can't listen on one of its addresses.
     pub async fn run(self) -> anyhow::Result<()> {
         let shared = self.shared;
         let listen = &shared.settings.listen;
@@ -144,23 +144,23 @@
         while listeners.join_next().await.is_some() {}
         shared.wait_for_late_work().await;
         shared.end.cancel();
-        // A peer that is frozen never confirms the end of its connection, and nothing that it
-        // could still want is left here. Without a bound one such peer would hold up an update.
+        // A frozen peer never confirms that its connection is closed, and nothing is left here that
+        // it could still need. Without the timeout one such peer would block an update.
         let ended = async { while tasks.join_next().await.is_some() {} };
         if tokio::time::timeout(PEER_SHUTDOWN_TIMEOUT, ended)
             .await
             .is_err()
         {
-            log::warn!("a connection to a peer didn't end in time");
+            log::warn!("a connection to a peer didn't close in time");
         }
         Ok(())
     }
 }
 
-/// Listens on an address, with a queue long enough for a burst of callers.
+/// Listens on an address with a queue long enough for a burst of callers.
 ///
-/// The usual queue of 128 overflows when some hundred callers come back at once, such as after an
-/// availability zone returns; their connections then wait for a second or are given up.
+/// The usual queue length of 128 overflows when several hundred callers return at once, for example
+/// when an availability zone recovers. Their connections then wait for a second or fail.
 fn bind(address: SocketAddr, side: &str) -> anyhow::Result<TcpListener> {
     let listen = || {
         let socket = match address {
@@ -182,7 +182,7 @@
     }
 }
 
-/// Leaves room for connections that wait beside the streams that run.
+/// Allows for idle connections besides those with a running completion.
 fn caller_connection_limits(settings: &Settings) -> ConnectionLimits {
     let streams = settings.limits.streams as usize;
     connection_limits(settings, streams.saturating_mul(CONNECTIONS_PER_STREAM))
--- a/crates/wisteriahitch-node/src/lib.rs
+++ b/crates/wisteriahitch-node/src/lib.rs
@@ -1,4 +1,5 @@
-//! Daemon of wisteriahitch as a library: the shells that connect the decisions to the network.
+//! The wisteriahitch daemon as a library: the I/O code that connects the core's decisions to the
+//! network.
 //!
 //! `docs/ARCHITECTURE.md` follows a request through the modules.
 
--- a/crates/wisteriahitch-node/src/observe/logging.rs
+++ b/crates/wisteriahitch-node/src/observe/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! Logging as JSON lines.
 
 use std::path::PathBuf;
 
@@ -12,12 +12,12 @@
 
 const APPENDER: &str = "main";
 
-/// Says where logs go and which are kept.
+/// Logging options.
 #[derive(Clone, Debug)]
 pub struct LogOptions {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LevelFilter,
-    /// File to append to; standard error where none is given, since entry VMs have no disks.
+    /// File to append to. `None` logs to standard error, since entry VMs have no disks.
     pub file: Option<PathBuf>,
 }
 
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the file can't be opened or logging was started before.
+/// Fails if the file can't be opened or logging has already been started.
 pub fn start_logging(options: &LogOptions) -> anyhow::Result<()> {
     let appender = build_appender(options)?;
     let root = Root::builder().appender(APPENDER).build(options.level);
--- a/crates/wisteriahitch-node/src/observe/metrics.rs
+++ b/crates/wisteriahitch-node/src/observe/metrics.rs
@@ -1,6 +1,6 @@
-//! Counters and histograms in the form that `prometheus` scrapes.
+//! Metrics in the Prometheus text format.
 //!
-//! No label carries a workspace, so that one customer's traffic can't be read from a shared page.
+//! No label contains a workspace, so that one customer's traffic can't be read from a shared page.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
@@ -13,39 +13,39 @@
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.6, 3.0, 6.0, 12.0,
 ];
 
-/// Holds every metric of a daemon.
+/// All metrics of a daemon.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests by how they came in.
+    /// Requests by kind of path.
     pub(crate) requests: IntCounterVec,
     /// Refusals by code.
     pub(crate) refusals: IntCounterVec,
     /// Attempts at endpoints by outcome.
     pub(crate) attempts: IntCounterVec,
-    /// Tokens of answers that were dropped, by reason.
+    /// Tokens received from endpoints but not relayed, by reason.
     pub(crate) dropped_tokens: IntCounterVec,
-    /// Prompt tokens that were asked for.
+    /// Prompt tokens of requests whose first token has arrived.
     pub(crate) prompt_tokens: IntCounter,
-    /// Prompt tokens that an endpoint did not compute again.
+    /// Prompt tokens that the endpoint served from its cache.
     pub(crate) cached_tokens: IntCounter,
-    /// Blocks by what became of their transfer.
+    /// Block transfers by outcome.
     pub(crate) transfers: IntCounterVec,
-    /// Calls to the platform by kind, as its client counts them.
+    /// Platform calls by kind, as counted by the platform client.
     platform_calls: IntGaugeVec,
-    /// Streams that run now.
+    /// Completions that are running.
     pub(crate) streams: IntGauge,
-    /// Configuration that is in force.
+    /// Version of the active configuration.
     pub(crate) config_version: IntGauge,
-    /// Time to the first token, from the arrival of the request.
+    /// Time from a request's arrival to its first token, in seconds.
     pub(crate) first_token_s: Histogram,
 }
 
 impl Metrics {
-    /// Registers every metric.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// Fails when two metrics have the same name.
+    /// Fails if two metrics have the same name.
     pub(crate) fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let metrics = Self {
@@ -89,12 +89,12 @@
         self.refusals.with_label_values(&[&code.to_string()]).inc();
     }
 
-    /// Records a time to the first token.
+    /// Records the time to the first token of a completion.
     pub(crate) fn observe_first_token(&self, span_us: DurationUs) {
         self.first_token_s.observe(span_us.as_secs_f64());
     }
 
-    /// Takes over the counts that the platform's client keeps.
+    /// Sets the platform call metrics to the platform client's counts.
     pub(crate) fn set_platform_calls(&self, counts: &CallCounts) {
         let kinds = [
             ("read", counts.reads),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Renders the page that is scraped.
+    /// Renders the metrics page.
     pub(crate) fn render(&self) -> Vec<u8> {
         let mut page = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut page) {
--- a/crates/wisteriahitch-node/src/observe/mod.rs
+++ b/crates/wisteriahitch-node/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells of itself: logs and metrics.
+//! Logs and metrics of a daemon.
 
 mod logging;
 mod metrics;
--- a/crates/wisteriahitch-node/src/operator/config.rs
+++ b/crates/wisteriahitch-node/src/operator/config.rs
@@ -1,4 +1,4 @@
-//! Submitting and showing the configuration.
+//! Submission and display of the configuration.
 
 use std::sync::Arc;
 
@@ -85,7 +85,8 @@
         .map(|(_, value)| value)
 }
 
-/// Returns the version that the operator named, on top of which alone the submission may go.
+/// Returns the version given by the operator, the only one on top of which the submission may be
+/// accepted.
 fn get_base(query: &str) -> Result<Option<ConfigVersion>, Refusal> {
     let base = get_parameter(query, "base").map(str::parse).transpose();
     base.map_err(|error: ParseIdError| Refusal::new(Code::BadHttp).with_message(error.to_string()))
@@ -108,7 +109,7 @@
     response
 }
 
-/// Answers `GET /v1/config` with the text in force.
+/// Answers `GET /v1/config` with the text of the active configuration.
 pub(crate) fn show(shared: &Shared) -> Result<Response<ResponseBody>, Refusal> {
     let in_force = shared
         .in_force
--- a/crates/wisteriahitch-node/src/operator/dump.rs
+++ b/crates/wisteriahitch-node/src/operator/dump.rs
@@ -1,10 +1,10 @@
-//! The whole state of a daemon.
+//! The debug dump of a daemon's state.
 
 use serde_json::{Value, json};
 
 use crate::shared::Shared;
 
-/// Renders everything that the daemon holds, but for secrets, prompts and answers.
+/// Renders the daemon's whole state without secrets, prompts and answers.
 pub(crate) fn state(shared: &Shared) -> Value {
     let now = shared.clock.now();
     let in_force = shared.in_force.load_full();
--- a/crates/wisteriahitch-node/src/operator/explain.rs
+++ b/crates/wisteriahitch-node/src/operator/explain.rs
@@ -1,4 +1,4 @@
-//! Telling which rule decides for a described request, and which endpoint, and why.
+//! Explains which rule and endpoint would be chosen for a described request, and why.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
 
 const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// Answers `POST /v1/explain`; nothing is sent to an endpoint.
+/// Answers `POST /v1/explain`. Nothing is sent to an endpoint.
 pub(crate) fn explain(
     shared: &Arc<Shared>,
     body: &Bytes,
@@ -175,7 +175,7 @@
     piece_chain(&scope, question.prompt.as_deref().unwrap_or_default())
 }
 
-/// Answers `POST /v1/locate` with where each block of a prompt is.
+/// Answers `POST /v1/locate` with the endpoints and stores that have each block of a prompt.
 pub(crate) fn locate(
     shared: &Arc<Shared>,
     body: &Bytes,
--- a/crates/wisteriahitch-node/src/operator/handler.rs
+++ b/crates/wisteriahitch-node/src/operator/handler.rs
@@ -1,4 +1,4 @@
-//! Which part answers which path of the operators' address.
+//! Routes operators' requests by method and path.
 
 use std::sync::Arc;
 
@@ -18,13 +18,13 @@
 
 const KEY_HEADER: &str = "x-operator-key";
 
-/// Answers operators.
+/// HTTP handler of the operators' listener.
 pub(crate) struct OperatorHandler {
     shared: Arc<Shared>,
 }
 
 impl OperatorHandler {
-    /// Builds the handler over a daemon's tables.
+    /// Creates the handler.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
--- a/crates/wisteriahitch-node/src/operator/mod.rs
+++ b/crates/wisteriahitch-node/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: configuration in, reports out.
+//! HTTP API for operators.
 
 mod config;
 mod dump;
--- a/crates/wisteriahitch-node/src/operator/status.rs
+++ b/crates/wisteriahitch-node/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! The state of the site as this daemon sees it.
+//! Status of the site as this daemon sees it.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::shared::Shared;
 
-/// Renders daemons with their versions, endpoints, stores and rollouts.
+/// Renders daemons with their configuration versions, endpoints, stores and the rollout.
 pub(crate) fn status(shared: &Shared) -> Value {
     let in_force = shared.in_force.load_full();
     let version = in_force.as_ref().map(|in_force| in_force.version);
@@ -78,7 +78,7 @@
     })
 }
 
-/// Counts the models of endpoints that run the wanted version, and those that don't yet.
+/// Counts the models at endpoints that run the configured weight version, and those that don't yet.
 fn rollout(shared: &Shared, configuration: &Configuration) -> Value {
     let router = shared.router.lock();
     let (mut done, mut pending) = (0, 0);
@@ -108,9 +108,9 @@
     })
 }
 
-/// Returns the operators' address of the daemon that gives the orders, as far as it is known.
+/// Returns the operators' address of the daemon that issues the orders, if it is known.
 ///
-/// Only that one knows how far a rollout has come and whether it has failed.
+/// Only that daemon knows the progress of a rollout and whether it has failed.
 fn find_orderer(shared: &Shared) -> Option<SocketAddr> {
     let leases = shared.orders.leases.lock().status();
     let holder = leases.first()?.holder?;
--- a/crates/wisteriahitch-node/src/server/connection.rs
+++ b/crates/wisteriahitch-node/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and answering requests on them.
+//! Accepts connections and serves HTTP requests on them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -22,38 +22,39 @@
 use super::stall_guard::StallGuard;
 use crate::caller::body::ResponseBody;
 
-/// How long the listener rests after an accept fails, such as for want of file descriptors.
+/// Backoff after a failed accept, such as when file descriptors run out.
 const ACCEPT_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
-/// How long a connection without a request stays open after the stop, for one that is on its way.
+/// Time for which an idle connection stays open after the stop, for a request that is already in
+/// transit.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
 
-/// Smallest header buffer that the HTTP library takes.
+/// Minimum size of the header buffer that the HTTP library accepts, in bytes.
 const MIN_HEADER_BYTES: u64 = 8_192;
 
-/// Bounds what one connection and all of them together may hold.
+/// Limits of a listener and of each of its connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Connections at once; further ones wait in the kernel's queue.
+    /// Maximum number of open connections; further ones wait in the kernel's accept queue.
     pub(crate) connections: usize,
-    /// Size of a request's head.
+    /// Maximum size of a request's head.
     pub(crate) header_bytes: ByteCount,
-    /// Time from the first byte of a request's head to its last.
+    /// Maximum time from the first byte of a request's head to its last.
     pub(crate) header_timeout: Duration,
-    /// Time for which a connection may wait for a request.
+    /// Maximum time for which a connection may be idle between requests.
     pub(crate) idle_timeout: Duration,
-    /// Time for which a reader may take nothing.
+    /// Maximum time for which a client may read nothing of a response.
     pub(crate) reader_stall: Duration,
 }
 
-/// Answers requests; every failure is an answer too.
+/// Answers requests. Errors are answered with a response too.
 #[async_trait]
 pub(crate) trait Handler: Send + Sync + 'static {
     /// Answers one request.
     async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody>;
 }
 
-/// Serves connections until `stop` is cancelled, then lets each finish the request it is at.
+/// Serves connections until `stop` is cancelled, then lets each finish its current request.
 pub(crate) async fn serve(
     listener: TcpListener,
     limits: ConnectionLimits,
@@ -88,9 +89,9 @@
     wait_for_connections(&permits, limits.connections).await;
 }
 
-/// Takes the connections that are open already and haven't been accepted yet.
+/// Accepts the connections that are already open in the kernel's queue.
 ///
-/// Closing the listener would reset them, with the requests that callers have sent on them.
+/// Closing the listener would reset them, along with the requests that callers have already sent.
 fn accept_backlog(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
--- a/crates/wisteriahitch-node/src/server/head_guard.rs
+++ b/crates/wisteriahitch-node/src/server/head_guard.rs
@@ -1,4 +1,4 @@
-//! Ends connections that send the head of a request too slowly.
+//! Closes connections that send the head of a request too slowly.
 
 use std::future::Future;
 use std::io;
@@ -11,7 +11,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep};
 
-/// Tells the guard of a connection whether a request is being answered on it.
+/// Shared between a connection's service and its [`HeadGuard`]: whether a request is being
+/// answered.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestProgress(Arc<RequestState>);
 
@@ -22,13 +23,13 @@
 }
 
 impl RequestProgress {
-    /// Notes that a head has arrived whole.
+    /// Records that a complete head has arrived.
     pub(crate) fn begin(&self) {
         self.0.completed_heads.fetch_add(1, Ordering::Release);
         self.0.is_answering.store(true, Ordering::Release);
     }
 
-    /// Notes that the next bytes begin a new head.
+    /// Records that the answer is done, so that the next bytes begin a new head.
     pub(crate) fn end(&self) {
         self.0.is_answering.store(false, Ordering::Release);
     }
@@ -42,12 +43,12 @@
     }
 }
 
-/// Wraps a connection and fails a read when a head that has begun isn't whole in time.
+/// Wraps a connection and fails a read when a request head isn't complete in time.
 ///
-/// The HTTP library knows one time for an idle connection and for a slow head. With the short time
-/// of a head, callers would lose their kept connections all the time; with the long time of an
-/// idle one, a sender of one byte a second would hold a connection for as long. The two are told
-/// apart here by the first byte.
+/// The HTTP library has a single timeout for idle connections and slow heads. With the short
+/// timeout that suits a head, callers would constantly lose their keep-alive connections; with the
+/// long one that suits an idle connection, a sender of one byte a second would occupy a connection
+/// for as long. This guard tells the two apart by the first byte.
 #[derive(Debug)]
 pub(crate) struct HeadGuard<S> {
     inner: S,
@@ -59,7 +60,7 @@
 }
 
 impl<S> HeadGuard<S> {
-    /// Wraps `inner`; a head must be whole `limit` after its first byte.
+    /// Wraps `inner`; a head must be complete `limit` after its first byte.
     pub(crate) fn new(inner: S, limit: Duration, progress: RequestProgress) -> Self {
         Self {
             inner,
@@ -71,11 +72,11 @@
         }
     }
 
-    /// Stops counting once the head that began is whole.
+    /// Stops the head timer once the head is complete.
     ///
-    /// A request that is answered in one go is begun and ended between two reads, so that the progress
-    /// alone doesn't show it: the time of its head would go on and end the kept connection, perhaps
-    /// with the next request on its way.
+    /// A request that is answered immediately begins and ends between two reads, so
+    /// [`RequestProgress`] alone doesn't show it. The timer would run on and close the keep-alive
+    /// connection, perhaps with the next request in transit.
     fn update_completed_heads(&mut self) {
         let completed_heads = self.progress.completed_heads();
         if completed_heads != self.completed_heads {
--- a/crates/wisteriahitch-node/src/server/mod.rs
+++ b/crates/wisteriahitch-node/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP server shell shared by callers' and operators' listeners.
+//! HTTP server shared by the callers' and the operators' listeners.
 
 mod connection;
 mod head_guard;
--- a/crates/wisteriahitch-node/src/server/numbered_refusal.rs
+++ b/crates/wisteriahitch-node/src/server/numbered_refusal.rs
@@ -1,4 +1,4 @@
-//! Numbered codes for heads that the HTTP library refuses by itself.
+//! Adds numbered codes to the errors that the HTTP library sends by itself.
 
 use std::io;
 use std::pin::Pin;
@@ -7,26 +7,26 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use wisteriahitch_types::{Code, DurationUs};
 
-/// Start of the library's answer to a head that doesn't parse.
+/// Start of the library's response to a malformed head.
 const BAD_REQUEST_PREFIX: &[u8] = b"HTTP/1.1 400 Bad Request\r\n";
-/// Start of the library's answer to a head that is too large.
+/// Start of the library's response to a head that is too large.
 const LARGE_HEAD_PREFIX: &[u8] = b"HTTP/1.1 431 Request Header Fields Too Large\r\n";
-/// Start of the library's answer to a target beyond a limit of its own, which holds even where the
-/// settings allow a longer head.
+/// Start of the library's response to a request target above the library's own limit, which applies
+/// even if the settings allow a longer head.
 const LONG_TARGET_PREFIX: &[u8] = b"HTTP/1.1 414 URI Too Long\r\n";
-/// Header that every answer of the daemon carries and no answer of the library does.
+/// Header that every response of the daemon has and no response of the library.
 const DAEMON_HEADER: &[u8] = b"x-request-id";
-/// Header by which the library says that it closes the connection.
+/// Header with which the library announces that it closes the connection.
 const CLOSE_HEADER: &[u8] = b"connection: close";
 
-/// When a caller whose head was refused may come back, once it is mended.
+/// Retry time of a refused head: the caller may retry at once with a corrected one.
 const BAD_HEAD_RETRY_AFTER_US: DurationUs = DurationUs::ZERO;
 
-/// Wraps a connection and puts the numbered refusal in place of the library's bare one.
+/// Wraps a connection and replaces the library's bare error responses by numbered refusals.
 ///
-/// The library answers a malformed head before any handler runs, with nothing but a status: the
-/// caller's developer would see no code and no meaning. It offers no place to say more, so its
-/// answer is recognised as it is written: it is the only one without the daemon's own header.
+/// The library answers a malformed head with only a status, before any handler runs, so the
+/// caller's developer would see neither code nor meaning. It has no hook for this. Its response is
+/// recognised while it is written, as the only one without the daemon's own header.
 #[derive(Debug)]
 pub(crate) struct NumberedRefusal<S> {
     inner: S,
@@ -89,7 +89,7 @@
 }
 
 impl<S: AsyncWrite + Unpin> NumberedRefusal<S> {
-    /// Writes the replacement, and reports the library's own bytes as written when it is out.
+    /// Writes the replacement and, once it is written, reports the library's own bytes as written.
     fn poll_pending(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         while !self.pending.is_empty() {
             match Pin::new(&mut self.inner).poll_write(cx, &self.pending) {
--- a/crates/wisteriahitch-node/src/server/stall_guard.rs
+++ b/crates/wisteriahitch-node/src/server/stall_guard.rs
@@ -1,4 +1,4 @@
-//! Ends connections whose other side stops reading.
+//! Closes connections whose client stops reading.
 
 use std::future::Future;
 use std::io;
@@ -11,9 +11,9 @@
 
 /// Wraps a connection and fails a write that makes no progress for too long.
 ///
-/// A reader that stops keeps the answer, its buffers and perhaps an endpoint's batch slot for as
-/// long as it likes; it shows as connections with full send buffers. Failing the write ends the
-/// connection, which frees all of them, and no other connection waits for it.
+/// A client that stops reading would occupy the answer, its buffers and perhaps a batch slot of an
+/// endpoint indefinitely, visible as connections with full send buffers. Failing the write closes
+/// the connection, which frees all of these without delaying any other connection.
 #[derive(Debug)]
 pub(crate) struct StallGuard<S> {
     inner: S,
@@ -23,7 +23,7 @@
 }
 
 impl<S> StallGuard<S> {
-    /// Wraps `inner`; a write may make no progress for at most `limit`.
+    /// Wraps `inner`; a write may stall for at most `limit`.
     pub(crate) fn new(inner: S, limit: Duration) -> Self {
         Self {
             inner,
