--- a/crates/wisteriahitch-node/src/dispatch/completion_run.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_run.rs
@@ -28,10 +28,13 @@
 pub(super) struct CompletionRun<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) call: &'a CompletionCall,
+    /// Channel to the task that writes the response; closed when the caller disconnects.
     pub(super) events: &'a mpsc::Sender<CompletionEvent>,
+    /// Validates tokens against the current attempt and tracks its number and the next position.
     pub(super) check: StreamCheck,
     /// Endpoints that already failed for this request. Retries avoid them while there is another.
     pub(super) tried: Vec<EndpointId>,
+    /// Whether the head has been sent to the caller, which happens right before the first token.
     pub(super) has_sent_head: bool,
     /// Whether an attempt may have run, so that a refusal can no longer say `not run`.
     pub(super) may_have_run: bool,
--- a/crates/wisteriahitch-node/src/dispatch/completion_stream.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_stream.rs
@@ -38,12 +38,12 @@
             return AttemptEnd::Failed(error);
         }
         let first_token_timeout_us = self.first_token_timeout(plan.choice.estimate.first_token_us);
-        let mut stall_deadline = Instant::now() + Duration::from(first_token_timeout_us);
+        let mut token_deadline = Instant::now() + Duration::from(first_token_timeout_us);
         loop {
             // Dropped tokens don't extend the deadline. Otherwise an endpoint that sends only
             // tokens of another request would keep the caller waiting forever.
             let next = tokio::select! {
-                next = timeout_at(stall_deadline, stream.next()) => next,
+                next = timeout_at(token_deadline, stream.next()) => next,
                 () = self.events.closed() => return AttemptEnd::CallerGone,
             };
             let token = match next {
@@ -63,7 +63,7 @@
             if self.forward_token(guard, &head, token).await.is_err() {
                 return AttemptEnd::CallerGone;
             }
-            stall_deadline = Instant::now() + Duration::from(TOKEN_STALL_TIMEOUT_US);
+            token_deadline = Instant::now() + Duration::from(TOKEN_STALL_TIMEOUT_US);
             if verdict == TokenVerdict::PassLast {
                 return AttemptEnd::Complete;
             }
--- a/crates/wisteriahitch-node/src/state/resume.rs
+++ b/crates/wisteriahitch-node/src/state/resume.rs
@@ -23,7 +23,8 @@
 /// Approximate size of a stored stream without its prompt.
 const ENTRY_OVERHEAD_BYTES: u64 = 1_024;
 
-/// Step from the last attempt number of an interrupted stream to the first one of its resumption.
+/// Step from the last attempt number of an interrupted stream to that of its resumption. The
+/// numbers in between are left free.
 const RESUME_ATTEMPT_STEP: u64 = 16;
 
 /// Recently interrupted streams.
@@ -151,8 +152,8 @@
     }
 
     /// Returns the call that continues an interrupted stream from `position`, or `None` if the
-    /// stream is unknown, has expired or belongs to another workspace, or if `position` lies beyond
-    /// what was sent.
+    /// stream is unknown, has expired or belongs to another workspace, or if `position` is beyond
+    /// the next token or at the token limit.
     pub(crate) fn find_resumable_call(
         &self,
         request: &RequestId,
