--- a/crates/wisteriahitch-node/src/state/claims.rs
+++ b/crates/wisteriahitch-node/src/state/claims.rs
@@ -151,11 +151,7 @@
         Ok(content) => ReadResult::Found(version, content),
         Err(error) => {
             // serde's message would quote the object's content, which may be a stored answer.
-            log::error!(
-                "claim object {} doesn't parse: {:?} error",
-                object.name,
-                error.classify()
-            );
+            log::error!("{} don't parse: {:?} error", object.name, error.classify());
             ReadResult::Unavailable
         }
     }
