--- a/crates/wisteriahitch-node/src/caller/gate.rs
+++ b/crates/wisteriahitch-node/src/caller/rules.rs
@@ -1,4 +1,4 @@
-//! Which rule decides for a request, and what it says.
+//! Applies the configured rules to a request.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 
 const LABEL_PREFIX: &str = "x-label-";
 
-/// Tries the rules in their order; the first that holds decides.
-pub(crate) fn decide(identity: &Identity, facts: &RequestFacts) -> Result<Route, Refusal> {
+/// Returns the route of the first matching rule, or the refusal that the rule demands.
+pub(crate) fn apply_rules(identity: &Identity, facts: &RequestFacts) -> Result<Route, Refusal> {
     let rule = identity.in_force.configuration.decide(facts);
     log::debug!("rule {} decides", rule.name);
     match &rule.then {
@@ -23,8 +23,9 @@
     }
 }
 
-/// Reads the labels that the caller sent.
-pub(crate) fn labels(headers: &HeaderMap) -> BTreeMap<String, String> {
+/// Returns the labels of a request: its `x-label-*` headers, without the prefix. Values that aren't
+/// visible ASCII are skipped.
+pub(crate) fn request_labels(headers: &HeaderMap) -> BTreeMap<String, String> {
     headers
         .iter()
         .filter_map(|(name, value)| {
--- a/crates/wisteriahitch-node/src/caller/tickets.rs
+++ b/crates/wisteriahitch-node/src/caller/tickets.rs
@@ -1,4 +1,4 @@
-//! Issuing tickets: keys for requests that may not be repeated.
+//! Issues tickets, which are daemon-generated keys for non-repeatable requests.
 
 use http::Response;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 use crate::shared::Shared;
 
 const MAX_TICKETS: usize = 100;
-const RETRY_US: DurationUs = DurationUs::from_ms(1_000);
+const TICKET_RETRY_AFTER_US: DurationUs = DurationUs::from_ms(1_000);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -32,28 +32,28 @@
 
 /// Answers `POST /v1/tickets`.
 ///
-/// A draining daemon issues none: it stays until its last one has run out, so each new one would
-/// keep it alive.
+/// A draining daemon issues none. It runs until its last ticket has expired, so each new one would
+/// prolong the drain.
 pub(crate) fn answer(
     shared: &Shared,
     identity: &Identity,
     body: &[u8],
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let wanted = parse_count(body)?;
+    let count = parse_count(body)?;
     let lifetime_us = identity.in_force.configuration.limits.ticket_lifetime_us;
     let now = shared.clock.now();
     let issued = shared
         .once
         .lock()
         .issuer
-        .issue(&identity.workspace, wanted, now, lifetime_us);
+        .issue(&identity.workspace, count, now, lifetime_us);
     if issued.is_empty() {
         let code = if shared.is_draining() {
             Code::Draining
         } else {
             Code::QuotaExceeded
         };
-        return Err(Refusal::new(code).with_retry_after_us(RETRY_US));
+        return Err(Refusal::new(code).with_retry_after_us(TICKET_RETRY_AFTER_US));
     }
     let tickets = issued.iter().map(ToString::to_string).collect();
     Ok(json_response(&Tickets {
--- a/crates/wisteriahitch-node/src/config/apply.rs
+++ b/crates/wisteriahitch-node/src/config/apply.rs
@@ -1,4 +1,4 @@
-//! Putting a configuration in force.
+//! Activates configurations.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::shared::{InForce, Shared};
 
 impl Shared {
-    /// Builds a configuration from its sections and puts it in force.
+    /// Builds a configuration from its sections and activates it.
     ///
-    /// One that can't be built is told to the replica, and the last good one stays: a damaged
-    /// object must not leave the site without rules.
+    /// If it can't be built, the replica is notified and the last valid configuration stays active:
+    /// a damaged object must not leave the site without rules.
     pub(crate) fn apply_config(self: &Arc<Self>, head: &HeadObject, sections: &[Section]) {
         let built = build_sections(head, sections)
             .map_err(|error| error.to_string())
@@ -23,25 +23,26 @@
             });
         match built {
             Ok((sections, configuration)) => {
-                self.put_in_force(head.version, sections, configuration);
+                self.activate_configuration(head.version, sections, configuration);
             }
             Err(detail) => {
                 log::error!("configuration {} can't be built: {detail}", head.version);
-                self.step_config(ConfigEvent::Rejected(head.version));
+                self.handle_config_event(ConfigEvent::Rejected(head.version));
             }
         }
     }
 
-    fn put_in_force(
+    fn activate_configuration(
         self: &Arc<Self>,
         version: ConfigVersion,
         sections: Sections,
         configuration: Configuration,
     ) {
-        // Two appliers may finish in the other order than they began. Without the lock the lower one
-        // could look before the higher one has stored and store after it: the daemon would go back,
-        // and stay there until the next version. Under it the higher version stays.
-        let _applying = self.config.applying.lock();
+        // Two activations may finish in the reverse order of their start. Without the lock, the
+        // lower version could pass the check before the higher one is stored and then replace it,
+        // and the daemon would stay on the old version until the next one. With the lock the higher
+        // version stays.
+        let _activation = self.config.activation_lock.lock();
         let current = self.in_force.load_full();
         if current.is_some_and(|current| current.version >= version) {
             return;
@@ -54,7 +55,8 @@
             .apply_endpoint_configuration(&configuration, now);
         self.tiers
             .with(|tiers| tiers.apply_configuration(&configuration));
-        self.admission.configured(&configuration, daemons, now);
+        self.admission
+            .apply_configuration(&configuration, daemons, now);
         let in_force = InForce {
             version,
             sections,
@@ -64,28 +66,28 @@
         self.metrics
             .config_version
             .set(i64::try_from(version.get()).unwrap_or(i64::MAX));
-        self.step_members(MembershipEvent::ConfigApplied(version));
+        self.handle_membership_event(MembershipEvent::ConfigApplied(version));
         log::info!("configuration {version} is in force");
     }
 
-    /// Shares the quotas anew where daemons have come or gone.
+    /// Divides the quotas anew after the number of daemons has changed.
     ///
-    /// A daemon that was alone when its configuration came into force would otherwise grant the
-    /// whole of every quota for as long as that one is in force, and so would each of its peers.
-    pub(crate) fn share_quotas(&self) {
-        let _applying = self.config.applying.lock();
+    /// Otherwise a daemon that was alone when its configuration was activated would grant the whole
+    /// of every quota for as long as that configuration is active, and so would each of its peers.
+    pub(crate) fn update_quota_shares(&self) {
+        let _activation = self.config.activation_lock.lock();
         let daemons = self.count_daemons();
         let Some(in_force) = self.in_force.load_full() else {
             return;
         };
-        if self.admission.is_shared_by_others(daemons) {
+        if self.admission.daemon_count_differs(daemons) {
             let now = self.clock.now();
             self.admission
-                .configured(&in_force.configuration, daemons, now);
+                .apply_configuration(&in_force.configuration, daemons, now);
         }
     }
 
-    /// Counts the daemons that share the site's work, this one among them.
+    /// Returns the number of daemons that share the site's work, including this one; at least 1.
     pub(crate) fn count_daemons(&self) -> u32 {
         let daemons = self.fleet.members.lock().workers().count();
         u32::try_from(daemons).unwrap_or(u32::MAX).max(1)
--- a/crates/wisteriahitch-node/src/config/peers.rs
+++ b/crates/wisteriahitch-node/src/config/peers.rs
@@ -1,4 +1,4 @@
-//! Handing versions to peers and asking them for theirs.
+//! Pushes configuration versions to peers and pulls theirs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 
 use crate::shared::Shared;
 
-/// Longest wait for a peer's answer.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of a call to a peer.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl Shared {
-    /// Asks a peer for its head.
+    /// Pulls the head from a peer.
     pub(super) async fn pull_head(self: &Arc<Self>, peer: Incarnation, after: ConfigVersion) {
         let reply = self.pull(peer, after, &[]).await;
         let event = match reply {
@@ -28,10 +28,10 @@
             },
             None => ConfigEvent::PeerFailed(peer),
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
-    /// Asks a peer for sections.
+    /// Pulls sections from a peer.
     pub(super) async fn pull_sections(self: &Arc<Self>, peer: Incarnation, wanted: &[SectionHash]) {
         let event = match self.pull(peer, ConfigVersion::new(u64::MAX), wanted).await {
             Some(reply) => {
@@ -43,7 +43,7 @@
             }
             None => ConfigEvent::PeerFailed(peer),
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
     async fn pull(
@@ -58,14 +58,14 @@
             after_version: after.get(),
             wanted: wanted.iter().map(ToString::to_string).collect(),
         };
-        self.outside
+        self.clients
             .peers
-            .pull_configuration(address, request, TIMEOUT)
+            .pull_configuration(address, request, PEER_TIMEOUT)
             .await
             .ok()
     }
 
-    /// Hands a version to a peer.
+    /// Pushes a version to a peer.
     pub(super) async fn push_config(
         self: &Arc<Self>,
         peer: Incarnation,
@@ -76,7 +76,7 @@
             Some(answer) => ConfigEvent::PushAnswered { to: peer, answer },
             None => ConfigEvent::PeerFailed(peer),
         };
-        self.step_config(event);
+        self.handle_config_event(event);
     }
 
     async fn push(
@@ -93,27 +93,27 @@
             sections: write_sections(sections),
         };
         let reply = self
-            .outside
+            .clients
             .peers
-            .push_configuration(address, request, TIMEOUT)
+            .push_configuration(address, request, PEER_TIMEOUT)
             .await
             .ok()?;
         Some(PushAnswer {
             stored_version: ConfigVersion::new(reply.held_version),
-            missing: parse_hashes(&reply.missing),
+            missing: parse_section_hashes(&reply.missing),
         })
     }
 
-    /// Takes a version that a peer hands over.
-    pub(crate) fn take_pushed(
+    /// Accepts a version that a peer pushes.
+    pub(crate) fn apply_pushed_configuration(
         self: &Arc<Self>,
         from: Incarnation,
         request: PushConfigurationRequest,
     ) -> PushConfigurationReply {
         let version = request.version;
         let Ok(change) = serde_json::from_slice::<HeadChange>(&request.head_change) else {
-            log::warn!("a pushed head from {from} doesn't parse");
-            let held_version = self.held_head().map_or(0, |head| head.version.get());
+            log::warn!("configuration head pushed by {from} doesn't parse");
+            let held_version = self.complete_head().map_or(0, |head| head.version.get());
             return PushConfigurationReply {
                 held: false,
                 held_version,
@@ -127,7 +127,7 @@
             let members = self.fleet.members.lock();
             replica.answer_push(from, &change, sections, now, &members)
         };
-        self.run_config(commands);
+        self.execute_config_commands(commands);
         PushConfigurationReply {
             held: answer.stored_version.get() >= version,
             held_version: answer.stored_version.get(),
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Gives a peer the head and the sections that it asks for.
+    /// Answers a peer's pull with the head and the requested sections.
     pub(crate) fn answer_pull(&self, request: &PullConfigurationRequest) -> PullConfigurationReply {
         let after = ConfigVersion::new(request.after_version);
-        let wanted = parse_hashes(&request.wanted);
+        let wanted = parse_section_hashes(&request.wanted);
         let answer = self.config.replica.lock().answer_pull(after, &wanted);
         let head = answer
             .head
@@ -156,7 +156,7 @@
     serde_json::from_slice(&reply.head).ok()
 }
 
-fn parse_hashes(texts: &[String]) -> Vec<SectionHash> {
+fn parse_section_hashes(texts: &[String]) -> Vec<SectionHash> {
     texts.iter().filter_map(|text| text.parse().ok()).collect()
 }
 
@@ -168,7 +168,7 @@
     sections.iter().map(write).collect()
 }
 
-/// Reads the sections of a message; one that doesn't fit its hash is left out.
+/// Converts the sections of a message; a section that doesn't match its hash is skipped.
 fn read_sections(sections: &[WireSection]) -> Vec<Section> {
     let read = |section: &WireSection| {
         let hash = section.hash.parse().ok()?;
--- a/crates/wisteriahitch-node/src/config/submit.rs
+++ b/crates/wisteriahitch-node/src/config/submit.rs
@@ -1,4 +1,4 @@
-//! Accepting a submission by one conditional update of the head.
+//! Accepts submitted configurations by one conditional update of the head object.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,55 +12,56 @@
 use wisteriahitch_types::{Code, ConfigVersion, SubmissionId};
 use wisteriahitch_wire::platform::{ObjectKind, ObjectVersion, PlatformErrorKind};
 
-use super::changes::changes;
+use super::changes::section_changes;
 use super::objects::{HEAD_NAME, build_sections, parse_head, read_section, write_section};
 use crate::shared::Shared;
 
-/// Time between two counts of the peers that hold an accepted version.
-const SPREAD_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two checks whether the accepted version is active here.
+const ACTIVATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Counts after which the operator is told with those that hold it by then.
-const MAX_SPREAD_COUNTS: u32 = 40;
+/// Maximum number of such checks, after which the operator gets the holders known by then.
+const MAX_ACTIVATION_POLLS: u32 = 40;
 
-/// Holds a checked submission.
+/// A validated submission.
 pub(crate) struct Submitted {
-    /// Name that the operator gave it.
+    /// Id of the submission, from the operator or generated.
     pub(crate) id: SubmissionId,
-    /// Sections in force that it was checked against.
+    /// Active sections that the submission was validated against.
     pub(crate) base: Sections,
-    /// Sections that are to be in force.
+    /// Sections that are to become active.
     pub(crate) merged: Sections,
-    /// Version that it must be accepted on top of.
+    /// Version that must be the current one for the submission to be accepted; `None` if there is
+    /// none yet.
     pub(crate) expected: Option<ConfigVersion>,
 }
 
-/// Says why a submission was not accepted.
+/// Why a submission was not accepted.
 pub(crate) enum SubmitError {
-    /// The whole that would come out has faults.
+    /// The resulting configuration is invalid.
     Refused(Box<Report>),
-    /// Something else, by its outcome.
+    /// Another outcome of the submission, such as a conflict.
     Outcome(SubmissionOutcome),
-    /// A section can't be read.
+    /// The submission ended without an outcome because of an internal error.
     Failed(Code),
 }
 
-/// Follows one submission.
-struct Run<'a> {
+/// State of one submission.
+struct SubmissionRun<'a> {
     shared: &'a Arc<Shared>,
     texts: BTreeMap<SectionHash, String>,
     report: Option<Report>,
 }
 
 impl Shared {
-    /// Brings a submission to its end and returns the acceptance.
-    pub(crate) async fn submit_config(
+    /// Runs a submission to its end and returns its acceptance.
+    pub(crate) async fn submit_configuration(
         self: &Arc<Self>,
         submitted: Submitted,
     ) -> Result<SubmissionOutcome, SubmitError> {
-        let changes = changes(&submitted.base, &submitted.merged);
+        let changes = section_changes(&submitted.base, &submitted.merged);
         let texts = submitted.merged.iter();
         let texts = texts.map(|(_, section)| (section.hash(), section.text().to_owned()));
-        let mut run = Run {
+        let mut run = SubmissionRun {
             shared: self,
             texts: texts.collect(),
             report: None,
@@ -73,14 +74,14 @@
             if let SubmissionCommand::Finish(outcome) = command {
                 return run.finish(outcome);
             }
-            let event = run.call(command).await;
+            let event = run.execute(command).await;
             commands.extend(submission.handle(&event));
         }
         Err(SubmitError::Failed(Code::Internal))
     }
 }
 
-impl Run<'_> {
+impl SubmissionRun<'_> {
     fn finish(self, outcome: SubmissionOutcome) -> Result<SubmissionOutcome, SubmitError> {
         match (outcome, self.report) {
             (SubmissionOutcome::Accepted { .. }, _) => Ok(outcome),
@@ -91,7 +92,7 @@
         }
     }
 
-    async fn call(&mut self, command: SubmissionCommand) -> SubmissionEvent {
+    async fn execute(&mut self, command: SubmissionCommand) -> SubmissionEvent {
         match command {
             SubmissionCommand::WriteSection(hash) => self.write_section(hash).await,
             SubmissionCommand::ReadHead => self.read_head().await,
@@ -99,7 +100,7 @@
             SubmissionCommand::UpdateHead { head, expected } => {
                 self.update_head(&head, expected).await
             }
-            SubmissionCommand::Spread(head) => self.spread(&head).await,
+            SubmissionCommand::Spread(head) => self.publish_and_count_holders(&head).await,
             SubmissionCommand::Finish(_) => SubmissionEvent::Start,
         }
     }
@@ -110,10 +111,10 @@
             .get(&hash)
             .map(String::as_str)
             .unwrap_or_default();
-        match write_section(&*self.shared.outside.platform, hash, text).await {
+        match write_section(&*self.shared.clients.platform, hash, text).await {
             Ok(()) => SubmissionEvent::SectionWritten(hash),
             Err(error) => {
-                log::warn!("a section can't be written: {error}");
+                log::warn!("section {hash} can't be written: {error}");
                 SubmissionEvent::SectionFailed(hash)
             }
         }
@@ -122,7 +123,7 @@
     async fn read_head(&self) -> SubmissionEvent {
         let read = self
             .shared
-            .outside
+            .clients
             .platform
             .get(ObjectKind::ConfigHead, HEAD_NAME)
             .await;
@@ -151,9 +152,9 @@
         }
     }
 
-    /// Checks the whole that would come out, with the sections that others submitted meanwhile.
+    /// Validates the resulting configuration, including sections that others submitted meanwhile.
     async fn check(&mut self, head: &HeadObject) -> SubmissionEvent {
-        let Some(sections) = self.collect(head).await else {
+        let Some(sections) = self.collect_sections(head).await else {
             return SubmissionEvent::Checked { is_valid: false };
         };
         let is_valid = match build_sections(head, &sections) {
@@ -165,18 +166,18 @@
                 }
             },
             Err(error) => {
-                log::error!("the sections don't fit their head: {error}");
+                log::error!("the sections don't match their head: {error}");
                 false
             }
         };
         SubmissionEvent::Checked { is_valid }
     }
 
-    async fn collect(&mut self, head: &HeadObject) -> Option<Vec<Section>> {
+    async fn collect_sections(&mut self, head: &HeadObject) -> Option<Vec<Section>> {
         let mut sections = Vec::new();
         for hash in head.sections.values() {
             if !self.texts.contains_key(hash) {
-                let read = read_section(&*self.shared.outside.platform, *hash).await;
+                let read = read_section(&*self.shared.clients.platform, *hash).await;
                 self.texts.insert(*hash, read.ok()??);
             }
             let text = self.texts.get(hash)?;
@@ -186,7 +187,7 @@
     }
 
     async fn update_head(&self, head: &HeadObject, expected: u64) -> SubmissionEvent {
-        let platform = &self.shared.outside.platform;
+        let platform = &self.shared.clients.platform;
         let Ok(spec) = serde_json::to_value(head) else {
             return SubmissionEvent::UpdateUnavailable;
         };
@@ -220,16 +221,17 @@
         }
     }
 
-    /// Learns the accepted version here, which hands it to peers, and counts who holds it.
-    async fn spread(&self, head: &HeadObject) -> SubmissionEvent {
+    /// Applies the accepted version here, which pushes it to peers, and counts the peers that store
+    /// it.
+    async fn publish_and_count_holders(&self, head: &HeadObject) -> SubmissionEvent {
         let shared = self.shared;
-        shared.step_config(ConfigEvent::StoreHead(Some(head.clone())));
-        for _ in 0..MAX_SPREAD_COUNTS {
+        shared.handle_config_event(ConfigEvent::StoreHead(Some(head.clone())));
+        for _ in 0..MAX_ACTIVATION_POLLS {
             let in_force = shared.in_force.load_full();
             if in_force.is_some_and(|in_force| in_force.version >= head.version) {
                 break;
             }
-            tokio::time::sleep(SPREAD_PAUSE).await;
+            tokio::time::sleep(ACTIVATION_POLL_INTERVAL).await;
         }
         let replica = shared.config.replica.lock();
         let holders = replica.holders(&shared.fleet.members.lock());
--- a/crates/wisteriahitch-node/src/dispatch/completion_plan.rs
+++ b/crates/wisteriahitch-node/src/dispatch/completion_plan.rs
@@ -1,4 +1,4 @@
-//! Where an attempt at a completion runs.
+//! Chooses the endpoint and weight version of an attempt at a completion.
 
 use wisteriahitch_core::route::{Choice, Estimate, PieceChain, Plan as RoutePlan, RouteRequest};
 use wisteriahitch_types::{Code, EndpointId, WeightVersion};
@@ -8,20 +8,21 @@
 use crate::caller::Refusal;
 use crate::shared::Shared;
 
-/// Holds where and how an attempt runs.
-pub(super) struct Plan {
+/// Endpoint, prompt chain and weight version of one attempt.
+pub(super) struct AttemptPlan {
     pub(super) choice: Choice,
     pub(super) chain: PieceChain,
     pub(super) weight_version: WeightVersion,
 }
 
-/// Chooses endpoint and weight version; of two versions in use during a rollout the faster one.
-pub(super) fn plan(
+/// Chooses endpoint and weight version. During a rollout two versions are in use; the one with the
+/// earlier estimated first token is chosen.
+pub(super) fn plan_attempt(
     shared: &Shared,
     call: &CompletionCall,
     tried: &[EndpointId],
-) -> Result<Plan, Refusal> {
-    let mut best: Option<Plan> = None;
+) -> Result<AttemptPlan, Refusal> {
+    let mut best: Option<AttemptPlan> = None;
     let mut refused = Refusal::new(Code::NoEndpoint).with_retry_after_us(RETRY_AFTER_US);
     for weight_version in shared.candidate_versions(&call.route.service, &call.model) {
         let chain = call.chain(&weight_version);
@@ -32,7 +33,7 @@
                     choice.estimate.first_token_us < best.choice.estimate.first_token_us
                 });
                 if is_better {
-                    best = Some(Plan {
+                    best = Some(AttemptPlan {
                         choice,
                         chain: request.chain,
                         weight_version,
@@ -45,8 +46,8 @@
     best.ok_or(refused)
 }
 
-/// Plans to go on where an answer began: only there the same answer goes on.
-pub(super) fn resume(call: &CompletionCall, resumption: &Resumption) -> Plan {
+/// Plans a resumption at the endpoint where the answer began, the only one that can continue it.
+pub(super) fn plan_resumption(call: &CompletionCall, resumption: &Resumption) -> AttemptPlan {
     let choice = Choice {
         endpoint: resumption.endpoint.clone(),
         plan: RoutePlan::default(),
@@ -54,7 +55,7 @@
         weighed: Vec::new(),
     };
     let weight_version = resumption.weight_version.clone();
-    Plan {
+    AttemptPlan {
         choice,
         chain: call.chain(&weight_version),
         weight_version,
--- a/crates/wisteriahitch-node/src/dispatch/plain_call.rs
+++ b/crates/wisteriahitch-node/src/dispatch/plain_call.rs
@@ -1,4 +1,4 @@
-//! Running a call at an endpoint of a plain service.
+//! Runs a call at an endpoint of a plain service.
 
 use std::sync::Arc;
 
@@ -15,40 +15,40 @@
 use crate::caller::{Identity, Refusal};
 use crate::shared::Shared;
 
-/// Most endpoints that one call tries.
+/// Maximum number of endpoints tried for one call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Holds one caller's call to a plain service.
+/// A call to a plain service.
 #[derive(Clone)]
 pub(crate) struct PlainCall {
-    /// Whose call it is.
+    /// Workspace and configuration of the call.
     pub(crate) identity: Identity,
-    /// What the rules decided.
+    /// Route that the rules chose.
     pub(crate) route: Route,
-    /// Name of the request.
+    /// Id of the request.
     pub(crate) request_id: RequestId,
-    /// When the whole answer must be there, whatever it waits for until then.
+    /// Deadline of the whole answer, which includes all time spent waiting.
     pub(crate) due_us: TimeUs,
-    /// Method as sent.
+    /// Method as the caller sent it.
     pub(crate) method: Method,
-    /// Path and query as sent.
+    /// Path and query as the caller sent them.
     pub(crate) path_and_query: String,
-    /// Headers as sent.
+    /// Headers as the caller sent them.
     pub(crate) headers: HeaderMap,
-    /// Whole body.
+    /// The complete request body.
     pub(crate) body: Bytes,
 }
 
-/// Says whether a call may be sent again.
+/// When a call may be sent to another endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunMode {
-    /// Again after any failure, within the retry budget.
+    /// After any failure, within the retry budget.
     Repeatable,
-    /// Again only while no byte has left for any endpoint.
+    /// Only as long as no byte has been sent to any endpoint.
     Once,
 }
 
-/// Remembers the attempts at one call.
+/// The failed attempts at one call.
 #[derive(Debug, Default)]
 struct Attempts {
     tried: Vec<EndpointId>,
@@ -56,14 +56,14 @@
 }
 
 impl Attempts {
-    fn note(&mut self, endpoint: EndpointId, error: &ServiceError) {
+    fn record(&mut self, endpoint: EndpointId, error: &ServiceError) {
         self.tried.push(endpoint);
         self.may_have_run |= !error.is_not_run();
     }
 
-    /// Makes a refusal true: an endpoint that was tried before may have run the call, and then the
-    /// refusal of the next choice can't say that it was not run.
-    fn refuse(&self, refusal: Refusal) -> Refusal {
+    /// Changes a refusal to `outcome unknown` if an earlier attempt may have run the call, since
+    /// the refusal itself only knows of the latest step.
+    fn qualify_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run {
             true => refusal.with_outcome_unknown(),
             false => refusal,
@@ -73,8 +73,8 @@
 
 /// Runs a call and returns the whole answer, or why there is none.
 ///
-/// `may_send` is asked once, right before the first byte may leave; without its word nothing is
-/// sent.
+/// `may_send` is called once, right before the first byte may be sent. If it returns false, nothing
+/// is sent.
 pub(crate) async fn run_plain(
     shared: &Arc<Shared>,
     call: &PlainCall,
@@ -82,7 +82,7 @@
     may_send: impl FnOnce() -> bool,
 ) -> Result<ServiceResponse, Refusal> {
     let _permit = shared
-        .enter(
+        .acquire_permit(
             &call.identity,
             &call.route,
             call.due_us,
@@ -94,7 +94,7 @@
     let mut attempts = Attempts::default();
     loop {
         let chosen = choose(shared, call, &attempts.tried);
-        let endpoint = chosen.map_err(|refusal| attempts.refuse(refusal))?;
+        let endpoint = chosen.map_err(|refusal| attempts.qualify_refusal(refusal))?;
         if permission.take().is_some_and(|may_send| !may_send()) {
             return Err(Refusal::new(Code::KeyRefused));
         }
@@ -102,19 +102,19 @@
             Ok(response) => return Ok(response),
             Err(error) => error,
         };
-        attempts.note(endpoint, &error);
+        attempts.record(endpoint, &error);
         let is_last = attempts.tried.len() >= MAX_ATTEMPTS;
         if is_last || !may_try_again(shared, mode, &error) {
             let refusal = Refusal::new(error.code()).with_retry_after_us(RETRY_AFTER_US);
-            return Err(attempts.refuse(refusal));
+            return Err(attempts.qualify_refusal(refusal));
         }
     }
 }
 
 /// Returns whether another endpoint may be tried.
 ///
-/// A call that may run once goes on only where the connection never opened, so that no byte of it
-/// can have arrived. Sending it again after anything else could book a bay twice.
+/// A non-repeatable call goes on only if the connection never opened, so that no byte of it can
+/// have arrived. Resending it after any other failure could book a bay twice.
 fn may_try_again(shared: &Shared, mode: RunMode, error: &ServiceError) -> bool {
     match mode {
         RunMode::Repeatable => shared.try_retry(),
@@ -122,7 +122,7 @@
     }
 }
 
-/// Chooses an endpoint that wasn't tried yet, while there is time left for an answer.
+/// Chooses an endpoint that hasn't been tried yet, if there is time left before the deadline.
 fn choose(shared: &Shared, call: &PlainCall, tried: &[EndpointId]) -> Result<EndpointId, Refusal> {
     let left_us = call.due_us.since(shared.clock.now());
     if left_us == DurationUs::ZERO {
@@ -152,8 +152,8 @@
     call: &PlainCall,
     endpoint: &EndpointId,
 ) -> Result<ServiceResponse, ServiceError> {
-    let flight = shared
-        .take_off(endpoint, TokenCount::ZERO, DurationUs::ZERO)
+    let guard = shared
+        .start_attempt(endpoint, TokenCount::ZERO, DurationUs::ZERO)
         .ok_or_else(|| ServiceError::new(ServiceErrorKind::NotSent, "the endpoint is gone"))?;
     let request = ServiceRequest {
         request_id: call.request_id.clone(),
@@ -165,19 +165,19 @@
         timeout_us: call.due_us.since(shared.clock.now()),
         answer_limit_bytes: shared.settings.limits.answer_bytes,
     };
-    let result = shared.outside.service.call(flight.address(), request).await;
+    let result = shared.clients.service.call(guard.address(), request).await;
     let outcome = result
         .as_ref()
-        .map_or_else(|error| outcome(error.kind()), |_| "answered");
+        .map_or_else(|error| outcome_label(error.kind()), |_| "answered");
     shared.metrics.attempts.with_label_values(&[outcome]).inc();
     match &result {
-        Ok(_) => flight.finished(),
-        Err(error) => flight.failed(failure(error.kind())),
+        Ok(_) => guard.mark_succeeded(),
+        Err(error) => guard.mark_failed(attempt_failure(error.kind())),
     }
     result
 }
 
-fn outcome(kind: ServiceErrorKind) -> &'static str {
+fn outcome_label(kind: ServiceErrorKind) -> &'static str {
     match kind {
         ServiceErrorKind::NotSent => "not_sent",
         ServiceErrorKind::NotRun => "not_run",
@@ -188,7 +188,7 @@
     }
 }
 
-fn failure(kind: ServiceErrorKind) -> AttemptFailure {
+fn attempt_failure(kind: ServiceErrorKind) -> AttemptFailure {
     match kind {
         ServiceErrorKind::NotRun | ServiceErrorKind::TooLarge => AttemptFailure::Refused,
         _ => AttemptFailure::Broken,
--- a/crates/wisteriahitch-node/src/dispatch/store_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/store_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to store VMs that hold, move and release blocks.
+//! Calls to store VMs that reserve, pin, move and release blocks.
 
 use std::net::SocketAddr;
 
@@ -18,8 +18,8 @@
     else {
         return None;
     };
-    let pin = async |address| shared.outside.store.pin(address, key, &incarnation).await;
-    let result = ask(shared, &store, pin).await;
+    let pin = async |address| shared.clients.store.pin(address, key, &incarnation).await;
+    let result = call_store(shared, &store, pin).await;
     let result = result
         .map(|pin| PinGrant {
             pin: pin.pin,
@@ -55,8 +55,8 @@
         tier,
         workspace,
     };
-    let reserve = async |address| shared.outside.store.reserve(address, request).await;
-    let result = match ask(shared, &store, reserve).await {
+    let reserve = async |address| shared.clients.store.reserve(address, request).await;
+    let result = match call_store(shared, &store, reserve).await {
         Ok(Reserved::Room(generation)) => Ok(ReserveOutcome::Granted(generation)),
         Ok(Reserved::AlreadyReadable(generation)) => {
             Ok(ReserveOutcome::AlreadyReadable(generation))
@@ -78,22 +78,23 @@
     else {
         return None;
     };
-    let outside = &shared.outside;
-    let move_to = async |address| outside.store.move_to(address, key, generation, tier).await;
-    let result = ask(shared, &store, move_to).await;
+    let clients = &shared.clients;
+    let move_to = async |address| clients.store.move_to(address, key, generation, tier).await;
+    let result = call_store(shared, &store, move_to).await;
     Some(TierEvent::Moved {
         transfer,
         result: result.map_err(|error| store_failure(&error)),
     })
 }
 
-/// Gives something back at a store; one that fails runs out there by itself.
+/// Releases a pin or a block at a store. A failed release is only logged, since whatever isn't
+/// released expires at the store.
 pub(super) async fn release(shared: &Shared, command: TierCommand) {
-    let calls = &shared.outside.store;
+    let calls = &shared.clients.store;
     let result = match command {
         TierCommand::Unpin { store, key, pin } => {
             let unpin = async |address| calls.unpin(address, key, &pin).await;
-            ask(shared, &store, unpin).await
+            call_store(shared, &store, unpin).await
         }
         TierCommand::Free {
             store,
@@ -101,17 +102,17 @@
             generation,
         } => {
             let free = async |address| calls.free(address, key, generation).await;
-            ask(shared, &store, free).await
+            call_store(shared, &store, free).await
         }
         _ => Ok(()),
     };
     if let Err(error) = result {
-        log::debug!("a release failed: {error}");
+        log::debug!("releasing a pin or block at a store failed: {error}");
     }
 }
 
-/// Calls a store; what lay at one that isn't configured any more is gone.
-async fn ask<T>(
+/// Calls a store. If the store is no longer configured, its blocks count as gone.
+async fn call_store<T>(
     shared: &Shared,
     store: &StoreId,
     call: impl AsyncFnOnce(SocketAddr) -> Result<T, StoreError>,
--- a/crates/wisteriahitch-node/src/orders/planning.rs
+++ b/crates/wisteriahitch-node/src/orders/planning.rs
@@ -1,4 +1,4 @@
-//! Planning orders and giving them.
+//! Plans orders to endpoints and sends them.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use super::OrderState;
 use crate::shared::{InForce, Shared};
 
-/// Time between two looks at what is to be ordered.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two planning rounds.
+const PLANNING_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Holds leases and gives orders until the process stops.
+/// Renews the lease, plans orders and sends them until the process stops.
 pub(crate) async fn run_orders(shared: Arc<Shared>) {
-    let mut ticks = tokio::time::interval(PAUSE);
+    let mut ticks = tokio::time::interval(PLANNING_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -31,26 +31,30 @@
                 .leases
                 .lock()
                 .set_groups([OrderState::group()]);
-            shared.step_leases(LeaseEvent::Tick);
-            plan(&shared, &in_force);
+            shared.handle_lease_event(LeaseEvent::Tick);
+            plan_orders(&shared, &in_force);
         }
     }
 }
 
-fn plan(shared: &Arc<Shared>, in_force: &InForce) {
+fn plan_orders(shared: &Arc<Shared>, in_force: &InForce) {
     let now = shared.clock.now();
     let wanted = DesiredState::from_configuration(&in_force.configuration);
-    let is_held = shared
+    let holds_lease = shared
         .orders
         .leases
         .lock()
         .held_groups()
         .any(|group| *group == OrderState::group());
-    let owned: BTreeSet<EndpointId> = match is_held {
+    let owned: BTreeSet<EndpointId> = match holds_lease {
         true => wanted.endpoints.keys().cloned().collect(),
         false => BTreeSet::new(),
     };
-    let load_slots = if is_held { wanted.rollout_parallel } else { 0 };
+    let load_slots = if holds_lease {
+        wanted.rollout_parallel
+    } else {
+        0
+    };
     let planned = {
         let reports = shared.orders.reports.lock();
         let view = SiteView {
@@ -65,12 +69,12 @@
         planned
     };
     for order in planned {
-        give(shared, order);
+        issue_order(shared, order);
     }
 }
 
-/// Gives an order if the lease still allows it right now.
-fn give(shared: &Arc<Shared>, planned: PlannedOrder) {
+/// Sends an order if the lease still allows it at this moment.
+fn issue_order(shared: &Arc<Shared>, planned: PlannedOrder) {
     let now = shared.clock.now();
     let grant = shared
         .orders
@@ -79,7 +83,7 @@
         .try_grant_order(&OrderState::group(), now);
     match grant {
         Ok(grant) => {
-            tokio::spawn(send(Arc::clone(shared), planned, grant));
+            tokio::spawn(send_order(Arc::clone(shared), planned, grant));
         }
         Err(code) => {
             log::debug!("{code} no order to {}", planned.endpoint);
@@ -92,14 +96,14 @@
     }
 }
 
-async fn send(shared: Arc<Shared>, planned: PlannedOrder, grant: OrderGrant) {
+async fn send_order(shared: Arc<Shared>, planned: PlannedOrder, grant: OrderGrant) {
     let PlannedOrder { endpoint, order } = planned;
     log::info!("order to {endpoint} under {}: {order:?}", grant.fence);
     let result = match shared.endpoint_address(&endpoint) {
         Some(address) => {
             let order = wire_order(order);
             shared
-                .outside
+                .clients
                 .engine
                 .order(address, grant.fence, order, grant.timeout_us)
                 .await
@@ -109,8 +113,8 @@
     if let Err(error) = &result {
         log::warn!("{} order to {endpoint} failed: {error}", error.code());
     }
-    // One that timed out may still take effect: what the endpoint reports then decides.
-    let is_good = match &result {
+    // An order that timed out may still take effect; the endpoint's next report decides.
+    let may_have_applied = match &result {
         Ok(()) => true,
         Err(error) => error.kind() == EngineErrorKind::Timeout,
     };
@@ -119,8 +123,8 @@
         .orders
         .planner
         .lock()
-        .order_done(&endpoint, is_good, now);
-    shared.step_leases(LeaseEvent::OrderDone(OrderState::group()));
+        .order_done(&endpoint, may_have_applied, now);
+    shared.handle_lease_event(LeaseEvent::OrderDone(OrderState::group()));
 }
 
 fn wire_order(order: EndpointOrder) -> Order {
--- a/crates/wisteriahitch-node/src/server/connection.rs
+++ b/crates/wisteriahitch-node/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and answering requests on them.
+//! Accepts connections and serves HTTP requests on them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,43 +17,44 @@
 use tokio_util::sync::CancellationToken;
 use wisteriahitch_types::ByteCount;
 
-use super::head_guard::{HeadGuard, RequestMark};
+use super::head_guard::{HeadGuard, RequestProgress};
 use super::numbered_refusal::NumberedRefusal;
 use super::stall_guard::StallGuard;
 use crate::caller::body::ResponseBody;
 
-/// How long the listener rests after an accept fails, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Backoff after a failed accept, such as when file descriptors run out.
+const ACCEPT_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
-/// How long a connection without a request stays open after the stop, for one that is on its way.
-const LAST_REQUEST_GRACE: Duration = Duration::from_millis(300);
+/// Time for which an idle connection stays open after the stop, for a request that is already in
+/// transit.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
 
-/// Smallest header buffer that the HTTP library takes.
+/// Minimum size of the header buffer that the HTTP library accepts, in bytes.
 const MIN_HEADER_BYTES: u64 = 8_192;
 
-/// Bounds what one connection and all of them together may hold.
+/// Limits of a listener and of each of its connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// Connections at once; further ones wait in the kernel's queue.
+    /// Maximum number of open connections; further ones wait in the kernel's accept queue.
     pub(crate) connections: usize,
-    /// Size of a request's head.
+    /// Maximum size of a request's head.
     pub(crate) header_bytes: ByteCount,
-    /// Time from the first byte of a request's head to its last.
+    /// Maximum time from the first byte of a request's head to its last.
     pub(crate) header_timeout: Duration,
-    /// Time for which a connection may wait for a request.
+    /// Maximum time for which a connection may be idle between requests.
     pub(crate) idle_timeout: Duration,
-    /// Time for which a reader may take nothing.
+    /// Maximum time for which a client may read nothing of a response.
     pub(crate) reader_stall: Duration,
 }
 
-/// Answers requests; every failure is an answer too.
+/// Answers requests. Errors are answered with a response too.
 #[async_trait]
 pub(crate) trait Handler: Send + Sync + 'static {
     /// Answers one request.
     async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody>;
 }
 
-/// Serves connections until `stop` is cancelled, then lets each finish the request it is at.
+/// Serves connections until `stop` is cancelled, then lets each finish its current request.
 pub(crate) async fn serve(
     listener: TcpListener,
     limits: ConnectionLimits,
@@ -75,23 +76,23 @@
             Ok((stream, peer)) => {
                 let handler = Arc::clone(&handler);
                 let connection = serve_connection(stream, peer, limits, handler, stop.clone());
-                tokio::spawn(hold_permit(permit, connection));
+                tokio::spawn(run_with_permit(permit, connection));
             }
             Err(error) => {
                 log::warn!("accept failed: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_BACKOFF).await;
             }
         }
     }
-    take_backlog(&listener, &permits, limits, &handler, &stop);
+    accept_backlog(&listener, &permits, limits, &handler, &stop);
     drop(listener);
-    wait_for_all(&permits, limits.connections).await;
+    wait_for_connections(&permits, limits.connections).await;
 }
 
-/// Takes the connections that are open already and haven't been accepted yet.
+/// Accepts the connections that are already open in the kernel's queue.
 ///
-/// Closing the listener would reset them, with the requests that callers have sent on them.
-fn take_backlog(
+/// Closing the listener would reset them, along with the requests that callers have already sent.
+fn accept_backlog(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
     limits: ConnectionLimits,
@@ -104,16 +105,16 @@
         };
         let handler = Arc::clone(handler);
         let connection = serve_connection(stream, peer, limits, handler, stop.clone());
-        tokio::spawn(hold_permit(permit, connection));
+        tokio::spawn(run_with_permit(permit, connection));
     }
 }
 
-async fn hold_permit(permit: OwnedSemaphorePermit, connection: impl Future<Output = ()>) {
+async fn run_with_permit(permit: OwnedSemaphorePermit, connection: impl Future<Output = ()>) {
     connection.await;
     drop(permit);
 }
 
-async fn wait_for_all(permits: &Semaphore, connections: usize) {
+async fn wait_for_connections(permits: &Semaphore, connections: usize) {
     let all = u32::try_from(connections).unwrap_or(u32::MAX);
     let _all_ended = permits.acquire_many(all).await;
 }
@@ -128,17 +129,17 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("no-delay for {peer} failed: {error}");
     }
-    let mark = RequestMark::default();
+    let progress = RequestProgress::default();
     let guarded = StallGuard::new(stream, limits.reader_stall);
-    let guarded = HeadGuard::new(guarded, limits.header_timeout, mark.clone());
+    let guarded = HeadGuard::new(guarded, limits.header_timeout, progress.clone());
     let io = TokioIo::new(NumberedRefusal::new(guarded));
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
-        let mark = mark.clone();
+        let progress = progress.clone();
         async move {
-            mark.begin();
+            progress.begin();
             let response = handler.handle(request).await;
-            mark.end();
+            progress.end();
             Ok::<_, Infallible>(response)
         }
     });
@@ -150,7 +151,7 @@
     tokio::pin!(connection);
     let stopped = async {
         stop.cancelled().await;
-        tokio::time::sleep(LAST_REQUEST_GRACE).await;
+        tokio::time::sleep(SHUTDOWN_GRACE).await;
     };
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
--- a/crates/wisteriahitch-node/src/state/claims.rs
+++ b/crates/wisteriahitch-node/src/state/claims.rs
@@ -1,4 +1,4 @@
-//! Carrying claims on callers' keys to the platform.
+//! Writes claims on callers' keys to the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,15 @@
 
 use crate::shared::Shared;
 
-/// Longest pause before the first repetition after a conflict; it doubles with each further one.
-const CONFLICT_PAUSE_MS: u64 = 5;
+/// Maximum backoff, in milliseconds, before the first retry after a write conflict. It doubles with
+/// each further retry.
+const BASE_CONFLICT_BACKOFF_MS: u64 = 5;
 
-/// Doublings after which the pause grows no more.
-const MAX_DOUBLINGS: u32 = 5;
+/// Number of doublings after which the backoff stays constant.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Shared {
-    /// Asks for a claim on a key.
+    /// Requests a claim on a key.
     pub(crate) fn claim(
         self: &Arc<Self>,
         key: &IdempotencyKey,
@@ -30,10 +31,11 @@
     ) {
         let time = self.claim_time();
         let commands = self.once.lock().claims.claim(key, fingerprint, nonce, time);
-        self.run_claims(commands);
+        self.execute_claim_commands(commands);
     }
 
-    /// Writes down what became of a claimed request, for repeats that come after this process.
+    /// Records the outcome of a claimed request at the platform, for repeats that arrive after this
+    /// process has ended.
     pub(crate) fn settle_claim(
         self: &Arc<Self>,
         key: &IdempotencyKey,
@@ -46,14 +48,14 @@
             .lock()
             .claims
             .record_outcome(key, nonce, state, time);
-        self.run_claims(commands);
+        self.execute_claim_commands(commands);
     }
 
     /// Gives up claims that waited too long.
     pub(crate) fn tick_claims(self: &Arc<Self>) {
         let time = self.claim_time();
         let commands = self.once.lock().claims.tick(time);
-        self.run_claims(commands);
+        self.execute_claim_commands(commands);
     }
 
     fn claim_time(&self) -> ClaimTime {
@@ -64,19 +66,19 @@
         }
     }
 
-    fn run_claims(self: &Arc<Self>, commands: Vec<ClaimCommand>) {
+    fn execute_claim_commands(self: &Arc<Self>, commands: Vec<ClaimCommand>) {
         for command in commands {
             match command {
-                ClaimCommand::Written(key) => self.note_claim_written(&key),
-                ClaimCommand::Lost(key, standing) => {
+                ClaimCommand::Written(key) => self.apply_claim_written(&key),
+                ClaimCommand::Lost(key, winning_claim) => {
                     let now = self.clock.now();
                     let mut once = self.once.lock();
-                    if let Some(delivery) = once.table.claim_lost(&key, &standing) {
+                    if let Some(delivery) = once.table.claim_lost(&key, &winning_claim) {
                         once.deliver(&key, delivery, now);
                     }
                 }
                 ClaimCommand::Undecided(key, cause) => {
-                    log::warn!("a claim is undecided: {cause:?}");
+                    log::warn!("claim on a key is undecided, cause {cause:?}");
                     let now = self.clock.now();
                     let mut once = self.once.lock();
                     if let Some(delivery) = once.table.claim_undecided(&key, now) {
@@ -90,7 +92,7 @@
         }
     }
 
-    fn note_claim_written(&self, key: &IdempotencyKey) {
+    fn apply_claim_written(&self, key: &IdempotencyKey) {
         let now = self.clock.now();
         let mut once = self.once.lock();
         if let Some(delivery) = once.table.claim_written(key) {
@@ -99,7 +101,7 @@
     }
 }
 
-/// Carries out one call; its result leads to further commands.
+/// Executes one platform call. Its result may lead to further commands.
 async fn call_platform(shared: Arc<Shared>, command: ClaimCommand) {
     let commands = match command {
         ClaimCommand::Read(shard) => {
@@ -117,23 +119,23 @@
             shared.once.lock().claims.on_write(shard, result, time)
         }
         ClaimCommand::Retry { shard, tries } => {
-            tokio::time::sleep(conflict_pause(tries)).await;
+            tokio::time::sleep(conflict_backoff(tries)).await;
             shared.once.lock().claims.retry(shard)
         }
         ClaimCommand::Written(_) | ClaimCommand::Lost(..) | ClaimCommand::Undecided(..) => return,
     };
-    shared.run_claims(commands);
+    shared.execute_claim_commands(commands);
 }
 
-/// Draws a pause, so that daemons that met in a conflict don't meet again.
-fn conflict_pause(tries: u32) -> Duration {
-    let longest_ms = CONFLICT_PAUSE_MS << tries.min(MAX_DOUBLINGS);
+/// Returns a random backoff, so that daemons whose writes conflicted don't retry at the same time.
+fn conflict_backoff(tries: u32) -> Duration {
+    let longest_ms = BASE_CONFLICT_BACKOFF_MS << tries.min(MAX_BACKOFF_DOUBLINGS);
     Duration::from_millis(rand::random_range(1..=longest_ms))
 }
 
 async fn read(shared: &Shared, shard: ClaimShard) -> ReadResult {
     match shared
-        .outside
+        .clients
         .platform
         .get(ObjectKind::Claim, &shard.to_string())
         .await
@@ -141,7 +143,7 @@
         Ok(None) => ReadResult::Missing,
         Ok(Some(object)) => parse(object),
         Err(error) => {
-            log::warn!("claims can't be read: {error}");
+            log::warn!("claim object {shard} can't be read: {error}");
             ReadResult::Unavailable
         }
     }
@@ -152,7 +154,7 @@
     match serde_json::from_value::<ClaimObject>(object.spec) {
         Ok(content) => ReadResult::Found(version, content),
         Err(error) => {
-            // The message would quote what stands in the object, which may be a kept answer.
+            // serde's message would quote the object's content, which may be a stored answer.
             log::error!("{} don't parse: {:?} error", object.name, error.classify());
             ReadResult::Unavailable
         }
@@ -168,7 +170,7 @@
     let Ok(spec) = serde_json::to_value(content) else {
         return WriteResult::Unavailable;
     };
-    let platform = &shared.outside.platform;
+    let platform = &shared.clients.platform;
     let name = shard.to_string();
     let written = match expected {
         None => platform.create(ObjectKind::Claim, &name, spec).await,
@@ -192,7 +194,7 @@
         | PlatformErrorKind::NotFound => WriteResult::Conflict,
         PlatformErrorKind::AnswerLost | PlatformErrorKind::Malformed => WriteResult::AnswerLost,
         _ => {
-            log::warn!("claims can't be written: {error}");
+            log::warn!("claim object can't be written: {error}");
             WriteResult::Unavailable
         }
     }
--- a/crates/wisteriahitch-node/src/state/drain.rs
+++ b/crates/wisteriahitch-node/src/state/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving without cutting off a request.
+//! Draining: leaves the site without interrupting requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,53 +10,58 @@
 
 use crate::shared::Shared;
 
-/// How long other daemons may go on naming this one before the news of its draining is everywhere.
-const SPREAD_US: DurationUs = DurationUs::from_ms(2_000);
+/// Time for the news that this daemon drains to reach all daemons. Until then others may still list
+/// it as an entry address.
+const DRAIN_GOSSIP_TIME_US: DurationUs = DurationUs::from_ms(2_000);
 
-/// Rounds of probes on which the word of a daemon that has left travels.
-const LEAVE_ROUNDS: u64 = 3;
+/// Number of probe rounds for which a drained daemon stays up to announce that it has left.
+const LEAVE_PROBE_ROUNDS: u64 = 3;
 
-/// Time between two looks at the work that is left.
-const LATE_WORK_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two checks of the remaining work.
+const LATE_WORK_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Holds how far this daemon's draining has come.
+/// Progress of this daemon's draining.
 #[derive(Default)]
 pub(crate) struct DrainState {
-    accepted: AtomicU64,
+    open_requests: AtomicU64,
     has_left: AtomicBool,
     drain: Mutex<Drain>,
 }
 
-/// Counts a request as accepted until it is dropped.
-pub(crate) struct Accepted {
+/// Counts a request as open until it is dropped.
+pub(crate) struct AcceptedRequest {
     shared: Arc<Shared>,
 }
 
-impl Drop for Accepted {
+impl Drop for AcceptedRequest {
     fn drop(&mut self) {
         self.shared
             .fleet
             .drain
-            .accepted
+            .open_requests
             .fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Shared {
-    /// Counts a request that a draining daemon waits for, until its whole answer is sent.
-    pub(crate) fn accept(self: &Arc<Self>) -> Accepted {
-        self.fleet.drain.accepted.fetch_add(1, Ordering::AcqRel);
-        Accepted {
+    /// Counts a request as open. A draining daemon waits until the whole answer is sent and the
+    /// returned guard is dropped.
+    pub(crate) fn track_request(self: &Arc<Self>) -> AcceptedRequest {
+        self.fleet
+            .drain
+            .open_requests
+            .fetch_add(1, Ordering::AcqRel);
+        AcceptedRequest {
             shared: Arc::clone(self),
         }
     }
 
-    /// Returns whether this daemon is leaving.
+    /// Returns whether this daemon is draining or has drained.
     pub(crate) fn is_draining(&self) -> bool {
         self.fleet.drain.drain.lock().phase() != DrainPhase::Serving
     }
 
-    /// Starts to drain; a second call changes nothing.
+    /// Starts draining; a second call has no effect.
     pub(crate) fn start_drain(self: &Arc<Self>) {
         if self.is_draining() {
             return;
@@ -64,30 +69,35 @@
         let now = self.clock.now();
         let in_force = self.in_force.load_full();
         let ttl_us = in_force.map_or(DurationUs::ZERO, |c| c.configuration.limits.entries_ttl_us);
-        self.fleet.drain.drain.lock().start(now, ttl_us + SPREAD_US);
+        self.fleet
+            .drain
+            .drain
+            .lock()
+            .start(now, ttl_us + DRAIN_GOSSIP_TIME_US);
         self.once.lock().issuer.stop();
-        self.step_members(MembershipEvent::Drain);
+        self.handle_membership_event(MembershipEvent::Drain);
         log::info!("draining");
     }
 
-    /// Tells the peers that this daemon has left, and ends the process soon after.
+    /// Announces to the peers that this daemon has left, and stops the process shortly after.
     ///
-    /// Without its word they would take it for dead, and an operator would look for a failure.
+    /// Without the announcement the peers would report it as dead, and an operator would look for a
+    /// failure.
     fn leave(self: &Arc<Self>) {
         if self.fleet.drain.has_left.swap(true, Ordering::AcqRel) {
             return;
         }
         log::info!("drained");
-        self.step_members(MembershipEvent::Leave);
+        self.handle_membership_event(MembershipEvent::Leave);
         let shared = Arc::clone(self);
         tokio::spawn(async move {
-            let rounds = shared.settings.peers.probe_interval_us.get() * LEAVE_ROUNDS;
+            let rounds = shared.settings.peers.probe_interval_us.get() * LEAVE_PROBE_ROUNDS;
             tokio::time::sleep(DurationUs::new(rounds).into()).await;
             shared.stop.cancel();
         });
     }
 
-    /// Ends the process once nothing would be cut off.
+    /// Stops the process once no open work would be interrupted.
     pub(crate) fn tick_drain(self: &Arc<Self>) {
         if !self.is_draining() || self.stop.is_cancelled() {
             return;
@@ -99,30 +109,30 @@
         }
     }
 
-    /// Waits for work that a request left behind which came in the last moment.
+    /// Waits for the work left behind by requests that arrived at the last moment.
     ///
-    /// Whatever this waits for is bounded: a keyed run by its deadline, an outcome that is to be
-    /// written down by the platform's time-out.
+    /// The wait is bounded: a keyed run ends at its deadline, and writing an outcome ends at the
+    /// platform's timeout.
     pub(crate) async fn wait_for_late_work(&self) {
         loop {
             let work = self.open_work(self.clock.now());
             if work.requests == 0 {
                 return;
             }
-            tokio::time::sleep(LATE_WORK_PAUSE).await;
+            tokio::time::sleep(LATE_WORK_POLL_INTERVAL).await;
         }
     }
 
-    /// Counts what still needs this daemon.
+    /// Counts the work that still needs this daemon.
     ///
-    /// Outcomes of claims belong to it: a repeat of a finished request finds its answer nowhere
-    /// else once this process has ended.
+    /// It includes outcomes of claims that aren't written yet: once this process has ended, a
+    /// repeat of a finished request finds its answer only at the platform.
     fn open_work(&self, now: TimeUs) -> OpenWork {
         let once = self.once.lock();
         let under_way = once.table.unsettled_count() as u64;
         let claims = u64::from(once.claims.has_pending_work(now));
         OpenWork {
-            requests: self.fleet.drain.accepted.load(Ordering::Acquire) + under_way + claims,
+            requests: self.fleet.drain.open_requests.load(Ordering::Acquire) + under_way + claims,
             tickets: u64::from(once.issuer.has_redeemable_tickets(now)),
         }
     }
--- a/crates/wisteriahitch-node/src/task/in_flight.rs
+++ b/crates/wisteriahitch-node/src/task/in_flight.rs
@@ -1,4 +1,4 @@
-//! Asking each VM once at a time.
+//! Limits polling to one call per VM at a time.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -6,44 +6,43 @@
 
 use parking_lot::Mutex;
 
-/// Holds whom a call is under way to.
+/// The VMs to which a call is in flight.
 ///
-/// A frozen VM takes a call and answers nothing until the call's time-out. Asking it in every round
-/// all the same would pile up connections, and the answers could come in another order than they
-/// were made in.
+/// A frozen VM accepts a call and doesn't answer before the call's timeout. Polling it in every
+/// round regardless would pile up connections, and the answers could arrive out of order.
 #[derive(Debug)]
-pub(super) struct InFlight<K> {
-    asked: Arc<Mutex<HashSet<K>>>,
+pub(super) struct InFlightCalls<K> {
+    keys: Arc<Mutex<HashSet<K>>>,
 }
 
-/// Marks a call as under way until it is dropped.
+/// Marks a call as in flight until it is dropped.
 #[derive(Debug)]
-pub(super) struct Asking<K: Hash + Eq> {
+pub(super) struct InFlightCall<K: Hash + Eq> {
     key: K,
-    asked: Arc<Mutex<HashSet<K>>>,
+    keys: Arc<Mutex<HashSet<K>>>,
 }
 
-impl<K> Default for InFlight<K> {
+impl<K> Default for InFlightCalls<K> {
     fn default() -> Self {
         Self {
-            asked: Arc::default(),
+            keys: Arc::default(),
         }
     }
 }
 
-impl<K: Hash + Eq + Clone> InFlight<K> {
-    /// Begins a call; nothing where the last one hasn't ended.
-    pub(super) fn try_begin(&self, key: &K) -> Option<Asking<K>> {
-        let is_first = self.asked.lock().insert(key.clone());
-        is_first.then(|| Asking {
+impl<K: Hash + Eq + Clone> InFlightCalls<K> {
+    /// Begins a call; `None` while the previous one to the same VM is in flight.
+    pub(super) fn try_begin(&self, key: &K) -> Option<InFlightCall<K>> {
+        let is_first = self.keys.lock().insert(key.clone());
+        is_first.then(|| InFlightCall {
             key: key.clone(),
-            asked: Arc::clone(&self.asked),
+            keys: Arc::clone(&self.keys),
         })
     }
 }
 
-impl<K: Hash + Eq> Drop for Asking<K> {
+impl<K: Hash + Eq> Drop for InFlightCall<K> {
     fn drop(&mut self) {
-        self.asked.lock().remove(&self.key);
+        self.keys.lock().remove(&self.key);
     }
 }
--- a/crates/wisteriahitch-node/src/task/shares.rs
+++ b/crates/wisteriahitch-node/src/task/shares.rs
@@ -1,4 +1,4 @@
-//! Which store VMs' full tiers fall to this daemon.
+//! Assigns the eviction of blocks at full store VMs to daemons.
 
 use std::collections::BTreeSet;
 
@@ -8,29 +8,30 @@
 
 use crate::shared::Shared;
 
-/// Separates this share from every other use of the rendezvous hash.
-const ROOM_KEEPER: &str = "room-keeper";
+/// Keeps this use of the rendezvous hash independent of every other use.
+const EVICTION_HASH_SCOPE: &str = "room-keeper";
 
-/// Takes over this daemon's share after the other daemons have changed.
-pub(crate) fn update_shares(shared: &Shared) {
+/// Recomputes which store VMs this daemon evicts blocks at.
+pub(crate) fn update_eviction_shares(shared: &Shared) {
     let Some(in_force) = shared.in_force.load_full() else {
         return;
     };
     let stores = {
         let members = shared.fleet.members.lock();
-        stores_to_keep(&in_force.configuration, &members)
+        assigned_stores(&in_force.configuration, &members)
     };
     shared.tiers.with(|tiers| tiers.set_managed_stores(stores));
 }
 
-/// Returns the store VMs whose full tiers this daemon empties; each has one daemon at a time.
+/// Returns the store VMs at whose full tiers this daemon evicts blocks. Each store VM is assigned
+/// to one daemon.
 ///
-/// Two daemons that both evict do harm only in part: the store refuses the second one's order for a
-/// block that is gone.
-fn stores_to_keep(configuration: &Configuration, members: &Membership) -> BTreeSet<StoreId> {
+/// If two daemons evict during a membership change, little harm is done: the store refuses the
+/// second order for a block that has already been freed.
+fn assigned_stores(configuration: &Configuration, members: &Membership) -> BTreeSet<StoreId> {
     let me = members.me().incarnation;
     let is_mine = |store: &StoreId| {
-        let rank = Rendezvous::new(ROOM_KEEPER, store.as_str());
+        let rank = Rendezvous::new(EVICTION_HASH_SCOPE, store.as_str());
         let workers = members.workers().map(|member| member.incarnation);
         let name = |incarnation: &Incarnation| incarnation.get().to_le_bytes().to_vec();
         rank.top(workers, 1, name).contains(&me)
