--- a/crates/wisteriahitch-types/src/block_state.rs
+++ b/crates/wisteriahitch-types/src/block_state.rs
@@ -1,24 +1,24 @@
-//! The steps of a block's life, by the names of the model `specs/block_life.pml`.
+//! States of a cache block; the names are those of the model `specs/block_life.pml`.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Names the steps of a block's life, as `docs/design/blocks.md` tells them.
+/// State of a cache block in a store VM, as described in `docs/design/blocks.md`.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BlockState {
-    /// Room is taken at the store.
+    /// Space is reserved in the store; no content has been written.
     Reserved,
-    /// Content is arriving, so that a reader would see a part of it.
+    /// Content is being written. A reader would see incomplete content.
     Writing,
-    /// Length and checksum are fixed.
+    /// Writing has finished; length and checksum are final.
     Sealed,
-    /// Readers may pin it.
+    /// Readers may pin the block.
     Readable,
-    /// Readers that hold a pin may finish, and no new one may start.
+    /// Readers that hold a pin may finish; no new pin is granted.
     Draining,
-    /// It is gone, whatever still names it.
+    /// The block no longer exists, even if a directory or a reader still refers to it.
     Freed,
 }
 
--- a/crates/wisteriahitch-types/src/call_rate.rs
+++ b/crates/wisteriahitch-types/src/call_rate.rs
@@ -1,4 +1,4 @@
-//! Rate of calls.
+//! Call rates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use crate::ParseUnitError;
 
-/// Calls a second; neither negative nor infinite.
+/// Calls per second; finite and not negative.
 ///
 /// ```
 /// use wisteriahitch_types::CallRate;
@@ -21,7 +21,7 @@
 pub struct CallRate(f64);
 
 impl CallRate {
-    /// Returns the calls a second.
+    /// Returns the number of calls per second.
     pub const fn per_s(self) -> f64 {
         self.0
     }
@@ -51,7 +51,7 @@
     type Err = ParseUnitError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        // What isn't a number fails the same check as one that isn't a rate.
+        // Text that is not a number becomes NaN, which `try_from` rejects.
         Self::try_from(text.parse().unwrap_or(f64::NAN))
     }
 }
--- a/crates/wisteriahitch-types/src/code.rs
+++ b/crates/wisteriahitch-types/src/code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes, the single list that `docs/ERRORS.md` shows.
+//! Numbered result codes. `docs/ERRORS.md` is generated from this list.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,9 +9,9 @@
 
 macro_rules! codes {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $meaning:ident, $status:literal;)+) => {
-        /// Numbers every result that a caller, an operator or a log reader can meet.
+        /// Result code of a refusal, a report or a log entry.
         ///
-        /// The table stands in `docs/ERRORS.md`; a test holds the two together.
+        /// A test checks that the table in `docs/ERRORS.md` matches this enum.
         #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
         #[repr(u16)]
         pub enum Code {
@@ -19,31 +19,31 @@
         }
 
         impl Code {
-            /// Lists every code in the order of the numbers.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &'static [Code] = &[$(Code::$name),+];
 
-            /// Returns the short sentence that explains the code.
+            /// Returns a one-sentence explanation: the doc comment of the variant.
             pub fn summary(self) -> &'static str {
                 match self {
                     $(Code::$name => concat!($($doc),+).trim(),)+
                 }
             }
 
-            /// Returns what the code says of a caller's request.
+            /// Returns what the code implies about whether the caller's request was run.
             pub const fn meaning(self) -> Meaning {
                 match self {
                     $(Code::$name => Meaning::$meaning,)+
                 }
             }
 
-            /// Returns the HTTP status that goes with the code, or 0 where none does.
+            /// Returns the HTTP status sent with the code, or 0 if the code has none.
             pub const fn http_status(self) -> u16 {
                 match self {
                     $(Code::$name => $status,)+
                 }
             }
 
-            /// Returns the code's name as it stands in the source.
+            /// Returns the name of the variant.
             pub const fn name(self) -> &'static str {
                 match self {
                     $(Code::$name => stringify!($name),)+
@@ -192,12 +192,12 @@
 }
 
 impl Code {
-    /// Returns the number that stands in messages and logs.
+    /// Returns the number used in messages and logs, without the prefix `W`.
     pub const fn number(self) -> u16 {
         self as u16
     }
 
-    /// Returns the code with this number, if there is one.
+    /// Returns the code with this number, or `None` if no code has it.
     pub fn try_from_number(number: u16) -> Option<Self> {
         Self::ALL
             .iter()
--- a/crates/wisteriahitch-types/src/endpoint_instance.rs
+++ b/crates/wisteriahitch-types/src/endpoint_instance.rs
@@ -1,4 +1,4 @@
-//! Which life of an endpoint is meant.
+//! Identity of one instance of an endpoint: its id and its start time.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,24 +7,24 @@
 
 use crate::{EndpointId, ParseIdError};
 
-/// Stands between an id and a start in text; no id holds it.
+/// Separates the id from the start time in the text form. Ids cannot contain it.
 const SEPARATOR: char = '@';
 
-/// When an endpoint's process started, in Unix milliseconds by the clock of its own VM.
+/// Start time of an endpoint's process, in Unix milliseconds on the clock of its own VM.
 ///
-/// It tells one life from another and nothing else: clocks jump, so that a later life may have the
-/// earlier start (`docs/design/endpoint-lives.md`).
+/// It only distinguishes instances and does not order them: clocks jump, so a later instance may
+/// have an earlier start time (`docs/design/endpoint-lives.md`).
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EndpointStart(u64);
 
 impl EndpointStart {
-    /// Wraps Unix milliseconds.
+    /// Builds a start time from Unix milliseconds.
     pub const fn from_unix_ms(unix_ms: u64) -> Self {
         Self(unix_ms)
     }
 
-    /// Returns Unix milliseconds.
+    /// Returns the start time in Unix milliseconds.
     pub const fn unix_ms(self) -> u64 {
         self.0
     }
@@ -44,10 +44,10 @@
     }
 }
 
-/// One life of an endpoint: its id, and its start where the platform tells one.
+/// One instance of an endpoint: its id and, if the platform reports it, its start time.
 ///
-/// An endpoint that crashes may come back under its id, empty. Whatever is believed of an endpoint
-/// is believed of one life, so it is kept and told under both.
+/// An endpoint that crashes may restart under the same id with empty caches. State about an
+/// endpoint applies to one instance only, so it is stored and published under id and start time.
 ///
 /// # Examples
 ///
@@ -63,9 +63,10 @@
 #[derive(Clone, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct EndpointInstance {
-    /// Id, which other lives may have too.
+    /// Endpoint id. Other instances may have the same id.
     pub id: EndpointId,
-    /// Start. Without one the platform gives each life an id of its own.
+    /// Start time. `None` if the platform reports no start times; it then assigns a new id to
+    /// each instance.
     pub start: Option<EndpointStart>,
 }
 
--- a/crates/wisteriahitch-types/src/id.rs
+++ b/crates/wisteriahitch-types/src/id.rs
@@ -1,4 +1,4 @@
-//! Newtypes for names and numbers that identify an entity.
+//! Newtypes for identifiers: names and numbers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name that is accepted, in bytes, so that tables and messages stay bounded.
+/// Maximum length of a name in bytes, which bounds the size of tables and messages.
 const MAX_NAME_LEN: usize = 128;
 
-/// Reports a text that isn't a valid identifier.
+/// Error of parsing an identifier.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ParseIdError {
     /// The text is empty.
@@ -18,10 +18,10 @@
     /// The text has more than 128 bytes.
     #[error("the name is longer than {MAX_NAME_LEN} bytes")]
     TooLong,
-    /// The text holds a character outside letters, digits, `.`, `_`, `-` and `:`.
+    /// The text contains a character other than ASCII letters, digits, `.`, `_`, `-` and `:`.
     #[error("the name holds the character {0:?}; allowed are letters, digits and . _ - :")]
     BadCharacter(char),
-    /// The text isn't a whole number.
+    /// The text is not a whole number that fits into 64 bits.
     #[error("the number is not a whole number below 2^64")]
     BadNumber,
 }
@@ -102,7 +102,7 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps a plain number.
+            /// Builds the identifier from a plain number.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
@@ -112,7 +112,7 @@
                 self.0
             }
 
-            /// Returns the number that follows.
+            /// Returns the identifier with the next higher number.
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -135,9 +135,9 @@
 }
 
 name_type! {
-    /// Identifies a customer of the site, such as one workshop or one seller.
+    /// Identifies a workspace: one customer of the site, such as a workshop or a seller.
     WorkspaceId,
-    /// Identifies a service: a group of endpoints that do the same work.
+    /// Identifies a service: a group of interchangeable endpoints.
     ServiceName,
     /// Identifies one endpoint of a service.
     EndpointId,
@@ -149,35 +149,36 @@
     AdapterName,
     /// Identifies one version of a model's weights.
     WeightVersion,
-    /// Identifies one request of a caller, through all its attempts.
+    /// Identifies one request of a caller; all attempts at it share the id.
     RequestId,
     /// Identifies a daemon by its configured name.
     DaemonId,
     /// Identifies an availability zone.
     AvailabilityZone,
-    /// Identifies a region: availability zones that lie close together and share laws.
+    /// Identifies a region: availability zones that are close together and under the same laws.
     Region,
-    /// Identifies a route of a configuration that the platform holds.
+    /// Identifies a route of a configuration that the platform stores.
     RouteName,
     /// Identifies a rule of the configuration.
     RuleName,
-    /// Identifies one submission of configuration, chosen by the submitting operator's tool.
+    /// Identifies one submission of a configuration; chosen by the operator's tool that submits it.
     SubmissionId,
-    /// Identifies one life of a store VM; it changes when the VM comes back empty.
+    /// Identifies one incarnation of a store VM; it changes when the VM restarts empty.
     StoreIncarnation,
 }
 
 number_type! {
-    /// Counts accepted configurations; a higher one replaces a lower one.
+    /// Version of the accepted configuration; a higher version replaces a lower one.
     ConfigVersion,
-    /// Orders the holders of a lease; an endpoint refuses an order with a lower one.
+    /// Fencing number of a lease. It grows with each new holder, and an endpoint refuses an order
+    /// whose number is lower than one it has seen.
     FenceNumber,
-    /// Counts the uses of a block's place in a store VM.
+    /// Generation of a block's slot in a store VM; grows each time the slot is reused.
     Generation,
-    /// Counts the attempts at one request, from 1.
+    /// Number of an attempt at one request, starting at 1.
     AttemptNumber,
-    /// Names one life of a daemon process by a random number drawn at its start.
+    /// Identifies one incarnation of a daemon: a random number generated when its process starts.
     Incarnation,
-    /// Numbers the versions of a model's weights, where a site counts them upwards.
+    /// Version number of a model's weights, at sites that number them in ascending order.
     WeightNumber,
 }
--- a/crates/wisteriahitch-types/src/key.rs
+++ b/crates/wisteriahitch-types/src/key.rs
@@ -1,4 +1,4 @@
-//! Hashes that serve as keys.
+//! Keys derived by hashing.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +8,7 @@
 const KEY_LEN: usize = 16;
 const HEX_LEN: usize = KEY_LEN * 2;
 
-/// Reports a text that isn't 32 hexadecimal digits.
+/// Error of parsing a key: the text is not 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("a key has 32 hexadecimal digits")]
 pub struct ParseKeyError;
@@ -21,7 +21,7 @@
         pub struct $name([u8; KEY_LEN]);
 
         impl $name {
-            /// Wraps the bytes of a key.
+            /// Builds a key from its bytes.
             pub const fn from_bytes(bytes: [u8; KEY_LEN]) -> Self {
                 Self(bytes)
             }
@@ -31,10 +31,10 @@
                 &self.0
             }
 
-            /// Derives a key from `material` under a `context` that no other use shares.
+            /// Derives a key from `material`. Each use must have a `context` string of its own.
             ///
-            /// The parts are hashed with their lengths, so that two different lists of parts
-            /// never give the same key by running together.
+            /// Each part is hashed with its length, so that two different lists of parts with the
+            /// same concatenation give different keys.
             pub fn derive(context: &str, material: &[&[u8]]) -> Self {
                 let mut hasher = blake3::Hasher::new_derive_key(context);
                 for part in material {
@@ -92,9 +92,9 @@
 }
 
 key_type! {
-    /// Names one cache block; it binds workspace, model, adapter, weight version and the whole
-    /// chain of pieces up to and including this one (`docs/design/blocks.md`).
+    /// Identifies a cache block. Derived from workspace, model, adapter, weight version and all
+    /// pieces of the prompt up to and including this block's (`docs/design/blocks.md`).
     BlockKey,
-    /// Stands for a caller's secret or idempotency key, which itself is never kept.
+    /// Hash of a caller's secret or idempotency key. The key itself is never stored.
     KeyHash,
 }
--- a/crates/wisteriahitch-types/src/lib.rs
+++ b/crates/wisteriahitch-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Identifiers, units and numbered result codes of wisteriahitch.
 //!
-//! Every other crate speaks in these types, so that an identifier is never mistaken for another
-//! one and a number never loses its unit. The words are explained in `docs/GLOSSARY.md`.
+//! All other crates use these types, so that the compiler rejects mixed-up identifiers and units.
+//! `docs/GLOSSARY.md` explains the terms.
 
 mod block_state;
 mod call_rate;
--- a/crates/wisteriahitch-types/src/meaning.rs
+++ b/crates/wisteriahitch-types/src/meaning.rs
@@ -1,18 +1,18 @@
-//! What a result code says of a caller's request.
+//! What a result code implies about a caller's request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Says what a refusal means for the request that it answers.
+/// What a refusal implies about the request that it answers.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Meaning {
-    /// The request certainly was not run, and a late copy of it will not be run either.
+    /// The request was not run, and no delayed copy of it will be run.
     NotRun,
-    /// The request may have run; a keyed request may be asked for again with the same key.
+    /// The request may have run. A keyed request may be retried with the same key.
     OutcomeUnknown,
-    /// The code doesn't speak of a caller's request.
+    /// The code is not about a caller's request.
     Notice,
 }
 
--- a/crates/wisteriahitch-types/src/share.rs
+++ b/crates/wisteriahitch-types/src/share.rs
@@ -1,4 +1,4 @@
-//! Parts of a whole.
+//! Fractions from 0 to 1.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,15 +7,15 @@
 
 use crate::ParseUnitError;
 
-/// Gives a part of a whole, from 0 to 1.
+/// A fraction of a whole, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
 impl Share {
-    /// Stands for nothing of the whole.
+    /// The share 0.
     pub const ZERO: Self = Self(0.0);
-    /// Stands for the whole.
+    /// The share 1, the whole.
     pub const ONE: Self = Self(1.0);
 
     /// Returns the share as a plain number from 0 to 1.
--- a/crates/wisteriahitch-types/src/tier.rs
+++ b/crates/wisteriahitch-types/src/tier.rs
@@ -1,10 +1,10 @@
-//! The tiers of a store VM.
+//! Storage tiers of a store VM.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Names where in a store VM a block lies.
+/// Storage tier of a store VM in which a block is stored.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Tier {
--- a/crates/wisteriahitch-types/src/unit.rs
+++ b/crates/wisteriahitch-types/src/unit.rs
@@ -1,4 +1,4 @@
-//! Newtypes for sizes, rates, times and shares.
+//! Newtypes for sizes, rates and times.
 
 use std::fmt;
 use std::iter::Sum;
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Reports a text that isn't a number with the expected unit.
+/// Error of parsing a number with a unit.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected {expected}, such as {example}")]
 pub struct ParseUnitError {
@@ -27,12 +27,12 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Holds nothing.
+            /// The value 0.
             pub const ZERO: Self = Self(0);
-            /// Holds the largest value.
+            /// The largest value.
             pub const MAX: Self = Self(u64::MAX);
 
-            /// Wraps a plain number in this type's unit.
+            /// Builds a value from a plain number in this type's unit.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
@@ -47,12 +47,12 @@
                 self.0 as f64
             }
 
-            /// Subtracts, stopping at zero.
+            /// Subtracts `other`; the result is at least zero.
             pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
 
-            /// Adds, stopping at the largest value.
+            /// Adds `other`; the result is at most [`Self::MAX`].
             pub const fn saturating_add(self, other: Self) -> Self {
                 Self(self.0.saturating_add(other.0))
             }
@@ -77,19 +77,19 @@
 }
 
 unit_type! {
-    /// Counts tokens.
+    /// Number of tokens.
     TokenCount, "tokens", "a whole number of tokens", "2000 tokens";
-    /// Counts bytes.
+    /// Number of bytes.
     ByteCount, "B", "a whole number of bytes", "4096 B";
-    /// Gives a flow of data, in bytes a second.
+    /// Data rate in bytes per second.
     ByteRate, "B/s", "a whole number of bytes a second", "1000000 B/s";
-    /// Gives a flow of tokens, in tokens a second.
+    /// Token rate in tokens per second.
     TokenRate, "tokens/s", "a whole number of tokens a second", "8000 tokens/s";
-    /// Gives a span of time in microseconds.
+    /// Duration in microseconds.
     DurationUs, "us", "a whole number of microseconds", "1500 us";
-    /// Gives a point on a process's own monotonic clock, in microseconds since it started.
+    /// Time on a process's monotonic clock, in microseconds since the process started.
     ///
-    /// Two processes' values can't be compared.
+    /// Values of different processes are not comparable.
     TimeUs, "us", "a whole number of microseconds", "1500 us";
 }
 
@@ -131,41 +131,41 @@
 const US_PER_S: f64 = 1_000_000.0;
 
 impl DurationUs {
-    /// Builds a span from milliseconds.
+    /// Builds a duration from milliseconds; a value too large becomes the maximum.
     pub const fn from_ms(ms: u64) -> Self {
         Self::new(ms.saturating_mul(US_PER_MS))
     }
 
-    /// Builds a span from seconds; a negative or undefined value counts as zero.
+    /// Builds a duration from seconds. Negative values and NaN become zero.
     pub fn from_secs_f64(secs: f64) -> Self {
         Self::new((secs.max(0.0) * US_PER_S) as u64)
     }
 
-    /// Returns whole milliseconds, rounded down.
+    /// Returns the duration in whole milliseconds, rounded down.
     pub const fn as_ms(self) -> u64 {
         self.get() / US_PER_MS
     }
 
-    /// Returns seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.as_f64() / US_PER_S
     }
 }
 
 impl From<DurationUs> for Duration {
-    fn from(span: DurationUs) -> Self {
-        Self::from_micros(span.get())
+    fn from(duration: DurationUs) -> Self {
+        Self::from_micros(duration.get())
     }
 }
 
 impl From<Duration> for DurationUs {
-    fn from(span: Duration) -> Self {
-        Self::new(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
+    fn from(duration: Duration) -> Self {
+        Self::new(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
     }
 }
 
 impl TimeUs {
-    /// Returns the span from `earlier` to this point, or zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> DurationUs {
         DurationUs::new(self.get().saturating_sub(earlier.get()))
     }
@@ -174,26 +174,26 @@
 impl Add<DurationUs> for TimeUs {
     type Output = Self;
 
-    fn add(self, span: DurationUs) -> Self {
-        Self::new(self.get().saturating_add(span.get()))
+    fn add(self, duration: DurationUs) -> Self {
+        Self::new(self.get().saturating_add(duration.get()))
     }
 }
 
 impl ByteRate {
-    /// Returns how long `bytes` take at this rate; a rate of zero never ends.
+    /// Returns the time to transfer `bytes` at this rate; [`DurationUs::MAX`] if the rate is zero.
     pub fn time_for(self, bytes: ByteCount) -> DurationUs {
-        span_at_rate(bytes.get(), self.get())
+        duration_at_rate(bytes.get(), self.get())
     }
 }
 
 impl TokenRate {
-    /// Returns how long `tokens` take at this rate; a rate of zero never ends.
+    /// Returns the time to process `tokens` at this rate; [`DurationUs::MAX`] if the rate is zero.
     pub fn time_for(self, tokens: TokenCount) -> DurationUs {
-        span_at_rate(tokens.get(), self.get())
+        duration_at_rate(tokens.get(), self.get())
     }
 }
 
-fn span_at_rate(amount: u64, rate_per_s: u64) -> DurationUs {
+fn duration_at_rate(amount: u64, rate_per_s: u64) -> DurationUs {
     if amount == 0 {
         return DurationUs::ZERO;
     }
--- a/crates/wisteriahitch-types/tests/all/code.rs
+++ b/crates/wisteriahitch-types/tests/all/code.rs
@@ -1,4 +1,4 @@
-//! Result codes and their page.
+//! Result codes and the page that lists them.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn page_lists_every_code() {
+fn errors_page_matches_the_codes() {
     expect_file!["../../../../docs/ERRORS.md"].assert_eq(&render_page());
 }
 
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn text_form_is_read_back() {
+fn codes_survive_a_text_round_trip() {
     for code in Code::ALL {
         assert_eq!(code.to_string().parse::<Code>().as_ref(), Ok(code));
         let json = serde_json::to_string(code).unwrap();
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn doubtful_codes_never_say_not_run() {
-    // The codes of group 3 are decided after a byte may have left for an endpoint. Only the key's
-    // own refusal among them may speak of the request as not run.
-    let doubtful = Code::ALL
+fn codes_after_dispatch_never_mean_not_run() {
+    // Codes 3000 to 3999 are sent when part of the request may already have reached an endpoint.
+    // Only `KeyRefused` may mean that the request was not run.
+    let codes_after_dispatch = Code::ALL
         .iter()
         .filter(|code| (3000..4000).contains(&code.number()));
-    for code in doubtful {
+    for code in codes_after_dispatch {
         let is_not_run = code.meaning() == Meaning::NotRun;
         assert_eq!(is_not_run, *code == Code::KeyRefused, "{code}");
     }
--- a/crates/wisteriahitch-types/tests/all/id.rs
+++ b/crates/wisteriahitch-types/tests/all/id.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn names_are_checked() {
+fn names_are_validated() {
     let long = "a".repeat(129);
     let cases = [
         NameCase {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn names_from_json_are_checked_too() {
+fn names_from_json_are_validated() {
     assert!(serde_json::from_str::<WorkspaceId>("\"a b\"").is_err());
     assert_eq!(
         serde_json::from_str::<WorkspaceId>("\"galle\"")
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn keys_bind_the_bounds_of_their_parts() {
-    // Symptom: two workspaces share a block. Sequence of events: one is named `ab` and has the
-    // text `c`, the other `a` with `bc`. Cause: parts hashed without their lengths.
-    let one = BlockKey::derive("test", &[b"ab", b"c"]);
-    let other = BlockKey::derive("test", &[b"a", b"bc"]);
-    assert_ne!(one, other);
+fn keys_depend_on_the_boundaries_of_their_parts() {
+    // If the parts were hashed without their lengths, workspace `ab` with the text `c` and
+    // workspace `a` with the text `bc` would share a block.
+    let first = BlockKey::derive("test", &[b"ab", b"c"]);
+    let second = BlockKey::derive("test", &[b"a", b"bc"]);
+    assert_ne!(first, second);
     assert_ne!(
         KeyHash::derive("test a", &[b"x"]),
         KeyHash::derive("test b", &[b"x"])
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn keys_are_read_back() {
+fn keys_survive_a_text_round_trip() {
     let key = BlockKey::derive("test", &[b"x"]);
     assert_eq!(key.to_string().parse::<BlockKey>(), Ok(key));
     assert!("xyz".parse::<BlockKey>().is_err());
     assert!("é".repeat(16).parse::<BlockKey>().is_err());
-    // A sign is no digit, although the library's parser of numbers takes one.
+    // `u8::from_str_radix` accepts a leading sign, which is not a hexadecimal digit.
     assert!("+1".repeat(16).parse::<BlockKey>().is_err());
 }
--- a/crates/wisteriahitch-types/tests/all/unit.rs
+++ b/crates/wisteriahitch-types/tests/all/unit.rs
@@ -1,29 +1,29 @@
-//! Sizes, rates, times and shares.
+//! Units: sizes, rates, times and shares.
 
 use wisteriahitch_types::{
     ByteCount, ByteRate, CallRate, DurationUs, Share, TimeUs, TokenCount, TokenRate,
 };
 
-struct SpanCase {
+struct DurationCase {
     rate_per_s: u64,
     amount: u64,
     expected: DurationUs,
 }
 
 #[test]
-fn rates_give_spans() {
+fn rates_give_durations() {
     let cases = [
-        SpanCase {
+        DurationCase {
             rate_per_s: 1_000,
             amount: 500,
             expected: DurationUs::from_ms(500),
         },
-        SpanCase {
+        DurationCase {
             rate_per_s: 0,
             amount: 0,
             expected: DurationUs::ZERO,
         },
-        SpanCase {
+        DurationCase {
             rate_per_s: 0,
             amount: 1,
             expected: DurationUs::MAX,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn arithmetic_stops_at_the_bounds() {
+fn arithmetic_saturates_at_the_bounds() {
     assert_eq!(ByteCount::new(1) - ByteCount::new(2), ByteCount::ZERO);
     assert_eq!(DurationUs::MAX + DurationUs::new(1), DurationUs::MAX);
     assert_eq!(TimeUs::new(5).since(TimeUs::new(9)), DurationUs::ZERO);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn text_forms_carry_the_unit() {
+fn text_forms_include_the_unit() {
     assert_eq!(TokenCount::new(2_000).to_string(), "2000 tokens");
     assert_eq!(
         "2000 tokens".parse::<TokenCount>(),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn call_rates_are_decimal_numbers_that_are_not_negative() {
+fn call_rates_are_finite_and_not_negative() {
     struct Case {
         text: &'static str,
         per_s: Option<f64>,
