--- a/crates/wisteriahitch-node/src/dispatch/store_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/store_calls.rs
@@ -57,7 +57,7 @@
     };
     let reserve = async |address| shared.outside.store.reserve(address, request).await;
     let result = match ask(shared, &store, reserve).await {
-        Ok(Reserved::Room(generation)) => Ok(ReservedRoom::Room(generation)),
+        Ok(Reserved::Granted(generation)) => Ok(ReservedRoom::Room(generation)),
         Ok(Reserved::AlreadyReadable(generation)) => Ok(ReservedRoom::AlreadyReadable(generation)),
         Ok(Reserved::InProgress) => Err(TransferFailure::InProgress),
         Err(error) => Err(store_failure(&error)),
--- a/crates/wisteriahitch-node/src/peering/news.rs
+++ b/crates/wisteriahitch-node/src/peering/news.rs
@@ -48,7 +48,7 @@
     if news.news_number > MAX_NUMBER || news.config_version > MAX_NUMBER {
         return None;
     }
-    let addresses = match news.is_short() {
+    let addresses = match news.omits_addresses() {
         true => None,
         false => Some(MemberAddresses {
             caller: decode_address(&news.caller_address).ok()?,
--- a/crates/wisteriahitch-peer/src/client.rs
+++ b/crates/wisteriahitch-peer/src/client.rs
@@ -115,7 +115,7 @@
     }
 
     /// Closes the connection to a peer that has left.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_connection(&self, address: SocketAddr) {
         self.lock().channels.remove(&address);
     }
 
@@ -145,7 +145,7 @@
         // A connection to a frozen or replaced VM stays half open: later calls would wait on it
         // until their time-out, one after the other. A new one shows at once whether it answers.
         if matches!(error.kind(), PeerErrorKind::Lost | PeerErrorKind::NotSent) {
-            self.forget(address);
+            self.close_connection(address);
         }
         Err(error)
     }
--- a/crates/wisteriahitch-peer/src/convert.rs
+++ b/crates/wisteriahitch-peer/src/convert.rs
@@ -82,7 +82,7 @@
 }
 
 /// Returns who sent a message with this `envelope`.
-pub(crate) fn sender_of(envelope: Option<&Envelope>) -> Result<Sender, DecodeError> {
+pub(crate) fn checked_sender(envelope: Option<&Envelope>) -> Result<Sender, DecodeError> {
     envelope.ok_or(DecodeError::NoEnvelope)?.sender()
 }
 
@@ -98,7 +98,7 @@
         if self.state() == MemberState::Unspecified {
             return Err(unknown("state", self.state));
         }
-        if self.is_short() {
+        if self.omits_addresses() {
             return Ok(());
         }
         decode_address(&self.caller_address)?;
@@ -111,7 +111,7 @@
 
     /// Returns whether the news leaves out the addresses, which a teller does once a member is
     /// suspect or gone.
-    pub fn is_short(&self) -> bool {
+    pub fn omits_addresses(&self) -> bool {
         let is_up = matches!(self.state(), MemberState::Alive | MemberState::Draining);
         !is_up && self.peer_address.is_empty()
     }
--- a/crates/wisteriahitch-peer/src/server.rs
+++ b/crates/wisteriahitch-peer/src/server.rs
@@ -9,7 +9,7 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status};
 
-use crate::convert::{DecodeError, Sender, check_hints, check_news, sender_of};
+use crate::convert::{DecodeError, Sender, check_hints, check_news, checked_sender};
 use crate::error::WRONG_INCARNATION;
 use crate::generated::peer_server;
 use crate::{
@@ -79,7 +79,7 @@
     handler: Arc<dyn PeerHandler>,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), PeerError> {
-    let service = peer_server::PeerServer::new(Glue { handler })
+    let service = peer_server::PeerServer::new(PeerService { handler })
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
@@ -91,7 +91,7 @@
         .map_err(|error| PeerError::new(PeerErrorKind::Lost, error.to_string()))
 }
 
-struct Glue {
+struct PeerService {
     handler: Arc<dyn PeerHandler>,
 }
 
@@ -100,10 +100,10 @@
 }
 
 #[async_trait]
-impl peer_server::Peer for Glue {
+impl peer_server::Peer for PeerService {
     async fn probe(&self, request: Request<ProbeRequest>) -> Result<Response<ProbeReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         check_news(&request.news).map_err(refuse)?;
         Ok(Response::new(self.handler.probe(sender, request).await))
     }
@@ -113,7 +113,7 @@
         request: Request<IndirectProbeRequest>,
     ) -> Result<Response<IndirectProbeReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         request.target().map_err(refuse)?;
         let reply = self.handler.indirect_probe(sender, request).await;
         Ok(Response::new(reply))
@@ -124,7 +124,7 @@
         request: Request<PushConfigurationRequest>,
     ) -> Result<Response<PushConfigurationReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         let reply = self.handler.push_configuration(sender, request).await;
         Ok(Response::new(reply))
     }
@@ -134,7 +134,7 @@
         request: Request<PullConfigurationRequest>,
     ) -> Result<Response<PullConfigurationReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         let reply = self.handler.pull_configuration(sender, request).await;
         Ok(Response::new(reply))
     }
@@ -144,7 +144,7 @@
         request: Request<ForwardRequest>,
     ) -> Result<Response<ForwardReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         // An address can be reused: the sender means a daemon that has died, and this one has
         // started in its place. Acting here would decide for keys of an incarnation that this
         // one knows nothing of, and a booking could run twice. So only the one meant may act.
@@ -160,7 +160,7 @@
         request: Request<PublishBlocksRequest>,
     ) -> Result<Response<PublishBlocksReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         check_hints(&request.hints).map_err(refuse)?;
         let reply = self.handler.publish_blocks(sender, request).await;
         Ok(Response::new(reply))
@@ -171,7 +171,7 @@
         request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         Ok(Response::new(self.handler.status(sender, request).await))
     }
 }
