--- a/crates/wisteriahitch-wire/src/headers.rs
+++ b/crates/wisteriahitch-wire/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers concern one connection only.
+//! Removal of hop-by-hop headers.
 
 use http::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderName, PROXY_AUTHENTICATE, TE, TRAILER,
@@ -6,7 +6,7 @@
 };
 use http::{HeaderMap, HeaderValue};
 
-/// Headers that speak of one connection or of the body's way over it.
+/// Headers that apply to a single connection or to the framing of the body on it.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -20,19 +20,19 @@
     UPGRADE,
 ];
 
-/// Returns the headers without those that concern only the connection they came on.
+/// Returns the headers without the hop-by-hop headers and those listed in `Connection`.
 ///
-/// Passed on, they would give a message a second framing, and what one side takes for the end of
-/// a body the other would take for the next request.
+/// If they were forwarded, a message would have two conflicting framings: what one side takes for
+/// part of a body the other could take for the next request (request smuggling).
 pub fn without_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
+    let mut forwarded = headers.clone();
     for name in HOP_BY_HOP.into_iter().chain(named_by_connection(headers)) {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
-/// Returns the headers that a `Connection` header declares as its own.
+/// Returns the names of the headers that the `Connection` headers list as hop-by-hop.
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     headers
         .get_all(CONNECTION)
--- a/crates/wisteriahitch-wire/src/service/error.rs
+++ b/crates/wisteriahitch-wire/src/service/error.rs
@@ -1,27 +1,27 @@
-//! Failures of a call to a plain service.
+//! Errors of a call to a plain service.
 
 use std::fmt;
 
 use wisteriahitch_types::Code;
 
-/// Sorts service failures by what may be concluded from them.
+/// Classes of service failures, by what they imply about the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServiceErrorKind {
-    /// No byte of the request left for the service.
+    /// No byte of the request was sent.
     NotSent,
-    /// The service itself said that it did not run the request.
+    /// The service stated that it did not run the request.
     NotRun,
-    /// The connection broke after a byte may have left.
+    /// The connection broke after a byte may have been sent.
     Lost,
-    /// No answer came in time.
+    /// No answer arrived before the deadline.
     Timeout,
-    /// The answer broke the protocol or was another request's.
+    /// The answer violated the protocol or belonged to another request.
     Nonsense,
-    /// The answer is larger than the limit.
+    /// The answer exceeds the size limit.
     TooLarge,
 }
 
-/// Reports a failed call to a plain service.
+/// Error of a failed call to a plain service.
 #[derive(Clone, Debug, thiserror::Error)]
 pub struct ServiceError {
     kind: ServiceErrorKind,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Returns the sort of failure.
+    /// Returns the class of the failure.
     pub fn kind(&self) -> ServiceErrorKind {
         self.kind
     }
 
-    /// Returns whether the request certainly was not run by this attempt.
+    /// Returns whether it is certain that this attempt did not run the request.
     pub fn is_not_run(&self) -> bool {
         matches!(
             self.kind,
@@ -50,7 +50,7 @@
         )
     }
 
-    /// Returns the numbered code.
+    /// Returns the result code.
     pub fn code(&self) -> Code {
         match self.kind {
             ServiceErrorKind::NotSent => Code::NoEndpoint,
--- a/crates/wisteriahitch-wire/src/service/http_service.rs
+++ b/crates/wisteriahitch-wire/src/service/http_service.rs
@@ -1,4 +1,4 @@
-//! Plain services over HTTP.
+//! HTTP client of plain services.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Method, Request, Response, StatusCode, Uri};
 use wisteriahitch_types::{ByteCount, DurationUs, RequestId};
 
-use super::headers::{NOT_RUN, REQUEST_ID, WORKSPACE, pass_to_caller, pass_to_service};
+use super::headers::{NOT_RUN, REQUEST_ID, WORKSPACE, headers_for_caller, headers_for_service};
 use super::{
     Service, ServiceError, ServiceErrorKind, ServiceLoad, ServiceRequest, ServiceResponse,
 };
@@ -15,14 +15,14 @@
 
 const LOAD_PATH: &str = "/load";
 
-/// Sets how plain services are reached.
+/// Timeouts and limits of the client of plain services.
 #[derive(Clone, Debug)]
 pub struct HttpServiceOptions {
-    /// Longest wait for a load report.
+    /// Maximum wait for a load report.
     pub load_timeout_us: DurationUs,
-    /// Largest load report that is taken.
+    /// Maximum size of a load report.
     pub load_limit_bytes: ByteCount,
-    /// Bounds on the connections.
+    /// Limits on the connections.
     pub connections: HttpClientOptions,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reaches plain services over HTTP, sending each request once.
+/// HTTP client of plain services. It sends each request at most once.
 #[derive(Clone, Debug)]
 pub struct HttpService {
     client: HttpClient,
@@ -44,7 +44,7 @@
 }
 
 impl HttpService {
-    /// Builds a client without connections.
+    /// Builds a client; connections are opened as they are needed.
     pub fn new(options: HttpServiceOptions) -> Self {
         Self {
             client: HttpClient::new(options.connections),
@@ -68,11 +68,11 @@
             .client
             .fetch(address, outgoing, timeout_us, limit_bytes)
             .await
-            .map_err(|error| sort_failure(&error))?;
+            .map_err(|error| classify_failure(&error))?;
         check_answer(&response, &id)?;
         Ok(ServiceResponse {
             status: response.status(),
-            headers: pass_to_caller(response.headers()),
+            headers: headers_for_caller(response.headers()),
             body: response.into_body(),
         })
     }
@@ -86,25 +86,27 @@
             .client
             .fetch(address, request, timeout_us, limit_bytes)
             .await
-            .map_err(|error| sort_failure(&error))?;
+            .map_err(|error| classify_failure(&error))?;
         if response.status() != StatusCode::OK {
-            return Err(nonsense(format!(
-                "the load report is {}",
+            return Err(malformed(format!(
+                "the request for the load report was answered with status {}",
                 response.status()
             )));
         }
-        serde_json::from_slice(response.body()).map_err(|error| nonsense(error.to_string()))
+        serde_json::from_slice(response.body()).map_err(|error| malformed(error.to_string()))
     }
 }
 
 fn to_http(request: ServiceRequest) -> Result<Request<Bytes>, ServiceError> {
     if request.method == Method::CONNECT || !request.path_and_query.starts_with('/') {
-        return Err(not_sent("only a method with a path can be passed on"));
+        return Err(not_sent(
+            "cannot forward a CONNECT request or a target that does not start with /",
+        ));
     }
     let uri = Uri::try_from(request.path_and_query).map_err(|error| not_sent(error.to_string()))?;
     let id = header_value(request.request_id.as_str())?;
     let workspace = header_value(request.workspace.as_str())?;
-    let mut headers = pass_to_service(&request.headers);
+    let mut headers = headers_for_service(&request.headers);
     headers.insert(REQUEST_ID, id);
     headers.insert(WORKSPACE, workspace);
     let mut outgoing = Request::new(request.body);
@@ -114,29 +116,34 @@
     Ok(outgoing)
 }
 
-/// Refuses another request's answer, and takes the service's own word that it ran nothing.
+/// Rejects an answer to another request, and detects the service's statement that it did not run
+/// the request.
 fn check_answer(response: &Response<Bytes>, id: &RequestId) -> Result<(), ServiceError> {
-    // A service that mixes up its connections would hand one caller another's answer; only the id
-    // that it echoes can show it, so the id is checked before anything else is believed.
+    // A faulty service that mixes up its connections would give one caller the answer to another's
+    // request. Only the echoed id shows this, so it is checked before anything else.
     let ids = response.headers().get_all(REQUEST_ID);
     if ids
         .iter()
         .any(|echoed| echoed.as_bytes() != id.as_str().as_bytes())
     {
-        return Err(nonsense("the answer is another request's"));
+        return Err(malformed(
+            "the x-request-id in the answer is another request's",
+        ));
     }
     if response.status() == StatusCode::SWITCHING_PROTOCOLS {
-        return Err(nonsense("the service switched protocols unasked"));
+        return Err(malformed(
+            "the service switched protocols without being asked to",
+        ));
     }
     let says_not_run = response.headers().get(NOT_RUN).is_some_and(|v| v == "1");
     if response.status() == StatusCode::SERVICE_UNAVAILABLE && says_not_run {
-        let detail = "the service said that it did not run the request";
+        let detail = "the service stated that it did not run the request";
         return Err(ServiceError::new(ServiceErrorKind::NotRun, detail));
     }
     Ok(())
 }
 
-fn sort_failure(error: &HttpError) -> ServiceError {
+fn classify_failure(error: &HttpError) -> ServiceError {
     let kind = match error.kind() {
         HttpErrorKind::NotSent => ServiceErrorKind::NotSent,
         HttpErrorKind::Timeout => ServiceErrorKind::Timeout,
@@ -155,6 +162,6 @@
     ServiceError::new(ServiceErrorKind::NotSent, detail)
 }
 
-fn nonsense(detail: impl Into<String>) -> ServiceError {
+fn malformed(detail: impl Into<String>) -> ServiceError {
     ServiceError::new(ServiceErrorKind::Nonsense, detail)
 }
--- a/crates/wisteriahitch-wire/src/service/mod.rs
+++ b/crates/wisteriahitch-wire/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Plain services: the caller's method and path, passed through.
+//! Client of plain services, to which the caller's method and path are forwarded unchanged.
 
 mod error;
 mod headers;
@@ -18,63 +18,63 @@
 /// A caller's request to a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// The caller's request.
+    /// Id of the caller's request.
     pub request_id: RequestId,
-    /// Workspace that the caller's key belongs to.
+    /// Workspace to which the caller's key belongs.
     pub workspace: WorkspaceId,
-    /// Method as the caller sent it.
+    /// Method of the caller's request.
     pub method: Method,
-    /// Path and query as the caller sent them.
+    /// Path and query of the caller's request.
     pub path_and_query: String,
-    /// Headers that may be passed on.
+    /// Headers of the caller. The client removes those that must not be forwarded.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Longest wait for the whole answer.
+    /// Maximum wait for the complete answer.
     pub timeout_us: DurationUs,
-    /// Largest answer that is taken.
+    /// Maximum size of the answer's body.
     pub answer_limit_bytes: ByteCount,
 }
 
-/// A plain service's whole answer.
+/// Complete answer of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceResponse {
-    /// Status as the service sent it.
+    /// Status sent by the service.
     pub status: StatusCode,
-    /// Headers that may be passed on.
+    /// Headers of the answer that may be forwarded to the caller.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Holds a lagging report of a plain service's load.
+/// Load report of a plain service. It may lag behind the actual load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// When the report was made, in milliseconds on the service's own clock.
+    /// Time of the report, in milliseconds on the service's own clock.
     pub made_at_ms: u64,
-    /// Requests that run now.
+    /// Number of running requests.
     #[serde(deserialize_with = "crate::count::deserialize")]
     pub running: u64,
-    /// Requests that can run at once.
+    /// Maximum number of requests that run at once.
     #[serde(deserialize_with = "crate::count::deserialize")]
     pub slots: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     #[serde(deserialize_with = "crate::count::deserialize")]
     pub queued: u64,
-    /// Whether the endpoint will go away soon.
+    /// Whether the endpoint is about to shut down.
     pub leaving: bool,
 }
 
-/// Talks to plain services.
+/// Client of plain services. Each call takes the address of the endpoint.
 #[async_trait]
 pub trait Service: Send + Sync {
-    /// Sends one request once and returns the whole answer.
+    /// Sends a request at most once and returns the complete answer.
     async fn call(
         &self,
         address: SocketAddr,
         request: ServiceRequest,
     ) -> Result<ServiceResponse, ServiceError>;
 
-    /// Returns the service's lagging load report.
+    /// Returns the endpoint's load report, which may lag behind its actual load.
     async fn load(&self, address: SocketAddr) -> Result<ServiceLoad, ServiceError>;
 }
