--- a/crates/wisteriahitch-peer/src/client.rs
+++ b/crates/wisteriahitch-peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Sends calls to peers.
+//! gRPC client for calls to other daemons (peers).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,16 +19,17 @@
 
 type Stub = peer_client::PeerClient<Channel>;
 
-/// Connections that are kept open; at a large fleet every peer is probed now and then, and one
-/// connection to each would take more memory than a daemon may spend on control.
+/// Maximum number of cached connections. In a large fleet every peer is probed from time to time,
+/// and a connection to each would exceed the memory that a daemon may use for control traffic.
 const MAX_CHANNELS: usize = 64;
 
-/// Window of one call and of one connection, in bytes, which bounds what a peer may make us hold.
+/// HTTP/2 flow-control window in bytes, of each stream and of each connection. It limits how much
+/// data from a peer this daemon must buffer.
 const WINDOW_BYTES: u32 = 256 * 1024;
 
-/// Calls peers and keeps a bounded number of connections to them.
+/// Client for calls to peers, with a bounded cache of connections.
 ///
-/// Cheap to share behind an `Arc`; each call names the peer's address and its time-out.
+/// Share it behind an `Arc`. Each call takes the peer's address and a timeout.
 #[derive(Debug)]
 pub struct PeerClient {
     connect_timeout: Duration,
@@ -37,13 +38,15 @@
 
 #[derive(Debug, Default)]
 struct ChannelCache {
-    uses: u64,
+    /// Number of lookups so far, used as the clock for [`CachedChannel::last_use`].
+    lookup_count: u64,
     channels: HashMap<SocketAddr, CachedChannel>,
 }
 
 #[derive(Debug)]
 struct CachedChannel {
     channel: Channel,
+    /// Value of [`ChannelCache::lookup_count`] at the last use.
     last_use: u64,
 }
 
@@ -53,7 +56,7 @@
         ///
         /// # Errors
         ///
-        /// [`PeerError::kind`] says whether the peer may have seen the call.
+        /// [`PeerError::kind`] says whether the peer may have received the call.
         pub async fn $name(
             &self,
             address: SocketAddr,
@@ -69,7 +72,7 @@
 }
 
 impl PeerClient {
-    /// Builds a client that waits at most `connect_timeout` for a connection.
+    /// Builds a client that waits at most `connect_timeout` for a connection to open.
     pub fn new(connect_timeout: Duration) -> Self {
         Self {
             connect_timeout,
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Asks whether the daemon answers, and exchanges news.
+    /// Checks whether the daemon answers, and exchanges membership updates with it.
     ///
     /// # Errors
     ///
-    /// [`PeerError::kind`] says whether the peer may have seen the call;
-    /// [`PeerErrorKind::Malformed`] means that its news break the protocol.
+    /// [`PeerError::kind`] says whether the peer may have received the call;
+    /// [`PeerErrorKind::Malformed`] means that the membership updates in its reply are invalid.
     pub async fn probe(
         &self,
         address: SocketAddr,
@@ -100,26 +103,28 @@
     }
 
     calls! {
-        /// Asks a daemon to probe another one.
+        /// Asks a daemon to probe another daemon.
         indirect_probe(IndirectProbeRequest) -> IndirectProbeReply;
-        /// Hands over a version of the configuration.
+        /// Sends a version of the configuration, as the changes since an earlier version.
         push_configuration(PushConfigurationRequest) -> PushConfigurationReply;
-        /// Asks for a version of the configuration.
+        /// Requests a newer version of the configuration, or sections of it.
         pull_configuration(PullConfigurationRequest) -> PullConfigurationReply;
-        /// Hands a keyed request to the incarnation that decides.
+        /// Forwards a request with a ticket or idempotency key to the incarnation that decides on
+        /// it.
         forward(ForwardRequest) -> ForwardReply;
-        /// Tells directory hints.
+        /// Sends directory hints: which endpoints and stores cached or evicted a block, and which of
+        /// them are leaving.
         publish_blocks(PublishBlocksRequest) -> PublishBlocksReply;
-        /// Asks for a summary.
+        /// Requests a status summary.
         status(StatusRequest) -> StatusReply;
     }
 
-    /// Closes the connection to a peer that has left.
+    /// Removes the cached connection to `address`; it closes when the calls on it have ended.
     pub fn close_connection(&self, address: SocketAddr) {
         self.lock().channels.remove(&address);
     }
 
-    /// Returns how many connections are kept.
+    /// Returns the number of cached connections.
     pub fn channel_count(&self) -> usize {
         self.lock().channels.len()
     }
@@ -140,10 +145,10 @@
         let error = match tokio::time::timeout(timeout, send(stub)).await {
             Ok(Ok(reply)) => return Ok(reply.into_inner()),
             Ok(Err(status)) => PeerError::from_status(&status),
-            Err(_) => PeerError::new(PeerErrorKind::Lost, "no answer in time"),
+            Err(_) => PeerError::new(PeerErrorKind::Lost, "no reply before the timeout"),
         };
-        // A connection to a frozen or replaced VM stays half open: later calls would wait on it
-        // until their time-out, one after the other. A new one shows at once whether it answers.
+        // A connection to a frozen or replaced VM stays half open, and every later call on it would
+        // wait until its timeout. Opening a new connection shows at once whether the peer answers.
         if matches!(error.kind(), PeerErrorKind::Lost | PeerErrorKind::NotSent) {
             self.close_connection(address);
         }
@@ -164,7 +169,7 @@
             .tcp_nodelay(true)
             .initial_stream_window_size(WINDOW_BYTES)
             .initial_connection_window_size(WINDOW_BYTES);
-        // The connector's own time-out doesn't cover the opening of HTTP/2 on the connection.
+        // The timeout of the connector does not cover the HTTP/2 handshake.
         let channel = tokio::time::timeout(connect_timeout, endpoint.connect())
             .await
             .map_err(|error| not_sent(&error))?
@@ -180,23 +185,26 @@
 
 impl ChannelCache {
     fn find(&mut self, address: SocketAddr) -> Option<Channel> {
-        self.uses += 1;
+        self.lookup_count += 1;
         let cached = self.channels.get_mut(&address)?;
-        cached.last_use = self.uses;
+        cached.last_use = self.lookup_count;
         Some(cached.channel.clone())
     }
 
     fn insert(&mut self, address: SocketAddr, channel: Channel) {
         if self.channels.len() >= MAX_CHANNELS {
-            self.drop_least_recent();
+            self.evict_least_recently_used();
         }
-        let last_use = self.uses;
+        let last_use = self.lookup_count;
         self.channels
             .insert(address, CachedChannel { channel, last_use });
     }
 
-    fn drop_least_recent(&mut self) {
-        let oldest = self.channels.iter().min_by_key(|(_, kept)| kept.last_use);
+    fn evict_least_recently_used(&mut self) {
+        let oldest = self
+            .channels
+            .iter()
+            .min_by_key(|(_, cached)| cached.last_use);
         if let Some(address) = oldest.map(|(address, _)| *address) {
             self.channels.remove(&address);
         }
--- a/crates/wisteriahitch-peer/src/convert.rs
+++ b/crates/wisteriahitch-peer/src/convert.rs
@@ -1,7 +1,7 @@
-//! From the fields of a message to the types of wisteriahitch.
+//! Validation of peer messages and conversion of their fields to typed values.
 //!
-//! A message of a peer is checked like any other input: a peer may run another version, and an
-//! address may by now belong to another program.
+//! Messages from peers are validated like any other input: a peer may run another version, and its
+//! address may meanwhile belong to another program.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -13,64 +13,64 @@
     MAX_FORWARD_BODY_BYTES, MAX_HINTS, MAX_NEWS, MemberNews, MemberState,
 };
 
-/// Bytes of a port in an address.
+/// Length in bytes of the port in an encoded address.
 const PORT_BYTES: usize = 2;
 
-/// Reports a message whose fields can't be what they stand for.
+/// Error of validating a peer message.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum DecodeError {
     /// The message has no envelope.
     #[error("the envelope is missing")]
     NoEnvelope,
-    /// An incarnation is 0, which names nobody.
+    /// An incarnation is 0, which identifies no daemon.
     #[error("the incarnation is 0")]
     NoIncarnation,
-    /// A name is malformed.
+    /// A name is not a valid identifier.
     #[error("bad name: {0}")]
     BadName(#[from] ParseIdError),
-    /// An address isn't an IP address with a port.
+    /// An address is not an IP address with a port.
     #[error("bad address {0:?}")]
     BadAddress(String),
-    /// An enumeration holds a number that this version doesn't know.
+    /// An enum field has a number that this version does not know.
     #[error("unknown {field}: {number}")]
     UnknownNumber {
         /// Name of the field.
         field: &'static str,
-        /// Number that it holds.
+        /// Unknown number in the field.
         number: i32,
     },
-    /// A list or a body is longer than its bound.
+    /// A list or a body is too long.
     #[error("{field} has {len} items, more than {max}")]
     TooLong {
         /// Name of the field.
         field: &'static str,
-        /// Length that it has.
+        /// Actual length: entries of a list, or bytes of a body.
         len: usize,
-        /// Length that it may have.
+        /// Maximum length.
         max: usize,
     },
-    /// A key doesn't have 16 bytes.
+    /// A block key does not have 16 bytes.
     #[error("a block key has 16 bytes")]
     BadKey,
 }
 
-/// Holds the checked sender of a message.
+/// Sender of a message, from its validated envelope.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Sender {
-    /// Configured name.
+    /// Configured name of the sending daemon.
     pub daemon: DaemonId,
-    /// Incarnation.
+    /// Incarnation of the sending daemon.
     pub incarnation: Incarnation,
-    /// Incarnation that the message is meant for, if it names one.
+    /// Incarnation that must handle the message; `None` if any may.
     pub meant_for: Option<Incarnation>,
 }
 
 impl Envelope {
-    /// Returns who sent the message.
+    /// Returns the validated sender.
     ///
     /// # Errors
     ///
-    /// Fails where the name is malformed or the incarnation is 0.
+    /// Fails if the daemon's name is malformed or its incarnation is 0.
     pub fn sender(&self) -> Result<Sender, DecodeError> {
         let meant_for = (self.meant_for != 0).then(|| Incarnation::new(self.meant_for));
         Ok(Sender {
@@ -81,17 +81,17 @@
     }
 }
 
-/// Returns who sent a message with this `envelope`.
+/// Returns the validated sender from a message's `envelope`; fails if there is none.
 pub(crate) fn checked_sender(envelope: Option<&Envelope>) -> Result<Sender, DecodeError> {
     envelope.ok_or(DecodeError::NoEnvelope)?.sender()
 }
 
 impl MemberNews {
-    /// Checks every field, so that the later reads can't fail.
+    /// Validates all fields that are parsed later, so that those reads cannot fail.
     ///
     /// # Errors
     ///
-    /// Names the first field that is malformed.
+    /// Returns the error of the first invalid field.
     pub fn check(&self) -> Result<(), DecodeError> {
         self.daemon_id.parse::<DaemonId>()?;
         parse_incarnation(self.incarnation)?;
@@ -109,8 +109,8 @@
         Ok(())
     }
 
-    /// Returns whether the news leaves out the addresses, which a teller does once a member is
-    /// suspect or gone.
+    /// Returns whether the update omits the addresses. Senders omit them for a member that is
+    /// suspected, dead or has left.
     pub fn omits_addresses(&self) -> bool {
         let is_up = matches!(self.state(), MemberState::Alive | MemberState::Draining);
         !is_up && self.peer_address.is_empty()
@@ -118,11 +118,11 @@
 }
 
 impl IndirectProbeRequest {
-    /// Returns whom to probe.
+    /// Returns the address and the incarnation of the daemon to probe.
     ///
     /// # Errors
     ///
-    /// Fails where the address is malformed or the incarnation is 0.
+    /// Fails if the address is malformed or the incarnation is 0.
     pub fn target(&self) -> Result<(SocketAddr, Incarnation), DecodeError> {
         let address = parse_address(&self.target_address)?;
         Ok((address, parse_incarnation(self.target_incarnation)?))
@@ -130,11 +130,12 @@
 }
 
 impl ForwardRequest {
-    /// Checks what the receiver relies on before it acts.
+    /// Validates the fields that the receiver relies on.
     ///
     /// # Errors
     ///
-    /// Fails where the workspace is malformed, the kind is unknown or the body is too long.
+    /// Fails if the workspace is malformed, the kind of key is unknown or the body is longer than
+    /// [`MAX_FORWARD_BODY_BYTES`].
     pub fn check(&self) -> Result<(), DecodeError> {
         self.workspace.parse::<wisteriahitch_types::WorkspaceId>()?;
         if self.kind() == KeyKind::Unspecified {
@@ -145,8 +146,8 @@
 }
 
 impl ForwardReply {
-    /// Returns the result code of a refusal, or nothing for the endpoint's own answer and for a
-    /// code that this version doesn't know.
+    /// Returns the result code of a refusal; `None` for an answer from the endpoint itself and for
+    /// a code that this version does not know.
     pub fn result_code(&self) -> Option<Code> {
         u16::try_from(self.code)
             .ok()
@@ -155,11 +156,11 @@
 }
 
 impl BlockHint {
-    /// Returns the block that the hint is about.
+    /// Returns the key of the block that the hint is about.
     ///
     /// # Errors
     ///
-    /// Fails where the key doesn't have 16 bytes.
+    /// Fails if the key does not have 16 bytes.
     pub fn block_key(&self) -> Result<BlockKey, DecodeError> {
         let bytes = self.key.as_ref().try_into();
         bytes
@@ -168,13 +169,13 @@
     }
 }
 
-/// Checks the length and every piece of a list of news.
+/// Validates a list of membership updates: its length and each update.
 pub(crate) fn check_news(news: &[MemberNews]) -> Result<(), DecodeError> {
     check_len("news", news.len(), MAX_NEWS)?;
     news.iter().try_for_each(MemberNews::check)
 }
 
-/// Checks the length of a list of hints.
+/// Validates the length of a list of directory hints.
 pub(crate) fn check_hints(hints: &[BlockHint]) -> Result<(), DecodeError> {
     check_len("hints", hints.len(), MAX_HINTS)
 }
@@ -198,7 +199,9 @@
         .map_err(|_| DecodeError::BadAddress(text.chars().take(64).collect()))
 }
 
-/// Writes an address in as few bytes as it needs, since membership news has little room.
+/// Encodes an address as the octets of the IP address and the port in big-endian order.
+///
+/// The encoding is compact because messages with membership updates are small.
 pub fn encode_address(address: SocketAddr) -> Bytes {
     let mut bytes = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -208,11 +211,11 @@
     bytes.into()
 }
 
-/// Reads an address that [`encode_address`] wrote.
+/// Decodes an address encoded by [`encode_address`].
 ///
 /// # Errors
 ///
-/// Fails where the length is neither that of an IPv4 nor that of an IPv6 address with its port.
+/// Fails unless the length is 6 bytes (IPv4) or 18 bytes (IPv6).
 pub fn decode_address(bytes: &[u8]) -> Result<SocketAddr, DecodeError> {
     let bad = || DecodeError::BadAddress(format!("{bytes:?}").chars().take(64).collect());
     let (ip, port) = bytes.split_last_chunk::<PORT_BYTES>().ok_or_else(bad)?;
--- a/crates/wisteriahitch-peer/src/identity.rs
+++ b/crates/wisteriahitch-peer/src/identity.rs
@@ -1,11 +1,11 @@
-//! Who a daemon is towards its peers.
+//! Identity of a daemon in calls to its peers.
 
 use serde::Serialize;
 use wisteriahitch_types::{DaemonId, Incarnation};
 
 use crate::Envelope;
 
-/// Names one life of one daemon.
+/// Identity of one incarnation of a daemon.
 ///
 /// ```
 /// use wisteriahitch_peer::PeerIdentity;
@@ -21,12 +21,13 @@
 pub struct PeerIdentity {
     /// Configured name.
     pub daemon: DaemonId,
-    /// Random number drawn when the process started; never 0, which means nobody in a call.
+    /// Random number generated when the process started. Never 0, which means "any" in
+    /// [`Envelope::meant_for`].
     pub incarnation: Incarnation,
 }
 
 impl PeerIdentity {
-    /// Names the life `incarnation` of `daemon`.
+    /// Builds the identity of the incarnation `incarnation` of `daemon`.
     pub fn new(daemon: DaemonId, incarnation: Incarnation) -> Self {
         Self {
             daemon,
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Builds the envelope of a call to the incarnation `meant_for`, or to whoever answers.
+    /// Builds the envelope of a call to the incarnation `meant_for`; `None` addresses whichever
+    /// incarnation answers.
     pub fn envelope(&self, meant_for: Option<Incarnation>) -> Envelope {
         Envelope {
             daemon_id: self.daemon.to_string(),
--- a/crates/wisteriahitch-peer/src/lib.rs
+++ b/crates/wisteriahitch-peer/src/lib.rs
@@ -1,7 +1,8 @@
-//! Protocol between the daemons of wisteriahitch, over gRPC.
+//! gRPC protocol between the daemons of wisteriahitch.
 //!
-//! The messages stand in `proto/wisteriahitch_peer.proto`; [`PeerClient`] sends them and
-//! [`serve_peers`] hands them to a [`PeerHandler`]. `docs/design/peers.md` gives the reasons.
+//! `proto/wisteriahitch_peer.proto` defines the messages. [`PeerClient`] sends calls, and
+//! [`serve_peers`] passes received calls to a [`PeerHandler`]. `docs/design/peers.md` explains the
+//! design.
 
 mod client;
 mod convert;
--- a/crates/wisteriahitch-peer/src/server.rs
+++ b/crates/wisteriahitch-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Takes calls of peers and hands them to the daemon.
+//! gRPC server that validates calls from peers and passes them to the daemon.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -19,61 +19,63 @@
     PushConfigurationRequest, StatusReply, StatusRequest,
 };
 
-/// Calls of one peer that are under way at once; more wait at the sender.
+/// Maximum number of concurrent calls on one connection; further calls wait at the sender.
 const MAX_STREAMS_PER_PEER: u32 = 256;
 
-/// Answers the calls of peers.
+/// Handler of the calls from peers.
 ///
-/// Every message has passed the checks of this crate before it gets here: the sender is known,
-/// lists are within their bounds, and a [`ForwardRequest`] is meant for this incarnation.
+/// Messages are validated before the handler is called: the sender is well-formed, lists are within
+/// their limits, and a [`ForwardRequest`] is meant for this incarnation.
 #[async_trait]
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Returns who this daemon is.
+    /// Returns the identity of this daemon.
     fn identity(&self) -> PeerIdentity;
 
-    /// Takes news and answers with news.
+    /// Applies the sender's membership updates and replies with this daemon's.
     async fn probe(&self, sender: Sender, request: ProbeRequest) -> ProbeReply;
 
-    /// Probes another daemon for the sender.
+    /// Probes another daemon on behalf of the sender.
     async fn indirect_probe(
         &self,
         sender: Sender,
         request: IndirectProbeRequest,
     ) -> IndirectProbeReply;
 
-    /// Takes a version of the configuration; the reply may say `held` only once it is held whole.
+    /// Stores a version of the configuration. The reply may set `held` only once all sections of the
+    /// version are stored.
     async fn push_configuration(
         &self,
         sender: Sender,
         request: PushConfigurationRequest,
     ) -> PushConfigurationReply;
 
-    /// Gives the highest version held, or sections of it.
+    /// Returns the highest stored version of the configuration, or sections of it.
     async fn pull_configuration(
         &self,
         sender: Sender,
         request: PullConfigurationRequest,
     ) -> PullConfigurationReply;
 
-    /// Decides for a keyed request and answers it.
+    /// Decides on a forwarded request with a ticket or idempotency key, and returns its answer.
     async fn forward(&self, sender: Sender, request: ForwardRequest) -> ForwardReply;
 
-    /// Takes directory hints.
+    /// Applies directory hints: which endpoints and stores cached or evicted a block, and which of
+    /// them are leaving.
     async fn publish_blocks(
         &self,
         sender: Sender,
         request: PublishBlocksRequest,
     ) -> PublishBlocksReply;
 
-    /// Gives a summary.
+    /// Returns a status summary.
     async fn status(&self, sender: Sender, request: StatusRequest) -> StatusReply;
 }
 
-/// Serves peers on `listener` until `shutdown` ends and the calls under way have been answered.
+/// Serves peers on `listener` until `shutdown` completes and the running calls have been answered.
 ///
 /// # Errors
 ///
-/// Fails with [`PeerErrorKind::Lost`] where the listener itself fails.
+/// Fails with [`PeerErrorKind::Lost`] if the listener fails.
 pub async fn serve_peers(
     listener: TcpListener,
     handler: Arc<dyn PeerHandler>,
@@ -91,6 +93,7 @@
         .map_err(|error| PeerError::new(PeerErrorKind::Lost, error.to_string()))
 }
 
+/// Adapter from the generated gRPC service to a [`PeerHandler`].
 struct PeerService {
     handler: Arc<dyn PeerHandler>,
 }
@@ -145,9 +148,9 @@
     ) -> Result<Response<ForwardReply>, Status> {
         let request = request.into_inner();
         let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
-        // An address can be reused: the sender means a daemon that has died, and this one has
-        // started in its place. Acting here would decide for keys of an incarnation that this
-        // one knows nothing of, and a booking could run twice. So only the one meant may act.
+        // Addresses are reused: the sender may mean a daemon that has died, at whose address this
+        // one has started. This daemon has no state for the keys of that incarnation, so if it
+        // acted on the request, a booking could run twice.
         if sender.meant_for != Some(self.handler.identity().incarnation) {
             return Err(Status::failed_precondition(WRONG_INCARNATION));
         }
--- a/crates/wisteriahitch-peer/tests/all/calls.rs
+++ b/crates/wisteriahitch-peer/tests/all/calls.rs
@@ -17,15 +17,16 @@
 };
 use wisteriahitch_types::{Code, Incarnation};
 
-const GENEROUS: Duration = Duration::from_secs(20);
+/// Long enough that only a hanging call reaches it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Fake {
+struct FakeHandler {
     identity: PeerIdentity,
-    forwards: AtomicU32,
+    forward_count: AtomicU32,
 }
 
 #[async_trait]
-impl PeerHandler for Fake {
+impl PeerHandler for FakeHandler {
     fn identity(&self) -> PeerIdentity {
         self.identity.clone()
     }
@@ -68,7 +69,7 @@
     }
 
     async fn forward(&self, _: Sender, request: ForwardRequest) -> ForwardReply {
-        self.forwards.fetch_add(1, Ordering::SeqCst);
+        self.forward_count.fetch_add(1, Ordering::SeqCst);
         if request.path == "/never" {
             std::future::pending::<()>().await;
         }
@@ -96,29 +97,29 @@
     }
 }
 
-struct Rig {
+struct Fixture {
     address: SocketAddr,
-    fake: Arc<Fake>,
+    handler: Arc<FakeHandler>,
     client: PeerClient,
     stop: oneshot::Sender<()>,
 }
 
-async fn start(incarnation: u64) -> Rig {
+async fn start(incarnation: u64) -> Fixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let fake = Arc::new(Fake {
+    let handler = Arc::new(FakeHandler {
         identity: identity("entry-2", incarnation),
-        forwards: AtomicU32::new(0),
+        forward_count: AtomicU32::new(0),
     });
     let (stop, stopped) = oneshot::channel();
     let shutdown = async {
         let _ = stopped.await;
     };
-    tokio::spawn(serve_peers(listener, fake.clone(), shutdown));
-    Rig {
+    tokio::spawn(serve_peers(listener, handler.clone(), shutdown));
+    Fixture {
         address,
-        fake,
-        client: PeerClient::new(GENEROUS),
+        handler,
+        client: PeerClient::new(CALL_TIMEOUT),
         stop,
     }
 }
@@ -146,14 +147,14 @@
 
 #[tokio::test]
 async fn every_call_is_answered() {
-    let rig = start(9).await;
-    let (client, address) = (&rig.client, rig.address);
+    let fixture = start(9).await;
+    let (client, address) = (&fixture.client, fixture.address);
 
     let probe = ProbeRequest {
         envelope: envelope(9),
         ..ProbeRequest::default()
     };
-    let probed = client.probe(address, probe, GENEROUS).await.unwrap();
+    let probed = client.probe(address, probe, CALL_TIMEOUT).await.unwrap();
     let answerer = probed.envelope.unwrap().sender().unwrap();
     assert_eq!(answerer.incarnation, Incarnation::new(9));
     assert_eq!(answerer.meant_for, Some(Incarnation::new(7)));
@@ -164,7 +165,7 @@
         target_incarnation: 5,
         timeout_ms: 10,
     };
-    let indirect = client.indirect_probe(address, indirect, GENEROUS).await;
+    let indirect = client.indirect_probe(address, indirect, CALL_TIMEOUT).await;
     assert!(indirect.unwrap().reached);
 
     let push = PushConfigurationRequest {
@@ -172,7 +173,7 @@
         version: 5,
         ..PushConfigurationRequest::default()
     };
-    let pushed = client.push_configuration(address, push, GENEROUS).await;
+    let pushed = client.push_configuration(address, push, CALL_TIMEOUT).await;
     assert_eq!(pushed.unwrap().held_version, 5);
 
     let pull = PullConfigurationRequest {
@@ -180,61 +181,69 @@
         after_version: 5,
         ..PullConfigurationRequest::default()
     };
-    let pulled = client.pull_configuration(address, pull, GENEROUS).await;
+    let pulled = client.pull_configuration(address, pull, CALL_TIMEOUT).await;
     assert_eq!(pulled.unwrap().version, 6);
 
-    let answer = client.forward(address, forward(9, "/book"), GENEROUS).await;
+    let answer = client
+        .forward(address, forward(9, "/book"), CALL_TIMEOUT)
+        .await;
     assert_eq!(answer.unwrap().result_code(), Some(Code::QueueFull));
 
     let batch = PublishBlocksRequest {
         envelope: envelope(9),
         ..PublishBlocksRequest::default()
     };
-    let taken = client.publish_blocks(address, batch, GENEROUS).await;
-    assert_eq!(taken.unwrap().accepted, 0);
+    let published = client.publish_blocks(address, batch, CALL_TIMEOUT).await;
+    assert_eq!(published.unwrap().accepted, 0);
 
     let status = StatusRequest {
         envelope: envelope(9),
     };
-    let status = client.status(address, status, GENEROUS).await.unwrap();
+    let status = client.status(address, status, CALL_TIMEOUT).await.unwrap();
     assert_eq!(status.config_version, 4);
     assert_eq!(client.channel_count(), 1);
 }
 
-/// Symptom: a booking is decided by a daemon that knows nothing of its ticket.
-/// Sequence: the issuer dies; another daemon starts at its address; a kept ticket is forwarded.
-/// Cause: an address outlives the incarnation that was meant.
+/// A daemon must not decide on a request whose ticket it did not issue. This could happen when the
+/// issuer dies, another daemon starts at its address, and a request with the old ticket is
+/// forwarded there.
 #[tokio::test]
 async fn a_daemon_at_a_reused_address_refuses_a_forwarded_request() {
-    let rig = start(10).await;
+    let fixture = start(10).await;
     let request = forward(9, "/book");
-    let error = rig.client.forward(rig.address, request, GENEROUS).await;
+    let error = fixture
+        .client
+        .forward(fixture.address, request, CALL_TIMEOUT)
+        .await;
     let error = error.unwrap_err();
     assert_eq!(error.kind(), PeerErrorKind::WrongIncarnation);
     assert!(error.is_not_run());
-    assert_eq!(rig.fake.forwards.load(Ordering::SeqCst), 0);
+    assert_eq!(fixture.handler.forward_count.load(Ordering::SeqCst), 0);
 }
 
-/// Symptom: `not run` is said of a request that runs at the peer.
-/// Sequence: the call is sent; the peer works on; the sender's time-out passes.
-/// Cause: a time-out says nothing about the peer.
+/// A request must not be reported as `not run` while it runs at the peer. When the sender's timeout
+/// expires after the call was sent, the peer may still be working on it.
 #[tokio::test]
-async fn a_time_out_after_sending_counts_as_lost() {
-    let rig = start(9).await;
+async fn a_timeout_after_sending_counts_as_lost() {
+    let fixture = start(9).await;
     let status = StatusRequest {
         envelope: envelope(9),
     };
-    rig.client
-        .status(rig.address, status, GENEROUS)
+    fixture
+        .client
+        .status(fixture.address, status, CALL_TIMEOUT)
         .await
         .unwrap();
-    let wait = Duration::from_millis(300);
+    let timeout = Duration::from_millis(300);
     let request = forward(9, "/never");
-    let error = rig.client.forward(rig.address, request, wait).await;
+    let error = fixture
+        .client
+        .forward(fixture.address, request, timeout)
+        .await;
     let error = error.unwrap_err();
     assert_eq!(error.kind(), PeerErrorKind::Lost);
     assert!(!error.is_not_run());
-    assert_eq!(rig.client.channel_count(), 0);
+    assert_eq!(fixture.client.channel_count(), 0);
 }
 
 #[tokio::test]
@@ -242,28 +251,34 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let client = PeerClient::new(GENEROUS);
-    let error = client.forward(address, forward(9, "/book"), GENEROUS).await;
+    let client = PeerClient::new(CALL_TIMEOUT);
+    let error = client
+        .forward(address, forward(9, "/book"), CALL_TIMEOUT)
+        .await;
     assert_eq!(error.unwrap_err().kind(), PeerErrorKind::NotSent);
 }
 
-/// Symptom: every call to a restarted daemon fails for as long as the old connection is kept.
-/// Sequence: a call succeeds; the server stops; further calls fail and then find it gone.
-/// Cause: a cached connection outlives the process at its other end.
+/// Calls to a restarted daemon must not keep failing because the connection to its previous process
+/// is still cached. After the server stops, calls on the cached connection fail, and the next one
+/// must open a new connection.
 #[tokio::test]
-async fn a_stopped_peer_is_not_sent_to_after_its_connection_is_dropped() {
-    let rig = start(9).await;
+async fn the_connection_to_a_stopped_peer_is_not_reused() {
+    let fixture = start(9).await;
     let status = || StatusRequest {
         envelope: envelope(9),
     };
-    rig.client
-        .status(rig.address, status(), GENEROUS)
+    fixture
+        .client
+        .status(fixture.address, status(), CALL_TIMEOUT)
         .await
         .unwrap();
-    rig.stop.send(()).unwrap();
-    let deadline = tokio::time::Instant::now() + GENEROUS;
+    fixture.stop.send(()).unwrap();
+    let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
     loop {
-        let answer = rig.client.status(rig.address, status(), GENEROUS).await;
+        let answer = fixture
+            .client
+            .status(fixture.address, status(), CALL_TIMEOUT)
+            .await;
         if answer.is_err_and(|error| error.kind() == PeerErrorKind::NotSent) {
             break;
         }
@@ -273,22 +288,28 @@
 }
 
 #[tokio::test]
-async fn malformed_calls_are_refused_without_acting() {
-    let rig = start(9).await;
+async fn malformed_calls_are_refused_without_reaching_the_handler() {
+    let fixture = start(9).await;
     let news = MemberNews::default();
     let too_many = ProbeRequest {
         envelope: envelope(9),
         news: vec![news; MAX_NEWS + 1],
         ..ProbeRequest::default()
     };
-    let nameless = ProbeRequest::default();
-    for request in [too_many, nameless] {
-        let error = rig.client.probe(rig.address, request, GENEROUS).await;
+    let without_envelope = ProbeRequest::default();
+    for request in [too_many, without_envelope] {
+        let error = fixture
+            .client
+            .probe(fixture.address, request, CALL_TIMEOUT)
+            .await;
         assert_eq!(error.unwrap_err().kind(), PeerErrorKind::Refused);
     }
-    let mut kindless = forward(9, "/book");
-    kindless.kind = 0;
-    let error = rig.client.forward(rig.address, kindless, GENEROUS).await;
+    let mut without_kind = forward(9, "/book");
+    without_kind.kind = 0;
+    let error = fixture
+        .client
+        .forward(fixture.address, without_kind, CALL_TIMEOUT)
+        .await;
     assert_eq!(error.unwrap_err().kind(), PeerErrorKind::Refused);
-    assert_eq!(rig.fake.forwards.load(Ordering::SeqCst), 0);
+    assert_eq!(fixture.handler.forward_count.load(Ordering::SeqCst), 0);
 }
--- a/crates/wisteriahitch-peer/tests/all/decoding.rs
+++ b/crates/wisteriahitch-peer/tests/all/decoding.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes a peer sends, decoding and checking end in a value or an error.
+//! Decoding and validating a message ends in a value or an error, whatever bytes a peer sends.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -21,8 +21,8 @@
     })
 }
 
-/// Decodes and checks `bytes` as every message; returns how many of the messages decoded.
-fn decode_as_everything(bytes: &[u8]) -> usize {
+/// Decodes and validates `bytes` as each type of message; returns how many types could be decoded.
+fn decode_as_every_type(bytes: &[u8]) -> usize {
     let probe = ProbeRequest::decode(bytes).inspect(|probe| {
         for news in &probe.news {
             let _ = news.check();
@@ -64,15 +64,14 @@
     let bytes = prop::collection::vec(any::<u8>(), 0..512);
     runner()
         .run(&bytes, |bytes| {
-            prop_assert!(decode_as_everything(&bytes) <= 9);
+            prop_assert!(decode_as_every_type(&bytes) <= 9);
             Ok(())
         })
         .unwrap();
 }
 
-/// Symptom: a peer of another version, or a broken one, sends nearly right messages.
-/// Sequence: a valid message is encoded; some bytes are changed; the receiver decodes it.
-/// Cause: fields within the message no longer hold what their type promises.
+/// A faulty peer, or one of another version, may send messages that are almost valid. The test
+/// changes some bytes of a valid message, so that fields have values that their types do not allow.
 #[test]
 fn damaged_messages_never_panic() {
     let damage = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..8);
@@ -86,10 +85,10 @@
         .run(&damage, |damage| {
             let mut bytes = valid.clone();
             for (index, byte) in &damage {
-                let place = index.index(bytes.len());
-                bytes[place] = *byte;
+                let position = index.index(bytes.len());
+                bytes[position] = *byte;
             }
-            let decoded = decode_as_everything(&bytes);
+            let decoded = decode_as_every_type(&bytes);
             prop_assert!(!damage.is_empty() || decoded >= 1);
             Ok(())
         })
@@ -122,34 +121,34 @@
 struct CheckCase {
     name: &'static str,
     change: fn(&mut MemberNews),
-    is_good: bool,
+    is_valid: bool,
 }
 
 const CHECK_CASES: &[CheckCase] = &[
     CheckCase {
-        name: "whole news",
+        name: "complete update",
         change: |_| {},
-        is_good: true,
+        is_valid: true,
     },
     CheckCase {
         name: "no incarnation",
         change: |news| news.incarnation = 0,
-        is_good: false,
+        is_valid: false,
     },
     CheckCase {
         name: "unknown state",
         change: |news| news.state = 99,
-        is_good: false,
+        is_valid: false,
     },
     CheckCase {
         name: "address of five bytes",
         change: |news| news.peer_address = vec![127, 0, 0, 1, 80].into(),
-        is_good: false,
+        is_valid: false,
     },
     CheckCase {
         name: "alive without an address",
         change: |news| news.peer_address.clear(),
-        is_good: false,
+        is_valid: false,
     },
     CheckCase {
         name: "dead without addresses",
@@ -157,21 +156,21 @@
             news.state = MemberState::Dead.into();
             news.peer_address.clear();
         },
-        is_good: true,
+        is_valid: true,
     },
     CheckCase {
         name: "name with a space",
         change: |news| news.daemon_id = "entry 1".to_owned(),
-        is_good: false,
+        is_valid: false,
     },
 ];
 
 #[test]
-fn news_is_checked() {
+fn membership_updates_are_validated() {
     for case in CHECK_CASES {
         let mut news = news();
         (case.change)(&mut news);
-        assert_eq!(news.check().is_ok(), case.is_good, "{}", case.name);
+        assert_eq!(news.check().is_ok(), case.is_valid, "{}", case.name);
     }
 }
 
@@ -187,7 +186,7 @@
 }
 
 #[test]
-fn addresses_survive_the_message() {
+fn addresses_survive_a_round_trip() {
     for text in ["127.0.0.1:8080", "[::1]:65535", "[2001:db8::7]:1"] {
         let address = text.parse().unwrap();
         assert_eq!(decode_address(&encode_address(address)), Ok(address));
--- a/crates/wisteriahitch-peer/tests/all/generated.rs
+++ b/crates/wisteriahitch-peer/tests/all/generated.rs
@@ -1,4 +1,4 @@
-//! The committed code is what the generator makes of the protocol file.
+//! The committed generated code matches the protocol file.
 
 use std::fs;
 use std::path::Path;
