--- a/crates/wisteriahitch-wire/src/connection_pool.rs
+++ b/crates/wisteriahitch-wire/src/connection_pool.rs
@@ -104,12 +104,12 @@
     }
 
     /// Sets the idle timeout that the endpoint announced; the connection is reused for only
-    /// [`IDLE_TIMEOUT_SHARE`] of it.
+    /// `IDLE_TIMEOUT_SHARE` of it.
     pub fn set_idle_timeout(&mut self, idle_timeout: Duration) {
         self.idle_timeout = idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE);
     }
 
-    /// Waits at most [`READY_TIMEOUT`] until the next request can be sent; returns whether it can.
+    /// Waits at most `READY_TIMEOUT` until the next request can be sent; returns whether it can.
     ///
     /// The previous answer must have been read to its end.
     pub async fn ready(&mut self) -> bool {
@@ -214,7 +214,7 @@
 
     /// Returns a connection to the pool. Its last answer must have been read to its end.
     ///
-    /// If the peer already has [`MAX_IDLE_PER_PEER`] connections, the oldest of them is closed.
+    /// If the peer already has `MAX_IDLE_PER_PEER` connections, the oldest of them is closed.
     pub fn check_in(&self, peer: &K, connection: Connection) {
         if connection.sender.is_closed() {
             return;
