--- a/crates/wisteriahitch-wire/tests/all/engine.rs
+++ b/crates/wisteriahitch-wire/tests/all/engine.rs
@@ -11,7 +11,7 @@
 };
 use wisteriahitch_wire::http_client::{HttpClient, HttpClientOptions};
 
-use crate::canned::{Canned, Reply, refusing_address};
+use crate::canned::{CannedServer, Reply, refusing_address};
 
 const KEY: BlockKey = BlockKey::from_bytes([7; 16]);
 const HEAD_TIMEOUT: DurationUs = DurationUs::from_ms(300);
@@ -44,7 +44,9 @@
     }
 }
 
-async fn ask(address: SocketAddr) -> Result<(CompletionHead, TokenStream), EngineError> {
+async fn start_completion(
+    address: SocketAddr,
+) -> Result<(CompletionHead, TokenStream), EngineError> {
     engine().complete(address, request(), HEAD_TIMEOUT).await
 }
 
@@ -52,26 +54,26 @@
     format!("HTTP/1.1 200 OK\r\n{HEAD}{framing}\r\n")
 }
 
-/// Writes a stream that ends with its connection.
+/// Builds a streamed answer whose body ends when the connection closes.
 fn stream(events: &[&str]) -> Reply {
     let body: String = events.iter().map(|event| format!("{event}\n\n")).collect();
     Reply::close(&(stream_head("") + &body))
 }
 
-/// Writes a chunk of a stream, without the chunk that ends the body.
+/// Encodes one chunk of a chunked body, without the final empty chunk.
 fn chunk(body: &str) -> String {
     format!("{:x}\r\n{body}\r\n", body.len())
 }
 
 #[tokio::test]
-async fn completions_are_asked_as_a_stream() {
-    let server = Canned::start(vec![stream(&[FIRST, LAST, "data: [DONE]"])]).await;
-    let (head, tokens) = ask(server.address).await.unwrap();
+async fn completions_are_requested_as_a_stream() {
+    let server = CannedServer::start(vec![stream(&[FIRST, LAST, "data: [DONE]"])]).await;
+    let (head, tokens) = start_completion(server.address).await.unwrap();
     let tokens: Vec<_> = tokens.map(Result::unwrap).collect().await;
     assert_eq!(head.cached_tokens, TokenCount::new(2000));
     let texts: Vec<_> = tokens.iter().map(|token| token.text.as_str()).collect();
     assert_eq!(texts, ["a ", "b "]);
-    let seen = server.seen();
+    let seen = server.requests();
     let (_, body) = seen[0].split_once("\r\n\r\n").unwrap();
     expect![[r#"{"model":"hist-7b","prompt":"chain squeaks","max_tokens":2,"stream":true,"wisteriahitch":{"request_id":"r-1","attempt":1,"priority":3,"adapter":null,"weight_version":"v1","position":0,"blocks":[{"key":"07070707070707070707070707070707","tokens":2}]}}"#]]
         .assert_eq(body);
@@ -91,7 +93,7 @@
         kind,
         is_not_run,
     };
-    let refusal = |status, body| Reply::whole(status, "", body);
+    let refusal = |status, body| Reply::complete(status, "", body);
     let not_run = r#"{"not_run":true,"reason":"busy"}"#;
     vec![
         case(
@@ -119,25 +121,25 @@
             false,
         ),
         case(
-            "a fault of the request",
+            "an invalid request",
             refusal("400 Bad Request", ""),
             EngineErrorKind::Rejected,
             false,
         ),
         case(
-            "says that it did run",
+            "states that it did run",
             refusal("503 Service Unavailable", r#"{"not_run":false}"#),
             EngineErrorKind::Nonsense,
             false,
         ),
         case(
-            "a status that no refusal has",
+            "a status that is not used for refusals",
             refusal("500 Internal Server Error", not_run),
             EngineErrorKind::Nonsense,
             false,
         ),
         case(
-            "a refusal cut short",
+            "a truncated refusal",
             Reply::close("HTTP/1.1 503 No\r\ncontent-length: 99\r\n\r\n{\"not_run\":true"),
             EngineErrorKind::Lost,
             false,
@@ -145,7 +147,7 @@
         case("no answer", Reply::close(""), EngineErrorKind::Lost, false),
         case(
             "no answer in time",
-            Reply::hold(""),
+            Reply::stall(""),
             EngineErrorKind::Timeout,
             false,
         ),
@@ -156,7 +158,7 @@
             false,
         ),
         case(
-            "a head without its fields",
+            "a head without the required headers",
             refusal("200 OK", ""),
             EngineErrorKind::Nonsense,
             false,
@@ -165,15 +167,15 @@
 }
 
 #[tokio::test]
-async fn refused_completions_prove_only_what_the_engine_says() {
+async fn a_refused_completion_is_not_run_only_if_the_engine_says_so() {
     for case in refusal_cases() {
-        let server = Canned::start(vec![case.reply]).await;
-        let error = ask(server.address).await.err().unwrap();
+        let server = CannedServer::start(vec![case.reply]).await;
+        let error = start_completion(server.address).await.err().unwrap();
         assert_eq!(error.kind(), case.kind, "{}: {error}", case.name);
         assert_eq!(error.is_not_run(), case.is_not_run, "{}", case.name);
-        assert_eq!(server.seen().len(), 1, "{}: sent once", case.name);
+        assert_eq!(server.requests().len(), 1, "{}: sent once", case.name);
     }
-    let error = ask(refusing_address()).await.err().unwrap();
+    let error = start_completion(refusing_address()).await.err().unwrap();
     assert_eq!(error.kind(), EngineErrorKind::NotSent);
 }
 
@@ -196,21 +198,21 @@
         Reply::close(&(head + &chunk(body)))
     };
     vec![
-        case("whole", stream(&[FIRST, LAST, "data: [DONE]"]), 2, None),
+        case("complete", stream(&[FIRST, LAST, "data: [DONE]"]), 2, None),
         case(
-            "all tokens, the rest cut off",
+            "truncated after the last token",
             chunked(&format!("{FIRST}\n\n{LAST}\n\n")),
             2,
             None,
         ),
         case(
-            "closed in good order midway",
+            "closed cleanly midway",
             stream(&[FIRST]),
             1,
             Some(EngineErrorKind::Lost),
         ),
         case(
-            "cut off midway",
+            "truncated midway",
             chunked(&format!("{FIRST}\n\n")),
             1,
             Some(EngineErrorKind::Lost),
@@ -228,7 +230,7 @@
             Some(EngineErrorKind::Lost),
         ),
         case(
-            "the end before the last token",
+            "[DONE] before the last token",
             stream(&[FIRST, "data: [DONE]"]),
             1,
             Some(EngineErrorKind::Nonsense),
@@ -255,31 +257,31 @@
 }
 
 #[tokio::test]
-async fn a_broken_stream_is_never_taken_for_a_whole_answer() {
-    // Symptom: a caller gets the first half of an answer as if it were the whole.
-    // Sequence: the engine dies between two tokens, and its connection closes in good order.
-    // Cause: a body without a stated length ends well whenever the connection does.
+async fn a_truncated_stream_is_never_accepted_as_complete() {
+    // A caller must not get part of an answer as if it were complete. If the engine crashes between
+    // two tokens, its connection closes cleanly, and a body without a content-length then ends
+    // without an error.
     for case in stream_cases() {
-        let server = Canned::start(vec![case.reply]).await;
-        let (_, tokens) = ask(server.address).await.unwrap();
-        let mut got: Vec<_> = tokens.collect().await;
-        let end = got.pop_if(|token| token.is_err());
+        let server = CannedServer::start(vec![case.reply]).await;
+        let (_, tokens) = start_completion(server.address).await.unwrap();
+        let mut results: Vec<_> = tokens.collect().await;
+        let end = results.pop_if(|token| token.is_err());
         let end = end.map(|error| error.unwrap_err().kind());
         assert_eq!(end, case.end, "{}", case.name);
-        assert_eq!(got.len(), case.tokens, "{}", case.name);
-        assert!(got.iter().all(Result::is_ok), "{}", case.name);
+        assert_eq!(results.len(), case.tokens, "{}", case.name);
+        assert!(results.iter().all(Result::is_ok), "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn control_calls_sort_refusals_by_status() {
+async fn control_calls_classify_refusals_by_status() {
     struct Case {
         status: &'static str,
         body: &'static str,
         order: Result<(), EngineErrorKind>,
         import: Result<(), EngineErrorKind>,
     }
-    let same = |status, body, kind| Case {
+    let both = |status, body, kind| Case {
         status,
         body,
         order: Err(kind),
@@ -292,17 +294,17 @@
             order: Ok(()),
             import: Ok(()),
         },
-        same(
+        both(
             "409 Conflict",
             r#"{"reason":"fenced"}"#,
             EngineErrorKind::Fenced,
         ),
-        same("409 Conflict", "", EngineErrorKind::OtherVersion),
-        same("410 Gone", "", EngineErrorKind::Gone),
-        same("422 Unprocessable", "", EngineErrorKind::Corrupt),
-        same("503 Unavailable", "", EngineErrorKind::NotRun),
-        same("502 Bad Gateway", "", EngineErrorKind::Lost),
-        same("500 Internal", "", EngineErrorKind::Nonsense),
+        both("409 Conflict", "", EngineErrorKind::OtherVersion),
+        both("410 Gone", "", EngineErrorKind::Gone),
+        both("422 Unprocessable", "", EngineErrorKind::Corrupt),
+        both("503 Unavailable", "", EngineErrorKind::NotRun),
+        both("502 Bad Gateway", "", EngineErrorKind::Lost),
+        both("500 Internal", "", EngineErrorKind::Nonsense),
     ];
     let order = Order::UnloadModel {
         model: "hist-7b".parse().unwrap(),
@@ -317,12 +319,12 @@
         crc32c: 1,
     };
     for case in cases {
-        let server = Canned::start(vec![Reply::whole(case.status, "", case.body)]).await;
+        let server = CannedServer::start(vec![Reply::complete(case.status, "", case.body)]).await;
         let fence = FenceNumber::new(4);
-        let given = engine()
+        let ordered = engine()
             .order(server.address, fence, order.clone(), HEAD_TIMEOUT)
             .await;
-        assert_eq!(given.map_err(|e| e.kind()), case.order, "{}", case.status);
+        assert_eq!(ordered.map_err(|e| e.kind()), case.order, "{}", case.status);
         let imported = engine().import(server.address, import.clone()).await;
         assert_eq!(
             imported.map_err(|e| e.kind()),
@@ -334,8 +336,9 @@
 }
 
 #[tokio::test]
-async fn answers_that_are_not_the_expected_json_are_nonsense() {
-    let server = Canned::start(vec![Reply::whole("200 OK", "", r#"{"bytes":"many"}"#)]).await;
+async fn answers_with_unexpected_json_are_malformed() {
+    let server =
+        CannedServer::start(vec![Reply::complete("200 OK", "", r#"{"bytes":"many"}"#)]).await;
     let engine = engine();
     let export = ExportRequest {
         key: KEY,
@@ -354,7 +357,7 @@
         assert_eq!(error.unwrap().kind(), EngineErrorKind::Nonsense);
     }
     engine.cancel(address, &request().request_id).await.unwrap();
-    let lines = server.seen();
+    let lines = server.requests();
     let lines: Vec<_> = lines
         .iter()
         .map(|seen| seen.lines().next().unwrap())
--- a/crates/wisteriahitch-wire/tests/all/generated.rs
+++ b/crates/wisteriahitch-wire/tests/all/generated.rs
@@ -1,5 +1,5 @@
-//! Generated answers of every outside system: each call ends, and no nonsense is taken for more
-//! than it says.
+//! Randomly corrupted answers of each external system: every call ends, and no corrupted answer
+//! makes a client conclude that a request was not run or a write did not take effect.
 
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
 use wisteriahitch_wire::service::{HttpService, HttpServiceOptions, Service, ServiceRequest};
 use wisteriahitch_wire::store::{HttpStore, Store};
 
-use crate::canned::{Canned, Reply};
+use crate::canned::{CannedServer, Reply};
 
 const SEED: u64 = 0x5eed;
 const CASES: usize = 150;
 
-/// Bounds waits that a fault in a client would make endless.
-const GENEROUS: Duration = Duration::from_secs(60);
+/// Limits waits that would never end if a client had a bug.
+const CALL_DEADLINE: Duration = Duration::from_secs(60);
 const TIMEOUT_US: DurationUs = DurationUs::from_ms(2_000);
 const LIMIT_BYTES: ByteCount = ByteCount::new(10_000);
 const KEY: BlockKey = BlockKey::from_bytes([7; 16]);
@@ -48,9 +48,9 @@
 const OBJECTS: &str = r#"{"metadata":{"resourceVersion":"9"},"items":[{"metadata":{"name":"a","resourceVersion":"8"},"spec":{}}]}"#;
 const EVENT: &str = r#"{"type":"MODIFIED","object":{"kind":"Claim","metadata":{"name":"a","resourceVersion":"8"},"spec":{}}}"#;
 
-/// Texts near to a valid one, and some far from it.
+/// Generates bodies: `valid` itself, edited or truncated copies of it, and arbitrary text.
 fn bodies(valid: &'static str) -> impl Strategy<Value = String> {
-    let by = select(
+    let replacement = select(
         &[
             "",
             "\"",
@@ -66,27 +66,28 @@
             "[[[[",
         ][..],
     );
-    let edited = vec((any::<Index>(), 0..10_usize, by), 1..4).prop_map(move |edits| {
+    let edited = vec((any::<Index>(), 0..10_usize, replacement), 1..4).prop_map(move |edits| {
         let mut text: Vec<char> = valid.chars().collect();
-        for (place, length, by) in edits {
+        for (place, length, replacement) in edits {
             let start = place.index(text.len() + 1);
             let end = text.len().min(start + length);
-            text.splice(start..end, by.chars());
+            text.splice(start..end, replacement.chars());
         }
         text.into_iter().collect::<String>()
     });
-    let cut = any::<Index>().prop_map(move |place| valid[..place.index(valid.len())].to_owned());
+    let truncated =
+        any::<Index>().prop_map(move |place| valid[..place.index(valid.len())].to_owned());
     let nested = (1..20_000_usize).prop_map(|depth| "[".repeat(depth));
     prop_oneof![
         1 => Just(valid.to_owned()),
         4 => edited,
-        1 => cut,
+        1 => truncated,
         1 => nested,
         1 => any::<String>(),
     ]
 }
 
-/// Answers with such a body whose head says 200, mostly with the right length.
+/// Generates answers with status 200 and such a body, mostly with the correct content-length.
 fn replies(head: &'static str, valid: &'static str) -> Vec<Reply> {
     let framing = 0..12_u8;
     let strategy = (bodies(valid), framing).prop_map(move |(body, framing)| {
@@ -105,31 +106,34 @@
         failure_persistence: None,
         ..Config::default()
     });
-    let one = |_| strategy.new_tree(&mut runner).unwrap().current();
-    (0..CASES).map(one).collect()
+    let generate = |_| strategy.new_tree(&mut runner).unwrap().current();
+    (0..CASES).map(generate).collect()
 }
 
-/// Makes one call for each answer and returns how many were taken and how many refused.
+/// Makes one call per generated answer, and passes each error to `check`. Fails if a call hangs, or
+/// if all answers are accepted or all rejected.
 async fn call_all<T, E>(
     head: &'static str,
     valid: &'static str,
     mut call: impl AsyncFnMut(std::net::SocketAddr) -> Result<T, E>,
     mut check: impl FnMut(E),
 ) {
-    let server = Canned::start(replies(head, valid)).await;
-    let (mut taken, mut refused) = (0, 0);
+    let server = CannedServer::start(replies(head, valid)).await;
+    let (mut accepted, mut rejected) = (0, 0);
     for number in 0..CASES {
-        let outcome = timeout(GENEROUS, call(server.address)).await;
-        match outcome.unwrap_or_else(|_| panic!("answer {number} to {valid} has no end")) {
-            Ok(_) => taken += 1,
+        let outcome = timeout(CALL_DEADLINE, call(server.address)).await;
+        match outcome
+            .unwrap_or_else(|_| panic!("call {number} did not end; the valid answer is {valid}"))
+        {
+            Ok(_) => accepted += 1,
             Err(error) => {
-                refused += 1;
+                rejected += 1;
                 check(error);
             }
         }
     }
-    assert!(taken > 0, "no answer like {valid} was taken");
-    assert!(refused > 0, "no answer unlike {valid} was refused");
+    assert!(accepted > 0, "no answer was accepted; valid is {valid}");
+    assert!(rejected > 0, "no answer was rejected; valid is {valid}");
 }
 
 fn completion() -> CompletionRequest {
@@ -151,7 +155,7 @@
     let (_, mut tokens) = engine.complete(address, completion(), TIMEOUT_US).await?;
     while let Some(token) = tokens.next().await {
         let token = token?;
-        // A token of another request must never come through.
+        // A token of another request must never be returned.
         assert_eq!(token.request_id.as_str(), "r-1");
         assert_eq!(token.attempt, AttemptNumber::new(1));
     }
@@ -159,11 +163,11 @@
 }
 
 #[tokio::test]
-async fn nonsense_of_engines_ends_each_call() {
+async fn corrupted_answers_of_engines_end_each_call() {
     let engine = HttpEngine::new(HttpClient::new(HttpClientOptions::default()));
-    let not_run = |error: EngineError| assert!(!error.is_not_run(), "{error}");
+    let check = |error: EngineError| assert!(!error.is_not_run(), "{error}");
     let complete = async |address| complete(&engine, address).await;
-    call_all(COMPLETION_HEAD, COMPLETION, complete, not_run).await;
+    call_all(COMPLETION_HEAD, COMPLETION, complete, check).await;
     call_all("", LOAD, async |address| engine.load(address).await, drop).await;
     let events = async |address| engine.cache_events(address, 0).await;
     call_all("", EVENTS, events, drop).await;
@@ -172,7 +176,7 @@
 }
 
 #[tokio::test]
-async fn nonsense_of_services_is_never_a_word_that_nothing_ran() {
+async fn corrupted_answers_of_services_never_mean_not_run() {
     let service = HttpService::new(HttpServiceOptions::default());
     let load = async |address| service.load(address).await;
     call_all("", SERVICE_LOAD, load, drop).await;
@@ -197,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn nonsense_of_stores_ends_each_call() {
+async fn corrupted_answers_of_stores_end_each_call() {
     let store = HttpStore::new(HttpClient::new(HttpClientOptions::default()));
     call_all("", STORE, async |address| store.report(address).await, drop).await;
     call_all("", BLOCKS, async |address| store.list(address).await, drop).await;
@@ -216,7 +220,7 @@
 }
 
 #[tokio::test]
-async fn nonsense_of_the_platform_never_settles_a_write() {
+async fn corrupted_answers_of_the_platform_leave_writes_undecided() {
     let get = async |address| platform(address).get(ObjectKind::Claim, "a").await;
     call_all("", OBJECT, get, drop).await;
     let list = async |address| platform(address).list(ObjectKind::Claim).await;
@@ -237,8 +241,8 @@
             .await
     };
     call_all("", OBJECT, update, |error| {
-        let is_open = [PlatformErrorKind::AnswerLost, PlatformErrorKind::Malformed];
-        assert!(is_open.contains(&error.kind()), "{error}");
+        let undecided_kinds = [PlatformErrorKind::AnswerLost, PlatformErrorKind::Malformed];
+        assert!(undecided_kinds.contains(&error.kind()), "{error}");
     })
     .await;
 }
--- a/crates/wisteriahitch-wire/tests/all/http_client.rs
+++ b/crates/wisteriahitch-wire/tests/all/http_client.rs
@@ -8,13 +8,13 @@
 use wisteriahitch_types::{ByteCount, DurationUs};
 use wisteriahitch_wire::http_client::{HttpClient, HttpClientOptions, HttpErrorKind};
 
-use crate::canned::{Canned, Reply, refusing_address};
+use crate::canned::{CannedServer, Reply, refusing_address};
 
 const LIMIT_BYTES: ByteCount = ByteCount::new(20);
 const LONG_US: DurationUs = DurationUs::from_ms(3_600_000);
 
-/// Bounds waits that a fault in the client would make endless.
-const GENEROUS: Duration = Duration::from_secs(20);
+/// Limits waits that would never end if the client had a bug.
+const CALL_DEADLINE: Duration = Duration::from_secs(20);
 
 fn request(path: &str) -> Request<Bytes> {
     Request::post(path)
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn failures_tell_whether_a_byte_may_have_left() {
+async fn failures_are_classified_by_whether_a_byte_may_have_been_sent() {
     struct Case {
         name: &'static str,
         reply: Reply,
@@ -37,71 +37,75 @@
         expected,
     };
     let cases = [
-        case("closed unanswered", Reply::close(""), HttpErrorKind::Lost),
         case(
-            "cut in the head",
+            "closed without an answer",
+            Reply::close(""),
+            HttpErrorKind::Lost,
+        ),
+        case(
+            "truncated in the head",
             Reply::close("HTTP/1.1 200 OK\r\ncontent-le"),
             HttpErrorKind::Lost,
         ),
         case(
-            "cut in the body",
+            "truncated in the body",
             Reply::close("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
             HttpErrorKind::Lost,
         ),
         case(
-            "cut between chunks",
+            "truncated between chunks",
             Reply::close("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n"),
             HttpErrorKind::Lost,
         ),
         case(
-            "no HTTP",
+            "not HTTP",
             Reply::close("good morning to all of you\r\n\r\n"),
             HttpErrorKind::Malformed,
         ),
         case(
-            "no end stated",
+            "no content-length and not chunked",
             Reply::close("HTTP/1.1 200 OK\r\n\r\nperhaps whole"),
             HttpErrorKind::Malformed,
         ),
         case(
             "too large by its length",
-            Reply::hold("HTTP/1.1 200 OK\r\ncontent-length: 21\r\n\r\n"),
+            Reply::stall("HTTP/1.1 200 OK\r\ncontent-length: 21\r\n\r\n"),
             HttpErrorKind::TooLarge,
         ),
         case(
             "too large by its chunks",
-            Reply::hold(
+            Reply::stall(
                 "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n15\r\n012345678901234567890\r\n",
             ),
             HttpErrorKind::TooLarge,
         ),
         Case {
             name: "no head in time",
-            reply: Reply::hold(""),
+            reply: Reply::stall(""),
             timeout_us: DurationUs::from_ms(1_000),
             expected: HttpErrorKind::Timeout,
         },
         Case {
-            name: "no whole body in time",
-            reply: Reply::hold("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
+            name: "no complete body in time",
+            reply: Reply::stall("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
             timeout_us: DurationUs::from_ms(1_000),
             expected: HttpErrorKind::Timeout,
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![case.reply]).await;
+        let server = CannedServer::start(vec![case.reply]).await;
         let client = HttpClient::new(HttpClientOptions::default());
         let call = client.fetch(server.address, request("/a"), case.timeout_us, LIMIT_BYTES);
-        let error = timeout(GENEROUS, call).await.unwrap().unwrap_err();
+        let error = timeout(CALL_DEADLINE, call).await.unwrap().unwrap_err();
         assert_eq!(error.kind(), case.expected, "{}: {error}", case.name);
-        assert_eq!(server.seen().len(), 1, "{}", case.name);
+        assert_eq!(server.requests().len(), 1, "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn an_answer_of_the_limit_is_taken() {
+async fn an_answer_of_exactly_the_limit_is_accepted() {
     let body = "01234567890123456789";
-    let server = Canned::start(vec![Reply::whole("200 OK", "", body)]).await;
+    let server = CannedServer::start(vec![Reply::complete("200 OK", "", body)]).await;
     let client = HttpClient::new(HttpClientOptions::default());
     let response = client
         .fetch(server.address, request("/a"), LONG_US, LIMIT_BYTES)
@@ -111,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_not_sent() {
+async fn a_refused_connection_counts_as_not_sent() {
     let client = HttpClient::new(HttpClientOptions::default());
     let error = client
         .fetch(refusing_address(), request("/a"), LONG_US, LIMIT_BYTES)
@@ -120,11 +124,11 @@
     assert_eq!(error.kind(), HttpErrorKind::NotSent, "{error}");
 }
 
-/// Symptom: a VM that is gone answers no packet, and the caller waits for its whole timeout.
-/// Sequence: a connection is asked for, and nothing comes back; here a full queue of connections
-/// takes the place of the lost VM. Cause: connecting has no bound of its own.
+/// A removed VM answers no packet. Connecting to it must end with the connect timeout, so that the
+/// caller does not wait for its whole timeout. The test simulates the VM with a listener whose
+/// accept queue is full.
 #[tokio::test]
-async fn a_connection_that_does_not_open_is_not_sent() {
+async fn a_connection_that_does_not_open_counts_as_not_sent() {
     struct Case {
         name: &'static str,
         connect_timeout_us: DurationUs,
@@ -137,7 +141,7 @@
             timeout_us: LONG_US,
         },
         Case {
-            name: "whole timeout first",
+            name: "call timeout first",
             connect_timeout_us: LONG_US,
             timeout_us: DurationUs::from_ms(100),
         },
@@ -156,7 +160,7 @@
             ..HttpClientOptions::default()
         });
         let call = client.fetch(address, request("/a"), case.timeout_us, LIMIT_BYTES);
-        let error = timeout(GENEROUS, call).await.unwrap().unwrap_err();
+        let error = timeout(CALL_DEADLINE, call).await.unwrap().unwrap_err();
         assert_eq!(
             error.kind(),
             HttpErrorKind::NotSent,
@@ -167,29 +171,29 @@
 }
 
 #[tokio::test]
-async fn connections_are_kept_for_later_requests() {
+async fn connections_are_reused() {
     const CALLS: usize = 50;
-    let server = Canned::start(vec![Reply::whole("200 OK", "", "ok")]).await;
+    let server = CannedServer::start(vec![Reply::complete("200 OK", "", "ok")]).await;
     let client = HttpClient::new(HttpClientOptions::default());
     for _ in 0..CALLS {
         let call = client.fetch(server.address, request("/a"), LONG_US, LIMIT_BYTES);
         assert_eq!(call.await.unwrap().body(), "ok");
     }
-    // A connection comes back to the pool a moment after its answer, so not each one is reused.
-    assert!(server.connections() < CALLS / 2);
+    // A connection returns to the pool shortly after its answer, so a call may open another one.
+    assert!(server.connection_count() < CALLS / 2);
 }
 
-/// Symptom: a booking stands twice. Sequence: a request goes out on a kept connection, the server
-/// reads it and dies before it answers, and the client sends it again on a new connection. Cause:
-/// a library that repeats requests whose kept connection turned out dead.
+/// A request must not run twice. If the server reads a request from a pooled connection and crashes
+/// before it answers, an HTTP library that retries on broken pooled connections would send the
+/// request again.
 #[tokio::test]
-async fn a_request_read_on_a_kept_connection_is_not_repeated() {
+async fn a_request_read_from_a_pooled_connection_is_not_retried() {
     let replies = vec![
-        Reply::whole("200 OK", "", "first"),
+        Reply::complete("200 OK", "", "first"),
         Reply::close(""),
-        Reply::whole("200 OK", "", "repeated"),
+        Reply::complete("200 OK", "", "repeated"),
     ];
-    let server = Canned::start(replies).await;
+    let server = CannedServer::start(replies).await;
     let client = HttpClient::new(HttpClientOptions::default());
     let first = client
         .fetch(server.address, request("/first"), LONG_US, LIMIT_BYTES)
@@ -199,17 +203,17 @@
         .fetch(server.address, request("/second"), LONG_US, LIMIT_BYTES)
         .await;
     assert_eq!(second.unwrap_err().kind(), HttpErrorKind::Lost);
-    assert_eq!(server.seen().len(), 2);
+    assert_eq!(server.requests().len(), 2);
 }
 
-/// Symptom: "not run" is said of a request that ran, or a request runs twice. Sequence: the server
-/// closes each kept connection right after its answer, while the next request is being handed to
-/// it. Cause: the client takes a request that may have been written for one that wasn't.
+/// A request that ran must not be reported as not sent, and none may run twice. The server closes
+/// each pooled connection right after its answer, while the client is sending the next request on
+/// it; the client must not take a request that may have been written for one that was not.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn closing_connections_never_make_a_request_arrive_against_its_report() {
+async fn the_error_is_correct_when_the_server_closes_pooled_connections() {
     const CALLS: usize = 500;
     let reply = Reply::close("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
-    let server = Canned::start(vec![reply]).await;
+    let server = CannedServer::start(vec![reply]).await;
     let client = HttpClient::new(HttpClientOptions::default());
     let mut reported = BTreeMap::new();
     for number in 0..CALLS {
@@ -219,10 +223,13 @@
             .await;
         reported.insert(path, outcome.map_err(|error| error.kind()));
     }
-    let seen = server.seen();
+    let requests = server.requests();
     for (path, outcome) in reported {
         let start = format!("POST {path} ");
-        let arrived = seen.iter().filter(|text| text.starts_with(&start)).count();
+        let arrived = requests
+            .iter()
+            .filter(|text| text.starts_with(&start))
+            .count();
         match outcome {
             Ok(_) => assert_eq!(arrived, 1, "{path}"),
             Err(HttpErrorKind::NotSent) => assert_eq!(arrived, 0, "{path}"),
--- a/crates/wisteriahitch-wire/tests/all/main.rs
+++ b/crates/wisteriahitch-wire/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the clients against canned answers.
+//! Tests of the clients against a server that sends prepared answers.
 
-// Helpers of tests may unwrap as the tests themselves do; the linter knows only the latter.
+// The linter allows `unwrap` in test functions only; test helpers use it too.
 #![allow(clippy::unwrap_used)]
 
 mod canned;
--- a/crates/wisteriahitch-wire/tests/all/platform.rs
+++ b/crates/wisteriahitch-wire/tests/all/platform.rs
@@ -6,7 +6,7 @@
     Platform, PlatformError, PlatformErrorKind,
 };
 
-use crate::canned::{Canned, Reply, refusing_address};
+use crate::canned::{CannedServer, Reply, refusing_address};
 
 const CLAIM: &str =
     r#"{"apiVersion":"x","kind":"Claim","metadata":{"name":"a","resourceVersion":"8"},"spec":{}}"#;
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn writes_without_a_sound_answer_may_have_taken_effect() {
+async fn writes_without_a_valid_answer_may_have_taken_effect() {
     struct Case {
         name: &'static str,
         reply: Reply,
@@ -37,36 +37,39 @@
         reply,
         expected: PlatformErrorKind::Malformed,
     };
-    let altered = |from, to| Reply::whole("200 OK", "", &CLAIM.replace(from, to));
-    let cut = "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{";
+    let altered = |from, to| Reply::complete("200 OK", "", &CLAIM.replace(from, to));
+    let truncated = "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{";
     let cases = [
-        lost("closed unanswered", Reply::close("")),
-        lost("cut answer", Reply::close(cut)),
-        lost("no answer in time", Reply::hold("")),
+        lost("closed without an answer", Reply::close("")),
+        lost("truncated answer", Reply::close(truncated)),
+        lost("no answer in time", Reply::stall("")),
         malformed(
-            "no HTTP",
+            "not HTTP",
             Reply::close("good morning to all of you\r\n\r\n"),
         ),
-        malformed("no JSON", Reply::whole("200 OK", "", "fine")),
-        malformed("too large", Reply::whole("200 OK", "", &" ".repeat(1_001))),
+        malformed("not JSON", Reply::complete("200 OK", "", "fine")),
+        malformed(
+            "too large",
+            Reply::complete("200 OK", "", &" ".repeat(1_001)),
+        ),
         malformed("another object", altered("\"a\"", "\"b\"")),
         malformed("another kind", altered("Claim", "Lease")),
         malformed("no version", altered("\"8\"", "\"eight\"")),
-        malformed("version that didn't grow", altered("\"8\"", "\"7\"")),
-        malformed("fault inside", refusal("500 Internal Server Error", "")),
-        malformed("gateway's timeout", refusal("504 Gateway Timeout", "")),
+        malformed("version that did not increase", altered("\"8\"", "\"7\"")),
+        malformed("internal error", refusal("500 Internal Server Error", "")),
+        malformed("gateway timeout", refusal("504 Gateway Timeout", "")),
     ];
     for case in cases {
         let (error, spare) = update_with_spare(case.reply).await;
         let error = error.unwrap_err();
         assert_eq!(error.kind(), case.expected, "{}", case.name);
         assert!(error.is_outcome_unknown(), "{}", case.name);
-        assert_eq!(spare.seen().len(), 0, "{}", case.name);
+        assert_eq!(spare.requests().len(), 0, "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn refused_writes_are_sorted_by_their_reason() {
+async fn refused_writes_are_classified_by_status_and_reason() {
     struct Case {
         reply: Reply,
         expected: PlatformErrorKind,
@@ -91,36 +94,37 @@
         let error = error.unwrap_err();
         assert_eq!(error.kind(), case.expected);
         assert!(!error.is_outcome_unknown(), "{error}");
-        assert_eq!(spare.seen().len(), 0, "{error}");
+        assert_eq!(spare.requests().len(), 0, "{error}");
     }
 }
 
 #[tokio::test]
-async fn a_write_goes_on_to_the_next_address_where_nothing_was_written() {
+async fn a_write_is_sent_to_the_next_address_if_nothing_was_written() {
     let (written, spare) = update_with_spare(refusal("503 Service Unavailable", "")).await;
     assert_eq!(written.unwrap().version, ObjectVersion::new(8));
-    assert_eq!(spare.seen().len(), 1);
+    assert_eq!(spare.requests().len(), 1);
 }
 
 fn refusal(status: &str, reason: &str) -> Reply {
-    Reply::whole(status, "", &json!({"reason": reason}).to_string())
+    Reply::complete(status, "", &json!({"reason": reason}).to_string())
 }
 
-/// Sends a write to an address with `reply`, beside a second one that would take the write.
-async fn update_with_spare(reply: Reply) -> (Result<Object, PlatformError>, Canned) {
-    let server = Canned::start(vec![reply]).await;
-    let spare = Canned::start(vec![Reply::whole("200 OK", "", CLAIM)]).await;
+/// Sends an update to a server that answers with `reply`, with a second address whose server would
+/// accept the update. Returns the outcome and the second server.
+async fn update_with_spare(reply: Reply) -> (Result<Object, PlatformError>, CannedServer) {
+    let server = CannedServer::start(vec![reply]).await;
+    let spare = CannedServer::start(vec![Reply::complete("200 OK", "", CLAIM)]).await;
     let platform = HttpPlatform::new(options(&[server.address, spare.address]));
     let expected = ObjectVersion::new(7);
     let outcome = platform
         .update(ObjectKind::Claim, "a", json!({}), expected)
         .await;
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
     (outcome, spare)
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_an_outage_where_nothing_was_written() {
+async fn a_refused_connection_means_that_nothing_was_written() {
     let platform = HttpPlatform::new(options(&[refusing_address()]));
     let error = platform
         .create(ObjectKind::Claim, "a", json!({}))
@@ -131,28 +135,28 @@
 }
 
 #[tokio::test]
-async fn reads_go_on_to_the_next_address_and_stay_there() {
+async fn reads_switch_to_the_next_address_and_stay_there() {
     struct Case {
         name: &'static str,
         reply: Reply,
     }
     let cases = [
         Case {
-            name: "closed unanswered",
+            name: "closed without an answer",
             reply: Reply::close(""),
         },
         Case {
             name: "no answer in time",
-            reply: Reply::hold(""),
+            reply: Reply::stall(""),
         },
         Case {
             name: "outage",
-            reply: Reply::whole("503 Service Unavailable", "", ""),
+            reply: Reply::complete("503 Service Unavailable", "", ""),
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![case.reply]).await;
-        let spare = Canned::start(vec![Reply::whole("200 OK", "", CLAIM)]).await;
+        let server = CannedServer::start(vec![case.reply]).await;
+        let spare = CannedServer::start(vec![Reply::complete("200 OK", "", CLAIM)]).await;
         let platform = HttpPlatform::new(options(&[server.address, spare.address]));
         for _ in 0..2 {
             let read = platform.get(ObjectKind::Claim, "a").await.unwrap();
@@ -163,25 +167,25 @@
                 case.name
             );
         }
-        assert_eq!(server.seen().len(), 1, "{}", case.name);
-        assert_eq!(spare.seen().len(), 2, "{}", case.name);
+        assert_eq!(server.requests().len(), 1, "{}", case.name);
+        assert_eq!(spare.requests().len(), 2, "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn the_platform_says_when_it_wants_to_be_asked_again() {
-    let reply = Reply::whole("429 Too Many Requests", "retry-after: 3\r\n", "");
-    let server = Canned::start(vec![reply]).await;
+async fn retry_after_is_read_from_the_answer() {
+    let reply = Reply::complete("429 Too Many Requests", "retry-after: 3\r\n", "");
+    let server = CannedServer::start(vec![reply]).await;
     let platform = HttpPlatform::new(options(&[server.address]));
     let error = platform.list(ObjectKind::Claim).await.unwrap_err();
     assert_eq!(error.retry_after_us(), Some(DurationUs::from_ms(3_000)));
 }
 
-/// Symptom: one daemon in a loop keeps the others from the platform. Sequence: it writes as fast
-/// as it can, and the platform refuses everyone. Cause: no daemon keeps to its share by itself.
+/// A daemon that writes in a tight loop must not use up the rate limit of the platform, which would
+/// then refuse all daemons. Each daemon therefore limits its own rate.
 #[tokio::test]
-async fn calls_over_the_budget_are_not_sent() {
-    let server = Canned::start(vec![Reply::whole("200 OK", "", CLAIM)]).await;
+async fn calls_above_the_rate_limit_are_not_sent() {
+    let server = CannedServer::start(vec![Reply::complete("200 OK", "", CLAIM)]).await;
     let slow = CallRate::new(0.001);
     let platform = HttpPlatform::new(HttpPlatformOptions {
         reads_per_s: slow,
@@ -197,7 +201,7 @@
         assert_eq!(error.kind(), PlatformErrorKind::RateLimited);
         assert!(error.retry_after_us().unwrap() > DurationUs::ZERO);
     }
-    assert_eq!(server.seen().len(), 2);
+    assert_eq!(server.requests().len(), 2);
     let expected = CallCounts {
         reads: 1,
         writes: 1,
@@ -208,8 +212,9 @@
 }
 
 #[tokio::test]
-async fn calls_stand_on_the_wire_as_documented() {
-    let server = Canned::start(vec![Reply::whole("503 Service Unavailable", "", "")]).await;
+async fn calls_have_the_documented_wire_format() {
+    let server =
+        CannedServer::start(vec![Reply::complete("503 Service Unavailable", "", "")]).await;
     let platform = HttpPlatform::new(options(&[server.address]));
     let version = ObjectVersion::new(7);
     let wait_us = DurationUs::from_ms(5_999);
@@ -222,8 +227,8 @@
     let _ = platform
         .watch(ObjectKind::ConfigHead, "site", version, wait_us)
         .await;
-    let seen = server.seen();
-    let lines = seen.iter().map(|text| {
+    let requests = server.requests();
+    let lines = requests.iter().map(|text| {
         let (head, body) = text.split_once("\r\n\r\n").unwrap();
         let line = format!("{} {body}", head.lines().next().unwrap());
         format!("{}\n", line.trim_end())
@@ -240,7 +245,7 @@
 }
 
 #[tokio::test]
-async fn events_of_a_watch_are_read() {
+async fn watch_events_are_parsed() {
     struct Case {
         name: &'static str,
         reply: Reply,
@@ -250,37 +255,37 @@
     let cases = [
         Case {
             name: "no event",
-            reply: Reply::whole("200 OK", "", ""),
+            reply: Reply::complete("200 OK", "", ""),
             expected: Ok(None),
         },
         Case {
             name: "new object",
-            reply: Reply::whole("200 OK", "", &event("ADDED")),
+            reply: Reply::complete("200 OK", "", &event("ADDED")),
             expected: Ok(Some(8)),
         },
         Case {
             name: "changed object",
-            reply: Reply::whole("200 OK", "", &event("MODIFIED")),
+            reply: Reply::complete("200 OK", "", &event("MODIFIED")),
             expected: Ok(Some(8)),
         },
         Case {
             name: "deleted object",
-            reply: Reply::whole("200 OK", "", &event("DELETED")),
+            reply: Reply::complete("200 OK", "", &event("DELETED")),
             expected: Err(PlatformErrorKind::NotFound),
         },
         Case {
             name: "old event",
-            reply: Reply::whole("200 OK", "", &event("MODIFIED").replace("\"8\"", "\"7\"")),
+            reply: Reply::complete("200 OK", "", &event("MODIFIED").replace("\"8\"", "\"7\"")),
             expected: Err(PlatformErrorKind::Malformed),
         },
         Case {
             name: "unknown event",
-            reply: Reply::whole("200 OK", "", &event("BOOKMARK")),
+            reply: Reply::complete("200 OK", "", &event("BOOKMARK")),
             expected: Err(PlatformErrorKind::Malformed),
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![case.reply]).await;
+        let server = CannedServer::start(vec![case.reply]).await;
         let platform = HttpPlatform::new(options(&[server.address]));
         let after = ObjectVersion::new(7);
         let wait_us = DurationUs::from_ms(1_000);
--- a/crates/wisteriahitch-wire/tests/all/sent_once.rs
+++ b/crates/wisteriahitch-wire/tests/all/sent_once.rs
@@ -1,4 +1,4 @@
-//! The HTTP client sends a request at most once, whatever becomes of a kept connection.
+//! The HTTP client sends a request at most once, even if a pooled connection closes meanwhile.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,15 +17,15 @@
 const TIMEOUT_US: DurationUs = DurationUs::from_ms(30_000);
 const LIMIT_BYTES: ByteCount = ByteCount::new(1_000);
 
-/// How long the client is given to put a connection back into its pool.
-const POOL_PAUSE: Duration = Duration::from_millis(20);
+/// Time for the client to return a connection to its pool.
+const POOL_RETURN_DELAY: Duration = Duration::from_millis(20);
 
-/// Server that keeps its first connection until it is told to close it.
+/// Server that keeps its first connection open until it is told to close it.
 struct ClosingServer {
     address: SocketAddr,
     close: Sender<()>,
     closed: Receiver<()>,
-    /// Becomes readable right before the kept connection closes.
+    /// Becomes readable right before the first connection closes.
     closing: tokio::net::UnixStream,
     thread: JoinHandle<Vec<String>>,
 }
@@ -39,13 +39,13 @@
         let (closing, notice) = UnixStream::pair().unwrap();
         closing.set_nonblocking(true).unwrap();
         let closing = tokio::net::UnixStream::from_std(closing).unwrap();
-        let close_kept = move |kept: TcpStream| {
+        let close_first = move |first: TcpStream| {
             close_rx.recv().unwrap();
             (&notice).write_all(b"x").unwrap();
-            drop(kept);
+            drop(first);
             closed_tx.send(()).unwrap();
         };
-        let thread = std::thread::spawn(move || serve(&listener, close_kept));
+        let thread = std::thread::spawn(move || serve(&listener, close_first));
         Self {
             address,
             close,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Closes the kept connection, and returns before the client has looked at it.
+    /// Closes the first connection, and returns before the client has noticed.
     ///
-    /// The runtime's only thread is blocked until the connection is closed. After that the
-    /// runtime learns of two events at once, and of the notice to this task first: the next
-    /// request is handed to the connection between its close and the client's look at it.
-    async fn close_kept(&mut self) {
+    /// The runtime's only thread is blocked until the connection is closed. The runtime then gets
+    /// two events at once, the notice to this task before the close. So the next request is handed
+    /// to the connection after it was closed and before the client processes the close.
+    async fn close_first(&mut self) {
         self.close.send(()).unwrap();
         self.closed.recv().unwrap();
         self.closing.read_u8().await.unwrap();
@@ -73,15 +73,15 @@
     }
 }
 
-fn serve(listener: &TcpListener, close_kept: impl FnOnce(TcpStream)) -> Vec<String> {
+fn serve(listener: &TcpListener, close_first: impl FnOnce(TcpStream)) -> Vec<String> {
     let (mut first, _) = listener.accept().unwrap();
     let mut arrived = vec![answer(&mut first).unwrap()];
-    close_kept(first);
+    close_first(first);
     loop {
         let (mut next, _) = listener.accept().unwrap();
         match answer(&mut next) {
             Some(line) => arrived.push(line),
-            // A connection without a request is the sign to stop.
+            // `stop` opens a connection without a request.
             None => return arrived,
         }
     }
@@ -104,7 +104,8 @@
     Request::get(path).body(Bytes::new()).unwrap()
 }
 
-/// Returns how the second request ended and how often it arrived.
+/// Sends a second request while its connection closes. Returns its outcome and how often it
+/// arrived.
 async fn run_round() -> (Result<(), HttpErrorKind>, usize) {
     let mut server = ClosingServer::start();
     let client = HttpClient::new(HttpClientOptions::default());
@@ -112,8 +113,8 @@
         .fetch(server.address, request("/first"), TIMEOUT_US, LIMIT_BYTES)
         .await;
     assert_eq!(first.unwrap().body(), "ok");
-    tokio::time::sleep(POOL_PAUSE).await;
-    server.close_kept().await;
+    tokio::time::sleep(POOL_RETURN_DELAY).await;
+    server.close_first().await;
     let second = client
         .fetch(server.address, request("/second"), TIMEOUT_US, LIMIT_BYTES)
         .await;
@@ -125,24 +126,26 @@
     (second.map(drop).map_err(|error| error.kind()), count)
 }
 
-/// Symptom: a request goes out again although nobody decided that. Sequence of events: a server
-/// closes a kept connection at the moment when the next request is handed to it. Cause: the
-/// library takes the request back and sends it on a connection of its own choice, behind the back
-/// of the one who decides whether a request may be sent again.
+/// The HTTP library must not retry a request on its own, because the router decides whether a
+/// request may be sent again. By default the library does so when the server closes a pooled
+/// connection at the moment when the next request is handed to it.
 #[tokio::test(flavor = "current_thread")]
-async fn a_request_handed_to_a_closing_connection_is_given_back_and_not_sent_again() {
-    let mut given_back = 0;
+async fn a_request_on_a_closing_connection_is_returned_and_not_retried() {
+    let mut returned_count = 0;
     for round in 0..ROUNDS {
         let (outcome, arrived) = run_round().await;
         match outcome {
-            // The connection wasn't in the pool yet, so that a new one was opened.
+            // The first connection was not in the pool yet, so a new one was opened.
             Ok(()) => assert_eq!(arrived, 1, "round {round}"),
             Err(HttpErrorKind::NotSent) => {
                 assert_eq!(arrived, 0, "round {round}");
-                given_back += 1;
+                returned_count += 1;
             }
             Err(_) => assert!(arrived <= 1, "round {round}"),
         }
     }
-    assert!(given_back > 0, "no request met the close");
+    assert!(
+        returned_count > 0,
+        "no request was handed to a closing connection"
+    );
 }
--- a/crates/wisteriahitch-wire/tests/all/service.rs
+++ b/crates/wisteriahitch-wire/tests/all/service.rs
@@ -5,7 +5,7 @@
     HttpService, HttpServiceOptions, Service, ServiceErrorKind, ServiceRequest,
 };
 
-use crate::canned::{Canned, Reply, refusing_address};
+use crate::canned::{CannedServer, Reply, refusing_address};
 
 fn request() -> ServiceRequest {
     ServiceRequest {
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn failures_are_sorted_by_what_may_have_run() {
+async fn failures_are_classified_by_whether_the_request_may_have_run() {
     struct Case {
         name: &'static str,
         reply: Reply,
@@ -38,104 +38,104 @@
     let unavailable = "503 Service Unavailable";
     let cases = [
         Case {
-            name: "closed unanswered",
+            name: "closed without an answer",
             reply: Reply::close(""),
             expected: ServiceErrorKind::Lost,
         },
         Case {
-            name: "cut answer",
+            name: "truncated answer",
             reply: Reply::close("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
             expected: ServiceErrorKind::Lost,
         },
         Case {
             name: "no answer in time",
-            reply: Reply::hold(""),
+            reply: Reply::stall(""),
             expected: ServiceErrorKind::Timeout,
         },
         Case {
-            name: "no HTTP",
+            name: "not HTTP",
             reply: Reply::close("good morning to all of you\r\n\r\n"),
             expected: ServiceErrorKind::Nonsense,
         },
         Case {
             name: "another request's answer",
-            reply: Reply::whole("200 OK", "x-request-id: r-2\r\n", ""),
+            reply: Reply::complete("200 OK", "x-request-id: r-2\r\n", ""),
             expected: ServiceErrorKind::Nonsense,
         },
         Case {
-            name: "two ids",
-            reply: Reply::whole("200 OK", "x-request-id: r-1\r\nx-request-id: r-2\r\n", ""),
+            name: "two request ids",
+            reply: Reply::complete("200 OK", "x-request-id: r-1\r\nx-request-id: r-2\r\n", ""),
             expected: ServiceErrorKind::Nonsense,
         },
         Case {
             name: "protocol switched",
-            reply: Reply::whole("101 Switching Protocols", "", ""),
+            reply: Reply::complete("101 Switching Protocols", "", ""),
             expected: ServiceErrorKind::Nonsense,
         },
         Case {
             name: "too large",
-            reply: Reply::whole("200 OK", "", &"x".repeat(101)),
+            reply: Reply::complete("200 OK", "", &"x".repeat(101)),
             expected: ServiceErrorKind::TooLarge,
         },
         Case {
             name: "not run",
-            reply: Reply::whole(unavailable, "x-not-run: 1\r\n", ""),
+            reply: Reply::complete(unavailable, "x-not-run: 1\r\n", ""),
             expected: ServiceErrorKind::NotRun,
         },
         Case {
             name: "another request's not run",
-            reply: Reply::whole(unavailable, "x-not-run: 1\r\nx-request-id: r-2\r\n", ""),
+            reply: Reply::complete(unavailable, "x-not-run: 1\r\nx-request-id: r-2\r\n", ""),
             expected: ServiceErrorKind::Nonsense,
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![case.reply]).await;
+        let server = CannedServer::start(vec![case.reply]).await;
         let service = HttpService::new(HttpServiceOptions::default());
         let error = service.call(server.address, request()).await.unwrap_err();
         assert_eq!(error.kind(), case.expected, "{}: {error}", case.name);
         let is_not_run = case.expected == ServiceErrorKind::NotRun;
         assert_eq!(error.is_not_run(), is_not_run, "{}", case.name);
-        assert_eq!(server.seen().len(), 1, "{}", case.name);
+        assert_eq!(server.requests().len(), 1, "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn what_was_never_sent_is_not_run() {
+async fn a_request_that_was_not_sent_was_not_run() {
     struct Case {
         name: &'static str,
         method: Method,
         path_and_query: &'static str,
-        is_refusing: bool,
+        refuses_connections: bool,
     }
     let cases = [
         Case {
             name: "refused connection",
             method: Method::POST,
             path_and_query: "/a",
-            is_refusing: true,
+            refuses_connections: true,
         },
         Case {
             name: "method without a path",
             method: Method::CONNECT,
             path_and_query: "/a",
-            is_refusing: false,
+            refuses_connections: false,
         },
         Case {
             name: "another host in the path",
             method: Method::GET,
             path_and_query: "http://127.0.0.1:1/a",
-            is_refusing: false,
+            refuses_connections: false,
         },
         Case {
             name: "no path",
             method: Method::GET,
             path_and_query: "/a b",
-            is_refusing: false,
+            refuses_connections: false,
         },
     ];
-    let server = Canned::start(vec![Reply::whole("200 OK", "", "")]).await;
+    let server = CannedServer::start(vec![Reply::complete("200 OK", "", "")]).await;
     for case in cases {
-        let address = if case.is_refusing {
+        let address = if case.refuses_connections {
             refusing_address()
         } else {
             server.address
@@ -149,11 +149,11 @@
         let error = service.call(address, request).await.unwrap_err();
         assert_eq!(error.kind(), ServiceErrorKind::NotSent, "{}", case.name);
     }
-    assert_eq!(server.seen().len(), 0);
+    assert_eq!(server.requests().len(), 0);
 }
 
 #[tokio::test]
-async fn answers_pass_with_any_status() {
+async fn answers_with_any_status_are_returned() {
     struct Case {
         status: StatusCode,
         headers: &'static str,
@@ -177,8 +177,8 @@
         },
     ];
     for case in cases {
-        let reply = Reply::whole(&case.status.to_string(), case.headers, "body");
-        let server = Canned::start(vec![reply]).await;
+        let reply = Reply::complete(&case.status.to_string(), case.headers, "body");
+        let server = CannedServer::start(vec![reply]).await;
         let service = HttpService::new(HttpServiceOptions::default());
         let answer = service.call(server.address, request()).await.unwrap();
         assert_eq!(answer.status, case.status);
@@ -186,16 +186,16 @@
     }
 }
 
-/// Symptom: a service acts in a caller's name elsewhere. Sequence: the caller's key arrives with
-/// its request, and the service uses it. Cause: headers are passed on without a look.
+/// The caller's credentials must not be forwarded to the service, which could use them to
+/// impersonate the caller. Hop-by-hop headers must not be forwarded in either direction.
 #[tokio::test]
-async fn headers_of_the_caller_and_of_the_connection_stay_behind() {
-    let reply = Reply::whole(
+async fn credentials_and_hop_by_hop_headers_are_not_forwarded() {
+    let reply = Reply::complete(
         "200 OK",
         "connection: x-hop\r\nx-hop: 1\r\nx-kept: 1\r\nkeep-alive: 5\r\nx-request-id: r-1\r\n",
         "",
     );
-    let server = Canned::start(vec![reply]).await;
+    let server = CannedServer::start(vec![reply]).await;
     let service = HttpService::new(HttpServiceOptions::default());
     let request = ServiceRequest {
         headers: headers(&[
@@ -218,8 +218,8 @@
         ..request()
     };
     let answer = service.call(server.address, request).await.unwrap();
-    let seen = server.seen();
-    let mut lines: Vec<&str> = seen[0]
+    let requests = server.requests();
+    let mut lines: Vec<&str> = requests[0]
         .lines()
         .filter(|l| !l.starts_with("host:"))
         .collect();
@@ -246,7 +246,7 @@
 }
 
 #[tokio::test]
-async fn load_reports_are_read() {
+async fn load_reports_are_parsed() {
     struct Case {
         name: &'static str,
         reply: Reply,
@@ -256,27 +256,27 @@
     let cases = [
         Case {
             name: "report",
-            reply: Reply::whole("200 OK", "", report),
+            reply: Reply::complete("200 OK", "", report),
             expected: Ok(2),
         },
         Case {
-            name: "no JSON",
-            reply: Reply::whole("200 OK", "", "busy"),
+            name: "not JSON",
+            reply: Reply::complete("200 OK", "", "busy"),
             expected: Err(ServiceErrorKind::Nonsense),
         },
         Case {
-            name: "more than any endpoint runs",
-            reply: Reply::whole("200 OK", "", &report.replace('2', "4294967296")),
+            name: "count above the maximum",
+            reply: Reply::complete("200 OK", "", &report.replace('2', "4294967296")),
             expected: Err(ServiceErrorKind::Nonsense),
         },
         Case {
             name: "refusal",
-            reply: Reply::whole("503 Service Unavailable", "", report),
+            reply: Reply::complete("503 Service Unavailable", "", report),
             expected: Err(ServiceErrorKind::Nonsense),
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![case.reply]).await;
+        let server = CannedServer::start(vec![case.reply]).await;
         let service = HttpService::new(HttpServiceOptions::default());
         let outcome = service.load(server.address).await;
         let outcome = outcome.map(|l| l.running).map_err(|error| error.kind());
--- a/crates/wisteriahitch-wire/tests/all/sse.rs
+++ b/crates/wisteriahitch-wire/tests/all/sse.rs
@@ -10,15 +10,16 @@
 
 type Outcome = (Vec<String>, Option<SseError>);
 
-/// Pushes `pieces` and returns the events and the error; checks the bound on memory on the way.
-fn parse<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Outcome {
+/// Parses a stream that arrives in `chunks`; returns the events and the error that ended it, if
+/// any. Also checks the limit on the buffered bytes after each chunk.
+fn parse<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Outcome {
     let mut parser = SseParser::default();
     let mut events = Vec::new();
-    for piece in pieces {
-        if let Err(error) = parser.push(piece) {
+    for chunk in chunks {
+        if let Err(error) = parser.push(chunk) {
             return (events, Some(error));
         }
-        assert!(parser.buffered_bytes() <= LINE_LIMIT + EVENT_LIMIT + piece.len());
+        assert!(parser.buffered_bytes() <= LINE_LIMIT + EVENT_LIMIT + chunk.len());
         loop {
             match parser.next_event() {
                 Ok(Some(event)) => events.push(event),
@@ -61,7 +62,7 @@
             None,
         ),
         case(
-            "all line ends",
+            "all kinds of line ends",
             b"data: a\r\n\r\ndata: b\r\rdata:c\n\n".into(),
             vec!["a", "b", "c"],
             None,
@@ -85,7 +86,7 @@
             None,
         ),
         case(
-            "an event without its blank line is no event",
+            "an event without its blank line is incomplete",
             b"data: a\n\ndata: b\n".into(),
             vec!["a"],
             None,
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn events_are_cut_at_blank_lines() {
+fn events_end_at_blank_lines() {
     for case in event_cases() {
         let expected = (
             case.events.iter().map(|e| e.to_string()).collect(),
@@ -143,8 +144,8 @@
 }
 
 #[test]
-fn any_bytes_in_any_pieces_give_the_same_bounded_outcome() {
-    // Bytes that matter to the parser come up often, so that the cases get past the first line.
+fn the_outcome_does_not_depend_on_the_chunks() {
+    // Bytes with a meaning in the format are frequent, so that the cases get past the first line.
     let byte = prop_oneof![
         3 => Just(b'\n'), 1 => Just(b'\r'), 1 => Just(b':'), 1 => Just(b' '), 3 => any::<u8>(),
     ];
@@ -154,23 +155,23 @@
         2 => (any::<u8>(), 0..LINE_LIMIT + 20).prop_map(|(byte, count)| vec![byte; count]),
     ];
     let streams = (vec(run, 0..20), 1..5_000usize);
-    let outcome = runner().run(&streams, |(runs, piece_len)| {
+    let outcome = runner().run(&streams, |(runs, chunk_len)| {
         let stream = runs.concat();
         let whole = parse([stream.as_slice()]);
-        prop_assert_eq!(&parse(stream.chunks(piece_len)), &whole);
+        prop_assert_eq!(&parse(stream.chunks(chunk_len)), &whole);
         Ok(())
     });
     outcome.unwrap();
 }
 
 #[test]
-fn written_events_are_read_back_whatever_the_pieces() {
+fn events_survive_a_round_trip_in_any_chunks() {
     let text = "[^\r\n]{0,30}";
     let streams = (vec(text, 0..12), 1..40usize);
-    let outcome = runner().run(&streams, |(events, piece_len)| {
+    let outcome = runner().run(&streams, |(events, chunk_len)| {
         let written = events.iter().map(|event| format!("data: {event}\n\n"));
         let stream = written.collect::<String>().into_bytes();
-        prop_assert_eq!(parse(stream.chunks(piece_len)), (events, None));
+        prop_assert_eq!(parse(stream.chunks(chunk_len)), (events, None));
         Ok(())
     });
     outcome.unwrap();
--- a/crates/wisteriahitch-wire/tests/all/store.rs
+++ b/crates/wisteriahitch-wire/tests/all/store.rs
@@ -3,7 +3,7 @@
 use wisteriahitch_wire::http_client::{HttpClient, HttpClientOptions};
 use wisteriahitch_wire::store::{HttpStore, ReserveRequest, Reserved, Store, StoreErrorKind, Tier};
 
-use crate::canned::{Canned, Reply, refusing_address};
+use crate::canned::{CannedServer, Reply, refusing_address};
 
 const KEY: BlockKey = BlockKey::from_bytes([7; 16]);
 
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn reservations_tell_room_from_a_block_that_is_there() {
+async fn reservations_distinguish_new_from_existing_blocks() {
     struct Case {
         status: &'static str,
         body: &'static str,
@@ -78,7 +78,7 @@
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![Reply::whole(case.status, "", case.body)]).await;
+        let server = CannedServer::start(vec![Reply::complete(case.status, "", case.body)]).await;
         let reserved = store().reserve(server.address, reservation()).await;
         let reserved = reserved.map_err(|error| error.kind());
         assert_eq!(reserved, case.expected, "{} {}", case.status, case.body);
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn broken_connections_are_lost_and_broken_answers_nonsense() {
+async fn failures_are_classified_as_lost_or_malformed() {
     struct Case {
         name: &'static str,
         reply: Reply,
@@ -94,12 +94,12 @@
     }
     let cases = [
         Case {
-            name: "closed unanswered",
+            name: "closed without an answer",
             reply: Reply::close(""),
             kind: StoreErrorKind::Lost,
         },
         Case {
-            name: "cut answer",
+            name: "truncated answer",
             reply: Reply::close("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{"),
             kind: StoreErrorKind::Lost,
         },
@@ -110,12 +110,12 @@
         },
         Case {
             name: "not JSON",
-            reply: Reply::whole("200 OK", "", "ready"),
+            reply: Reply::complete("200 OK", "", "ready"),
             kind: StoreErrorKind::Nonsense,
         },
     ];
     for case in cases {
-        let server = Canned::start(vec![case.reply]).await;
+        let server = CannedServer::start(vec![case.reply]).await;
         let error = store().report(server.address).await.unwrap_err();
         assert_eq!(error.kind(), case.kind, "{}", case.name);
     }
@@ -124,12 +124,12 @@
 }
 
 #[tokio::test]
-async fn each_call_has_its_path() {
-    let server = Canned::start(vec![Reply::whole("200 OK", "", "")]).await;
+async fn calls_have_the_documented_paths() {
+    let server = CannedServer::start(vec![Reply::complete("200 OK", "", "")]).await;
     let (store, address) = (store(), server.address);
     let generation = Generation::new(5);
     let incarnation = "s1".parse().unwrap();
-    // Answers without a body satisfy only the calls that return nothing.
+    // The server's empty answers are valid only for calls without a result.
     store.pin(address, KEY, &incarnation).await.unwrap_err();
     store.list(address).await.unwrap_err();
     store.unpin(address, KEY, "p1").await.unwrap();
@@ -138,7 +138,7 @@
     moved.await.unwrap();
     let url = store.block_url("127.0.0.1:8000".parse().unwrap(), KEY);
     let mut lines: Vec<String> = Vec::new();
-    for seen in server.seen() {
+    for seen in server.requests() {
         let (head, body) = seen.split_once("\r\n\r\n").unwrap();
         lines.push(format!("{} {body}", head.lines().next().unwrap()));
     }
