--- a/crates/wisteriahitch-wire/src/connection_pool.rs
+++ b/crates/wisteriahitch-wire/src/connection_pool.rs
@@ -81,7 +81,8 @@
             .await
             .map_err(|error| not_sent(error.to_string()))?;
         let driver = tokio::spawn(async move {
-            // A failure is also returned to the request in flight; without one nobody needs it.
+            // The error is ignored here: a request in flight gets it too, and without one it
+            // affects nobody.
             let _ = driver.await;
         });
         Ok(Self {
@@ -136,12 +137,12 @@
         }
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads its complete answer.
     ///
     /// # Errors
     ///
-    /// The errors of [`Connection::send`], [`HttpErrorKind::Timeout`] if the whole answer has not
-    /// arrived after `wait`, and [`HttpErrorKind::TooLarge`] if its body exceeds `limit_bytes`.
+    /// The errors of [`Connection::send`], [`HttpErrorKind::Timeout`] if the answer is not complete
+    /// after `wait`, and [`HttpErrorKind::TooLarge`] if its body exceeds `limit_bytes`.
     pub async fn fetch(
         &mut self,
         request: Request<Bytes>,
--- a/crates/wisteriahitch-wire/src/http_client.rs
+++ b/crates/wisteriahitch-wire/src/http_client.rs
@@ -91,8 +91,8 @@
         Self { client }
     }
 
-    /// Sends `request`, whose URI is only a path and a query, and returns the answer's head and
-    /// its body as it arrives.
+    /// Sends `request`, whose URI is only a path and a query, and returns the head of the answer
+    /// and its body as a stream.
     ///
     /// # Errors
     ///
@@ -107,7 +107,7 @@
             .await
     }
 
-    /// Sends `request`, whose URI is only a path and a query, and returns the whole answer.
+    /// Sends `request`, whose URI is only a path and a query, and returns the complete answer.
     ///
     /// # Errors
     ///
--- a/crates/wisteriahitch-wire/src/platform/http_platform.rs
+++ b/crates/wisteriahitch-wire/src/platform/http_platform.rs
@@ -64,7 +64,8 @@
 pub struct HttpPlatform {
     client: HttpClient,
     options: HttpPlatformOptions,
-    preferred: AtomicUsize,
+    /// Index of the address to try first.
+    preferred_index: AtomicUsize,
     reads: TokenBucket,
     writes: TokenBucket,
     counter: CallCounter,
@@ -75,7 +76,7 @@
     pub fn new(options: HttpPlatformOptions) -> Self {
         Self {
             client: HttpClient::new(options.connections),
-            preferred: AtomicUsize::new(0),
+            preferred_index: AtomicUsize::new(0),
             reads: TokenBucket::new(options.reads_per_s, options.burst_us),
             writes: TokenBucket::new(options.writes_per_s, options.burst_us),
             counter: CallCounter::default(),
@@ -90,7 +91,7 @@
         timeout_us: DurationUs,
     ) -> Result<Response<Bytes>, PlatformError> {
         let addresses = &self.options.addresses;
-        let first = self.preferred.load(Ordering::Relaxed);
+        let first = self.preferred_index.load(Ordering::Relaxed);
         let mut last = PlatformError::new(
             PlatformErrorKind::Unavailable,
             "no platform address is configured",
@@ -100,7 +101,7 @@
             match self.send_to(addresses[index], call, timeout_us).await {
                 Err(error) if is_outage(&error) => {
                     let next = (index + 1) % addresses.len();
-                    self.preferred.store(next, Ordering::Relaxed);
+                    self.preferred_index.store(next, Ordering::Relaxed);
                     let may_try_next = call.kind != CallKind::Write || !error.is_outcome_unknown();
                     last = error;
                     if !may_try_next {
--- a/crates/wisteriahitch-wire/src/platform/token_bucket.rs
+++ b/crates/wisteriahitch-wire/src/platform/token_bucket.rs
@@ -67,6 +67,7 @@
     level: Mutex<Level>,
 }
 
+/// Tokens in the bucket at the time of the last update.
 #[derive(Debug)]
 struct Level {
     tokens: f64,
