--- a/crates/wisteriahitch-node/src/dispatch/store_calls.rs
+++ b/crates/wisteriahitch-node/src/dispatch/store_calls.rs
@@ -57,7 +57,7 @@
     };
     let reserve = async |address| shared.clients.store.reserve(address, request).await;
     let result = match call_store(shared, &store, reserve).await {
-        Ok(Reserved::Room(generation)) => Ok(ReserveOutcome::Granted(generation)),
+        Ok(Reserved::Granted(generation)) => Ok(ReserveOutcome::Granted(generation)),
         Ok(Reserved::AlreadyReadable(generation)) => {
             Ok(ReserveOutcome::AlreadyReadable(generation))
         }
--- a/crates/wisteriahitch-peer/src/server.rs
+++ b/crates/wisteriahitch-peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Takes calls of peers and hands them to the daemon.
+//! gRPC server that validates calls from peers and passes them to the daemon.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status};
 
-use crate::convert::{DecodeError, Sender, check_hints, check_news, sender_of};
+use crate::convert::{DecodeError, Sender, check_hints, check_news, checked_sender};
 use crate::error::WRONG_INCARNATION;
 use crate::generated::peer_server;
 use crate::{
@@ -19,67 +19,69 @@
     PushConfigurationRequest, StatusReply, StatusRequest,
 };
 
-/// Calls of one peer that are under way at once; more wait at the sender.
+/// Maximum number of concurrent calls on one connection; further calls wait at the sender.
 const MAX_STREAMS_PER_PEER: u32 = 256;
 
-/// Answers the calls of peers.
+/// Handler of the calls from peers.
 ///
-/// Every message has passed the checks of this crate before it gets here: the sender is known,
-/// lists are within their bounds, and a [`ForwardRequest`] is meant for this incarnation.
+/// Messages are validated before the handler is called: the sender is well-formed, lists are within
+/// their limits, and a [`ForwardRequest`] is meant for this incarnation.
 #[async_trait]
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Returns who this daemon is.
+    /// Returns the identity of this daemon.
     fn identity(&self) -> PeerIdentity;
 
-    /// Takes news and answers with news.
+    /// Applies the sender's membership updates and replies with this daemon's.
     async fn probe(&self, sender: Sender, request: ProbeRequest) -> ProbeReply;
 
-    /// Probes another daemon for the sender.
+    /// Probes another daemon on behalf of the sender.
     async fn indirect_probe(
         &self,
         sender: Sender,
         request: IndirectProbeRequest,
     ) -> IndirectProbeReply;
 
-    /// Takes a version of the configuration; the reply may say `held` only once it is held whole.
+    /// Stores a version of the configuration. The reply may set `held` only once all sections of the
+    /// version are stored.
     async fn push_configuration(
         &self,
         sender: Sender,
         request: PushConfigurationRequest,
     ) -> PushConfigurationReply;
 
-    /// Gives the highest version held, or sections of it.
+    /// Returns the highest stored version of the configuration, or sections of it.
     async fn pull_configuration(
         &self,
         sender: Sender,
         request: PullConfigurationRequest,
     ) -> PullConfigurationReply;
 
-    /// Decides for a keyed request and answers it.
+    /// Decides on a forwarded request with a ticket or idempotency key, and returns its answer.
     async fn forward(&self, sender: Sender, request: ForwardRequest) -> ForwardReply;
 
-    /// Takes directory hints.
+    /// Applies directory hints: which endpoints and stores cached or evicted a block, and which of
+    /// them are leaving.
     async fn publish_blocks(
         &self,
         sender: Sender,
         request: PublishBlocksRequest,
     ) -> PublishBlocksReply;
 
-    /// Gives a summary.
+    /// Returns a status summary.
     async fn status(&self, sender: Sender, request: StatusRequest) -> StatusReply;
 }
 
-/// Serves peers on `listener` until `shutdown` ends and the calls under way have been answered.
+/// Serves peers on `listener` until `shutdown` completes and the running calls have been answered.
 ///
 /// # Errors
 ///
-/// Fails with [`PeerErrorKind::Lost`] where the listener itself fails.
+/// Fails with [`PeerErrorKind::Lost`] if the listener fails.
 pub async fn serve_peers(
     listener: TcpListener,
     handler: Arc<dyn PeerHandler>,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), PeerError> {
-    let service = peer_server::PeerServer::new(Glue { handler })
+    let service = peer_server::PeerServer::new(PeerService { handler })
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
@@ -91,7 +93,8 @@
         .map_err(|error| PeerError::new(PeerErrorKind::Lost, error.to_string()))
 }
 
-struct Glue {
+/// Adapter from the generated gRPC service to a [`PeerHandler`].
+struct PeerService {
     handler: Arc<dyn PeerHandler>,
 }
 
@@ -100,10 +103,10 @@
 }
 
 #[async_trait]
-impl peer_server::Peer for Glue {
+impl peer_server::Peer for PeerService {
     async fn probe(&self, request: Request<ProbeRequest>) -> Result<Response<ProbeReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         check_news(&request.news).map_err(refuse)?;
         Ok(Response::new(self.handler.probe(sender, request).await))
     }
@@ -113,7 +116,7 @@
         request: Request<IndirectProbeRequest>,
     ) -> Result<Response<IndirectProbeReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         request.target().map_err(refuse)?;
         let reply = self.handler.indirect_probe(sender, request).await;
         Ok(Response::new(reply))
@@ -124,7 +127,7 @@
         request: Request<PushConfigurationRequest>,
     ) -> Result<Response<PushConfigurationReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         let reply = self.handler.push_configuration(sender, request).await;
         Ok(Response::new(reply))
     }
@@ -134,7 +137,7 @@
         request: Request<PullConfigurationRequest>,
     ) -> Result<Response<PullConfigurationReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         let reply = self.handler.pull_configuration(sender, request).await;
         Ok(Response::new(reply))
     }
@@ -144,10 +147,10 @@
         request: Request<ForwardRequest>,
     ) -> Result<Response<ForwardReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
-        // An address can be reused: the sender means a daemon that has died, and this one has
-        // started in its place. Acting here would decide for keys of an incarnation that this
-        // one knows nothing of, and a booking could run twice. So only the one meant may act.
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
+        // Addresses are reused: the sender may mean a daemon that has died, at whose address this
+        // one has started. This daemon has no state for the keys of that incarnation, so if it
+        // acted on the request, a booking could run twice.
         if sender.meant_for != Some(self.handler.identity().incarnation) {
             return Err(Status::failed_precondition(WRONG_INCARNATION));
         }
@@ -160,7 +163,7 @@
         request: Request<PublishBlocksRequest>,
     ) -> Result<Response<PublishBlocksReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         check_hints(&request.hints).map_err(refuse)?;
         let reply = self.handler.publish_blocks(sender, request).await;
         Ok(Response::new(reply))
@@ -171,7 +174,7 @@
         request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
         let request = request.into_inner();
-        let sender = sender_of(request.envelope.as_ref()).map_err(refuse)?;
+        let sender = checked_sender(request.envelope.as_ref()).map_err(refuse)?;
         Ok(Response::new(self.handler.status(sender, request).await))
     }
 }
