--- a/crates/wisteriahitch-config/src/check/contradictions.rs
+++ b/crates/wisteriahitch-config/src/check/contradictions.rs
@@ -1,4 +1,4 @@
-//! Checks that values which are right one by one don't contradict each other.
+//! Checks that values which are valid on their own don't contradict each other.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,9 @@
 use crate::read::ProblemLog;
 use crate::{Action, Condition, Model, RequestFacts, Route, Service, ServiceKind};
 
-/// The one call that carries model, adapter and prompt.
+/// Method of the only call that carries a model, an adapter and a prompt.
 const COMPLETIONS_METHOD: &str = "POST";
+/// Path of that call.
 const COMPLETIONS_PATH: &str = "/v1/completions";
 
 pub(super) fn check(draft: &Draft, log: &ProblemLog<'_>) {
@@ -55,7 +56,8 @@
         }
     }
 
-    /// A condition whose parts exclude each other would make a rule that never matches.
+    /// Returns a message if parts of the condition exclude each other, since its rule could then
+    /// never match.
     fn impossible(&self, when: &Condition) -> Option<String> {
         self.too_long_prompts(when)
             .or_else(|| self.foreign_adapter(when))
@@ -73,7 +75,8 @@
         Some(format!("none of the models has the adapter {foreign}"))
     }
 
-    /// A rule for prompts that its models all refuse can never match a request that runs.
+    /// Returns a message if the prompts the rule asks for are longer than any of its models
+    /// accepts, since it could then match no request that runs.
     fn too_long_prompts(&self, when: &Condition) -> Option<String> {
         let shortest = when.min_prompt_tokens?;
         let limits = when.models.iter().map(|name| self.models.get(name));
@@ -118,7 +121,8 @@
     }
 }
 
-/// Completions are posted to one path, so a rule that asks for their parts elsewhere never matches.
+/// Returns a message if the condition needs a completion but its methods or paths exclude the one
+/// call that carries completions, since its rule could then never match.
 fn not_a_completion(when: &Condition) -> Option<String> {
     if !when.is_for_completions() {
         return None;
--- a/crates/wisteriahitch-config/src/check/finish.rs
+++ b/crates/wisteriahitch-config/src/check/finish.rs
@@ -1,4 +1,4 @@
-//! Turns a checked draft into the configuration.
+//! Converts a checked draft into a configuration.
 
 use std::collections::BTreeMap;
 
--- a/crates/wisteriahitch-config/src/check/mod.rs
+++ b/crates/wisteriahitch-config/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checks what was read as a whole: names, addresses, contradictions and rules that never match.
+//! Checks across the whole draft: names, addresses, contradictions and unreachable rules.
 
 mod contradictions;
 mod finish;
@@ -12,9 +12,10 @@
 use crate::draft::Draft;
 use crate::read::ProblemLog;
 
-/// Checks a draft and turns it into a configuration; nothing comes back where the log has problems.
+/// Checks a draft and converts it into a configuration. Returns `None` if the log has problems.
 pub(crate) fn check(draft: Draft, log: &ProblemLog<'_>) -> Option<Configuration> {
-    // With one text unread its names are unknown, and each use of them would be reported.
+    // The names defined in a text that could not be parsed are missing, so each use of them would
+    // be reported as unknown.
     if draft.has_gap {
         return None;
     }
--- a/crates/wisteriahitch-config/src/check/names.rs
+++ b/crates/wisteriahitch-config/src/check/names.rs
@@ -1,4 +1,4 @@
-//! Checks that names are defined once and that every used one is defined.
+//! Checks that each name is defined exactly once and that every name used is defined.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -8,7 +8,7 @@
 use crate::draft::Draft;
 use crate::read::{Place, Placed, ProblemLog, nearest};
 
-/// Checks that every used name is defined.
+/// Reports names that are used but not defined.
 pub(super) fn check_used(draft: &Draft, log: &ProblemLog<'_>) {
     let (used, defined) = (&draft.used, &draft.defined);
     known(log, "model", &used.models, &defined.models);
@@ -19,8 +19,8 @@
     check_zones(draft, log);
 }
 
-/// Checks that every name, address and key is defined once; a part of a configuration can be
-/// checked for that by itself.
+/// Reports names, addresses and key hashes that are defined more than once. This check needs no
+/// other sections, so it also applies to a submission that holds only some of them.
 pub(crate) fn check_defined_once(draft: &Draft, log: &ProblemLog<'_>) {
     let defined = &draft.defined;
     once(log, "model", &defined.models);
@@ -29,9 +29,9 @@
     once(log, "endpoint", &defined.endpoints);
     once(log, "workspace", &defined.workspaces);
     once(log, "rule", &defined.rules);
-    // Two names for one address would make one VM count, and be ordered about, as two.
+    // One address under two names would count one VM twice, and orders would treat it as two VMs.
     once(log, "address", &defined.addresses);
-    // A key in two workspaces would let one customer's callers into the other's cache.
+    // A key in two workspaces would give one customer's callers access to the other's cache.
     once(log, "key hash", &defined.key_hashes);
 }
 
@@ -51,8 +51,8 @@
     }
 }
 
-/// Where the site doesn't declare its availability zones, those of endpoints and store VMs count as
-/// declared.
+/// Reports availability zones that are not declared. If the site declares none, the zones of its
+/// endpoints and store VMs count as declared.
 fn check_zones(draft: &Draft, log: &ProblemLog<'_>) {
     let (kind, located) = ("availability zone", &draft.located_zones);
     let mut declared = &draft.defined.availability_zones;
--- a/crates/wisteriahitch-config/src/check/rules.rs
+++ b/crates/wisteriahitch-config/src/check/rules.rs
@@ -1,4 +1,4 @@
-//! Checks the rules as a list: a default at the end and none that can never match.
+//! Checks the list of rules: the last one is a default, and every rule can match.
 
 use wisteriahitch_types::Code;
 
@@ -9,8 +9,8 @@
 pub(super) fn check(draft: &Draft, log: &ProblemLog<'_>) {
     check_default(&draft.rules, log);
     for (later, earlier) in shadow::unreachable(&draft.rules) {
-        // Each message locates the earlier rule from the start of the text, which thousands of
-        // rules in a hostile text would make into minutes.
+        // Finding the line of the earlier rule scans the text from its start. Without this limit,
+        // a hostile text with thousands of rules would take minutes.
         if log.is_cut() {
             return;
         }
--- a/crates/wisteriahitch-config/src/check/shadow.rs
+++ b/crates/wisteriahitch-config/src/check/shadow.rs
@@ -1,4 +1,4 @@
-//! Finds rules that can never match, because an earlier one always matches first.
+//! Finds rules that can never match because an earlier rule always matches first.
 
 use std::collections::HashMap;
 
@@ -7,8 +7,7 @@
 use crate::Condition;
 use crate::draft::DraftRule;
 
-/// Holds a rule with its workspaces in ascending order, so that two long lists are compared in one
-/// pass.
+/// A rule with its workspaces sorted, so that two long lists can be compared in one pass.
 struct Candidate<'d> {
     draft: &'d DraftRule,
     when: &'d Condition,
@@ -17,9 +16,10 @@
 
 /// Returns each rule that can never match, with the earlier rule that covers it.
 ///
-/// A rule that names workspaces can only cover one that names them too, so the candidates are the
-/// earlier rules without workspaces and those of one workspace of the rule. That keeps the check
-/// near linear where each of thousands of workspaces has rules of its own.
+/// A rule that names workspaces can only cover a rule whose workspaces are among them. So each rule
+/// is compared only with the earlier rules without workspaces and those that name its first
+/// workspace. This keeps the check near linear where each of thousands of workspaces has rules of
+/// its own.
 pub(super) fn unreachable(rules: &[DraftRule]) -> Vec<(&DraftRule, &DraftRule)> {
     let mut reachable: Vec<Candidate<'_>> = Vec::new();
     let mut general: Vec<usize> = Vec::new();
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns whether an ascending list holds everything of another one that isn't empty.
+/// Returns whether `narrow` is not empty and all its elements are in `wide`; both are ascending.
 fn is_superset<T: Ord>(wide: &[T], narrow: &[T]) -> bool {
     let mut wide = wide.iter();
     !narrow.is_empty() && narrow.iter().all(|name| wide.any(|found| found == name))
--- a/crates/wisteriahitch-config/src/decide/built_in.rs
+++ b/crates/wisteriahitch-config/src/decide/built_in.rs
@@ -1,4 +1,4 @@
-//! Rules that no operator writes.
+//! Built-in rules, which apply in addition to the operator's rules.
 
 use std::sync::LazyLock;
 
@@ -6,8 +6,8 @@
 
 use crate::{Action, Condition, Refusal, Rule};
 
-/// Decides where a configuration that was built by hand has no rule that matches; a checked one
-/// always has.
+/// Refuses requests that match no rule. Only a configuration built in code can lack a matching
+/// rule: a checked one ends with a default rule.
 pub(super) static NO_RULE: LazyLock<Rule> = LazyLock::new(|| {
     refusal(
         "no-rule",
@@ -15,7 +15,7 @@
     )
 });
 
-/// Decides for paths that a service may read as other ones than the rules do.
+/// Refuses paths that a service may interpret differently from the rules.
 pub(super) static PATH_NOT_PLAIN: LazyLock<Rule> = LazyLock::new(|| {
     refusal(
         "path-not-plain",
--- a/crates/wisteriahitch-config/src/decide/condition.rs
+++ b/crates/wisteriahitch-config/src/decide/condition.rs
@@ -1,4 +1,4 @@
-//! When a condition holds, and when one condition holds wherever another does.
+//! Matching a condition against a request, and testing whether one condition covers another.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use crate::model::has_prefix;
 use crate::{Condition, RequestFacts};
 
-/// One part of a condition, workspaces and labels aside.
+/// Matches one part of a condition other than workspaces and labels.
 struct Part {
     name: ConditionPart,
     holds: fn(&Condition, &RequestFacts) -> bool,
 }
 
-/// The parts in the order in which they are tried.
+/// The parts in the order in which they are evaluated.
 static PARTS: [Part; 8] = [
     Part {
         name: ConditionPart::Methods,
@@ -51,12 +51,12 @@
 ];
 
 impl Condition {
-    /// Returns whether the condition has no part, so that it always holds.
+    /// Returns whether the condition has no parts and so matches every request.
     pub fn is_default(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Returns whether the condition holds for completions only.
+    /// Returns whether the condition can match completions only.
     pub fn is_for_completions(&self) -> bool {
         !self.models.is_empty()
             || !self.adapters.is_empty()
@@ -65,18 +65,18 @@
             || self.stream == Some(true)
     }
 
-    /// Returns whether every part that is given holds.
+    /// Returns whether every part of the condition that is set matches the request.
     pub fn is_match(&self, facts: &RequestFacts) -> bool {
         self.has_workspace(facts) && self.is_match_within(facts)
     }
 
-    /// Returns whether every part but the workspaces holds.
+    /// Like [`Condition::is_match`], but ignores the workspaces.
     pub(crate) fn is_match_within(&self, facts: &RequestFacts) -> bool {
         PARTS.iter().all(|part| (part.holds)(self, facts))
             && self.other_labels(facts).next().is_none()
     }
 
-    /// Returns the parts that don't hold.
+    /// Returns the parts that don't match the request.
     pub(crate) fn mismatches(&self, facts: &RequestFacts) -> Vec<ConditionPart> {
         let mut failed = Vec::new();
         if !self.has_workspace(facts) {
@@ -99,7 +99,8 @@
         labels.filter(is_other).map(|(name, _)| name)
     }
 
-    /// Returns whether this condition holds wherever `other` does, workspaces aside.
+    /// Returns whether this condition matches every request that `other` matches, ignoring the
+    /// workspaces of both.
     pub(crate) fn covers_within(&self, other: &Self) -> bool {
         let low = self.min_prompt_tokens;
         let high = self.max_prompt_tokens;
--- a/crates/wisteriahitch-config/src/decide/configuration.rs
+++ b/crates/wisteriahitch-config/src/decide/configuration.rs
@@ -1,4 +1,4 @@
-//! Checking, deciding and looking up in a whole configuration.
+//! Checking a configuration, selecting the rule for a request, and lookups by key or name.
 
 use wisteriahitch_types::{EndpointId, KeyHash, ModelName, WorkspaceId};
 
@@ -11,10 +11,10 @@
     Configuration, Endpoint, Report, RequestFacts, Rule, Service, Workspace, is_plain_path,
 };
 
-/// Context that separates callers' secrets from every other use of the hash.
+/// Domain-separation context for hashes of callers' secrets.
 const KEY_CONTEXT: &str = "wisteriahitch 2026-01 caller key";
 
-/// Returns the hash under which the configuration keeps a caller's secret.
+/// Returns the hash of a caller's secret, as the configuration stores it in `key_hashes`.
 ///
 /// ```
 /// use wisteriahitch_config::key_hash;
@@ -28,12 +28,12 @@
 }
 
 impl Configuration {
-    /// Reads and checks a whole configuration.
+    /// Parses and checks a whole configuration.
     ///
     /// # Errors
     ///
-    /// Every fault of the text at once, each with its code (4001 to 4008, 4011 and 4013), line and
-    /// column; `docs/RULES.md` has the format.
+    /// Reports all problems of the text at once, each with its code (4001 to 4008, 4011 and 4013),
+    /// line and column; `docs/RULES.md` describes the format.
     ///
     /// ```
     /// use wisteriahitch_config::Configuration;
@@ -56,11 +56,11 @@
         log.finish(checked)
     }
 
-    /// Returns the first rule whose condition holds.
+    /// Returns the first rule whose condition matches the request.
     ///
-    /// Only the rules that name the request's workspace and those that name none are tried, so
-    /// that the time doesn't grow with the number of workspaces. A path that a service may read
-    /// as another one ([`is_plain_path`]) is refused by a built-in rule before any of them.
+    /// Only rules that name the request's workspace or no workspace are evaluated, so that the time
+    /// doesn't grow with the number of workspaces. A path that a service may interpret as another
+    /// one (see [`is_plain_path`]) is refused by a built-in rule before any other rule.
     pub fn decide(&self, facts: &RequestFacts) -> &Rule {
         if has_unsafe_path(facts) {
             return &PATH_NOT_PLAIN;
@@ -75,8 +75,8 @@
             .unwrap_or(&NO_RULE)
     }
 
-    /// Returns how every rule up to the one that decides takes the request; a built-in rule has
-    /// the position 0.
+    /// Returns a trace of every rule evaluated for the request, up to and including the one that
+    /// decides. A built-in rule has the position 0.
     pub fn explain(&self, facts: &RequestFacts) -> Vec<RuleTrace> {
         if has_unsafe_path(facts) {
             return vec![RuleTrace::built_in(&PATH_NOT_PLAIN)];
@@ -97,13 +97,13 @@
         traces
     }
 
-    /// Returns the workspace that a caller's key belongs to.
+    /// Returns the workspace that a caller's key belongs to, or `None` for an unknown key.
     pub fn workspace_by_key(&self, key: &KeyHash) -> Option<&Workspace> {
         let id: &WorkspaceId = self.lookup.tables(self).workspaces.get(key)?;
         self.workspaces.get(id)
     }
 
-    /// Returns an endpoint by its name.
+    /// Returns the endpoint with this name.
     pub fn endpoint(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.service_of(id)
             .and_then(|(service, position)| service.endpoints.get(position))
@@ -114,7 +114,7 @@
         self.service_of(id).map(|(service, _)| service)
     }
 
-    /// Returns the services whose endpoints hold a model.
+    /// Returns the services whose endpoints serve a model.
     pub fn services_with_model<'a>(
         &'a self,
         model: &'a ModelName,
@@ -135,13 +135,13 @@
     }
 }
 
-/// Returns whether the path may be another one to a service; no path at all, as in questions about
-/// other parts, harms nothing.
+/// Returns whether a service may interpret the path as another one. An empty path is safe: it
+/// stands for facts without a path, as in queries about other parts of a condition.
 fn has_unsafe_path(facts: &RequestFacts) -> bool {
     !facts.path.is_empty() && !is_plain_path(&facts.path)
 }
 
-/// Returns the positions of two ascending lists in one ascending order.
+/// Merges two ascending lists of positions into one ascending sequence.
 fn merged<'a>(left: &'a [usize], right: &'a [usize]) -> impl Iterator<Item = usize> + 'a {
     let mut left = left.iter().copied().peekable();
     let mut right = right.iter().copied().peekable();
--- a/crates/wisteriahitch-config/src/decide/mod.rs
+++ b/crates/wisteriahitch-config/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Which rule decides a request, and why the others don't.
+//! Selecting the rule for a request, and explaining why earlier rules don't match.
 
 mod built_in;
 mod condition;
--- a/crates/wisteriahitch-config/src/decide/rule_trace.rs
+++ b/crates/wisteriahitch-config/src/decide/rule_trace.rs
@@ -1,4 +1,4 @@
-//! Why a rule did or did not decide a request.
+//! Explains why a rule did or did not match a request.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::Rule;
 
-/// Names one part of a rule's condition.
+/// Identifies one part of a rule's condition by its key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConditionPart {
@@ -27,7 +27,7 @@
     MaxPromptTokens,
     /// `stream`
     Stream,
-    /// `labels`, with the label that differs.
+    /// `labels`, with the name of the label that is missing or has another value.
     Label(String),
     /// `availability_zones`
     AvailabilityZones,
@@ -51,19 +51,19 @@
     }
 }
 
-/// Tells an operator how one rule took a request.
+/// Result of evaluating one rule against a request, for display to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RuleTrace {
-    /// Place among the rules, from 1; 0 for a built-in one.
+    /// Position in the list of rules, from 1; 0 for a built-in rule.
     pub position: usize,
     /// Name of the rule.
     pub rule: RuleName,
-    /// Parts of the condition that don't hold; empty for the rule that decides.
+    /// Parts of the condition that don't match; empty for the rule that decides.
     pub failed: Vec<ConditionPart>,
 }
 
 impl RuleTrace {
-    /// Says that a built-in rule decides, which stands before those of the configuration.
+    /// Creates the trace of a built-in rule that decides before any rule of the configuration.
     pub(super) fn built_in(rule: &Rule) -> Self {
         Self {
             position: 0,
--- a/crates/wisteriahitch-config/src/draft/call.rs
+++ b/crates/wisteriahitch-config/src/draft/call.rs
@@ -1,4 +1,4 @@
-//! Methods and path prefixes as operators write them.
+//! Methods and path prefixes in rules and repeatable calls.
 
 use toml::de::DeValue;
 
@@ -8,10 +8,10 @@
 /// Methods that a rule or a repeatable call may name.
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
-/// Stands for every method in a repeatable call.
+/// Matches every method in a repeatable call.
 const ANY_METHOD: &str = "*";
 
-/// A method in capitals.
+/// An HTTP method in upper case.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Method(pub(super) String);
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// A method in capitals, or a star for every one.
+/// An HTTP method in upper case, or `*` for every method.
 pub(super) struct MethodOrAny(pub(super) String);
 
 impl FromValue for MethodOrAny {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Start of a path.
+/// A prefix of a request path, without escapes.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct PathPrefix(pub(super) String);
 
@@ -55,7 +55,8 @@
                 "{text:?} holds a query, and rules see the path alone"
             ));
         }
-        // Escapes have two spellings (`%e5`, `%E5`), so a prefix with one would miss some paths.
+        // Escapes have two spellings (`%e5`, `%E5`), so a prefix with an escape would not match all
+        // equivalent paths.
         if !is_plain_path(&text) || text.contains('%') {
             return Err(format!(
                 "{text:?} can't match: paths with empty or dot segments, \
--- a/crates/wisteriahitch-config/src/draft/condition.rs
+++ b/crates/wisteriahitch-config/src/draft/condition.rs
@@ -1,4 +1,4 @@
-//! Reads `when` of a rule.
+//! Reads the condition of a rule, `when`.
 
 use std::collections::BTreeMap;
 
@@ -62,10 +62,10 @@
     }
 }
 
-/// Reports lists that are given but empty.
+/// Reports lists that are present but empty.
 ///
-/// An operator who deletes the last name of `workspaces = ["a"]` expects a rule that matches
-/// nobody, and the model would read it as one that matches everybody.
+/// An operator who deletes the last name from `workspaces = ["a"]` expects a rule that matches no
+/// workspace, but [`Condition`] treats an empty list as matching every workspace.
 fn refuse_empty_lists(table: &TableReader<'_, '_>) {
     const LISTS: [&str; 6] = [
         "workspaces",
--- a/crates/wisteriahitch-config/src/draft/draft.rs
+++ b/crates/wisteriahitch-config/src/draft/draft.rs
@@ -1,4 +1,4 @@
-//! The whole configuration as read, before names are resolved.
+//! A configuration that has been read but not yet checked as a whole.
 
 use toml::de::DeTable;
 use wisteriahitch_types::{AvailabilityZone, WorkspaceId};
@@ -7,11 +7,11 @@
 use crate::read::{Place, Placed, ProblemLog, TableReader};
 use crate::{Limits, Model, Service, Store, Workspace};
 
-/// Key of the list of workspaces that a submission takes out.
+/// Key of the list of workspaces that a submission removes.
 pub(crate) const REMOVED_WORKSPACES_KEY: &str = "removed_workspaces";
 
-/// Holds what was read of a configuration; an entry that could not be read is left out, though its
-/// name counts as defined, so that one fault doesn't bring others after it.
+/// A configuration before its names are resolved. An entry that could not be read is left out, but
+/// its name still counts as defined, so that one problem doesn't cause others.
 #[derive(Debug, Default)]
 pub(crate) struct Draft {
     pub(crate) availability_zones: Vec<AvailabilityZone>,
@@ -21,18 +21,20 @@
     pub(crate) services: Vec<Service>,
     pub(crate) workspaces: Vec<Workspace>,
     pub(crate) rules: Vec<DraftRule>,
+    /// Names that the texts define.
     pub(crate) defined: Names,
+    /// Names that the texts refer to.
     pub(crate) used: Names,
-    /// Availability zones that endpoints and store VMs are in.
+    /// Availability zones of endpoints and store VMs.
     pub(crate) located_zones: Vec<Placed<AvailabilityZone>>,
-    /// Workspaces that the submission takes out.
+    /// Workspaces that the submission removes.
     pub(crate) removed: Vec<Placed<WorkspaceId>>,
-    /// Whether some source couldn't be parsed at all, so that names may be missing.
+    /// Whether a source text could not be parsed, so that names that it defines are missing.
     pub(crate) has_gap: bool,
 }
 
 impl Draft {
-    /// Reads every source of the log.
+    /// Reads every source text of the log.
     pub(crate) fn read(log: &ProblemLog<'_>) -> Self {
         let mut draft = Self::default();
         for source in 0..log.sources().len() {
--- a/crates/wisteriahitch-config/src/draft/limits.rs
+++ b/crates/wisteriahitch-config/src/draft/limits.rs
@@ -6,9 +6,11 @@
 use crate::Limits;
 use crate::read::{TableReader, duration_keys};
 
-/// Shortest and longest spans that are taken, in milliseconds.
+/// Minimum and maximum time to keep an answer, in milliseconds.
 const ANSWER_KEPT_MS: (u64, u64) = (1_000, 30 * 24 * 3_600_000);
+/// Minimum and maximum lifetime of a ticket, in milliseconds.
 const TICKET_LIFETIME_MS: (u64, u64) = (1_000, 3_600_000);
+/// Minimum and maximum time to cache an answer of `GET /v1/entries`, in milliseconds.
 const ENTRIES_TTL_MS: (u64, u64) = (100, 600_000);
 const MAX_ROLLOUT_PARALLEL: u32 = 64;
 
@@ -32,7 +34,7 @@
             .optional::<Share>("retry_share")
             .map_or(default.retry_share, Share::get),
     };
-    // A caller that repeats a request with a ticket that still holds would find its answer gone.
+    // Otherwise a caller could repeat a request with a valid ticket after its answer was deleted.
     if limits.answer_kept_us < limits.ticket_lifetime_us {
         let message = "answers are kept for less time than a ticket may be used";
         table
--- a/crates/wisteriahitch-config/src/draft/mod.rs
+++ b/crates/wisteriahitch-config/src/draft/mod.rs
@@ -1,4 +1,4 @@
-//! Reads the texts of a configuration into plain data with places, before names are resolved.
+//! Reads the texts of a configuration into a draft with locations, before names are resolved.
 
 mod call;
 mod condition;
--- a/crates/wisteriahitch-config/src/draft/model.rs
+++ b/crates/wisteriahitch-config/src/draft/model.rs
@@ -6,7 +6,7 @@
 use crate::Model;
 use crate::read::{Placed, TableReader};
 
-/// The brief's sites move work in pieces of about two thousand tokens.
+/// The sites that this system was built for move work in pieces of about 2,000 tokens.
 const DEFAULT_PIECE_TOKENS: u64 = 2_000;
 const MAX_PIECE_TOKENS: u64 = 1_000_000;
 const MAX_PROMPT_TOKENS: u64 = 100_000_000;
--- a/crates/wisteriahitch-config/src/draft/names.rs
+++ b/crates/wisteriahitch-config/src/draft/names.rs
@@ -1,4 +1,4 @@
-//! Names with their places, gathered while a configuration is read.
+//! Names and their locations, collected while a configuration is read.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use crate::read::Placed;
 
-/// Holds where each name is defined, or where each is used.
+/// The names that a configuration defines, or those that it uses, with their locations.
 #[derive(Debug, Default)]
 pub(crate) struct Names {
     pub(crate) adapters: Vec<Placed<AdapterName>>,
@@ -24,7 +24,7 @@
     pub(crate) workspaces: Vec<Placed<WorkspaceId>>,
 }
 
-/// Returns the values without their places.
+/// Returns the values without their locations.
 pub(crate) fn values<T: Clone>(placed: &[Placed<T>]) -> Vec<T> {
     placed.iter().map(|placed| placed.value.clone()).collect()
 }
--- a/crates/wisteriahitch-config/src/draft/rule.rs
+++ b/crates/wisteriahitch-config/src/draft/rule.rs
@@ -15,22 +15,22 @@
 const MAX_RETRY_AFTER_MS: u64 = 24 * 3_600_000;
 const MAX_REASON_CHARS: usize = 300;
 
-/// Holds a rule with its place.
+/// A rule with the locations of its parts.
 #[derive(Debug)]
 pub(crate) struct DraftRule {
-    /// The rule, where all of it could be read.
+    /// The rule; `None` if any part of it could not be read.
     pub(crate) rule: Option<Rule>,
-    /// Where the rule stands.
+    /// Location of the rule.
     pub(crate) place: Place,
-    /// Where its condition stands.
+    /// Location of its condition.
     pub(crate) when: Place,
-    /// Where its action stands.
+    /// Location of its action.
     pub(crate) then: Place,
-    /// Where keys stand that mean something for engines alone.
+    /// Locations of the keys in [`ENGINE_KEYS`] that the rule contains.
     pub(crate) engine_keys: Vec<Place>,
 }
 
-/// Keys of a route that mean nothing for plain services.
+/// Keys of a route that apply only to engines, not to plain services.
 const ENGINE_KEYS: [&str; 3] = ["adapter", "first_token_weight", "save"];
 
 impl FromValue for SavePolicy {
--- a/crates/wisteriahitch-config/src/draft/service.rs
+++ b/crates/wisteriahitch-config/src/draft/service.rs
@@ -1,4 +1,4 @@
-//! Reads `[[services]]` and their endpoints.
+//! Reads `[[services]]` with their endpoints.
 
 use toml::de::DeValue;
 use wisteriahitch_types::Code;
--- a/crates/wisteriahitch-config/src/draft/store.rs
+++ b/crates/wisteriahitch-config/src/draft/store.rs
@@ -8,7 +8,7 @@
 use crate::Store;
 use crate::read::{Placed, TableReader};
 
-/// Largest number that the platform's JSON carries without loss.
+/// Largest integer that the platform's JSON represents exactly: 2^53, the limit of a double.
 pub(super) const MAX_AMOUNT: u64 = 1 << 53;
 
 pub(super) fn read_all(top: &TableReader<'_, '_>, draft: &mut Draft) {
@@ -43,7 +43,7 @@
     })
 }
 
-/// Reads the address of an endpoint or store VM.
+/// Reads the address of an endpoint or store VM, which must be one that can be connected to.
 pub(super) fn read_address(table: &TableReader<'_, '_>, draft: &mut Draft) -> Option<SocketAddr> {
     let address: Placed<SocketAddr> = table.required_placed("address")?;
     let value = address.value;
--- a/crates/wisteriahitch-config/src/draft/workspace.rs
+++ b/crates/wisteriahitch-config/src/draft/workspace.rs
@@ -7,7 +7,7 @@
 use crate::Workspace;
 use crate::read::TableReader;
 
-/// Key of the list of customers, the one key that a workspace's section holds.
+/// Key of the list of workspaces, and the only key in the section of a workspace.
 pub(crate) const WORKSPACES_KEY: &str = "workspaces";
 
 const DEFAULT_WEIGHT: u32 = 1;
--- a/crates/wisteriahitch-config/src/model/configuration.rs
+++ b/crates/wisteriahitch-config/src/model/configuration.rs
@@ -26,59 +26,60 @@
     pub workspaces: BTreeMap<WorkspaceId, Workspace>,
     /// Rules in the order in which they are tried; the last one has no condition.
     pub rules: Vec<Rule>,
-    /// Bounds for the whole site.
+    /// Limits for the whole site.
     pub limits: Limits,
-    /// Tables for quick look-ups, built from the other fields at first use.
+    /// Indexes of the other fields, built at first use.
     #[serde(skip)]
     pub lookup: Lookup,
 }
 
-/// Holds a model that the site serves.
+/// A model that the site serves.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Model {
-    /// Name that callers use.
+    /// Name that callers give in requests.
     pub name: ModelName,
-    /// Version of the weights that is wanted.
+    /// Version of the weights that engines should load.
     pub weight_version: WeightVersion,
-    /// Adapters that are wanted.
+    /// Adapters that engines should load.
     pub adapters: Vec<AdapterName>,
-    /// Tokens in one cache block.
+    /// Number of tokens in one cache block.
     pub piece_tokens: TokenCount,
-    /// Length of the KV cache of one token.
+    /// Size of the KV cache of one token.
     pub bytes_per_token: ByteCount,
-    /// Longest prompt that is taken.
+    /// Longest prompt that is accepted.
     pub max_prompt_tokens: TokenCount,
 }
 
-/// Holds a store VM.
+/// A store VM, which stores KV cache blocks.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Store {
-    /// Name.
+    /// Name, unique in the site.
     pub id: StoreId,
     /// Address of its HTTP server.
     pub address: SocketAddr,
-    /// Availability zone it is in.
+    /// Availability zone of the VM.
     pub availability_zone: AvailabilityZone,
-    /// Speed of its link.
+    /// Throughput of its network link.
     pub link_rate_bytes_per_s: ByteRate,
-    /// Room in memory.
+    /// Capacity in memory.
     pub memory_bytes: ByteCount,
-    /// Room on disk.
+    /// Capacity on disk.
     pub disk_bytes: ByteCount,
 }
 
-/// Holds the bounds for the whole site.
+/// Limits for the whole site, from `[limits]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Limits {
-    /// Most models or versions that load at once, since more make each slower.
+    /// Maximum number of models or versions that load at once; each load gets slower with more.
     pub rollout_parallel: u32,
-    /// How long an answer to a keyed request is kept for its repeat.
+    /// How long the answer to a request with an idempotency key is stored, so that a repeat gets
+    /// it.
     pub answer_kept_us: DurationUs,
-    /// How long a ticket may be used.
+    /// How long a ticket is valid.
     pub ticket_lifetime_us: DurationUs,
-    /// How long callers may keep an answer of `GET /v1/entries`.
+    /// How long callers may cache the answer to `GET /v1/entries`.
     pub entries_ttl_us: DurationUs,
-    /// Part of the requests that may be retries.
+    /// Maximum share of requests that may be retries, from 0 to 1.
     pub retry_share: f64,
 }
 
--- a/crates/wisteriahitch-config/src/model/lookup.rs
+++ b/crates/wisteriahitch-config/src/model/lookup.rs
@@ -1,4 +1,4 @@
-//! Tables that answer quickly what the plain data would answer by a scan.
+//! Indexes that replace scans of the configuration.
 
 use std::collections::HashMap;
 use std::sync::OnceLock;
@@ -7,25 +7,25 @@
 
 use super::Configuration;
 
-/// Holds the look-up tables of a [`Configuration`], built at first use.
+/// Indexes of a [`Configuration`], built at first use.
 ///
-/// A clone starts without tables, so that one which is changed after cloning never answers from
-/// the tables of the original. Change the fields of a configuration before its first look-up.
+/// A clone starts without indexes, so that a clone that is then changed never uses those of the
+/// original. Don't change the fields of a configuration after its first lookup.
 #[derive(Debug, Default)]
 pub struct Lookup {
     tables: OnceLock<Tables>,
 }
 
-/// Positions within the lists of the configuration.
+/// The indexes; positions count from 0 in the lists of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Tables {
-    /// Workspace of each key.
+    /// Workspace that each key hash belongs to.
     pub(crate) workspaces: HashMap<KeyHash, WorkspaceId>,
-    /// Service of each endpoint and position in it.
+    /// Service of each endpoint, and the position in its list of endpoints.
     pub(crate) endpoints: HashMap<EndpointId, (ServiceName, usize)>,
-    /// Rules that name a workspace, by workspace, in their order.
+    /// Ascending positions of the rules that name each workspace.
     pub(crate) rules_of: HashMap<WorkspaceId, Vec<usize>>,
-    /// Rules that name no workspace, in their order.
+    /// Ascending positions of the rules that name no workspace.
     pub(crate) general_rules: Vec<usize>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl PartialEq for Lookup {
-    /// Two look-ups never differ by themselves, since they follow from the other fields.
+    /// Always equal, since the indexes are derived from the other fields of the configuration.
     fn eq(&self, _: &Self) -> bool {
         true
     }
--- a/crates/wisteriahitch-config/src/model/path.rs
+++ b/crates/wisteriahitch-config/src/model/path.rs
@@ -1,16 +1,16 @@
-//! Paths as rules and repeatable calls see them.
+//! Matching of request paths by rules and repeatable calls.
 
 const SPACE: u8 = b' ';
-/// Length of an escape such as `%E5`.
+/// Length of a percent escape such as `%E5`, in bytes.
 const ESCAPE_LEN: usize = 3;
 
-/// Returns whether every service reads the path as the rules do.
+/// Returns whether every service interprets the path in the same way as the rules.
 ///
 /// A path with empty, `.` or `..` segments, backslashes, semicolons, blanks, or escapes of anything
-/// but spaces and UTF-8 beyond ASCII is not plain: a service may fold it into another path than
-/// the one that a rule was matched against, so that a refusal is walked round, or a call that may
-/// not be repeated is taken for one that may. [`Configuration::decide`] refuses such paths before
-/// any rule is tried (`docs/RULES.md`).
+/// but spaces and non-ASCII UTF-8 is not plain: a service may normalize it to another path than the
+/// one that a rule was matched against. A request could then bypass a refusal, or a call that must
+/// not be repeated could be treated as repeatable. [`Configuration::decide`] refuses such paths
+/// before it evaluates any rule (`docs/RULES.md`).
 ///
 /// [`Configuration::decide`]: crate::Configuration::decide
 pub fn is_plain_path(path: &str) -> bool {
@@ -30,10 +30,10 @@
     !matches!(segment, "" | "." | "..")
 }
 
-/// Returns whether every escape stands for a space or for UTF-8 beyond ASCII.
+/// Returns whether every percent escape encodes a space or non-ASCII UTF-8.
 ///
-/// An escaped ASCII character (`%2e`, `%61`) or an overlong one (`%c0%ae`) has another spelling
-/// that rules would match and services take for the same.
+/// An escaped ASCII character (`%2e`, `%61`) or an overlong encoding (`%c0%ae`) has a second
+/// spelling that a service treats as the same path but rules match differently.
 fn has_plain_escapes(path: &str) -> bool {
     let mut decoded = Vec::with_capacity(path.len());
     let mut rest = path.as_bytes();
@@ -57,8 +57,8 @@
     u8::try_from(digit(0)? * 16 + digit(1)?).ok()
 }
 
-/// Returns whether the path starts with the prefix and the prefix ends with a segment, so that
-/// `/stock` covers `/stock` and `/stock/7` but not `/stockpull`.
+/// Returns whether the path starts with the prefix and the prefix ends at a segment boundary:
+/// `/stock` matches `/stock` and `/stock/7` but not `/stockpull`.
 pub(crate) fn has_prefix(path: &str, prefix: &str) -> bool {
     match path.strip_prefix(prefix) {
         None => false,
--- a/crates/wisteriahitch-config/src/model/rule.rs
+++ b/crates/wisteriahitch-config/src/model/rule.rs
@@ -1,4 +1,4 @@
-//! Ordered rules: when this holds, then do that.
+//! Routing rules: a condition, and the action for requests that match it.
 
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
     WorkspaceId,
 };
 
-/// Holds what is known of a request when the rules are tried.
+/// Properties of a request that conditions are matched against.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RequestFacts {
     /// Workspace that the caller's key belongs to.
     pub workspace: Option<WorkspaceId>,
-    /// Method in capitals.
+    /// HTTP method in upper case.
     pub method: String,
     /// Path without the query.
     pub path: String,
@@ -21,102 +21,104 @@
     pub model: Option<ModelName>,
     /// Adapter that a completion names.
     pub adapter: Option<AdapterName>,
-    /// Length of a completion's prompt.
+    /// Length of the prompt of a completion.
     pub prompt_tokens: Option<TokenCount>,
-    /// Whether the answer is to be streamed.
+    /// Whether the caller asks for a streamed answer.
     pub stream: bool,
     /// Labels that the caller sent as `x-label-NAME` headers.
     pub labels: BTreeMap<String, String>,
-    /// Availability zone of the daemon.
+    /// Availability zone of the daemon that received the request.
     pub availability_zone: Option<AvailabilityZone>,
 }
 
-/// Holds one rule.
+/// A rule; the first rule whose condition matches a request decides it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Rule {
-    /// Name, for `explain` and the logs.
+    /// Name that `explain` and the logs show.
     pub name: RuleName,
-    /// When the rule decides.
+    /// Condition that a request must match.
     pub when: Condition,
-    /// What then happens.
+    /// Action for requests that match.
     pub then: Action,
 }
 
-/// Says when a rule decides; every part that is given must hold, and an empty list is not given.
+/// Condition of a rule. Every part that is set must match; an empty list counts as not set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Condition {
-    /// One of these workspaces.
+    /// The workspace is one of these.
     pub workspaces: Vec<WorkspaceId>,
-    /// One of these methods.
+    /// The method is one of these.
     pub methods: Vec<String>,
-    /// The path starts with one of these.
+    /// The path starts with one of these, up to a segment boundary.
     pub path_prefixes: Vec<String>,
-    /// One of these models.
+    /// The model is one of these.
     pub models: Vec<ModelName>,
-    /// One of these adapters.
+    /// The adapter is one of these.
     pub adapters: Vec<AdapterName>,
-    /// The prompt has at least so many tokens.
+    /// The prompt has at least this many tokens.
     pub min_prompt_tokens: Option<TokenCount>,
-    /// The prompt has at most so many tokens.
+    /// The prompt has at most this many tokens.
     pub max_prompt_tokens: Option<TokenCount>,
-    /// The answer is streamed, or is not.
+    /// The answer is streamed (`true`) or not (`false`).
     pub stream: Option<bool>,
-    /// Every label has this value.
+    /// The request has each of these labels with this value.
     pub labels: BTreeMap<String, String>,
     /// The daemon is in one of these availability zones.
     pub availability_zones: Vec<AvailabilityZone>,
 }
 
-/// Says what happens to a request.
+/// Action for the requests that match a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// The request goes to a service.
+    /// Sends the request to a service.
     Route(Route),
-    /// The request is refused.
+    /// Refuses the request.
     Refuse(Refusal),
 }
 
-/// Says how a request is served.
+/// How a request is served.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Route {
-    /// Service that serves it.
+    /// Service that serves the request.
     pub service: ServiceName,
-    /// Adapter that is used in place of the one that the caller names.
+    /// Adapter that overrides the one the caller names.
     pub adapter: Option<AdapterName>,
-    /// Higher goes first, from 0 to 9.
+    /// Priority from 0 to 9; requests with a higher one go first.
     pub priority: u8,
-    /// How much the time to the first token counts against the prompt work recomputed: 1 looks at
-    /// the time alone, 0 at the work alone.
+    /// Weight of the time to the first token against the prompt work that is recomputed: 1 counts
+    /// only the time, 0 only the work.
     pub first_token_weight: Share,
-    /// Longest wait for the first token, or for a plain service's whole answer.
+    /// Maximum time to the first token, or to the whole answer of a plain service.
     pub deadline_us: DurationUs,
-    /// Whether the call may be repeated; where it isn't given, the service's declaration decides.
+    /// Whether the call may be repeated; `None` leaves it to [`Service::repeatable`].
+    ///
+    /// [`Service::repeatable`]: crate::Service::repeatable
     pub may_repeat: Option<bool>,
-    /// Which blocks are saved after use.
+    /// Which cache blocks are saved to store VMs after use.
     pub save: SavePolicy,
 }
 
-/// Says which blocks are saved to a store VM after use.
+/// Which cache blocks are saved to a store VM after use.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SavePolicy {
-    /// Those whose expected use is worth their cost.
+    /// Blocks whose expected use outweighs their cost.
     #[default]
     Learned,
-    /// All of them.
+    /// All blocks.
     Always,
-    /// Those that were used twice.
+    /// Blocks that were used twice.
     SecondUse,
-    /// None.
+    /// No blocks.
     Never,
 }
 
-/// Says how a request is refused.
+/// Answer to a request that a rule refuses.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Sentence for the caller.
+    /// Reason that the caller is given.
     pub reason: String,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_after_us: DurationUs,
 }
--- a/crates/wisteriahitch-config/src/model/service.rs
+++ b/crates/wisteriahitch-config/src/model/service.rs
@@ -7,7 +7,7 @@
 
 use super::path::{has_prefix, is_plain_path};
 
-/// Says what protocol the endpoints of a service speak.
+/// Protocol of the endpoints of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -17,52 +17,52 @@
     Plain,
 }
 
-/// Holds a group of endpoints that do the same work.
+/// A group of endpoints that do the same work.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Service {
-    /// Name.
+    /// Name, unique in the site.
     pub name: ServiceName,
     /// Protocol of the endpoints.
     pub kind: ServiceKind,
-    /// Models that the endpoints are to hold; empty for plain services.
+    /// Models that the endpoints serve; empty for plain services.
     pub models: Vec<ModelName>,
-    /// Store VMs that the endpoints save blocks to.
+    /// Store VMs that the endpoints save cache blocks to.
     pub stores: Vec<StoreId>,
-    /// Calls that may be repeated; every other call of a plain service may not.
+    /// Calls that may be repeated; no other call of a plain service may.
     pub repeatable: Vec<CallPattern>,
-    /// Endpoints.
+    /// Endpoints that serve requests.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Matches calls by method and start of the path.
+/// Matches calls by method and path prefix.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct CallPattern {
-    /// Method in capitals, or `*`.
+    /// HTTP method in upper case, or `*` for any.
     pub method: String,
-    /// Start of the path.
+    /// Prefix of the path, which must end at a segment boundary.
     pub path_prefix: String,
 }
 
 impl CallPattern {
-    /// Returns whether a call matches; the prefix ends where a segment of the path ends.
+    /// Returns whether a call matches. The prefix must end at a segment boundary of the path.
     ///
-    /// A path that a service may read as another one, such as `/stock/../pull`, never matches:
-    /// it would declare a call repeatable that runs as one that is not.
+    /// A path that a service may interpret as another one, such as `/stock/../pull`, never matches:
+    /// otherwise a call that must not be repeated could count as repeatable.
     pub fn is_match(&self, method: &str, path: &str) -> bool {
         let is_method = self.method == "*" || self.method == method;
         is_method && is_plain_path(path) && has_prefix(path, &self.path_prefix)
     }
 }
 
-/// Holds one endpoint.
+/// An endpoint of a service.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Endpoint {
     /// Name, unique in the site.
     pub id: EndpointId,
     /// Address of its HTTP server.
     pub address: SocketAddr,
-    /// Availability zone it is in.
+    /// Availability zone of its VM.
     pub availability_zone: AvailabilityZone,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing number.
     pub checks_fence: bool,
 }
--- a/crates/wisteriahitch-config/src/model/workspace.rs
+++ b/crates/wisteriahitch-config/src/model/workspace.rs
@@ -1,23 +1,23 @@
-//! Workspaces: the customers of a site.
+//! Workspaces, one for each customer of a site.
 
 use serde::Serialize;
 use wisteriahitch_types::{ByteCount, KeyHash, TokenRate, WorkspaceId};
 
-/// Holds one customer.
+/// A workspace, which belongs to one customer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Workspace {
-    /// Name.
+    /// Name, unique in the site.
     pub id: WorkspaceId,
     /// Hashes of the keys that its callers use.
     pub key_hashes: Vec<KeyHash>,
-    /// Part of the capacity, in relation to the other workspaces.
+    /// Share of the capacity, relative to the weights of the other workspaces.
     pub weight: u32,
-    /// Most requests a second, if bounded.
+    /// Maximum number of requests per second; `None` for no limit.
     pub requests_per_s: Option<u32>,
-    /// Most prompt tokens a second, if bounded.
+    /// Maximum number of prompt tokens per second; `None` for no limit.
     pub prompt_tokens_per_s: Option<TokenRate>,
-    /// Most requests that may wait at one daemon.
+    /// Maximum number of requests that may be queued at one daemon.
     pub max_queued: u32,
-    /// Most bytes of the store VMs that its blocks may take.
+    /// Maximum size of its cache blocks on the store VMs.
     pub store_bytes: ByteCount,
 }
--- a/crates/wisteriahitch-config/src/read/mod.rs
+++ b/crates/wisteriahitch-config/src/read/mod.rs
@@ -1,4 +1,4 @@
-//! Reading TOML by hand, so that every fault is found at once and each with its place.
+//! A TOML reader that finds all problems of a text at once, each with its location.
 
 mod name_hint;
 mod place;
--- a/crates/wisteriahitch-config/src/read/name_hint.rs
+++ b/crates/wisteriahitch-config/src/read/name_hint.rs
@@ -1,9 +1,10 @@
-//! Finds the name that was probably meant.
+//! Suggests a known name for a misspelled one.
 
-/// Most edits between a name and what was probably meant.
+/// Maximum edit distance between a name and its suggestion.
 const MAX_EDITS: usize = 2;
 
-/// Returns the known name that is nearest to `found`, or that it is a part of.
+/// Returns the known name nearest to `found` by edit distance, or else one that differs from it
+/// only in its last part (after `_`), such as the unit.
 pub(crate) fn nearest<'k>(
     found: &str,
     known: impl IntoIterator<Item = &'k str>,
@@ -20,7 +21,7 @@
     if edits <= MAX_EDITS && edits < found.len() {
         return Some(edits);
     }
-    // A forgotten or mistaken unit, such as `deadline` or `deadline_us` for `deadline_ms`.
+    // A missing or wrong unit, such as `deadline` or `deadline_us` for `deadline_ms`.
     let stem = |name: &str| name.rsplit_once('_').map(|(stem, _)| stem.to_owned());
     let known_stem = stem(known)?;
     let is_same = found == known_stem || stem(found).is_some_and(|stem| stem == known_stem);
--- a/crates/wisteriahitch-config/src/read/place.rs
+++ b/crates/wisteriahitch-config/src/read/place.rs
@@ -1,17 +1,17 @@
-//! Where in which text a value stands.
+//! Locations of values in the source texts.
 
-/// Locates a value in one of the texts that are checked together.
+/// Location of a value in one of the texts that are checked together.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Place {
-    /// Position of the text among the sources.
+    /// Index of the text in the list of sources.
     pub(crate) source: usize,
     /// Byte offset in the text.
     pub(crate) offset: usize,
-    /// Key of the value.
+    /// Path of the key, such as `rules[2].then.route`; empty for the top of the text.
     pub(crate) path: String,
 }
 
-/// Holds a value with its place, for checks that come after reading.
+/// A value with its location, for checks that run after reading.
 #[derive(Clone, Debug)]
 pub(crate) struct Placed<T> {
     pub(crate) value: T,
--- a/crates/wisteriahitch-config/src/read/problem_log.rs
+++ b/crates/wisteriahitch-config/src/read/problem_log.rs
@@ -1,4 +1,4 @@
-//! Collects problems while several readers walk the same texts.
+//! A log of problems that several readers of the same texts share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -9,13 +9,13 @@
 use super::{Place, Source};
 use crate::{Problem, Report};
 
-/// Most problems that a report lists, so that a hostile text makes no endless one.
+/// Maximum number of problems in a report, which bounds the report on a hostile text.
 const MAX_PROBLEMS: usize = 200;
 
-/// Longest text that is parsed, several times what 3,200 workspaces take.
+/// Maximum size of a text that is parsed; several times the size of 3,200 workspaces.
 const MAX_TEXT_BYTES: usize = 8 << 20;
 
-/// Collects problems and turns their places into lines and columns.
+/// Collects problems and converts their locations into lines and columns.
 #[derive(Debug)]
 pub(crate) struct ProblemLog<'a> {
     sources: Vec<Source<'a>>,
@@ -24,7 +24,7 @@
 }
 
 impl<'a> ProblemLog<'a> {
-    /// Opens an empty log for the texts that are checked together.
+    /// Creates an empty log for texts that are checked together.
     pub(crate) fn new(sources: Vec<Source<'a>>) -> Self {
         Self {
             sources,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Returns the texts, in the order that places count them in.
+    /// Returns the texts; locations refer to them by their index.
     pub(crate) fn sources(&self) -> &[Source<'a>] {
         &self.sources
     }
 
-    /// Adds a problem at a place.
+    /// Adds a problem at a location, unless the log has reached its maximum.
     pub(crate) fn add(&self, code: Code, place: &Place, message: impl Into<String>) {
         let mut problems = self.problems.borrow_mut();
         if problems.len() >= MAX_PROBLEMS {
@@ -59,14 +59,14 @@
         });
     }
 
-    /// Returns line and column of a place.
+    /// Returns the line and column of a location, both from 1.
     pub(crate) fn position(&self, place: &Place) -> (u32, u32) {
         let source = self.sources.get(place.source);
         source.map_or((1, 1), |source| source.position(place.offset))
     }
 
-    /// Returns what to call a place beside another one: its line, and its section where that
-    /// is not the submitted text.
+    /// Describes a location for a message about another one: by its line in the submitted text, or
+    /// by the name of the section in force.
     pub(crate) fn describe(&self, place: &Place) -> String {
         let (line, _) = self.position(place);
         let source = self.sources.get(place.source);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the start of the submitted text, or of the first one where none is submitted.
+    /// Returns the start of the submitted text, or of the first text if none is submitted.
     pub(crate) fn top(&self) -> Place {
         let submitted = self.sources.iter().position(|s| s.section.is_none());
         Place {
@@ -86,23 +86,24 @@
         }
     }
 
-    /// Returns how many problems were added so far.
+    /// Returns the number of problems added so far.
     pub(crate) fn len(&self) -> usize {
         self.problems.borrow().len()
     }
 
-    /// Returns whether no further problem will be listed; checks that cost much may stop.
+    /// Returns whether problems were dropped because the log is full. Expensive checks may then
+    /// stop.
     pub(crate) fn is_cut(&self) -> bool {
         self.is_cut.get()
     }
 
-    /// Returns whether no problem was added so far.
+    /// Returns whether no problems were added so far.
     pub(crate) fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Parses one of the texts; a text that is not TOML gives nothing, since what a recovering
-    /// parser guesses would only add misleading problems.
+    /// Parses one of the texts. Returns `None` for a text that is not valid TOML: the guesses of
+    /// the parser's error recovery would only add misleading problems.
     pub(crate) fn parse(&self, source: usize) -> Option<DeTable<'a>> {
         let text = self.sources.get(source)?.text;
         if text.len() > MAX_TEXT_BYTES {
@@ -125,7 +126,7 @@
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
             let (line, _) = self.sources[source].position(offset);
-            // A parser that recovers trips again over the rest of a broken line.
+            // After recovering, the parser may report further errors in the same broken line.
             if !lines.insert(line) {
                 continue;
             }
@@ -139,7 +140,7 @@
         None
     }
 
-    /// Ends the log: `value` where no problem was added, else the report.
+    /// Returns the value if there is one and no problem was added, and the report otherwise.
     pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, Report> {
         match value {
             Some(value) if self.is_empty() => Ok(value),
--- a/crates/wisteriahitch-config/src/read/source.rs
+++ b/crates/wisteriahitch-config/src/read/source.rs
@@ -1,18 +1,18 @@
-//! One text that takes part in a check.
+//! A source text of a check.
 
 use crate::SectionName;
 
-/// Holds one text: the submitted one, or a section in force that is checked along with it.
+/// A text to check: the submitted one, or a section in force that is checked together with it.
 #[derive(Clone, Debug)]
 pub(crate) struct Source<'a> {
-    /// Name of the section in force; nothing for the submitted text.
+    /// Name of the section in force; `None` for the submitted text.
     pub(crate) section: Option<SectionName>,
-    /// The text itself.
+    /// TOML text.
     pub(crate) text: &'a str,
 }
 
 impl<'a> Source<'a> {
-    /// Wraps the submitted text.
+    /// Creates the source of the submitted text.
     pub(crate) fn submitted(text: &'a str) -> Self {
         Self {
             section: None,
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Returns line and column of a byte offset, both from 1; an offset past the end counts as it.
+    /// Returns the line and column of a byte offset, both from 1. An offset past the end of the
+    /// text is treated as its end.
     pub(crate) fn position(&self, offset: usize) -> (u32, u32) {
         let mut end = offset.min(self.text.len());
         while !self.text.is_char_boundary(end) {
--- a/crates/wisteriahitch-config/src/read/table_numbers.rs
+++ b/crates/wisteriahitch-config/src/read/table_numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers and spans of one TOML table.
+//! Reading numbers and durations from a TOML table.
 
 use std::ops::RangeInclusive;
 
@@ -10,7 +10,7 @@
 const MS_PER_S: u64 = 1_000;
 
 impl TableReader<'_, '_> {
-    /// Reads a whole number that may be missing.
+    /// Reads an optional integer, and reports one outside the range.
     pub(crate) fn number(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let value = self.get(key)?;
         let found = match whole_number(value.get_ref()) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Reads a whole number that must be there.
+    /// Reads a required integer, and reports a missing one or one outside the range.
     pub(crate) fn required_number(
         &self,
         key: &'static str,
@@ -41,14 +41,15 @@
         self.number(key, range)
     }
 
-    /// Reads a small whole number that may be missing.
+    /// Reads an optional integer that fits into 32 bits, and reports one outside the range.
     pub(crate) fn small(&self, key: &'static str, range: RangeInclusive<u32>) -> Option<u32> {
         let range = u64::from(*range.start())..=u64::from(*range.end());
         self.number(key, range)
             .and_then(|number| u32::try_from(number).ok())
     }
 
-    /// Reads a span that is given in milliseconds or in seconds, under a key with that unit.
+    /// Reads an optional duration, given in milliseconds or in seconds under the key with that
+    /// unit. The range is in milliseconds for both.
     pub(crate) fn duration(
         &self,
         keys: DurationKeys,
@@ -66,16 +67,16 @@
     }
 }
 
-/// Names the two keys that one span may be given under.
+/// The two keys that a duration may be given under.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DurationKeys {
-    /// Key with the unit milliseconds.
+    /// Key of the duration in milliseconds.
     pub(crate) ms: &'static str,
-    /// Key with the unit seconds.
+    /// Key of the duration in seconds.
     pub(crate) s: &'static str,
 }
 
-/// Builds [`DurationKeys`] from the name without its unit.
+/// Builds [`DurationKeys`] from the name of the duration without its unit.
 macro_rules! duration_keys {
     ($name:literal) => {
         $crate::read::DurationKeys {
--- a/crates/wisteriahitch-config/src/read/table_reader.rs
+++ b/crates/wisteriahitch-config/src/read/table_reader.rs
@@ -1,4 +1,4 @@
-//! Reads one TOML table and reports what is wrong with it.
+//! Reads a TOML table and reports problems in it.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,8 +11,8 @@
 use super::value::wrong_type;
 use super::{FromValue, Place, Placed, ProblemLog};
 
-/// Reads the keys of one table; each fault goes to the log, and [`TableReader::finish`] reports
-/// the keys that nobody asked for.
+/// Reads the keys of one table. Problems go to the log; [`TableReader::finish`] reports the keys
+/// that were never read, as unknown ones.
 pub(crate) struct TableReader<'r, 'i> {
     log: &'r ProblemLog<'i>,
     table: &'r DeTable<'i>,
@@ -21,7 +21,7 @@
 }
 
 impl<'r, 'i> TableReader<'r, 'i> {
-    /// Opens a table at a place; an empty path is the top of the text.
+    /// Creates a reader of the table at a location; an empty path is the top of the text.
     pub(crate) fn new(log: &'r ProblemLog<'i>, table: &'r DeTable<'i>, place: Place) -> Self {
         Self {
             log,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns where the table stands.
+    /// Returns the location of the table.
     pub(crate) fn place(&self) -> &Place {
         &self.place
     }
@@ -41,18 +41,18 @@
         self.log
     }
 
-    /// Returns whether the table holds a key.
+    /// Returns whether the table contains a key.
     pub(crate) fn has(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// Returns whether a key holds a list without elements.
+    /// Returns whether the value of a key is an empty list.
     pub(crate) fn list_is_empty(&self, key: &str) -> bool {
         let array = self.table.get(key).and_then(|v| v.get_ref().as_array());
         array.is_some_and(|array| array.is_empty())
     }
 
-    /// Returns where a key's value stands, or the table where the key is missing.
+    /// Returns the location of a key's value, or of the table if the key is missing.
     pub(crate) fn place_of(&self, key: &str) -> Place {
         match self.table.get(key) {
             Some(value) => self.child_place(key, value),
@@ -60,34 +60,34 @@
         }
     }
 
-    /// Adds a problem at a key.
+    /// Adds a problem at a key, or at the table if the key is missing.
     pub(crate) fn fault(&self, code: Code, key: &str, message: impl Into<String>) {
         self.log.add(code, &self.place_of(key), message);
     }
 
-    /// Reads a key that may be missing.
+    /// Reads an optional key.
     pub(crate) fn optional<T: FromValue>(&self, key: &'static str) -> Option<T> {
         self.optional_placed(key).map(|placed| placed.value)
     }
 
-    /// Reads a key that may be missing, with its place.
+    /// Reads an optional key, with its location.
     pub(crate) fn optional_placed<T: FromValue>(&self, key: &'static str) -> Option<Placed<T>> {
         let value = self.get(key)?;
         self.convert(value, self.child_place(key, value))
     }
 
-    /// Reads a key that must be there.
+    /// Reads a required key.
     pub(crate) fn required<T: FromValue>(&self, key: &'static str) -> Option<T> {
         self.required_placed(key).map(|placed| placed.value)
     }
 
-    /// Reads a key that must be there, with its place.
+    /// Reads a required key, with its location.
     pub(crate) fn required_placed<T: FromValue>(&self, key: &'static str) -> Option<Placed<T>> {
         self.expect(key);
         self.optional_placed(key)
     }
 
-    /// Reads a list of values; a missing one is empty.
+    /// Reads a list of values without duplicates; a missing list counts as empty.
     pub(crate) fn list<T: FromValue + Ord + Clone>(&self, key: &'static str) -> Vec<Placed<T>> {
         let mut seen = BTreeSet::new();
         let mut values = Vec::new();
@@ -106,7 +106,7 @@
         values
     }
 
-    /// Reads a list of values that must be there and hold at least one.
+    /// Reads a required list of values, which must not be empty.
     pub(crate) fn required_list<T>(&self, key: &'static str) -> Vec<Placed<T>>
     where
         T: FromValue + Ord + Clone,
@@ -117,13 +117,14 @@
         self.list(key)
     }
 
-    /// Opens a table that may be missing.
+    /// Opens an optional table.
     pub(crate) fn table(&self, key: &'static str) -> Option<TableReader<'r, 'i>> {
         let value = self.get(key)?;
         self.open(value, self.child_place(key, value))
     }
 
-    /// Opens a table without reporting what is wrong with it, for one that is read elsewhere.
+    /// Opens a table without marking its key as read or reporting problems, for a table that is
+    /// also read by other code.
     pub(crate) fn peek_table(&self, key: &str) -> Option<TableReader<'r, 'i>> {
         let value = self.table.get(key)?;
         let table = value.get_ref().as_table()?;
@@ -134,7 +135,7 @@
         ))
     }
 
-    /// Opens every table of a list; a missing list is empty.
+    /// Opens every table of a list; a missing list counts as empty.
     pub(crate) fn tables(&self, key: &'static str) -> Vec<TableReader<'r, 'i>> {
         self.elements(key)
             .into_iter()
@@ -142,7 +143,7 @@
             .collect()
     }
 
-    /// Reads every key of the table, where its names are the operator's to choose.
+    /// Reads every entry of a table whose keys the operator chooses freely.
     pub(crate) fn entries<T: FromValue>(&self) -> Vec<(String, Placed<T>)> {
         let entry = |key: &Spanned<DeString<'i>>, value: &Spanned<DeValue<'i>>| {
             let name = key.get_ref().as_ref().to_owned();
@@ -155,7 +156,7 @@
             .collect()
     }
 
-    /// Reports a missing key and returns whether it is there.
+    /// Returns whether a required key is present, and reports it if not.
     pub(crate) fn expect(&self, key: &'static str) -> bool {
         let is_there = self.has(key);
         if !is_there {
@@ -165,7 +166,7 @@
         is_there
     }
 
-    /// Reports every key of the table that nobody asked for.
+    /// Reports every key of the table that was not read.
     pub(crate) fn finish(self) {
         let asked = self.asked.borrow();
         for key in self.table.keys() {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Returns a key's value and notes that the key exists.
+    /// Returns a key's value and records the key as a known one.
     pub(super) fn get(&self, key: &'static str) -> Option<&'r Spanned<DeValue<'i>>> {
         self.asked.borrow_mut().push(key);
         self.table.get(key)
--- a/crates/wisteriahitch-config/src/read/value.rs
+++ b/crates/wisteriahitch-config/src/read/value.rs
@@ -1,4 +1,4 @@
-//! Typed values from TOML values.
+//! Conversion of TOML values to typed values.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -9,13 +9,13 @@
     RuleName, ServiceName, Share, StoreId, WeightVersion, WorkspaceId,
 };
 
-/// Reads itself from a TOML value; the error is a sentence for the operator.
+/// A type that can be read from a TOML value; the error is a message for the operator.
 pub(crate) trait FromValue: Sized {
-    /// Reads the value, or says what was expected and what was found.
+    /// Converts the value, or returns a message with what was expected and what was found.
     fn from_value(value: &DeValue<'_>) -> Result<Self, String>;
 }
 
-/// Returns the sentence for a value of the wrong type.
+/// Returns the message for a value of the wrong type.
 pub(crate) fn wrong_type(expected: &str, value: &DeValue<'_>) -> String {
     format!("expected {expected}, found {}", describe(value))
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns a whole number, or says what was found in its place.
+/// Returns an integer, or the message for a value that is not one.
 pub(crate) fn whole_number(value: &DeValue<'_>) -> Result<i128, String> {
     let DeValue::Integer(integer) = value else {
         return Err(wrong_type("a whole number", value));
@@ -84,8 +84,8 @@
 
 impl FromValue for KeyHash {
     fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        // The number parser beneath takes signs, so that `+1` would pass for two digits and one
-        // hash could be written in two ways.
+        // The integer parser used by `KeyHash` accepts signs: `+1` would count as two digits, and
+        // one hash could be written in two ways.
         let is_hex = text(value)?.chars().all(|c| c.is_ascii_hexdigit());
         match parse_text(value) {
             Ok(hash) if is_hex => Ok(hash),
--- a/crates/wisteriahitch-config/src/report/mod.rs
+++ b/crates/wisteriahitch-config/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a text that does not pass the checks.
+//! Reports on texts that fail the checks.
 
 mod problem;
 #[expect(clippy::module_inception, reason = "the file is named after its type")]
--- a/crates/wisteriahitch-config/src/report/problem.rs
+++ b/crates/wisteriahitch-config/src/report/problem.rs
@@ -1,4 +1,4 @@
-//! One fault of a submitted text.
+//! A problem in a checked text.
 
 use std::fmt;
 
@@ -7,26 +7,26 @@
 
 use crate::SectionName;
 
-/// Locates and explains one fault of a submitted text.
+/// A problem in a checked text, with its location.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Problem {
-    /// Kind of the fault.
+    /// Code of the kind of problem.
     pub code: Code,
-    /// Section in force that the position is in; nothing where it is in the submitted text.
+    /// Section in force that the location is in; `None` for the submitted text.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub section: Option<SectionName>,
-    /// Line, from 1.
+    /// Line in the text, from 1.
     pub line: u32,
-    /// Character within the line, from 1.
+    /// Column in characters, from 1.
     pub column: u32,
-    /// Key that the fault is at, such as `rules[2].then.route.service`.
+    /// Path of the key, such as `rules[2].then.route.service`; empty if there is none.
     pub path: String,
-    /// Sentence for the operator.
+    /// Explanation for the operator.
     pub message: String,
 }
 
 impl Problem {
-    /// Writes the problem as one line, with `file` for the name of the submitted text.
+    /// Writes the problem as one line, with `file` as the name of the submitted text.
     pub(crate) fn write_line(&self, file: &str, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.section {
             None => write!(f, "{file}")?,
--- a/crates/wisteriahitch-config/src/report/report.rs
+++ b/crates/wisteriahitch-config/src/report/report.rs
@@ -1,4 +1,4 @@
-//! Every fault of a submitted text at once.
+//! The problems of a checked text and their rendering.
 
 use std::fmt;
 
@@ -6,13 +6,12 @@
 
 use super::Problem;
 
-/// Name that stands for the text where no file name is known.
+/// Name of the text in rendered lines where no file name is known.
 const UNNAMED_TEXT: &str = "text";
 
-/// Holds every fault that was found, in the order of the text.
+/// The problems found in a text, ordered by their location.
 ///
-/// The report is made apart from its rendering: [`Report::in_file`] gives lines for a terminal,
-/// and its serialized form serves `--json`.
+/// [`Report::in_file`] renders it as lines for a terminal; `--json` prints its serialized form.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Report {
     problems: Vec<Problem>,
@@ -20,7 +19,7 @@
 }
 
 impl Report {
-    /// Gathers problems into a report, ordered by their place.
+    /// Creates a report and sorts the problems by location.
     pub(crate) fn new(mut problems: Vec<Problem>, is_cut: bool) -> Self {
         let place = |problem: &Problem| {
             let section = problem.section.clone();
@@ -30,17 +29,17 @@
         Self { problems, is_cut }
     }
 
-    /// Returns the problems in the order of the text.
+    /// Returns the problems, ordered by location.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
 
-    /// Returns whether there are more problems than are listed.
+    /// Returns whether more problems were found than are listed.
     pub fn is_cut(&self) -> bool {
         self.is_cut
     }
 
-    /// Returns the report as lines that open with the name of the file.
+    /// Returns a rendering as lines that start with the name of the file.
     pub fn in_file<'a>(&'a self, file: &'a str) -> ReportInFile<'a> {
         ReportInFile { report: self, file }
     }
@@ -54,7 +53,7 @@
 
 impl std::error::Error for Report {}
 
-/// Renders a [`Report`] as one line a problem, such as
+/// Renders a [`Report`] with one line per problem, such as
 /// `site.toml:12:5: W4004 services[0].stores[1]: no store is named "hub-d"`.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportInFile<'a> {
--- a/crates/wisteriahitch-config/src/sections/canonical.rs
+++ b/crates/wisteriahitch-config/src/sections/canonical.rs
@@ -1,4 +1,4 @@
-//! One way of writing the same section, whatever spacing and order an operator uses.
+//! Canonical text of sections, independent of the spacing and key order of the submission.
 
 use toml::{Table, Value};
 use wisteriahitch_types::WorkspaceId;
@@ -8,8 +8,8 @@
 
 const ID_KEY: &str = "id";
 
-/// Splits a submission into sections of canonical text: sorted keys, no comments, and lists in
-/// their order. The submission must have been read without problems.
+/// Splits a submission into sections of canonical text: keys are sorted, comments removed, and
+/// lists keep their order. The submission must have passed reading without problems.
 pub(super) fn split(text: &str) -> Result<Vec<(SectionName, Section)>, toml::de::Error> {
     let mut top: Table = toml::from_str(text)?;
     let workspaces = top.remove(WORKSPACES_KEY);
--- a/crates/wisteriahitch-config/src/sections/change.rs
+++ b/crates/wisteriahitch-config/src/sections/change.rs
@@ -1,4 +1,4 @@
-//! What a submission changes.
+//! Differences between two sets of sections.
 
 use std::fmt;
 
@@ -6,20 +6,20 @@
 
 use super::SectionName;
 
-/// Names a section that differs between two configurations.
+/// A difference in one section between two configurations.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// The section is new.
+    /// The section was added.
     Added(SectionName),
-    /// The section has another content.
+    /// The content of the section changed.
     Changed(SectionName),
-    /// The section is gone.
+    /// The section was removed.
     Removed(SectionName),
 }
 
 impl Change {
-    /// Returns the section's name.
+    /// Returns the name of the section.
     pub fn into_name(self) -> SectionName {
         match self {
             Change::Added(name) | Change::Changed(name) | Change::Removed(name) => name,
--- a/crates/wisteriahitch-config/src/sections/mod.rs
+++ b/crates/wisteriahitch-config/src/sections/mod.rs
@@ -1,4 +1,4 @@
-//! A configuration in the parts that are stored and passed on by themselves.
+//! Sections: the parts of a configuration that are stored and distributed separately.
 
 mod canonical;
 mod change;
--- a/crates/wisteriahitch-config/src/sections/section.rs
+++ b/crates/wisteriahitch-config/src/sections/section.rs
@@ -1,10 +1,10 @@
-//! One section: a text and its name by content.
+//! A section: a text, addressed by its content hash.
 
 use std::sync::Arc;
 
 use super::SectionHash;
 
-/// Holds a section's text with the hash that names it.
+/// The text of a section with its content hash.
 ///
 /// ```
 /// use wisteriahitch_config::Section;
@@ -19,29 +19,29 @@
     text: Arc<str>,
 }
 
-/// Reports a text that doesn't fit the hash that names it.
+/// Error for a text that doesn't match the hash it was fetched under.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the section is named {expected}, but its text has the hash {found}")]
 pub struct SectionMismatch {
     /// Hash under which the text was fetched.
     pub expected: SectionHash,
-    /// Hash of the text that came.
+    /// Hash of the text received.
     pub found: SectionHash,
 }
 
 impl Section {
-    /// Wraps a text and computes its name.
+    /// Creates a section from a text and computes its hash.
     pub fn new(text: impl Into<Arc<str>>) -> Self {
         let text = text.into();
         let hash = SectionHash::of(text.as_bytes());
         Self { hash, text }
     }
 
-    /// Wraps a text that was fetched under a hash.
+    /// Creates a section from a text that was fetched under a hash.
     ///
     /// # Errors
     ///
-    /// The text doesn't have that hash.
+    /// Returns [`SectionMismatch`] if the text has another hash.
     pub fn try_checked(
         expected: SectionHash,
         text: impl Into<Arc<str>>,
@@ -54,12 +54,12 @@
         Ok(section)
     }
 
-    /// Returns the name of the text.
+    /// Returns the content hash of the text.
     pub fn hash(&self) -> SectionHash {
         self.hash
     }
 
-    /// Returns the text.
+    /// Returns the TOML text of the section.
     pub fn text(&self) -> &str {
         &self.text
     }
--- a/crates/wisteriahitch-config/src/sections/section_hash.rs
+++ b/crates/wisteriahitch-config/src/sections/section_hash.rs
@@ -1,4 +1,4 @@
-//! Names of sections' contents.
+//! Content hashes of sections.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::ParseKeyError;
 
-/// Names a section's text by its content, in 64 hexadecimal digits.
+/// BLAKE3 hash of the text of a section, written as 64 hexadecimal digits.
 ///
-/// Two texts share a name only if they are equal, so a section once fetched never has to be
-/// fetched again and can't be changed under its name.
+/// Two texts have the same hash only if they are equal, so a section that was fetched once never
+/// has to be fetched again, and its text can't change under its hash.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SectionHash([u8; blake3::OUT_LEN]);
 
 impl SectionHash {
-    /// Returns the name of a text.
+    /// Returns the hash of a text.
     pub fn of(text: impl AsRef<[u8]>) -> Self {
         Self(blake3::hash(text.as_ref()).into())
     }
--- a/crates/wisteriahitch-config/src/sections/section_name.rs
+++ b/crates/wisteriahitch-config/src/sections/section_name.rs
@@ -9,13 +9,13 @@
 const SITE: &str = "site";
 const WORKSPACE_PREFIX: &str = "workspace/";
 
-/// Names one section of a configuration: `site`, or `workspace/ID`.
+/// Name of a section of a configuration: `site`, or `workspace/ID`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum SectionName {
-    /// Everything but the workspaces.
+    /// The section of everything but the workspaces.
     Site,
-    /// One workspace.
+    /// The section of one workspace.
     Workspace(WorkspaceId),
 }
 
--- a/crates/wisteriahitch-config/src/sections/sections.rs
+++ b/crates/wisteriahitch-config/src/sections/sections.rs
@@ -1,4 +1,4 @@
-//! All sections of a configuration.
+//! Splitting, merging and checking the sections of a configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 use crate::read::{ProblemLog, Source};
 use crate::{Configuration, Report};
 
-/// Holds the sections of a configuration: `site`, and one for each workspace.
+/// The sections of a configuration: `site`, and one for each workspace.
 ///
-/// A change of one workspace moves that section alone, and a mistake in it is refused with all
-/// other sections untouched (`docs/design/configuration.md`).
+/// A change of one workspace replaces only its section, and a mistake in it leaves all other
+/// sections unchanged (`docs/design/configuration.md`).
 ///
 /// ```
 /// use wisteriahitch_config::{SectionName, Sections};
@@ -36,19 +36,19 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Sections {
     pub(super) sections: BTreeMap<SectionName, Section>,
-    /// Workspaces that a submission takes out; empty but for a submission.
+    /// Workspaces that a submission removes; always empty for sections in force.
     pub(super) removed: BTreeSet<WorkspaceId>,
 }
 
 impl Sections {
-    /// Reads a submission and splits it; it may hold workspaces only, or no workspaces.
+    /// Parses a submission and splits it into sections. It may hold only workspaces, or none.
     ///
-    /// Names are not resolved here, since the submission may be a part: [`Sections::accept`]
-    /// checks it together with what it is merged into.
+    /// Names are not resolved here, since the submission may hold only some of the sections:
+    /// [`Sections::accept`] checks it together with the sections it is merged into.
     ///
     /// # Errors
     ///
-    /// Every fault that can be found in the submission by itself.
+    /// Reports all problems that can be found in the submission on its own.
     pub fn split(text: &str) -> Result<Self, Report> {
         let log = ProblemLog::new(vec![Source::submitted(text)]);
         let draft = Draft::read(&log);
@@ -57,11 +57,11 @@
         log.finish(split)
     }
 
-    /// Checks the whole that the sections make.
+    /// Combines the sections into a configuration and checks it.
     ///
     /// # Errors
     ///
-    /// Every fault, with its place in the text of its section.
+    /// Reports all problems, each with its location in the text of its section.
     pub fn assemble(&self) -> Result<Configuration, Report> {
         let nothing = Self::default();
         let log = ProblemLog::new(self.sources(&nothing).collect());
@@ -70,10 +70,10 @@
         log.finish(checked)
     }
 
-    /// Returns these sections with the submitted ones in their places, and without the workspaces
+    /// Returns these sections with the submitted ones added or replaced, and without the workspaces
     /// that the submission names under `removed_workspaces`.
     ///
-    /// Every other section stays: a workspace is never lost because a text leaves it out.
+    /// All other sections are unchanged: omitting a workspace from a text never removes it.
     pub fn merge(&self, submitted: &Self) -> Self {
         let mut merged = self.clone();
         for id in &submitted.removed {
@@ -87,15 +87,15 @@
     }
 
     /// Checks a submission together with these sections, and returns the merged sections and the
-    /// configuration that they make. Nothing is changed where a fault is found.
+    /// configuration that they form. These sections stay unchanged.
     ///
     /// # Errors
     ///
-    /// Every fault, with its place in the submitted text or in the section in force.
+    /// Reports all problems, each with its location in the submitted text or in a section in force.
     pub fn accept(&self, text: &str) -> Result<(Self, Configuration), Report> {
         let submitted = Self::split(text)?;
         let merged = self.merge(&submitted);
-        // The submitted text comes last, so that a name given twice is reported there.
+        // The submitted text comes last, so that a duplicate name is reported in it.
         let mut sources: Vec<_> = merged.sources(&submitted).collect();
         sources.push(Source::submitted(text));
         let log = ProblemLog::new(sources);
@@ -107,7 +107,8 @@
         log.finish(checked.map(|configuration| (merged.clone(), configuration)))
     }
 
-    /// Returns what differs in `after`, in the order of the names.
+    /// Returns the changes from these sections to `after`: additions, then changes, then removals,
+    /// each in the order of the names.
     pub fn changes_to(&self, after: &Self) -> Vec<Change> {
         let gone = self
             .sections
@@ -125,22 +126,22 @@
         changes
     }
 
-    /// Adds a section, or replaces the one of that name.
+    /// Adds a section, or replaces the one with this name.
     pub fn insert(&mut self, name: SectionName, section: Section) {
         self.sections.insert(name, section);
     }
 
-    /// Removes a section and returns it.
+    /// Removes the section with this name and returns it.
     pub fn remove(&mut self, name: &SectionName) -> Option<Section> {
         self.sections.remove(name)
     }
 
-    /// Returns a section.
+    /// Returns the section with this name.
     pub fn get(&self, name: &SectionName) -> Option<&Section> {
         self.sections.get(name)
     }
 
-    /// Returns every section in the order of the names.
+    /// Returns all sections in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&SectionName, &Section)> {
         self.sections.iter()
     }
@@ -150,12 +151,12 @@
         self.sections.len()
     }
 
-    /// Returns whether there is no section.
+    /// Returns whether there are no sections.
     pub fn is_empty(&self) -> bool {
         self.sections.is_empty()
     }
 
-    /// Returns the sections as texts to check, without those that `replaced` holds.
+    /// Returns the sections as texts to check, except those that are also in `replaced`.
     fn sources<'a>(&'a self, replaced: &'a Self) -> impl Iterator<Item = Source<'a>> {
         let kept = |(name, section): (&SectionName, &'a Section)| {
             let is_kept = !replaced.sections.contains_key(name);
--- a/crates/wisteriahitch-config/src/sections/submission.rs
+++ b/crates/wisteriahitch-config/src/sections/submission.rs
@@ -1,4 +1,4 @@
-//! What is checked of a submission beside the configuration that it makes.
+//! Checks of a submission beyond those of the resulting configuration.
 
 use wisteriahitch_types::Code;
 
@@ -6,17 +6,17 @@
 use crate::draft::Draft;
 use crate::read::ProblemLog;
 
-/// Longest section, as the JSON text that the platform keeps; its limit is a megabyte, and the
-/// object around the text takes some of it.
+/// Maximum size of a section as the JSON text that the platform stores. The platform's limit is one
+/// megabyte, part of which the object around the text takes.
 const MAX_SECTION_BYTES: usize = 990_000;
-/// Longest list of all sections' names and hashes, which the head object holds.
+/// Maximum size of the list of all sections' names and hashes, which the head object stores.
 const MAX_NAMES_BYTES: usize = 900_000;
-/// What a section takes in the head beside its name: the hash, quotes and commas.
+/// Size of an entry of that list without the name: the hash, quotes and commas.
 const NAME_OVERHEAD_BYTES: usize = 80;
 
 impl Sections {
-    /// Reports workspaces to be removed that are not in force, since a mistyped name would leave
-    /// a customer's keys valid.
+    /// Reports workspaces to remove that are not in force: after a typo in the name, the customer's
+    /// keys would stay valid.
     pub(super) fn check_removed(&self, draft: &Draft, log: &ProblemLog<'_>) {
         for id in &draft.removed {
             let name = SectionName::Workspace(id.value.clone());
@@ -27,11 +27,11 @@
         }
     }
 
-    /// Reports workspaces in force that a text for the whole site leaves out.
+    /// Reports workspaces in force that a text for the whole site omits.
     ///
-    /// An operator who deletes a workspace from such a text expects it gone, and one who adds a
-    /// workspace to the text of the rules expects all others kept. Either guess would be wrong
-    /// for somebody's customers, so the text has to say which.
+    /// An operator who deletes a workspace from such a text expects it to be removed; one who adds
+    /// a workspace to the text of the rules expects all others to stay. Either guess would be wrong
+    /// for some customers, so the submission must be explicit.
     pub(super) fn check_left_out(&self, submitted: &Self, log: &ProblemLog<'_>) {
         let is_whole = submitted.get(&SectionName::Site).is_some() && submitted.len() > 1;
         if !is_whole {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reports a list of sections that is too long for the head object.
+    /// Reports a list of sections that is too large for the head object.
     pub(super) fn check_size(&self, log: &ProblemLog<'_>) {
         let names = self.sections.keys();
         let bytes: usize = names
@@ -65,7 +65,7 @@
     }
 }
 
-/// Splits a submission that was read without problems; what is wrong with the parts is reported.
+/// Splits a submission that was read without problems, and reports problems of its sections.
 pub(super) fn split_read(text: &str, draft: &Draft, log: &ProblemLog<'_>) -> Sections {
     let removed = draft.removed.iter().map(|id| id.value.clone());
     let mut sections = Sections {
--- a/crates/wisteriahitch-config/src/settings/addresses.rs
+++ b/crates/wisteriahitch-config/src/settings/addresses.rs
@@ -1,4 +1,4 @@
-//! Checks of the addresses that a daemon serves and calls.
+//! Checks of the addresses that a daemon listens on and connects to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use super::{ListenSettings, Settings};
 use crate::read::{Place, Placed, TableReader};
 
-/// Checks the daemon's own addresses against those that it is to call.
+/// Reports addresses to connect to that are the daemon's own.
 pub(super) fn check_own(top: &TableReader<'_, '_>, settings: &Settings) {
     let ListenSettings {
         callers,
@@ -27,7 +27,7 @@
             );
         }
     }
-    // A list of seeds may hold the daemon's own peer address, so that all daemons share one list.
+    // The seeds may include the daemon's own peer address, so that all daemons can share one list.
     for address in &settings.peers.seeds {
         if [callers, operators].contains(address) {
             let message = format!("{address} is this daemon's own address, but not for peers");
@@ -42,7 +42,7 @@
     }
 }
 
-/// Checks that the addresses a daemon serves differ and can be reached.
+/// Checks that the addresses a daemon listens on are distinct and that others can connect to them.
 pub(super) fn check_distinct(table: &TableReader<'_, '_>, found: [&Option<Placed<SocketAddr>>; 3]) {
     let mut first: BTreeMap<SocketAddr, &Place> = BTreeMap::new();
     for Placed { value, place } in found.into_iter().flatten() {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Callers and peers are told the address that a daemon serves, so one that only the daemon itself
-/// can use (every address, or any free port) would send them nowhere.
+/// Reports an unspecified address or port 0. The daemon publishes its listen addresses to callers
+/// and peers, who could not connect to such an address.
 fn check_reachable(table: &TableReader<'_, '_>, address: SocketAddr, place: &Place) {
     if address.ip().is_unspecified() || address.port() == 0 {
         let message = format!("{address} is not an address that others can connect to");
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns addresses of others without their places, once they are checked.
+/// Checks that addresses can be connected to, and returns them without their locations.
 pub(super) fn plain_addresses(
     table: &TableReader<'_, '_>,
     found: Vec<Placed<SocketAddr>>,
--- a/crates/wisteriahitch-config/src/settings/log_level.rs
+++ b/crates/wisteriahitch-config/src/settings/log_level.rs
@@ -1,4 +1,4 @@
-//! How much a daemon logs.
+//! Log levels.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 
 use crate::read::FromValue;
 
-/// Says which log lines are written.
+/// Minimum severity of the log lines that are written.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Failures that an operator has to look at.
+    /// Failures that need an operator.
     Error,
-    /// And what may become one.
+    /// Also conditions that may lead to a failure.
     Warn,
-    /// And every change of state.
+    /// Also every change of state.
     #[default]
     Info,
-    /// And every decision.
+    /// Also every decision.
     Debug,
-    /// And every message.
+    /// Also every message.
     Trace,
 }
 
@@ -33,7 +33,7 @@
         LogLevel::Trace,
     ];
 
-    /// Returns the level as it is written in the settings.
+    /// Returns the name of the level in the settings.
     pub const fn as_str(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
--- a/crates/wisteriahitch-config/src/settings/mod.rs
+++ b/crates/wisteriahitch-config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's own settings file.
+//! The settings file of a daemon.
 
 mod addresses;
 mod log_level;
--- a/crates/wisteriahitch-config/src/settings/policy_name.rs
+++ b/crates/wisteriahitch-config/src/settings/policy_name.rs
@@ -1,4 +1,4 @@
-//! Which routing policy a daemon runs.
+//! Names of the routing policies.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,23 +8,23 @@
 
 use crate::read::FromValue;
 
-/// Names a routing policy; all but the first are there to be measured against.
+/// A routing policy. All but [`PolicyName::Cost`] are baselines for measurements.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// Least cost by first token and prompt work recomputed.
+    /// Lowest cost in time to the first token and prompt work recomputed.
     #[default]
     Cost,
-    /// Endpoints in turn.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// Fewest requests in the last report.
+    /// The endpoint with the fewest requests in its last report.
     LeastLoaded,
-    /// Prompts that begin alike at one endpoint.
+    /// The same endpoint for prompts with the same beginning.
     Affinity,
 }
 
 impl PolicyName {
-    /// Lists every policy.
+    /// All policies.
     pub const ALL: [PolicyName; 4] = [
         PolicyName::Cost,
         PolicyName::RoundRobin,
@@ -32,7 +32,7 @@
         PolicyName::Affinity,
     ];
 
-    /// Returns the policy as it is written in the settings.
+    /// Returns the name of the policy in the settings.
     pub const fn as_str(self) -> &'static str {
         match self {
             PolicyName::Cost => "cost",
--- a/crates/wisteriahitch-config/src/settings/read.rs
+++ b/crates/wisteriahitch-config/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the settings file.
+//! Parsing and checking of the settings file.
 
 use std::ops::RangeInclusive;
 
@@ -21,17 +21,17 @@
 const KEEP_ALIVE_MS: RangeInclusive<u64> = 1..=3_600_000;
 const HEADER_BYTES: RangeInclusive<u64> = 1 << 10..=1 << 20;
 const BODY_BYTES: RangeInclusive<u64> = 1 << 10..=1 << 30;
-/// An answer is kept in an object of at most a megabyte, and base64 makes it a third longer.
+/// An answer is stored base64-encoded, a third longer, in an object of at most one megabyte.
 const ANSWER_BYTES: RangeInclusive<u64> = 1 << 10..=700 << 10;
 const MAX_STREAMS: u32 = 1_000_000;
 const MAX_CORES: u32 = 1_024;
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Parses and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Every fault of the text at once, each with its code, line and column.
+    /// Reports all problems of the text at once, each with its code, line and column.
     pub fn check(text: &str) -> Result<Self, Report> {
         let log = ProblemLog::new(vec![Source::submitted(text)]);
         let table = log.parse(0);
--- a/crates/wisteriahitch-config/src/settings/settings.rs
+++ b/crates/wisteriahitch-config/src/settings/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings as plain data.
+//! The settings of a daemon.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use super::{LogLevel, PolicyName};
 
-/// Holds the settings of one daemon; `docs/SETTINGS.md` explains each.
+/// The settings of a daemon; `docs/SETTINGS.md` explains each.
 ///
 /// ```
 /// use wisteriahitch_config::Settings;
@@ -25,54 +25,54 @@
 pub struct Settings {
     /// Name of the daemon, unique in the site.
     pub id: DaemonId,
-    /// Availability zone of the VM.
+    /// Availability zone of the VM that the daemon runs on.
     pub availability_zone: AvailabilityZone,
-    /// Addresses that the daemon serves.
+    /// Addresses that the daemon listens on.
     pub listen: ListenSettings,
-    /// How the platform is called.
+    /// Access to the platform.
     pub platform: PlatformSettings,
-    /// How other daemons are found and probed.
+    /// Discovery and probing of other daemons.
     pub peers: PeerSettings,
-    /// Bounds on what one daemon takes from callers.
+    /// Limits on requests from callers.
     pub limits: RequestLimits,
-    /// Who may give this daemon orders.
+    /// Operators that the daemon accepts commands from.
     pub operators: OperatorSettings,
-    /// What is logged, and where to.
+    /// Log level and destination.
     pub log: LogSettings,
-    /// How the process runs.
+    /// Threads and routing policy of the process.
     pub run: RunSettings,
 }
 
-/// Holds the addresses that a daemon serves; each is also the one that others are told.
+/// Addresses that a daemon listens on and publishes to others.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
-    /// For operators and metrics.
+    /// Address for operators and for metrics.
     pub operators: SocketAddr,
 }
 
-/// Holds how the platform is called.
+/// Access to the platform, from `[platform]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PlatformSettings {
     /// Addresses of the object API, tried in this order.
     pub addresses: Vec<SocketAddr>,
-    /// Most reads a second of this daemon; a waiting watch counts as one.
+    /// Maximum number of reads per second by this daemon; a pending watch counts as one read.
     pub reads_per_s: u32,
-    /// Most writes a second of this daemon.
+    /// Maximum number of writes per second by this daemon.
     pub writes_per_s: u32,
-    /// Longest wait for an answer.
+    /// Maximum time to wait for an answer of the platform.
     pub timeout_us: DurationUs,
 }
 
-/// Holds how other daemons are found and probed.
+/// Discovery and probing of other daemons, from `[peers]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PeerSettings {
-    /// Peer addresses of daemons that are asked first.
+    /// Peer addresses of the daemons to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two rounds of probes.
+    /// Interval between rounds of probes.
     pub probe_interval_us: DurationUs,
 }
 
@@ -85,26 +85,26 @@
     }
 }
 
-/// Holds the bounds on what one daemon takes from callers.
+/// Limits on the requests that a daemon accepts from callers, from `[limits]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RequestLimits {
-    /// Longest head of a request.
+    /// Maximum size of the head of a request.
     pub header_bytes: ByteCount,
-    /// Longest body of a request.
+    /// Maximum size of the body of a request.
     pub body_bytes: ByteCount,
-    /// Longest answer of a call that may not be repeated.
+    /// Maximum size of the answer to a call that may not be repeated.
     pub answer_bytes: ByteCount,
-    /// Most streams at once.
+    /// Maximum number of concurrent streams.
     pub streams: u32,
-    /// Longest wait for a request's whole head.
+    /// Maximum time to receive the whole head of a request.
     pub header_timeout_us: DurationUs,
-    /// Longest wait for a request's whole body.
+    /// Maximum time to receive the whole body of a request.
     pub body_timeout_us: DurationUs,
-    /// How long a caller may take nothing of its answer.
+    /// Maximum time that a caller may go without reading any of its answer.
     pub reader_stall_timeout_us: DurationUs,
-    /// How long a connection is kept without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_keep_alive_us: DurationUs,
-    /// Most requests that wait for an endpoint.
+    /// Maximum number of requests that wait for an endpoint.
     pub queued_requests: u32,
 }
 
@@ -124,28 +124,28 @@
     }
 }
 
-/// Holds who may give a daemon orders.
+/// Operators that a daemon accepts commands from, from `[operators]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OperatorSettings {
     /// Hashes of the operators' keys.
     pub key_hashes: Vec<KeyHash>,
 }
 
-/// Holds what is logged, and where to.
+/// Log level and destination, from `[log]`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LogSettings {
-    /// Which lines are written.
+    /// Minimum level of the lines that are written.
     pub level: LogLevel,
-    /// File that they are written to; standard output where none is given.
+    /// Path of the log file; `None` for standard output.
     pub file: Option<String>,
 }
 
-/// Holds how the process runs.
+/// Threads and routing policy of the process, from `[run]`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunSettings {
-    /// Threads that run requests.
+    /// Number of threads that run requests.
     pub cores: u32,
-    /// Routing policy; the others than the default are for experiments.
+    /// Routing policy; those other than the default are for experiments.
     pub policy: PolicyName,
 }
 
