--- a/crates/wisteriahitch-config/src/check/contradictions.rs
+++ b/crates/wisteriahitch-config/src/check/contradictions.rs
@@ -16,27 +16,27 @@
 pub(super) fn check(draft: &Draft, log: &ProblemLog<'_>) {
     let services = draft.services.iter().map(|s| (&s.name, s));
     let models = draft.models.iter().map(|model| (&model.name, model));
-    let known = Known {
+    let definitions = Definitions {
         services: services.collect(),
         models: models.collect(),
     };
     for rule in &draft.rules {
-        known.check_rule(rule, log);
+        definitions.check_rule(rule, log);
     }
 }
 
-struct Known<'d> {
+struct Definitions<'d> {
     services: BTreeMap<&'d ServiceName, &'d Service>,
     models: BTreeMap<&'d ModelName, &'d Model>,
 }
 
-impl Known<'_> {
+impl Definitions<'_> {
     fn check_rule(&self, draft: &DraftRule, log: &ProblemLog<'_>) {
         let Some(rule) = &draft.rule else {
             return;
         };
-        if let Some(message) = self.impossible(&rule.when) {
-            log.add(Code::ConfigContradiction, &draft.when, message);
+        if let Some(message) = self.condition_conflict(&rule.when) {
+            log.add(Code::ConfigContradiction, &draft.when_location, message);
         }
         let Action::Route(route) = &rule.then else {
             return;
@@ -44,40 +44,42 @@
         let Some(service) = self.services.get(&route.service) else {
             return;
         };
-        let fault = match service.kind {
-            ServiceKind::Plain => plain_fault(&rule.when, route),
-            ServiceKind::Engine => self.engine_fault(&rule.when, route, service),
+        let conflict = match service.kind {
+            ServiceKind::Plain => plain_service_conflict(&rule.when, route),
+            ServiceKind::Engine => self.engine_service_conflict(&rule.when, route, service),
         };
-        if let Some(message) = fault {
-            log.add(Code::ConfigContradiction, &draft.then, message);
+        if let Some(message) = conflict {
+            log.add(Code::ConfigContradiction, &draft.then_location, message);
         }
         if service.kind == ServiceKind::Plain {
-            refuse_engine_keys(draft, &service.name, log);
+            report_engine_keys(draft, &service.name, log);
         }
     }
 
     /// Returns a message if parts of the condition exclude each other, since its rule could then
     /// never match.
-    fn impossible(&self, when: &Condition) -> Option<String> {
-        self.too_long_prompts(when)
-            .or_else(|| self.foreign_adapter(when))
-            .or_else(|| not_a_completion(when))
+    fn condition_conflict(&self, when: &Condition) -> Option<String> {
+        self.prompt_length_conflict(when)
+            .or_else(|| self.adapter_conflict(when))
+            .or_else(|| completion_conflict(when))
     }
 
-    fn foreign_adapter(&self, when: &Condition) -> Option<String> {
+    fn adapter_conflict(&self, when: &Condition) -> Option<String> {
         if when.models.is_empty() || when.adapters.is_empty() {
             return None;
         }
         let models: Option<Vec<_>> = when.models.iter().map(|m| self.models.get(m)).collect();
         let models = models?;
-        let is_held = |adapter| models.iter().any(|model| model.adapters.contains(adapter));
-        let foreign = when.adapters.iter().find(|adapter| !is_held(adapter))?;
-        Some(format!("none of the models has the adapter {foreign}"))
+        let has_adapter = |adapter| models.iter().any(|model| model.adapters.contains(adapter));
+        let unknown_adapter = when.adapters.iter().find(|adapter| !has_adapter(adapter))?;
+        Some(format!(
+            "none of the models has the adapter {unknown_adapter}"
+        ))
     }
 
     /// Returns a message if the prompts the rule asks for are longer than any of its models
     /// accepts, since it could then match no request that runs.
-    fn too_long_prompts(&self, when: &Condition) -> Option<String> {
+    fn prompt_length_conflict(&self, when: &Condition) -> Option<String> {
         let shortest = when.min_prompt_tokens?;
         let limits = when.models.iter().map(|name| self.models.get(name));
         let limits: Option<Vec<_>> = limits
@@ -89,7 +91,12 @@
         })
     }
 
-    fn engine_fault(&self, when: &Condition, route: &Route, service: &Service) -> Option<String> {
+    fn engine_service_conflict(
+        &self,
+        when: &Condition,
+        route: &Route,
+        service: &Service,
+    ) -> Option<String> {
         let name = &service.name;
         if let Some(model) = when.models.iter().find(|m| !service.models.contains(m)) {
             return Some(format!(
@@ -98,12 +105,12 @@
         }
         let adapter = route.adapter.as_ref()?;
         let mut models = service.models.iter().filter_map(|m| self.models.get(m));
-        let is_held = models.any(|model| model.adapters.contains(adapter));
-        (!is_held).then(|| format!("no model of the service {name} has the adapter {adapter}"))
+        let has_adapter = models.any(|model| model.adapters.contains(adapter));
+        (!has_adapter).then(|| format!("no model of the service {name} has the adapter {adapter}"))
     }
 }
 
-fn plain_fault(when: &Condition, route: &Route) -> Option<String> {
+fn plain_service_conflict(when: &Condition, route: &Route) -> Option<String> {
     let name = &route.service;
     if when.is_for_completions() {
         let parts = "parts of a completion";
@@ -114,16 +121,16 @@
     None
 }
 
-fn refuse_engine_keys(draft: &DraftRule, service: &ServiceName, log: &ProblemLog<'_>) {
-    for place in &draft.engine_keys {
+fn report_engine_keys(draft: &DraftRule, service: &ServiceName, log: &ProblemLog<'_>) {
+    for location in &draft.engine_key_locations {
         let message = format!("has no meaning, because the service {service} is a plain one");
-        log.add(Code::ConfigContradiction, place, message);
+        log.add(Code::ConfigContradiction, location, message);
     }
 }
 
 /// Returns a message if the condition needs a completion but its methods or paths exclude the one
 /// call that carries completions, since its rule could then never match.
-fn not_a_completion(when: &Condition) -> Option<String> {
+fn completion_conflict(when: &Condition) -> Option<String> {
     if !when.is_for_completions() {
         return None;
     }
--- a/crates/wisteriahitch-config/src/check/finish.rs
+++ b/crates/wisteriahitch-config/src/check/finish.rs
@@ -4,7 +4,7 @@
 
 use crate::Configuration;
 use crate::draft::Draft;
-use crate::model::Lookup;
+use crate::model::ConfigurationIndexes;
 
 pub(super) fn finish(draft: Draft) -> Configuration {
     Configuration {
@@ -15,7 +15,7 @@
         workspaces: by_name(draft.workspaces, |workspace| workspace.id.clone()),
         rules: draft.rules.into_iter().filter_map(|r| r.rule).collect(),
         limits: draft.limits,
-        lookup: Lookup::default(),
+        indexes: ConfigurationIndexes::default(),
     }
 }
 
--- a/crates/wisteriahitch-config/src/check/mod.rs
+++ b/crates/wisteriahitch-config/src/check/mod.rs
@@ -16,7 +16,7 @@
 pub(crate) fn check(draft: Draft, log: &ProblemLog<'_>) -> Option<Configuration> {
     // The names defined in a text that could not be parsed are missing, so each use of them would
     // be reported as unknown.
-    if draft.has_gap {
+    if draft.has_unparsed_source {
         return None;
     }
     check_defined_once(&draft, log);
--- a/crates/wisteriahitch-config/src/check/shadow.rs
+++ b/crates/wisteriahitch-config/src/check/shadow.rs
@@ -8,7 +8,7 @@
 use crate::draft::DraftRule;
 
 /// A rule with its workspaces sorted, so that two long lists can be compared in one pass.
-struct Candidate<'d> {
+struct SortedRule<'d> {
     draft: &'d DraftRule,
     when: &'d Condition,
     workspaces: Vec<&'d WorkspaceId>,
@@ -20,23 +20,25 @@
 /// is compared only with the earlier rules without workspaces and those that name its first
 /// workspace. This keeps the check near linear where each of thousands of workspaces has rules of
 /// its own.
-pub(super) fn unreachable(rules: &[DraftRule]) -> Vec<(&DraftRule, &DraftRule)> {
-    let mut reachable: Vec<Candidate<'_>> = Vec::new();
-    let mut general: Vec<usize> = Vec::new();
+pub(super) fn unreachable_rules(rules: &[DraftRule]) -> Vec<(&DraftRule, &DraftRule)> {
+    let mut reachable: Vec<SortedRule<'_>> = Vec::new();
+    let mut without_workspaces: Vec<usize> = Vec::new();
     let mut by_workspace: HashMap<&WorkspaceId, Vec<usize>> = HashMap::new();
     let mut found = Vec::new();
-    for later in rules.iter().filter_map(Candidate::new) {
+    for later in rules.iter().filter_map(SortedRule::new) {
         let first = later.workspaces.first();
-        let own = first.and_then(|first| by_workspace.get(first));
-        let mut earlier = general.iter().chain(own.into_iter().flatten());
-        let cover = earlier.find(|position| reachable[**position].covers(&later));
-        if let Some(position) = cover {
+        let same_workspace = first.and_then(|first| by_workspace.get(first));
+        let mut earlier = without_workspaces
+            .iter()
+            .chain(same_workspace.into_iter().flatten());
+        let covering = earlier.find(|position| reachable[**position].covers(&later));
+        if let Some(position) = covering {
             found.push((later.draft, reachable[*position].draft));
             continue;
         }
         let position = reachable.len();
         if later.workspaces.is_empty() {
-            general.push(position);
+            without_workspaces.push(position);
         }
         for workspace in &later.workspaces {
             by_workspace.entry(workspace).or_default().push(position);
@@ -46,7 +48,7 @@
     found
 }
 
-impl<'d> Candidate<'d> {
+impl<'d> SortedRule<'d> {
     fn new(draft: &'d DraftRule) -> Option<Self> {
         let when = &draft.rule.as_ref()?.when;
         let mut workspaces: Vec<_> = when.workspaces.iter().collect();
@@ -60,7 +62,7 @@
 
     /// Returns whether this rule matches wherever `later` does.
     fn covers(&self, later: &Self) -> bool {
-        self.when.covers_within(later.when)
+        self.when.covers_ignoring_workspaces(later.when)
             && (self.workspaces.is_empty() || is_superset(&self.workspaces, &later.workspaces))
     }
 }
--- a/crates/wisteriahitch-config/src/decide/built_in.rs
+++ b/crates/wisteriahitch-config/src/decide/built_in.rs
@@ -8,7 +8,7 @@
 
 /// Refuses requests that match no rule. Only a configuration built in code can lack a matching
 /// rule: a checked one ends with a default rule.
-pub(super) static NO_RULE: LazyLock<Rule> = LazyLock::new(|| {
+pub(super) static NO_MATCHING_RULE: LazyLock<Rule> = LazyLock::new(|| {
     refusal(
         "no-rule",
         "No rule of the configuration matches the request.",
--- a/crates/wisteriahitch-config/src/decide/condition.rs
+++ b/crates/wisteriahitch-config/src/decide/condition.rs
@@ -9,44 +9,50 @@
 use crate::{Condition, RequestFacts};
 
 /// Matches one part of a condition other than workspaces and labels.
-struct Part {
-    name: ConditionPart,
-    holds: fn(&Condition, &RequestFacts) -> bool,
+struct PartMatcher {
+    part: ConditionPart,
+    matches: fn(&Condition, &RequestFacts) -> bool,
 }
 
 /// The parts in the order in which they are evaluated.
-static PARTS: [Part; 8] = [
-    Part {
-        name: ConditionPart::Methods,
-        holds: |when, facts| is_one_of(&when.methods, Some(&facts.method)),
+static PART_MATCHERS: [PartMatcher; 8] = [
+    PartMatcher {
+        part: ConditionPart::Methods,
+        matches: |when, facts| is_one_of(&when.methods, Some(&facts.method)),
     },
-    Part {
-        name: ConditionPart::PathPrefixes,
-        holds: |when, facts| is_below(&when.path_prefixes, &facts.path),
+    PartMatcher {
+        part: ConditionPart::PathPrefixes,
+        matches: |when, facts| has_any_prefix(&when.path_prefixes, &facts.path),
     },
-    Part {
-        name: ConditionPart::Models,
-        holds: |when, facts| is_one_of(&when.models, facts.model.as_ref()),
+    PartMatcher {
+        part: ConditionPart::Models,
+        matches: |when, facts| is_one_of(&when.models, facts.model.as_ref()),
     },
-    Part {
-        name: ConditionPart::Adapters,
-        holds: |when, facts| is_one_of(&when.adapters, facts.adapter.as_ref()),
+    PartMatcher {
+        part: ConditionPart::Adapters,
+        matches: |when, facts| is_one_of(&when.adapters, facts.adapter.as_ref()),
     },
-    Part {
-        name: ConditionPart::MinPromptTokens,
-        holds: |when, facts| is_bound(when.min_prompt_tokens, facts, |low, found| found >= low),
+    PartMatcher {
+        part: ConditionPart::MinPromptTokens,
+        matches: |when, facts| {
+            is_within_bound(when.min_prompt_tokens, facts, |low, found| found >= low)
+        },
     },
-    Part {
-        name: ConditionPart::MaxPromptTokens,
-        holds: |when, facts| is_bound(when.max_prompt_tokens, facts, |high, found| found <= high),
+    PartMatcher {
+        part: ConditionPart::MaxPromptTokens,
+        matches: |when, facts| {
+            is_within_bound(when.max_prompt_tokens, facts, |high, found| found <= high)
+        },
     },
-    Part {
-        name: ConditionPart::Stream,
-        holds: |when, facts| when.stream.is_none_or(|stream| stream == facts.stream),
+    PartMatcher {
+        part: ConditionPart::Stream,
+        matches: |when, facts| when.stream.is_none_or(|stream| stream == facts.stream),
     },
-    Part {
-        name: ConditionPart::AvailabilityZones,
-        holds: |when, facts| is_one_of(&when.availability_zones, facts.availability_zone.as_ref()),
+    PartMatcher {
+        part: ConditionPart::AvailabilityZones,
+        matches: |when, facts| {
+            is_one_of(&when.availability_zones, facts.availability_zone.as_ref())
+        },
     },
 ];
 
@@ -67,41 +73,48 @@
 
     /// Returns whether every part of the condition that is set matches the request.
     pub fn is_match(&self, facts: &RequestFacts) -> bool {
-        self.has_workspace(facts) && self.is_match_within(facts)
+        self.matches_workspace(facts) && self.matches_ignoring_workspaces(facts)
     }
 
     /// Like [`Condition::is_match`], but ignores the workspaces.
-    pub(crate) fn is_match_within(&self, facts: &RequestFacts) -> bool {
-        PARTS.iter().all(|part| (part.holds)(self, facts))
-            && self.other_labels(facts).next().is_none()
+    pub(crate) fn matches_ignoring_workspaces(&self, facts: &RequestFacts) -> bool {
+        PART_MATCHERS
+            .iter()
+            .all(|matcher| (matcher.matches)(self, facts))
+            && self.mismatched_labels(facts).next().is_none()
     }
 
     /// Returns the parts that don't match the request.
     pub(crate) fn mismatches(&self, facts: &RequestFacts) -> Vec<ConditionPart> {
         let mut failed = Vec::new();
-        if !self.has_workspace(facts) {
+        if !self.matches_workspace(facts) {
             failed.push(ConditionPart::Workspaces);
         }
-        let parts = PARTS.iter().filter(|part| !(part.holds)(self, facts));
-        failed.extend(parts.map(|part| part.name.clone()));
-        let labels = self.other_labels(facts);
+        let parts = PART_MATCHERS
+            .iter()
+            .filter(|matcher| !(matcher.matches)(self, facts));
+        failed.extend(parts.map(|matcher| matcher.part.clone()));
+        let labels = self.mismatched_labels(facts);
         failed.extend(labels.map(|name| ConditionPart::Label(name.clone())));
         failed
     }
 
-    fn has_workspace(&self, facts: &RequestFacts) -> bool {
+    fn matches_workspace(&self, facts: &RequestFacts) -> bool {
         is_one_of(&self.workspaces, facts.workspace.as_ref())
     }
 
-    fn other_labels<'a>(&'a self, facts: &'a RequestFacts) -> impl Iterator<Item = &'a String> {
-        let is_other = |(name, value): &(&String, &String)| facts.labels.get(*name) != Some(*value);
+    fn mismatched_labels<'a>(
+        &'a self,
+        facts: &'a RequestFacts,
+    ) -> impl Iterator<Item = &'a String> {
+        let differs = |(name, value): &(&String, &String)| facts.labels.get(*name) != Some(*value);
         let labels = self.labels.iter();
-        labels.filter(is_other).map(|(name, _)| name)
+        labels.filter(differs).map(|(name, _)| name)
     }
 
     /// Returns whether this condition matches every request that `other` matches, ignoring the
     /// workspaces of both.
-    pub(crate) fn covers_within(&self, other: &Self) -> bool {
+    pub(crate) fn covers_ignoring_workspaces(&self, other: &Self) -> bool {
         let low = self.min_prompt_tokens;
         let high = self.max_prompt_tokens;
         is_superset(&self.methods, &other.methods)
@@ -120,17 +133,17 @@
     wanted.is_empty() || found.is_some_and(|found| wanted.contains(found))
 }
 
-fn is_below(prefixes: &[String], path: &str) -> bool {
+fn has_any_prefix(prefixes: &[String], path: &str) -> bool {
     prefixes.is_empty() || prefixes.iter().any(|prefix| has_prefix(path, prefix))
 }
 
-fn is_bound(
+fn is_within_bound(
     bound: Option<TokenCount>,
     facts: &RequestFacts,
-    holds: fn(TokenCount, TokenCount) -> bool,
+    matches: fn(TokenCount, TokenCount) -> bool,
 ) -> bool {
     let found = facts.prompt_tokens;
-    bound.is_none_or(|bound| found.is_some_and(|found| holds(bound, found)))
+    bound.is_none_or(|bound| found.is_some_and(|found| matches(bound, found)))
 }
 
 fn is_superset<T: PartialEq>(wide: &[T], narrow: &[T]) -> bool {
--- a/crates/wisteriahitch-config/src/decide/configuration.rs
+++ b/crates/wisteriahitch-config/src/decide/configuration.rs
@@ -3,7 +3,7 @@
 use wisteriahitch_types::{EndpointId, KeyHash, ModelName, WorkspaceId};
 
 use super::RuleTrace;
-use super::built_in::{NO_RULE, PATH_NOT_PLAIN};
+use super::built_in::{NO_MATCHING_RULE, PATH_NOT_PLAIN};
 use crate::check::check;
 use crate::draft::Draft;
 use crate::read::{ProblemLog, Source};
@@ -65,14 +65,15 @@
         if has_unsafe_path(facts) {
             return &PATH_NOT_PLAIN;
         }
-        let tables = self.lookup.tables(self);
-        let own = facts.workspace.as_ref();
-        let own = own.and_then(|workspace| tables.rules_of.get(workspace));
-        let own = own.map_or(&[][..], Vec::as_slice);
-        merged(own, &tables.general_rules)
+        let indexes = self.indexes.get_or_build(self);
+        let workspace_rules = facts.workspace.as_ref();
+        let workspace_rules =
+            workspace_rules.and_then(|workspace| indexes.rules_by_workspace.get(workspace));
+        let workspace_rules = workspace_rules.map_or(&[][..], Vec::as_slice);
+        merge_ascending(workspace_rules, &indexes.rules_without_workspace)
             .filter_map(|position| self.rules.get(position))
-            .find(|rule| rule.when.is_match_within(facts))
-            .unwrap_or(&NO_RULE)
+            .find(|rule| rule.when.matches_ignoring_workspaces(facts))
+            .unwrap_or(&NO_MATCHING_RULE)
     }
 
     /// Returns a trace of every rule evaluated for the request, up to and including the one that
@@ -99,19 +100,23 @@
 
     /// Returns the workspace that a caller's key belongs to, or `None` for an unknown key.
     pub fn workspace_by_key(&self, key: &KeyHash) -> Option<&Workspace> {
-        let id: &WorkspaceId = self.lookup.tables(self).workspaces.get(key)?;
+        let id: &WorkspaceId = self
+            .indexes
+            .get_or_build(self)
+            .workspace_by_key_hash
+            .get(key)?;
         self.workspaces.get(id)
     }
 
     /// Returns the endpoint with this name.
     pub fn endpoint(&self, id: &EndpointId) -> Option<&Endpoint> {
-        self.service_of(id)
+        self.locate_endpoint(id)
             .and_then(|(service, position)| service.endpoints.get(position))
     }
 
     /// Returns the service that an endpoint belongs to.
     pub fn service_by_endpoint(&self, id: &EndpointId) -> Option<&Service> {
-        self.service_of(id).map(|(service, _)| service)
+        self.locate_endpoint(id).map(|(service, _)| service)
     }
 
     /// Returns the services whose endpoints serve a model.
@@ -129,8 +134,8 @@
         services.flat_map(|service| service.endpoints.iter().map(move |e| (service, e)))
     }
 
-    fn service_of(&self, id: &EndpointId) -> Option<(&Service, usize)> {
-        let (name, position) = self.lookup.tables(self).endpoints.get(id)?;
+    fn locate_endpoint(&self, id: &EndpointId) -> Option<(&Service, usize)> {
+        let (name, position) = self.indexes.get_or_build(self).endpoint_positions.get(id)?;
         Some((self.services.get(name)?, *position))
     }
 }
@@ -142,7 +147,7 @@
 }
 
 /// Merges two ascending lists of positions into one ascending sequence.
-fn merged<'a>(left: &'a [usize], right: &'a [usize]) -> impl Iterator<Item = usize> + 'a {
+fn merge_ascending<'a>(left: &'a [usize], right: &'a [usize]) -> impl Iterator<Item = usize> + 'a {
     let mut left = left.iter().copied().peekable();
     let mut right = right.iter().copied().peekable();
     std::iter::from_fn(move || match (left.peek(), right.peek()) {
--- a/crates/wisteriahitch-config/src/draft/condition.rs
+++ b/crates/wisteriahitch-config/src/draft/condition.rs
@@ -25,8 +25,8 @@
         path_prefixes: prefixes.into_iter().map(|p| prefix_text(p.value)).collect(),
         models: names::values(&models),
         adapters: names::values(&adapters),
-        min_prompt_tokens: tokens(table, "min_prompt_tokens"),
-        max_prompt_tokens: tokens(table, "max_prompt_tokens"),
+        min_prompt_tokens: read_token_count(table, "min_prompt_tokens"),
+        max_prompt_tokens: read_token_count(table, "max_prompt_tokens"),
         stream: table.optional("stream"),
         labels: read_labels(table),
         availability_zones: names::values(&zones),
@@ -35,7 +35,7 @@
     draft.used.models.extend(models);
     draft.used.adapters.extend(adapters);
     draft.used.availability_zones.extend(zones);
-    refuse_empty_lists(table);
+    reject_empty_lists(table);
     check_bounds(table, &condition);
     condition
 }
@@ -48,7 +48,7 @@
     text
 }
 
-fn tokens(table: &TableReader<'_, '_>, key: &'static str) -> Option<TokenCount> {
+fn read_token_count(table: &TableReader<'_, '_>, key: &'static str) -> Option<TokenCount> {
     table.number(key, 0..=MAX_TOKENS).map(TokenCount::new)
 }
 
@@ -58,7 +58,7 @@
     };
     if low > high {
         let message = format!("`min_prompt_tokens` is {low} and `max_prompt_tokens` is {high}");
-        table.fault(Code::ConfigContradiction, "min_prompt_tokens", message);
+        table.add_problem(Code::ConfigContradiction, "min_prompt_tokens", message);
     }
 }
 
@@ -66,7 +66,7 @@
 ///
 /// An operator who deletes the last name from `workspaces = ["a"]` expects a rule that matches no
 /// workspace, but [`Condition`] treats an empty list as matching every workspace.
-fn refuse_empty_lists(table: &TableReader<'_, '_>) {
+fn reject_empty_lists(table: &TableReader<'_, '_>) {
     const LISTS: [&str; 6] = [
         "workspaces",
         "methods",
@@ -78,7 +78,7 @@
     for key in LISTS {
         if table.list_is_empty(key) {
             let message = "the list is empty; leave the key out to match everything";
-            table.fault(Code::ConfigBadValue, key, message);
+            table.add_problem(Code::ConfigBadValue, key, message);
         }
     }
 }
@@ -92,7 +92,9 @@
     for (name, value) in labels.entries::<String>() {
         if name.is_empty() || !name.chars().all(is_allowed) {
             let message = format!("the label {name:?} may hold {LABEL_CHARACTERS} only");
-            table.log().add(Code::ConfigBadValue, &value.place, message);
+            table
+                .log()
+                .add(Code::ConfigBadValue, &value.location, message);
         }
         read.insert(name, value.value);
     }
--- a/crates/wisteriahitch-config/src/draft/draft.rs
+++ b/crates/wisteriahitch-config/src/draft/draft.rs
@@ -3,8 +3,8 @@
 use toml::de::DeTable;
 use wisteriahitch_types::{AvailabilityZone, WorkspaceId};
 
-use super::{DraftRule, Names, limits, model, names, rule, service, store, workspace};
-use crate::read::{Place, Placed, ProblemLog, TableReader};
+use super::{DraftRule, NameLocations, limits, model, names, rule, service, store, workspace};
+use crate::read::{Located, Location, ProblemLog, TableReader};
 use crate::{Limits, Model, Service, Store, Workspace};
 
 /// Key of the list of workspaces that a submission removes.
@@ -22,15 +22,15 @@
     pub(crate) workspaces: Vec<Workspace>,
     pub(crate) rules: Vec<DraftRule>,
     /// Names that the texts define.
-    pub(crate) defined: Names,
+    pub(crate) defined: NameLocations,
     /// Names that the texts refer to.
-    pub(crate) used: Names,
+    pub(crate) used: NameLocations,
     /// Availability zones of endpoints and store VMs.
-    pub(crate) located_zones: Vec<Placed<AvailabilityZone>>,
+    pub(crate) endpoint_and_store_zones: Vec<Located<AvailabilityZone>>,
     /// Workspaces that the submission removes.
-    pub(crate) removed: Vec<Placed<WorkspaceId>>,
+    pub(crate) removed_workspaces: Vec<Located<WorkspaceId>>,
     /// Whether a source text could not be parsed, so that names that it defines are missing.
-    pub(crate) has_gap: bool,
+    pub(crate) has_unparsed_source: bool,
 }
 
 impl Draft {
@@ -40,18 +40,18 @@
         for source in 0..log.sources().len() {
             match log.parse(source) {
                 Some(table) => draft.read_table(log, source, &table),
-                None => draft.has_gap = true,
+                None => draft.has_unparsed_source = true,
             }
         }
         draft
     }
 
     fn read_table(&mut self, log: &ProblemLog<'_>, source: usize, table: &DeTable<'_>) {
-        let place = Place {
+        let location = Location {
             source,
-            ..Place::default()
+            ..Location::default()
         };
-        let top = TableReader::new(log, table, place);
+        let top = TableReader::new(log, table, location);
         self.read_zones(&top);
         limits::read(&top, self);
         model::read_all(&top, self);
@@ -59,7 +59,8 @@
         service::read_all(&top, self);
         workspace::read_all(&top, self);
         rule::read_all(&top, self);
-        self.removed.extend(top.list(REMOVED_WORKSPACES_KEY));
+        self.removed_workspaces
+            .extend(top.list(REMOVED_WORKSPACES_KEY));
         top.finish();
     }
 
--- a/crates/wisteriahitch-config/src/draft/limits.rs
+++ b/crates/wisteriahitch-config/src/draft/limits.rs
@@ -7,11 +7,11 @@
 use crate::read::{TableReader, duration_keys};
 
 /// Minimum and maximum time to keep an answer, in milliseconds.
-const ANSWER_KEPT_MS: (u64, u64) = (1_000, 30 * 24 * 3_600_000);
+const ANSWER_RETENTION_RANGE_MS: (u64, u64) = (1_000, 30 * 24 * 3_600_000);
 /// Minimum and maximum lifetime of a ticket, in milliseconds.
-const TICKET_LIFETIME_MS: (u64, u64) = (1_000, 3_600_000);
+const TICKET_LIFETIME_RANGE_MS: (u64, u64) = (1_000, 3_600_000);
 /// Minimum and maximum time to cache an answer of `GET /v1/entries`, in milliseconds.
-const ENTRIES_TTL_MS: (u64, u64) = (100, 600_000);
+const ENTRIES_TTL_RANGE_MS: (u64, u64) = (100, 600_000);
 const MAX_ROLLOUT_PARALLEL: u32 = 64;
 
 pub(super) fn read(top: &TableReader<'_, '_>, draft: &mut Draft) {
@@ -19,16 +19,16 @@
         return;
     };
     let default = Limits::default();
-    let span = |keys, (low, high): (u64, u64)| table.duration(keys, low..=high);
+    let duration = |keys, (low, high): (u64, u64)| table.duration(keys, low..=high);
     let limits = Limits {
         rollout_parallel: table
-            .small("rollout_parallel", 1..=MAX_ROLLOUT_PARALLEL)
+            .number_u32("rollout_parallel", 1..=MAX_ROLLOUT_PARALLEL)
             .unwrap_or(default.rollout_parallel),
-        answer_kept_us: span(duration_keys!("answer_kept"), ANSWER_KEPT_MS)
+        answer_kept_us: duration(duration_keys!("answer_kept"), ANSWER_RETENTION_RANGE_MS)
             .unwrap_or(default.answer_kept_us),
-        ticket_lifetime_us: span(duration_keys!("ticket_lifetime"), TICKET_LIFETIME_MS)
+        ticket_lifetime_us: duration(duration_keys!("ticket_lifetime"), TICKET_LIFETIME_RANGE_MS)
             .unwrap_or(default.ticket_lifetime_us),
-        entries_ttl_us: span(duration_keys!("entries_ttl"), ENTRIES_TTL_MS)
+        entries_ttl_us: duration(duration_keys!("entries_ttl"), ENTRIES_TTL_RANGE_MS)
             .unwrap_or(default.entries_ttl_us),
         retry_share: table
             .optional::<Share>("retry_share")
@@ -39,7 +39,7 @@
         let message = "answers are kept for less time than a ticket may be used";
         table
             .log()
-            .add(Code::ConfigContradiction, table.place(), message);
+            .add(Code::ConfigContradiction, table.location(), message);
     }
     draft.limits = limits;
     table.finish();
--- a/crates/wisteriahitch-config/src/draft/mod.rs
+++ b/crates/wisteriahitch-config/src/draft/mod.rs
@@ -13,6 +13,6 @@
 mod workspace;
 
 pub(crate) use draft::{Draft, REMOVED_WORKSPACES_KEY};
-pub(crate) use names::Names;
+pub(crate) use names::NameLocations;
 pub(crate) use rule::DraftRule;
 pub(crate) use workspace::WORKSPACES_KEY;
--- a/crates/wisteriahitch-config/src/draft/model.rs
+++ b/crates/wisteriahitch-config/src/draft/model.rs
@@ -4,7 +4,7 @@
 
 use super::{Draft, names};
 use crate::Model;
-use crate::read::{Placed, TableReader};
+use crate::read::{Located, TableReader};
 
 /// The sites that this system was built for move work in pieces of about 2,000 tokens.
 const DEFAULT_PIECE_TOKENS: u64 = 2_000;
@@ -14,7 +14,7 @@
 
 pub(super) fn read_all(top: &TableReader<'_, '_>, draft: &mut Draft) {
     for table in top.tables("models") {
-        let name = table.required_placed("name");
+        let name = table.required_located("name");
         draft.defined.models.extend(name.clone());
         let model = read(&table, name, draft);
         draft.models.extend(model);
@@ -24,7 +24,7 @@
 
 fn read(
     table: &TableReader<'_, '_>,
-    name: Option<Placed<ModelName>>,
+    name: Option<Located<ModelName>>,
     draft: &mut Draft,
 ) -> Option<Model> {
     let weight_version = table.required("weight_version");
@@ -36,7 +36,7 @@
     let max_prompt_tokens = table.required_number("max_prompt_tokens", 1..=MAX_PROMPT_TOKENS);
     if max_prompt_tokens.is_some_and(|longest| longest < piece_tokens) {
         let message = "the longest prompt is shorter than one piece, so nothing is ever cached";
-        table.fault(Code::ConfigContradiction, "max_prompt_tokens", message);
+        table.add_problem(Code::ConfigContradiction, "max_prompt_tokens", message);
     }
     let adapter_names = names::values(&adapters);
     draft.defined.adapters.extend(adapters);
--- a/crates/wisteriahitch-config/src/draft/names.rs
+++ b/crates/wisteriahitch-config/src/draft/names.rs
@@ -7,24 +7,27 @@
     WorkspaceId,
 };
 
-use crate::read::Placed;
+use crate::read::Located;
 
 /// The names that a configuration defines, or those that it uses, with their locations.
 #[derive(Debug, Default)]
-pub(crate) struct Names {
-    pub(crate) adapters: Vec<Placed<AdapterName>>,
-    pub(crate) addresses: Vec<Placed<SocketAddr>>,
-    pub(crate) availability_zones: Vec<Placed<AvailabilityZone>>,
-    pub(crate) endpoints: Vec<Placed<EndpointId>>,
-    pub(crate) key_hashes: Vec<Placed<KeyHash>>,
-    pub(crate) models: Vec<Placed<ModelName>>,
-    pub(crate) rules: Vec<Placed<RuleName>>,
-    pub(crate) services: Vec<Placed<ServiceName>>,
-    pub(crate) stores: Vec<Placed<StoreId>>,
-    pub(crate) workspaces: Vec<Placed<WorkspaceId>>,
+pub(crate) struct NameLocations {
+    pub(crate) adapters: Vec<Located<AdapterName>>,
+    pub(crate) addresses: Vec<Located<SocketAddr>>,
+    pub(crate) availability_zones: Vec<Located<AvailabilityZone>>,
+    pub(crate) endpoints: Vec<Located<EndpointId>>,
+    pub(crate) key_hashes: Vec<Located<KeyHash>>,
+    pub(crate) models: Vec<Located<ModelName>>,
+    pub(crate) rules: Vec<Located<RuleName>>,
+    pub(crate) services: Vec<Located<ServiceName>>,
+    pub(crate) stores: Vec<Located<StoreId>>,
+    pub(crate) workspaces: Vec<Located<WorkspaceId>>,
 }
 
 /// Returns the values without their locations.
-pub(crate) fn values<T: Clone>(placed: &[Placed<T>]) -> Vec<T> {
-    placed.iter().map(|placed| placed.value.clone()).collect()
+pub(crate) fn values<T: Clone>(located: &[Located<T>]) -> Vec<T> {
+    located
+        .iter()
+        .map(|located| located.value.clone())
+        .collect()
 }
--- a/crates/wisteriahitch-config/src/draft/rule.rs
+++ b/crates/wisteriahitch-config/src/draft/rule.rs
@@ -4,7 +4,7 @@
 use wisteriahitch_types::{Code, DurationUs, RuleName, Share};
 
 use super::{Draft, condition};
-use crate::read::{FromValue, Place, Placed, TableReader, duration_keys};
+use crate::read::{FromValue, Located, Location, TableReader, duration_keys};
 use crate::{Action, Condition, Refusal, Route, Rule, SavePolicy};
 
 const DEFAULT_PRIORITY: u32 = 4;
@@ -21,13 +21,13 @@
     /// The rule; `None` if any part of it could not be read.
     pub(crate) rule: Option<Rule>,
     /// Location of the rule.
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     /// Location of its condition.
-    pub(crate) when: Place,
+    pub(crate) when_location: Location,
     /// Location of its action.
-    pub(crate) then: Place,
+    pub(crate) then_location: Location,
     /// Locations of the keys in [`ENGINE_KEYS`] that the rule contains.
-    pub(crate) engine_keys: Vec<Place>,
+    pub(crate) engine_key_locations: Vec<Location>,
 }
 
 /// Keys of a route that apply only to engines, not to plain services.
@@ -50,34 +50,34 @@
 
 pub(super) fn read_all(top: &TableReader<'_, '_>, draft: &mut Draft) {
     for table in top.tables("rules") {
-        let name = table.required_placed("name");
+        let name = table.required_located("name");
         draft.defined.rules.extend(name.clone());
-        let before = table.log().len();
+        let problems_before = table.log().len();
         let rule = read(&table, name, draft);
-        let is_whole = table.log().len() == before;
+        let is_valid = table.log().len() == problems_before;
         draft.rules.push(DraftRule {
-            rule: rule.filter(|_| is_whole),
-            place: table.place().clone(),
-            when: table.place_of("when"),
-            then: table.place_of("then"),
-            engine_keys: engine_keys(&table),
+            rule: rule.filter(|_| is_valid),
+            location: table.location().clone(),
+            when_location: table.location_of("when"),
+            then_location: table.location_of("then"),
+            engine_key_locations: engine_key_locations(&table),
         });
         table.finish();
     }
 }
 
-fn engine_keys(table: &TableReader<'_, '_>) -> Vec<Place> {
+fn engine_key_locations(table: &TableReader<'_, '_>) -> Vec<Location> {
     let then = table.peek_table("then");
     let Some(route) = then.and_then(|then| then.peek_table("route")) else {
         return Vec::new();
     };
-    let given = ENGINE_KEYS.iter().filter(|key| route.has(key));
-    given.map(|key| route.place_of(key)).collect()
+    let given = ENGINE_KEYS.iter().filter(|key| route.has_key(key));
+    given.map(|key| route.location_of(key)).collect()
 }
 
 fn read(
     table: &TableReader<'_, '_>,
-    name: Option<Placed<RuleName>>,
+    name: Option<Located<RuleName>>,
     draft: &mut Draft,
 ) -> Option<Rule> {
     let when = match table.table("when") {
@@ -88,7 +88,7 @@
             condition
         }
     };
-    table.expect("then");
+    table.require_key("then");
     let then = table.table("then").and_then(|then| {
         let action = read_action(&then, draft);
         then.finish();
@@ -118,13 +118,13 @@
         }
         (Some(_), Some(_)) => {
             let message = "`route` and `refuse` are both given";
-            log.add(Code::ConfigContradiction, then.place(), message);
+            log.add(Code::ConfigContradiction, then.location(), message);
             None
         }
         (None, None) => {
-            if !then.has("route") && !then.has("refuse") {
+            if !then.has_key("route") && !then.has_key("refuse") {
                 let message = "`route` or `refuse` is missing";
-                log.add(Code::ConfigMissingKey, then.place(), message);
+                log.add(Code::ConfigMissingKey, then.location(), message);
             }
             None
         }
@@ -132,11 +132,11 @@
 }
 
 fn read_route(table: &TableReader<'_, '_>, draft: &mut Draft) -> Option<Route> {
-    let service = table.required_placed("service");
-    let adapter = table.optional_placed("adapter");
+    let service = table.required_located("service");
+    let adapter = table.optional_located("adapter");
     draft.used.services.extend(service.clone());
     draft.used.adapters.extend(adapter.clone());
-    let priority = table.small("priority", 0..=MAX_PRIORITY);
+    let priority = table.number_u32("priority", 0..=MAX_PRIORITY);
     let first_token_weight: Option<Share> = table.optional("first_token_weight");
     let deadline_us = table.duration(duration_keys!("deadline"), 1..=MAX_DEADLINE_MS);
     let may_repeat = table.optional("may_repeat");
@@ -161,7 +161,7 @@
         && !reason.chars().any(char::is_control);
     if !is_sentence {
         let message = format!("must be one line of 1 to {MAX_REASON_CHARS} characters");
-        table.fault(Code::ConfigBadValue, "reason", message);
+        table.add_problem(Code::ConfigBadValue, "reason", message);
     }
     Some(Refusal {
         reason,
--- a/crates/wisteriahitch-config/src/draft/service.rs
+++ b/crates/wisteriahitch-config/src/draft/service.rs
@@ -29,7 +29,7 @@
 }
 
 fn read(table: &TableReader<'_, '_>, draft: &mut Draft) -> Option<Service> {
-    let name = table.required_placed("name");
+    let name = table.required_located("name");
     draft.defined.services.extend(name.clone());
     let kind = table.required("kind");
     let models = table.list("models");
@@ -53,25 +53,25 @@
 fn check_kind(table: &TableReader<'_, '_>, kind: ServiceKind) {
     match kind {
         ServiceKind::Engine => {
-            if table.expect("models") && table.list_is_empty("models") {
-                table.fault(Code::ConfigMissingKey, "models", "the list is empty");
+            if table.require_key("models") && table.list_is_empty("models") {
+                table.add_problem(Code::ConfigMissingKey, "models", "the list is empty");
             }
-            refuse_key(
+            reject_key(
                 table,
                 "repeatable",
                 "of an engine; it is for plain services",
             );
         }
         ServiceKind::Plain => {
-            refuse_key(table, "models", "of a plain service; it is for engines");
+            reject_key(table, "models", "of a plain service; it is for engines");
         }
     }
 }
 
-fn refuse_key(table: &TableReader<'_, '_>, key: &str, reason: &str) {
-    if table.has(key) {
+fn reject_key(table: &TableReader<'_, '_>, key: &str, reason: &str) {
+    if table.has_key(key) {
         let message = format!("`{key}` has no meaning for endpoints {reason}");
-        table.fault(Code::ConfigContradiction, key, message);
+        table.add_problem(Code::ConfigContradiction, key, message);
     }
 }
 
@@ -80,7 +80,7 @@
     for entry in table.tables("repeatable") {
         let method = entry.required("method");
         let prefix = entry.required("path_prefix");
-        let place = entry.place().clone();
+        let location = entry.location().clone();
         entry.finish();
         let (Some(MethodOrAny(method)), Some(PathPrefix(path_prefix))) = (method, prefix) else {
             continue;
@@ -91,7 +91,9 @@
         };
         if patterns.contains(&pattern) {
             let message = "the same call stands in the list twice";
-            table.log().add(Code::ConfigDuplicateName, &place, message);
+            table
+                .log()
+                .add(Code::ConfigDuplicateName, &location, message);
         }
         patterns.push(pattern);
     }
@@ -99,8 +101,8 @@
 }
 
 fn read_endpoints(table: &TableReader<'_, '_>, draft: &mut Draft) -> Vec<Endpoint> {
-    if table.expect("endpoints") && table.list_is_empty("endpoints") {
-        table.fault(Code::ConfigMissingKey, "endpoints", "the list is empty");
+    if table.require_key("endpoints") && table.list_is_empty("endpoints") {
+        table.add_problem(Code::ConfigMissingKey, "endpoints", "the list is empty");
     }
     let mut endpoints = Vec::new();
     for entry in table.tables("endpoints") {
@@ -111,7 +113,7 @@
 }
 
 fn read_endpoint(entry: &TableReader<'_, '_>, draft: &mut Draft) -> Option<Endpoint> {
-    let id = entry.required_placed("id");
+    let id = entry.required_located("id");
     draft.defined.endpoints.extend(id.clone());
     let address = read_address(entry, draft);
     let zone = read_zone(entry, draft);
--- a/crates/wisteriahitch-config/src/draft/workspace.rs
+++ b/crates/wisteriahitch-config/src/draft/workspace.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch_types::{ByteCount, TokenRate};
 
-use super::store::MAX_AMOUNT;
+use super::store::MAX_EXACT_JSON_INTEGER;
 use super::{Draft, names};
 use crate::Workspace;
 use crate::read::TableReader;
@@ -25,14 +25,14 @@
 }
 
 fn read(table: &TableReader<'_, '_>, draft: &mut Draft) -> Option<Workspace> {
-    let id = table.required_placed("id");
+    let id = table.required_located("id");
     draft.defined.workspaces.extend(id.clone());
     let key_hashes = table.required_list("key_hashes");
-    let weight = table.small("weight", 1..=MAX_WEIGHT);
-    let requests_per_s = table.small("requests_per_s", 1..=MAX_REQUESTS_PER_S);
-    let prompt_tokens_per_s = table.number("prompt_tokens_per_s", 1..=MAX_AMOUNT);
-    let max_queued = table.small("max_queued", 1..=MAX_QUEUED);
-    let store_bytes = table.required_number("store_bytes", 0..=MAX_AMOUNT);
+    let weight = table.number_u32("weight", 1..=MAX_WEIGHT);
+    let requests_per_s = table.number_u32("requests_per_s", 1..=MAX_REQUESTS_PER_S);
+    let prompt_tokens_per_s = table.number("prompt_tokens_per_s", 1..=MAX_EXACT_JSON_INTEGER);
+    let max_queued = table.number_u32("max_queued", 1..=MAX_QUEUED);
+    let store_bytes = table.required_number("store_bytes", 0..=MAX_EXACT_JSON_INTEGER);
     let hashes = names::values(&key_hashes);
     draft.defined.key_hashes.extend(key_hashes);
     Some(Workspace {
--- a/crates/wisteriahitch-config/src/lib.rs
+++ b/crates/wisteriahitch-config/src/lib.rs
@@ -14,11 +14,12 @@
 
 pub use decide::{ConditionPart, RuleTrace, key_hash};
 pub use model::{
-    Action, CallPattern, Condition, Configuration, Endpoint, Limits, Lookup, Model, Refusal,
-    RequestFacts, Route, Rule, SavePolicy, Service, ServiceKind, Store, Workspace, is_plain_path,
+    Action, CallPattern, Condition, Configuration, ConfigurationIndexes, Endpoint, Limits, Model,
+    Refusal, RequestFacts, Route, Rule, SavePolicy, Service, ServiceKind, Store, Workspace,
+    is_plain_path,
 };
 pub use report::{Problem, Report, ReportInFile};
-pub use sections::{Change, Section, SectionHash, SectionMismatch, SectionName, Sections};
+pub use sections::{Section, SectionChange, SectionHash, SectionMismatch, SectionName, Sections};
 pub use settings::{
     ListenSettings, LogLevel, LogSettings, OperatorSettings, PeerSettings, PlatformSettings,
     PolicyName, RequestLimits, RunSettings, Settings,
--- a/crates/wisteriahitch-config/src/model/configuration.rs
+++ b/crates/wisteriahitch-config/src/model/configuration.rs
@@ -9,7 +9,7 @@
     StoreId, TokenCount, WeightVersion, WorkspaceId,
 };
 
-use super::{Lookup, Rule, Service, Workspace};
+use super::{ConfigurationIndexes, Rule, Service, Workspace};
 
 /// Holds a configuration that has passed every check.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -30,7 +30,7 @@
     pub limits: Limits,
     /// Indexes of the other fields, built at first use.
     #[serde(skip)]
-    pub lookup: Lookup,
+    pub indexes: ConfigurationIndexes,
 }
 
 /// A model that the site serves.
--- a/crates/wisteriahitch-config/src/model/path.rs
+++ b/crates/wisteriahitch-config/src/model/path.rs
@@ -43,7 +43,7 @@
             rest = after;
             continue;
         }
-        match escaped_byte(after) {
+        match decode_escape(after) {
             Some(byte) if byte == SPACE || !byte.is_ascii() => decoded.push(byte),
             _ => return false,
         }
@@ -52,7 +52,7 @@
     std::str::from_utf8(&decoded).is_ok()
 }
 
-fn escaped_byte(digits: &[u8]) -> Option<u8> {
+fn decode_escape(digits: &[u8]) -> Option<u8> {
     let digit = |position: usize| char::from(*digits.get(position)?).to_digit(16);
     u8::try_from(digit(0)? * 16 + digit(1)?).ok()
 }
--- a/crates/wisteriahitch-config/src/read/place.rs
+++ b/crates/wisteriahitch-config/src/read/location.rs
@@ -2,7 +2,7 @@
 
 /// Location of a value in one of the texts that are checked together.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     /// Index of the text in the list of sources.
     pub(crate) source: usize,
     /// Byte offset in the text.
@@ -13,7 +13,7 @@
 
 /// A value with its location, for checks that run after reading.
 #[derive(Clone, Debug)]
-pub(crate) struct Placed<T> {
+pub(crate) struct Located<T> {
     pub(crate) value: T,
-    pub(crate) place: Place,
+    pub(crate) location: Location,
 }
--- a/crates/wisteriahitch-config/src/read/name_hint.rs
+++ b/crates/wisteriahitch-config/src/read/name_hint.rs
@@ -5,7 +5,7 @@
 
 /// Returns the known name nearest to `found` by edit distance, or else one that differs from it
 /// only in its last part (after `_`), such as the unit.
-pub(crate) fn nearest<'k>(
+pub(crate) fn nearest_name<'k>(
     found: &str,
     known: impl IntoIterator<Item = &'k str>,
 ) -> Option<&'k str> {
@@ -24,8 +24,8 @@
     // A missing or wrong unit, such as `deadline` or `deadline_us` for `deadline_ms`.
     let stem = |name: &str| name.rsplit_once('_').map(|(stem, _)| stem.to_owned());
     let known_stem = stem(known)?;
-    let is_same = found == known_stem || stem(found).is_some_and(|stem| stem == known_stem);
-    is_same.then_some(MAX_EDITS + 1)
+    let has_same_stem = found == known_stem || stem(found).is_some_and(|stem| stem == known_stem);
+    has_same_stem.then_some(MAX_EDITS + 1)
 }
 
 fn edit_distance(left: &str, right: &str) -> usize {
--- a/crates/wisteriahitch-config/src/read/problem_log.rs
+++ b/crates/wisteriahitch-config/src/read/problem_log.rs
@@ -6,7 +6,7 @@
 use toml::de::DeTable;
 use wisteriahitch_types::Code;
 
-use super::{Place, Source};
+use super::{Location, Source};
 use crate::{Problem, Report};
 
 /// Maximum number of problems in a report, which bounds the report on a hostile text.
@@ -20,7 +20,7 @@
 pub(crate) struct ProblemLog<'a> {
     sources: Vec<Source<'a>>,
     problems: RefCell<Vec<Problem>>,
-    is_cut: Cell<bool>,
+    is_truncated: Cell<bool>,
 }
 
 impl<'a> ProblemLog<'a> {
@@ -29,7 +29,7 @@
         Self {
             sources,
             problems: RefCell::default(),
-            is_cut: Cell::default(),
+            is_truncated: Cell::default(),
         }
     }
 
@@ -39,38 +39,38 @@
     }
 
     /// Adds a problem at a location, unless the log has reached its maximum.
-    pub(crate) fn add(&self, code: Code, place: &Place, message: impl Into<String>) {
+    pub(crate) fn add(&self, code: Code, location: &Location, message: impl Into<String>) {
         let mut problems = self.problems.borrow_mut();
         if problems.len() >= MAX_PROBLEMS {
-            self.is_cut.set(true);
+            self.is_truncated.set(true);
             return;
         }
-        let Some(source) = self.sources.get(place.source) else {
+        let Some(source) = self.sources.get(location.source) else {
             return;
         };
-        let (line, column) = source.position(place.offset);
+        let (line, column) = source.position(location.offset);
         problems.push(Problem {
             code,
             section: source.section.clone(),
             line,
             column,
-            path: place.path.clone(),
+            path: location.path.clone(),
             message: message.into(),
         });
     }
 
     /// Returns the line and column of a location, both from 1.
-    pub(crate) fn position(&self, place: &Place) -> (u32, u32) {
-        let source = self.sources.get(place.source);
-        source.map_or((1, 1), |source| source.position(place.offset))
+    pub(crate) fn position(&self, location: &Location) -> (u32, u32) {
+        let source = self.sources.get(location.source);
+        source.map_or((1, 1), |source| source.position(location.offset))
     }
 
     /// Describes a location for a message about another one: by its line in the submitted text, or
     /// by the name of the section in force.
-    pub(crate) fn describe(&self, place: &Place) -> String {
-        let (line, _) = self.position(place);
-        let source = self.sources.get(place.source);
-        let path = &place.path;
+    pub(crate) fn describe(&self, location: &Location) -> String {
+        let (line, _) = self.position(location);
+        let source = self.sources.get(location.source);
+        let path = &location.path;
         match source.and_then(|source| source.section.as_ref()) {
             Some(section) => format!("{path} of {section} (in force)"),
             None => format!("{path} in line {line}"),
@@ -78,11 +78,11 @@
     }
 
     /// Returns the start of the submitted text, or of the first text if none is submitted.
-    pub(crate) fn top(&self) -> Place {
+    pub(crate) fn submission_start(&self) -> Location {
         let submitted = self.sources.iter().position(|s| s.section.is_none());
-        Place {
+        Location {
             source: submitted.unwrap_or_default(),
-            ..Place::default()
+            ..Location::default()
         }
     }
 
@@ -93,8 +93,8 @@
 
     /// Returns whether problems were dropped because the log is full. Expensive checks may then
     /// stop.
-    pub(crate) fn is_cut(&self) -> bool {
-        self.is_cut.get()
+    pub(crate) fn is_truncated(&self) -> bool {
+        self.is_truncated.get()
     }
 
     /// Returns whether no problems were added so far.
@@ -107,15 +107,15 @@
     pub(crate) fn parse(&self, source: usize) -> Option<DeTable<'a>> {
         let text = self.sources.get(source)?.text;
         if text.len() > MAX_TEXT_BYTES {
-            let place = Place {
+            let location = Location {
                 source,
-                ..Place::default()
+                ..Location::default()
             };
             let message = format!(
                 "the text has {} bytes, more than {MAX_TEXT_BYTES}",
                 text.len()
             );
-            self.add(Code::ConfigTooLarge, &place, message);
+            self.add(Code::ConfigTooLarge, &location, message);
             return None;
         }
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -130,12 +130,12 @@
             if !lines.insert(line) {
                 continue;
             }
-            let place = Place {
+            let location = Location {
                 source,
                 offset,
                 path: String::new(),
             };
-            self.add(Code::ConfigSyntax, &place, error.message());
+            self.add(Code::ConfigSyntax, &location, error.message());
         }
         None
     }
@@ -144,7 +144,10 @@
     pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, Report> {
         match value {
             Some(value) if self.is_empty() => Ok(value),
-            _ => Err(Report::new(self.problems.into_inner(), self.is_cut.get())),
+            _ => Err(Report::new(
+                self.problems.into_inner(),
+                self.is_truncated.get(),
+            )),
         }
     }
 }
--- a/crates/wisteriahitch-config/src/read/source.rs
+++ b/crates/wisteriahitch-config/src/read/source.rs
@@ -31,10 +31,10 @@
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
         let line = before.bytes().filter(|byte| *byte == b'\n').count() + 1;
         let column = before[line_start..].chars().count() + 1;
-        (clamp(line), clamp(column))
+        (saturating_u32(line), saturating_u32(column))
     }
 }
 
-fn clamp(number: usize) -> u32 {
+fn saturating_u32(number: usize) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/wisteriahitch-config/src/read/table_numbers.rs
+++ b/crates/wisteriahitch-config/src/read/table_numbers.rs
@@ -16,7 +16,7 @@
         let found = match whole_number(value.get_ref()) {
             Ok(found) => found,
             Err(message) => {
-                self.fault(Code::ConfigBadValue, key, message);
+                self.add_problem(Code::ConfigBadValue, key, message);
                 return None;
             }
         };
@@ -25,7 +25,7 @@
             _ => {
                 let (low, high) = (range.start(), range.end());
                 let message = format!("must be from {low} to {high}, found {found}");
-                self.fault(Code::ConfigBadValue, key, message);
+                self.add_problem(Code::ConfigBadValue, key, message);
                 None
             }
         }
@@ -37,12 +37,12 @@
         key: &'static str,
         range: RangeInclusive<u64>,
     ) -> Option<u64> {
-        self.expect(key);
+        self.require_key(key);
         self.number(key, range)
     }
 
     /// Reads an optional integer that fits into 32 bits, and reports one outside the range.
-    pub(crate) fn small(&self, key: &'static str, range: RangeInclusive<u32>) -> Option<u32> {
+    pub(crate) fn number_u32(&self, key: &'static str, range: RangeInclusive<u32>) -> Option<u32> {
         let range = u64::from(*range.start())..=u64::from(*range.end());
         self.number(key, range)
             .and_then(|number| u32::try_from(number).ok())
@@ -56,9 +56,9 @@
         range_ms: RangeInclusive<u64>,
     ) -> Option<DurationUs> {
         let (low, high) = (*range_ms.start(), *range_ms.end());
-        if self.has(keys.ms) && self.has(keys.s) {
+        if self.has_key(keys.ms) && self.has_key(keys.s) {
             let message = format!("`{}` and `{}` are both given", keys.ms, keys.s);
-            self.fault(Code::ConfigContradiction, keys.s, message);
+            self.add_problem(Code::ConfigContradiction, keys.s, message);
         }
         let in_ms = self.number(keys.ms, range_ms);
         let range_s = low.div_ceil(MS_PER_S)..=high / MS_PER_S;
--- a/crates/wisteriahitch-config/src/read/table_reader.rs
+++ b/crates/wisteriahitch-config/src/read/table_reader.rs
@@ -7,33 +7,33 @@
 use toml::de::{DeString, DeTable, DeValue};
 use wisteriahitch_types::Code;
 
-use super::name_hint::nearest;
+use super::name_hint::nearest_name;
 use super::value::wrong_type;
-use super::{FromValue, Place, Placed, ProblemLog};
+use super::{FromValue, Located, Location, ProblemLog};
 
 /// Reads the keys of one table. Problems go to the log; [`TableReader::finish`] reports the keys
 /// that were never read, as unknown ones.
 pub(crate) struct TableReader<'r, 'i> {
     log: &'r ProblemLog<'i>,
     table: &'r DeTable<'i>,
-    place: Place,
-    asked: RefCell<Vec<&'static str>>,
+    location: Location,
+    read_keys: RefCell<Vec<&'static str>>,
 }
 
 impl<'r, 'i> TableReader<'r, 'i> {
     /// Creates a reader of the table at a location; an empty path is the top of the text.
-    pub(crate) fn new(log: &'r ProblemLog<'i>, table: &'r DeTable<'i>, place: Place) -> Self {
+    pub(crate) fn new(log: &'r ProblemLog<'i>, table: &'r DeTable<'i>, location: Location) -> Self {
         Self {
             log,
             table,
-            place,
-            asked: RefCell::default(),
+            location,
+            read_keys: RefCell::default(),
         }
     }
 
     /// Returns the location of the table.
-    pub(crate) fn place(&self) -> &Place {
-        &self.place
+    pub(crate) fn location(&self) -> &Location {
+        &self.location
     }
 
     /// Returns the log that problems go to.
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether the table contains a key.
-    pub(crate) fn has(&self, key: &str) -> bool {
+    pub(crate) fn has_key(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
@@ -53,66 +53,66 @@
     }
 
     /// Returns the location of a key's value, or of the table if the key is missing.
-    pub(crate) fn place_of(&self, key: &str) -> Place {
+    pub(crate) fn location_of(&self, key: &str) -> Location {
         match self.table.get(key) {
-            Some(value) => self.child_place(key, value),
-            None => self.place.clone(),
+            Some(value) => self.child_location(key, value),
+            None => self.location.clone(),
         }
     }
 
     /// Adds a problem at a key, or at the table if the key is missing.
-    pub(crate) fn fault(&self, code: Code, key: &str, message: impl Into<String>) {
-        self.log.add(code, &self.place_of(key), message);
+    pub(crate) fn add_problem(&self, code: Code, key: &str, message: impl Into<String>) {
+        self.log.add(code, &self.location_of(key), message);
     }
 
     /// Reads an optional key.
     pub(crate) fn optional<T: FromValue>(&self, key: &'static str) -> Option<T> {
-        self.optional_placed(key).map(|placed| placed.value)
+        self.optional_located(key).map(|located| located.value)
     }
 
     /// Reads an optional key, with its location.
-    pub(crate) fn optional_placed<T: FromValue>(&self, key: &'static str) -> Option<Placed<T>> {
+    pub(crate) fn optional_located<T: FromValue>(&self, key: &'static str) -> Option<Located<T>> {
         let value = self.get(key)?;
-        self.convert(value, self.child_place(key, value))
+        self.convert(value, self.child_location(key, value))
     }
 
     /// Reads a required key.
     pub(crate) fn required<T: FromValue>(&self, key: &'static str) -> Option<T> {
-        self.required_placed(key).map(|placed| placed.value)
+        self.required_located(key).map(|located| located.value)
     }
 
     /// Reads a required key, with its location.
-    pub(crate) fn required_placed<T: FromValue>(&self, key: &'static str) -> Option<Placed<T>> {
-        self.expect(key);
-        self.optional_placed(key)
+    pub(crate) fn required_located<T: FromValue>(&self, key: &'static str) -> Option<Located<T>> {
+        self.require_key(key);
+        self.optional_located(key)
     }
 
     /// Reads a list of values without duplicates; a missing list counts as empty.
-    pub(crate) fn list<T: FromValue + Ord + Clone>(&self, key: &'static str) -> Vec<Placed<T>> {
+    pub(crate) fn list<T: FromValue + Ord + Clone>(&self, key: &'static str) -> Vec<Located<T>> {
         let mut seen = BTreeSet::new();
         let mut values = Vec::new();
-        for (value, place) in self.elements(key) {
-            let Some(placed) = self.convert::<T>(value, place) else {
+        for (value, location) in self.elements(key) {
+            let Some(located) = self.convert::<T>(value, location) else {
                 continue;
             };
-            if seen.insert(placed.value.clone()) {
-                values.push(placed);
+            if seen.insert(located.value.clone()) {
+                values.push(located);
                 continue;
             }
             let message = "the same value stands in the list twice";
             self.log
-                .add(Code::ConfigDuplicateName, &placed.place, message);
+                .add(Code::ConfigDuplicateName, &located.location, message);
         }
         values
     }
 
     /// Reads a required list of values, which must not be empty.
-    pub(crate) fn required_list<T>(&self, key: &'static str) -> Vec<Placed<T>>
+    pub(crate) fn required_list<T>(&self, key: &'static str) -> Vec<Located<T>>
     where
         T: FromValue + Ord + Clone,
     {
-        if self.expect(key) && self.list_is_empty(key) {
-            self.fault(Code::ConfigMissingKey, key, "the list is empty");
+        if self.require_key(key) && self.list_is_empty(key) {
+            self.add_problem(Code::ConfigMissingKey, key, "the list is empty");
         }
         self.list(key)
     }
@@ -120,7 +120,7 @@
     /// Opens an optional table.
     pub(crate) fn table(&self, key: &'static str) -> Option<TableReader<'r, 'i>> {
         let value = self.get(key)?;
-        self.open(value, self.child_place(key, value))
+        self.open_table(value, self.child_location(key, value))
     }
 
     /// Opens a table without marking its key as read or reporting problems, for a table that is
@@ -131,7 +131,7 @@
         Some(TableReader::new(
             self.log,
             table,
-            self.child_place(key, value),
+            self.child_location(key, value),
         ))
     }
 
@@ -139,16 +139,16 @@
     pub(crate) fn tables(&self, key: &'static str) -> Vec<TableReader<'r, 'i>> {
         self.elements(key)
             .into_iter()
-            .filter_map(|(value, place)| self.open(value, place))
+            .filter_map(|(value, location)| self.open_table(value, location))
             .collect()
     }
 
     /// Reads every entry of a table whose keys the operator chooses freely.
-    pub(crate) fn entries<T: FromValue>(&self) -> Vec<(String, Placed<T>)> {
+    pub(crate) fn entries<T: FromValue>(&self) -> Vec<(String, Located<T>)> {
         let entry = |key: &Spanned<DeString<'i>>, value: &Spanned<DeValue<'i>>| {
             let name = key.get_ref().as_ref().to_owned();
-            let placed = self.convert(value, self.child_place(&name, value))?;
-            Some((name, placed))
+            let located = self.convert(value, self.child_location(&name, value))?;
+            Some((name, located))
         };
         self.table
             .iter()
@@ -157,92 +157,97 @@
     }
 
     /// Returns whether a required key is present, and reports it if not.
-    pub(crate) fn expect(&self, key: &'static str) -> bool {
-        let is_there = self.has(key);
-        if !is_there {
+    pub(crate) fn require_key(&self, key: &'static str) -> bool {
+        let is_present = self.has_key(key);
+        if !is_present {
             let message = format!("`{key}` is missing");
-            self.log.add(Code::ConfigMissingKey, &self.place, message);
+            self.log
+                .add(Code::ConfigMissingKey, &self.location, message);
         }
-        is_there
+        is_present
     }
 
     /// Reports every key of the table that was not read.
     pub(crate) fn finish(self) {
-        let asked = self.asked.borrow();
+        let read_keys = self.read_keys.borrow();
         for key in self.table.keys() {
             let name = key.get_ref().as_ref();
-            if asked.contains(&name) {
+            if read_keys.contains(&name) {
                 continue;
             }
-            let hint = nearest(name, asked.iter().copied())
+            let hint = nearest_name(name, read_keys.iter().copied())
                 .map_or_else(String::new, |known| format!("; did you mean `{known}`?"));
-            let place = self.at(name, key.span().start);
+            let location = self.location_at(name, key.span().start);
             let message = format!("no key is named `{name}`{hint}");
-            self.log.add(Code::ConfigUnknownKey, &place, message);
+            self.log.add(Code::ConfigUnknownKey, &location, message);
         }
     }
 
     /// Returns a key's value and records the key as a known one.
     pub(super) fn get(&self, key: &'static str) -> Option<&'r Spanned<DeValue<'i>>> {
-        self.asked.borrow_mut().push(key);
+        self.read_keys.borrow_mut().push(key);
         self.table.get(key)
     }
 
-    fn elements(&self, key: &'static str) -> Vec<(&'r Spanned<DeValue<'i>>, Place)> {
+    fn elements(&self, key: &'static str) -> Vec<(&'r Spanned<DeValue<'i>>, Location)> {
         let Some(value) = self.get(key) else {
             return Vec::new();
         };
         let DeValue::Array(array) = value.get_ref() else {
             let message = wrong_type("a list", value.get_ref());
-            self.fault(Code::ConfigBadValue, key, message);
+            self.add_problem(Code::ConfigBadValue, key, message);
             return Vec::new();
         };
-        let place = |position: usize, element: &Spanned<DeValue<'_>>| {
-            self.at(&format!("{key}[{position}]"), element.span().start)
+        let location = |position: usize, element: &Spanned<DeValue<'_>>| {
+            self.location_at(&format!("{key}[{position}]"), element.span().start)
         };
         array
             .iter()
             .enumerate()
-            .map(|(position, element)| (element, place(position, element)))
+            .map(|(position, element)| (element, location(position, element)))
             .collect()
     }
 
     fn convert<T: FromValue>(
         &self,
         value: &Spanned<DeValue<'i>>,
-        place: Place,
-    ) -> Option<Placed<T>> {
+        location: Location,
+    ) -> Option<Located<T>> {
         match T::from_value(value.get_ref()) {
-            Ok(value) => Some(Placed { value, place }),
+            Ok(value) => Some(Located { value, location }),
             Err(message) => {
-                self.log.add(Code::ConfigBadValue, &place, message);
+                self.log.add(Code::ConfigBadValue, &location, message);
                 None
             }
         }
     }
 
-    fn open(&self, value: &'r Spanned<DeValue<'i>>, place: Place) -> Option<TableReader<'r, 'i>> {
+    fn open_table(
+        &self,
+        value: &'r Spanned<DeValue<'i>>,
+        location: Location,
+    ) -> Option<TableReader<'r, 'i>> {
         if let DeValue::Table(table) = value.get_ref() {
-            return Some(TableReader::new(self.log, table, place));
+            return Some(TableReader::new(self.log, table, location));
         }
         let message = wrong_type("a table", value.get_ref());
-        self.log.add(Code::ConfigBadValue, &place, message);
+        self.log.add(Code::ConfigBadValue, &location, message);
         None
     }
 
-    fn child_place(&self, key: &str, value: &Spanned<DeValue<'_>>) -> Place {
-        self.at(key, value.span().start)
+    fn child_location(&self, key: &str, value: &Spanned<DeValue<'_>>) -> Location {
+        self.location_at(key, value.span().start)
     }
 
-    fn at(&self, key: &str, offset: usize) -> Place {
-        let parent = &self.place.path;
+    fn location_at(&self, key: &str, offset: usize) -> Location {
+        let parent = &self.location.path;
         let path = if parent.is_empty() {
             key.to_owned()
         } else {
             format!("{parent}.{key}")
         };
-        Place {
-            source: self.place.source,
+        Location {
+            source: self.location.source,
             offset,
             path,
         }
--- a/crates/wisteriahitch-config/src/report/report.rs
+++ b/crates/wisteriahitch-config/src/report/report.rs
@@ -15,18 +15,22 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Report {
     problems: Vec<Problem>,
-    is_cut: bool,
+    #[serde(rename = "is_cut")]
+    is_truncated: bool,
 }
 
 impl Report {
     /// Creates a report and sorts the problems by location.
-    pub(crate) fn new(mut problems: Vec<Problem>, is_cut: bool) -> Self {
-        let place = |problem: &Problem| {
+    pub(crate) fn new(mut problems: Vec<Problem>, is_truncated: bool) -> Self {
+        let location = |problem: &Problem| {
             let section = problem.section.clone();
             (section, problem.line, problem.column, problem.code)
         };
-        problems.sort_by_key(place);
-        Self { problems, is_cut }
+        problems.sort_by_key(location);
+        Self {
+            problems,
+            is_truncated,
+        }
     }
 
     /// Returns the problems, ordered by location.
@@ -35,8 +39,8 @@
     }
 
     /// Returns whether more problems were found than are listed.
-    pub fn is_cut(&self) -> bool {
-        self.is_cut
+    pub fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
     /// Returns a rendering as lines that start with the name of the file.
@@ -69,7 +73,7 @@
             }
             problem.write_line(self.file, f)?;
         }
-        if self.report.is_cut {
+        if self.report.is_truncated {
             let listed = self.report.problems.len();
             write!(
                 f,
--- a/crates/wisteriahitch-config/src/sections/section.rs
+++ b/crates/wisteriahitch-config/src/sections/section.rs
@@ -10,8 +10,8 @@
 /// use wisteriahitch_config::Section;
 ///
 /// let section = Section::new("weight = 2");
-/// assert!(Section::try_checked(section.hash(), section.text()).is_ok());
-/// assert!(Section::try_checked(section.hash(), "weight = 9").is_err());
+/// assert!(Section::try_verified(section.hash(), section.text()).is_ok());
+/// assert!(Section::try_verified(section.hash(), "weight = 9").is_err());
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Section {
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// Returns [`SectionMismatch`] if the text has another hash.
-    pub fn try_checked(
+    pub fn try_verified(
         expected: SectionHash,
         text: impl Into<Arc<str>>,
     ) -> Result<Self, SectionMismatch> {
--- a/crates/wisteriahitch-config/src/sections/change.rs
+++ b/crates/wisteriahitch-config/src/sections/section_change.rs
@@ -9,7 +9,7 @@
 /// A difference in one section between two configurations.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Change {
+pub enum SectionChange {
     /// The section was added.
     Added(SectionName),
     /// The content of the section changed.
@@ -18,21 +18,23 @@
     Removed(SectionName),
 }
 
-impl Change {
+impl SectionChange {
     /// Returns the name of the section.
     pub fn into_name(self) -> SectionName {
         match self {
-            Change::Added(name) | Change::Changed(name) | Change::Removed(name) => name,
+            SectionChange::Added(name)
+            | SectionChange::Changed(name)
+            | SectionChange::Removed(name) => name,
         }
     }
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for SectionChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Change::Added(name) => write!(f, "added {name}"),
-            Change::Changed(name) => write!(f, "changed {name}"),
-            Change::Removed(name) => write!(f, "removed {name}"),
+            SectionChange::Added(name) => write!(f, "added {name}"),
+            SectionChange::Changed(name) => write!(f, "changed {name}"),
+            SectionChange::Removed(name) => write!(f, "removed {name}"),
         }
     }
 }
--- a/crates/wisteriahitch-config/src/sections/sections.rs
+++ b/crates/wisteriahitch-config/src/sections/sections.rs
@@ -4,8 +4,8 @@
 
 use wisteriahitch_types::WorkspaceId;
 
-use super::submission::split_read;
-use super::{Change, Section, SectionName};
+use super::submission::split_draft;
+use super::{Section, SectionChange, SectionName};
 use crate::check::{check, check_defined_once};
 use crate::draft::Draft;
 use crate::read::{ProblemLog, Source};
@@ -37,7 +37,7 @@
 pub struct Sections {
     pub(super) sections: BTreeMap<SectionName, Section>,
     /// Workspaces that a submission removes; always empty for sections in force.
-    pub(super) removed: BTreeSet<WorkspaceId>,
+    pub(super) removed_workspaces: BTreeSet<WorkspaceId>,
 }
 
 impl Sections {
@@ -53,7 +53,7 @@
         let log = ProblemLog::new(vec![Source::submitted(text)]);
         let draft = Draft::read(&log);
         check_defined_once(&draft, &log);
-        let split = log.is_empty().then(|| split_read(text, &draft, &log));
+        let split = log.is_empty().then(|| split_draft(text, &draft, &log));
         log.finish(split)
     }
 
@@ -76,7 +76,7 @@
     /// All other sections are unchanged: omitting a workspace from a text never removes it.
     pub fn merge(&self, submitted: &Self) -> Self {
         let mut merged = self.clone();
-        for id in &submitted.removed {
+        for id in &submitted.removed_workspaces {
             let name = SectionName::Workspace(id.clone());
             merged.sections.remove(&name);
         }
@@ -99,26 +99,29 @@
         let mut sources: Vec<_> = merged.sources(&submitted).collect();
         sources.push(Source::submitted(text));
         let log = ProblemLog::new(sources);
-        merged.check_size(&log);
-        self.check_left_out(&submitted, &log);
+        merged.check_section_list_size(&log);
+        self.check_omitted_workspaces(&submitted, &log);
         let draft = Draft::read(&log);
-        self.check_removed(&draft, &log);
+        self.check_removed_workspaces(&draft, &log);
         let checked = check(draft, &log);
         log.finish(checked.map(|configuration| (merged.clone(), configuration)))
     }
 
     /// Returns the changes from these sections to `after`: additions, then changes, then removals,
     /// each in the order of the names.
-    pub fn changes_to(&self, after: &Self) -> Vec<Change> {
-        let gone = self
+    pub fn changes_to(&self, after: &Self) -> Vec<SectionChange> {
+        let removed = self
             .sections
             .keys()
             .filter(|name| after.get(name).is_none());
-        let mut changes: Vec<Change> = gone.cloned().map(Change::Removed).collect();
+        let mut changes: Vec<SectionChange> =
+            removed.cloned().map(SectionChange::Removed).collect();
         for (name, section) in &after.sections {
             match self.get(name) {
-                None => changes.push(Change::Added(name.clone())),
-                Some(before) if before != section => changes.push(Change::Changed(name.clone())),
+                None => changes.push(SectionChange::Added(name.clone())),
+                Some(before) if before != section => {
+                    changes.push(SectionChange::Changed(name.clone()))
+                }
                 Some(_) => {}
             }
         }
@@ -158,13 +161,13 @@
 
     /// Returns the sections as texts to check, except those that are also in `replaced`.
     fn sources<'a>(&'a self, replaced: &'a Self) -> impl Iterator<Item = Source<'a>> {
-        let kept = |(name, section): (&SectionName, &'a Section)| {
-            let is_kept = !replaced.sections.contains_key(name);
-            is_kept.then(|| Source {
+        let unreplaced = |(name, section): (&SectionName, &'a Section)| {
+            let is_unreplaced = !replaced.sections.contains_key(name);
+            is_unreplaced.then(|| Source {
                 section: Some(name.clone()),
                 text: section.text(),
             })
         };
-        self.sections.iter().filter_map(kept)
+        self.sections.iter().filter_map(unreplaced)
     }
 }
--- a/crates/wisteriahitch-config/src/settings/read.rs
+++ b/crates/wisteriahitch-config/src/settings/read.rs
@@ -4,26 +4,26 @@
 
 use wisteriahitch_types::{ByteCount, Code, DurationUs};
 
-use super::addresses::{check_distinct, check_own, plain_addresses};
+use super::addresses::{check_listen_addresses, check_own_addresses, checked_addresses};
 use super::{
     ListenSettings, LogSettings, OperatorSettings, PeerSettings, PlatformSettings, RequestLimits,
     RunSettings, Settings,
 };
 use crate::Report;
-use crate::read::{DurationKeys, Place, ProblemLog, Source, TableReader, duration_keys};
+use crate::read::{DurationKeys, Location, ProblemLog, Source, TableReader, duration_keys};
 
 const DEFAULT_READS_PER_S: u32 = 20;
 const DEFAULT_WRITES_PER_S: u32 = 5;
-const MAX_CALLS_PER_S: u32 = 2_000;
+const MAX_PLATFORM_CALLS_PER_S: u32 = 2_000;
 const DEFAULT_PLATFORM_TIMEOUT: DurationUs = DurationUs::from_ms(2_000);
-const PROBE_INTERVAL_MS: RangeInclusive<u64> = 50..=60_000;
-const TIMEOUT_MS: RangeInclusive<u64> = 1..=600_000;
-const KEEP_ALIVE_MS: RangeInclusive<u64> = 1..=3_600_000;
-const HEADER_BYTES: RangeInclusive<u64> = 1 << 10..=1 << 20;
-const BODY_BYTES: RangeInclusive<u64> = 1 << 10..=1 << 30;
+const PROBE_INTERVAL_RANGE_MS: RangeInclusive<u64> = 50..=60_000;
+const TIMEOUT_RANGE_MS: RangeInclusive<u64> = 1..=600_000;
+const KEEP_ALIVE_RANGE_MS: RangeInclusive<u64> = 1..=3_600_000;
+const HEADER_BYTES_RANGE: RangeInclusive<u64> = 1 << 10..=1 << 20;
+const BODY_BYTES_RANGE: RangeInclusive<u64> = 1 << 10..=1 << 30;
 /// An answer is stored base64-encoded, a third longer, in an object of at most one megabyte.
-const ANSWER_BYTES: RangeInclusive<u64> = 1 << 10..=700 << 10;
-const MAX_STREAMS: u32 = 1_000_000;
+const ANSWER_BYTES_RANGE: RangeInclusive<u64> = 1 << 10..=700 << 10;
+const MAX_CONCURRENT_REQUESTS: u32 = 1_000_000;
 const MAX_CORES: u32 = 1_024;
 
 impl Settings {
@@ -36,7 +36,7 @@
         let log = ProblemLog::new(vec![Source::submitted(text)]);
         let table = log.parse(0);
         let settings = table.and_then(|table| {
-            let top = TableReader::new(&log, &table, Place::default());
+            let top = TableReader::new(&log, &table, Location::default());
             let settings = read(&top);
             top.finish();
             settings
@@ -66,7 +66,7 @@
         log: log.unwrap_or_default(),
         run: run.unwrap_or_default(),
     };
-    check_own(top, &settings);
+    check_own_addresses(top, &settings);
     Some(settings)
 }
 
@@ -75,7 +75,7 @@
     key: &'static str,
     read: fn(&TableReader<'_, '_>) -> T,
 ) -> Option<T> {
-    top.expect(key);
+    top.require_key(key);
     optional_table(top, key, read)
 }
 
@@ -91,10 +91,10 @@
 }
 
 fn read_listen(table: &TableReader<'_, '_>) -> Option<ListenSettings> {
-    let callers = table.required_placed("callers");
-    let peers = table.required_placed("peers");
-    let operators = table.required_placed("operators");
-    check_distinct(table, [&callers, &peers, &operators]);
+    let callers = table.required_located("callers");
+    let peers = table.required_located("peers");
+    let operators = table.required_located("operators");
+    check_listen_addresses(table, [&callers, &peers, &operators]);
     Some(ListenSettings {
         callers: callers?.value,
         peers: peers?.value,
@@ -103,10 +103,10 @@
 }
 
 fn read_platform(table: &TableReader<'_, '_>) -> PlatformSettings {
-    let addresses = plain_addresses(table, table.required_list("addresses"));
-    let reads = table.small("reads_per_s", 1..=MAX_CALLS_PER_S);
-    let writes = table.small("writes_per_s", 1..=MAX_CALLS_PER_S);
-    let timeout = table.duration(duration_keys!("timeout"), TIMEOUT_MS);
+    let addresses = checked_addresses(table, table.required_list("addresses"));
+    let reads = table.number_u32("reads_per_s", 1..=MAX_PLATFORM_CALLS_PER_S);
+    let writes = table.number_u32("writes_per_s", 1..=MAX_PLATFORM_CALLS_PER_S);
+    let timeout = table.duration(duration_keys!("timeout"), TIMEOUT_RANGE_MS);
     PlatformSettings {
         addresses,
         reads_per_s: reads.unwrap_or(DEFAULT_READS_PER_S),
@@ -116,8 +116,8 @@
 }
 
 fn read_peers(table: &TableReader<'_, '_>) -> PeerSettings {
-    let seeds = plain_addresses(table, table.list("seeds"));
-    let interval = table.duration(duration_keys!("probe_interval"), PROBE_INTERVAL_MS);
+    let seeds = checked_addresses(table, table.list("seeds"));
+    let interval = table.duration(duration_keys!("probe_interval"), PROBE_INTERVAL_RANGE_MS);
     let default = PeerSettings::default();
     PeerSettings {
         seeds,
@@ -132,30 +132,34 @@
         number.map_or(default, ByteCount::new)
     };
     let span = |keys: DurationKeys, range, default| table.duration(keys, range).unwrap_or(default);
-    let count = |key, default| table.small(key, 1..=MAX_STREAMS).unwrap_or(default);
+    let count = |key, default| {
+        table
+            .number_u32(key, 1..=MAX_CONCURRENT_REQUESTS)
+            .unwrap_or(default)
+    };
     let limits = RequestLimits {
-        header_bytes: bytes("header_bytes", HEADER_BYTES, default.header_bytes),
-        body_bytes: bytes("body_bytes", BODY_BYTES, default.body_bytes),
-        answer_bytes: bytes("answer_bytes", ANSWER_BYTES, default.answer_bytes),
+        header_bytes: bytes("header_bytes", HEADER_BYTES_RANGE, default.header_bytes),
+        body_bytes: bytes("body_bytes", BODY_BYTES_RANGE, default.body_bytes),
+        answer_bytes: bytes("answer_bytes", ANSWER_BYTES_RANGE, default.answer_bytes),
         streams: count("streams", default.streams),
         header_timeout_us: span(
             duration_keys!("header_timeout"),
-            TIMEOUT_MS,
+            TIMEOUT_RANGE_MS,
             default.header_timeout_us,
         ),
         body_timeout_us: span(
             duration_keys!("body_timeout"),
-            TIMEOUT_MS,
+            TIMEOUT_RANGE_MS,
             default.body_timeout_us,
         ),
         reader_stall_timeout_us: span(
             duration_keys!("reader_stall_timeout"),
-            TIMEOUT_MS,
+            TIMEOUT_RANGE_MS,
             default.reader_stall_timeout_us,
         ),
         idle_keep_alive_us: span(
             duration_keys!("idle_keep_alive"),
-            KEEP_ALIVE_MS,
+            KEEP_ALIVE_RANGE_MS,
             default.idle_keep_alive_us,
         ),
         queued_requests: count("queued_requests", default.queued_requests),
@@ -167,8 +171,10 @@
 fn check_limits(table: &TableReader<'_, '_>, limits: &RequestLimits) {
     if limits.header_timeout_us > limits.body_timeout_us {
         let message = "a request's head may take longer than the whole request";
-        let place = table.place();
-        table.log().add(Code::ConfigContradiction, place, message);
+        let location = table.location();
+        table
+            .log()
+            .add(Code::ConfigContradiction, location, message);
     }
 }
 
@@ -183,7 +189,7 @@
     let level = table.optional("level");
     let file: Option<String> = table.optional("file");
     if file.as_deref().is_some_and(|file| file.trim().is_empty()) {
-        table.fault(Code::ConfigBadValue, "file", "the path is empty");
+        table.add_problem(Code::ConfigBadValue, "file", "the path is empty");
     }
     LogSettings {
         level: level.unwrap_or_default(),
@@ -192,7 +198,7 @@
 }
 
 fn read_run(table: &TableReader<'_, '_>) -> RunSettings {
-    let cores = table.small("cores", 1..=MAX_CORES);
+    let cores = table.number_u32("cores", 1..=MAX_CORES);
     let policy = table.optional("policy");
     let default = RunSettings::default();
     RunSettings {
--- a/crates/wisteriahitch-config/tests/all/mistakes.rs
+++ b/crates/wisteriahitch-config/tests/all/mistakes.rs
@@ -219,7 +219,7 @@
 fn a_text_with_endless_mistakes_gives_a_bounded_report() {
     let text = "[[rules]]\nname = \"r\"\nthen.refuse.reason = \"no\"\n".repeat(20_000);
     let report = Configuration::check(&text).unwrap_err();
-    assert!(report.is_cut());
+    assert!(report.is_truncated());
     assert_eq!(report.problems().len(), 200);
     let rendered = report.in_file("site.toml").to_string();
     assert!(rendered.ends_with("only the first 200 problems found are listed"));
--- a/crates/wisteriahitch-config/tests/all/sections.rs
+++ b/crates/wisteriahitch-config/tests/all/sections.rs
@@ -1,7 +1,7 @@
 //! Splitting, merging and assembling sections.
 
 use wisteriahitch_config::{
-    Change, Configuration, Report, Section, SectionHash, SectionName, Sections,
+    Configuration, Report, Section, SectionChange, SectionHash, SectionName, Sections,
 };
 use wisteriahitch_types::Code;
 
@@ -116,7 +116,7 @@
     assert_eq!(configuration.workspaces.len(), 2);
     assert_eq!(
         before.changes_to(&after),
-        [Change::Changed(SectionName::Site)]
+        [SectionChange::Changed(SectionName::Site)]
     );
 }
 
@@ -134,12 +134,12 @@
 #[test]
 fn a_workspace_goes_when_the_text_says_so() {
     let before = Sections::split(WHOLE).unwrap();
-    let gone = [Change::Removed(workspace("galle-02"))];
+    let removed = [SectionChange::Removed(workspace("galle-02"))];
     let alone = "removed_workspaces = [\"galle-02\"]\n".to_owned();
     let whole = format!("{alone}{}", without_galle());
     for text in [alone, whole] {
         let (after, configuration) = before.accept(&text).unwrap();
-        assert_eq!(before.changes_to(&after), gone, "{text}");
+        assert_eq!(before.changes_to(&after), removed, "{text}");
         assert_eq!(configuration.workspaces.len(), 1);
     }
 }
@@ -230,9 +230,9 @@
     let mut fetched = Sections::default();
     for (name, section) in whole.iter() {
         let other = format!("{}# changed\n", section.text());
-        let refused = Section::try_checked(section.hash(), other);
+        let refused = Section::try_verified(section.hash(), other);
         assert_eq!(refused.unwrap_err().expected, section.hash());
-        let checked = Section::try_checked(section.hash(), section.text());
+        let checked = Section::try_verified(section.hash(), section.text());
         fetched.insert(name.clone(), checked.unwrap());
     }
     assert_eq!(fetched, whole);
--- a/crates/wisteriahitch-core/src/fleet/configuration/reading.rs
+++ b/crates/wisteriahitch-core/src/fleet/configuration/reading.rs
@@ -16,7 +16,7 @@
     }
 
     pub(super) fn section_read(&mut self, hash: SectionHash, text: String) {
-        match Section::try_checked(hash, text) {
+        match Section::try_verified(hash, text) {
             Ok(section) => self.table.keep(section),
             Err(_) => self.report_corrupt(self.table.known_version()),
         }
--- a/crates/wisteriahitch-node/src/config/peers.rs
+++ b/crates/wisteriahitch-node/src/config/peers.rs
@@ -173,7 +173,7 @@
     let read = |section: &WireSection| {
         let hash = section.hash.parse().ok()?;
         let text = str::from_utf8(&section.content).ok()?;
-        Section::try_checked(hash, text).ok()
+        Section::try_verified(hash, text).ok()
     };
     sections.iter().filter_map(read).collect()
 }
