--- a/crates/wisteriahitch-config/benches/decide.rs
+++ b/crates/wisteriahitch-config/benches/decide.rs
@@ -1,4 +1,4 @@
-//! How long a decision, and a change of one workspace, take as workspaces grow in number.
+//! Time of a decision, and of a change of one workspace, by number of workspaces.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -6,11 +6,11 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use wisteriahitch_config::{Configuration, RequestFacts, Sections, key_hash};
 
-/// Today's number of workspaces, and the one that is expected within two years.
+/// Current number of workspaces, and the number expected within two years.
 const WORKSPACES: [usize; 2] = [10, 3_200];
 
-/// Builds a site in which every workspace has a rule of its own before three general ones; more
-/// would not fit into the one section that holds all rules.
+/// Builds a site in which every workspace has a rule of its own, followed by three general rules.
+/// More rules would not fit into the one section that holds all rules.
 fn text(workspaces: usize) -> String {
     let mut text = String::from(
         "[[services]]\nname = \"till\"\nkind = \"plain\"\nendpoints = [{ id = \"till-1\", \
--- a/crates/wisteriahitch-config/tests/all/contradictions.rs
+++ b/crates/wisteriahitch-config/tests/all/contradictions.rs
@@ -1,11 +1,11 @@
-//! Rules whose parts are right one by one but not together.
+//! Rules whose parts are valid on their own but contradict each other.
 
 use wisteriahitch_config::Configuration;
 use wisteriahitch_types::Code;
 
 use crate::support::example;
 
-/// A second model, which no service holds.
+/// A second model, which no service serves.
 const SECOND_MODEL: &str = r#"
 [[models]]
 name = "tag-1b"
@@ -18,7 +18,7 @@
 id = "hub-cache""#;
 
 struct Case {
-    /// Condition and action in place of those of the rule `counter-parts`.
+    /// Condition and action that replace those of the rule `counter-parts`.
     rule: &'static str,
     code: Code,
     message: &'static str,
@@ -45,10 +45,10 @@
 ];
 
 #[test]
-fn a_rule_whose_parts_exclude_each_other_is_refused() {
-    let right = example("chainline.toml").replace("[[stores]]\nid = \"hub-cache\"", SECOND_MODEL);
-    assert!(Configuration::check(&right).is_ok());
-    let (head, tail) = right.split_once("name = \"counter-parts\"\n").unwrap();
+fn a_rule_with_contradictory_parts_is_refused() {
+    let valid = example("chainline.toml").replace("[[stores]]\nid = \"hub-cache\"", SECOND_MODEL);
+    assert!(Configuration::check(&valid).is_ok());
+    let (head, tail) = valid.split_once("name = \"counter-parts\"\n").unwrap();
     let (_, rest) = tail.split_once("\n\n").unwrap();
     for Case {
         rule,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_key_of_the_other_kind_of_service_is_refused() {
+fn a_key_that_does_not_apply_to_the_kind_of_service_is_refused() {
     let cases = [
         (
             "kind = \"plain\"",
@@ -73,9 +73,9 @@
         ),
         ("kind = \"engine\"", "kind = \"engine\"\nrepeatable = []"),
     ];
-    let right = example("chainline.toml");
+    let valid = example("chainline.toml");
     for (replace, by) in cases {
-        let report = Configuration::check(&right.replacen(replace, by, 1)).unwrap_err();
+        let report = Configuration::check(&valid.replacen(replace, by, 1)).unwrap_err();
         let codes: Vec<Code> = report.problems().iter().map(|p| p.code).collect();
         assert_eq!(codes, [Code::ConfigContradiction], "{by}: {report}");
     }
--- a/crates/wisteriahitch-config/tests/all/decide.rs
+++ b/crates/wisteriahitch-config/tests/all/decide.rs
@@ -1,4 +1,4 @@
-//! The indexed decision against a plain scan of the rules.
+//! Compares the indexed decision with a linear scan of the rules.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 };
 use wisteriahitch_types::{DurationUs, TokenCount};
 
-use crate::support::generated;
+use crate::support::property_test_config;
 
 const WORKSPACES: [&str; 4] = ["w1", "w2", "w3", "w4"];
 const MODELS: [&str; 2] = ["m1", "m2"];
@@ -26,10 +26,10 @@
     T: std::str::FromStr + std::fmt::Debug,
     T::Err: std::fmt::Debug,
 {
-    // Half of the conditions leave a part out, so that some rules match.
-    let some = subsequence(names, 0..=names.len());
+    // Half of the conditions leave this part unset, so that some rules match.
+    let chosen = subsequence(names, 0..=names.len());
     let parse = |names: Vec<&str>| names.iter().map(|name| name.parse().unwrap()).collect();
-    option::of(some).prop_map(move |names| names.map(parse).unwrap_or_default())
+    option::of(chosen).prop_map(move |names| names.map(parse).unwrap_or_default())
 }
 
 fn labels() -> impl Strategy<Value = BTreeMap<String, String>> {
@@ -124,10 +124,10 @@
 }
 
 proptest! {
-    #![proptest_config(generated(400))]
+    #![proptest_config(property_test_config(400))]
 
     #[test]
-    fn the_index_keeps_the_order(
+    fn indexed_decision_equals_a_linear_scan(
         conditions in vec(condition(), 0..12),
         requests in vec(facts(), 1..20),
     ) {
@@ -139,22 +139,22 @@
     }
 
     #[test]
-    fn the_explanation_ends_with_the_rule_that_decides(
+    fn only_the_last_trace_of_an_explanation_decides(
         conditions in vec(condition(), 0..12),
         facts in facts(),
     ) {
         let configuration = configuration(conditions);
         let decided = configuration.decide(&facts);
         let traces = configuration.explain(&facts);
-        let (last, tried) = traces.split_last().unwrap();
+        let (last, earlier) = traces.split_last().unwrap();
         prop_assert_eq!(&last.rule, &decided.name);
         prop_assert!(last.is_decisive());
-        prop_assert!(tried.iter().all(|trace| !trace.is_decisive()));
+        prop_assert!(earlier.iter().all(|trace| !trace.is_decisive()));
     }
 }
 
 #[test]
-fn the_explanation_names_the_parts_that_fail() {
+fn an_explanation_lists_the_mismatched_parts() {
     let condition = Condition {
         workspaces: vec!["w1".parse().unwrap()],
         methods: vec!["GET".to_owned()],
@@ -183,19 +183,19 @@
     .assert_eq(&format!("{}\n{}", traces[0], traces[1]));
 }
 
-/// Symptom: a rule that was added has no effect. Events: a configuration has decided once, is
-/// cloned, and the clone is changed. Cause: the clone answers from the tables of the original.
+/// A rule added to a clone has no effect if the clone keeps the indexes of the original, which were
+/// built by the original's first decision.
 #[test]
-fn a_changed_clone_decides_by_its_own_rules() {
+fn a_modified_clone_does_not_use_the_indexes_of_the_original() {
     let original = configuration(vec![]);
     let facts = RequestFacts::default();
     assert_eq!(original.decide(&facts).name.as_str(), "rule-0");
     let mut changed = original.clone();
-    let never = Condition {
+    let put_only = Condition {
         methods: vec!["PUT".to_owned()],
         ..Condition::default()
     };
-    changed.rules.insert(0, rule(7, never));
+    changed.rules.insert(0, rule(7, put_only));
     assert_eq!(changed.decide(&facts).name.as_str(), "rule-0");
 }
 
--- a/crates/wisteriahitch-config/tests/all/examples.rs
+++ b/crates/wisteriahitch-config/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The worked configurations of both sites.
+//! The example configurations of both sites, the example settings and their documentation.
 
 use wisteriahitch_config::{
     Action, Configuration, RequestFacts, Route, SavePolicy, Sections, Settings, key_hash,
@@ -13,7 +13,7 @@
 struct Site {
     file: &'static str,
     zones: usize,
-    /// Services with the number of their endpoints and their store.
+    /// Name, number of endpoints, and store of each service.
     services: [(&'static str, usize, &'static str); 2],
 }
 
@@ -34,7 +34,7 @@
 ];
 
 #[test]
-fn both_sites_have_the_sizes_of_today() {
+fn example_sites_have_their_current_sizes() {
     for site in SITES {
         let configuration = Configuration::check(&example(site.file)).unwrap();
         assert_eq!(configuration.availability_zones.len(), site.zones);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_demo_passes() {
+fn the_demo_configuration_is_valid() {
     let configuration = Configuration::check(&example("demo.toml")).unwrap();
     let kandy = key_hash("demo-key-kandy-central");
     assert!(configuration.workspace_by_key(&kandy).is_some());
@@ -69,8 +69,8 @@
             let found = configuration.workspace_by_key(&hash).unwrap();
             assert_eq!(found.id, *id);
         }
-        let stranger = key_hash("demo-key-nobody");
-        assert!(configuration.workspace_by_key(&stranger).is_none());
+        let unknown_key = key_hash("demo-key-nobody");
+        assert!(configuration.workspace_by_key(&unknown_key).is_none());
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_sites_sections_assemble_to_the_whole() {
+fn sections_of_the_sites_assemble_to_the_whole_configuration() {
     for site in SITES {
         let text = example(site.file);
         let sections = Sections::split(&text).unwrap();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn the_sites_rules_decide_as_their_workloads_need() {
+fn rules_of_the_sites_select_the_expected_rule_for_each_workload() {
     struct Case {
         file: &'static str,
         facts: RequestFacts,
@@ -152,8 +152,8 @@
     }
 }
 
-/// Symptom: a booking, stock pull or dispatch is doubled. Events: an entry VM sends it again.
-/// Cause: the configuration declares it repeatable.
+/// A booking, stock pull or dispatch is executed twice if the configuration declares it repeatable
+/// and an entry VM retries it.
 #[test]
 fn orders_of_the_sites_may_not_be_repeated() {
     let orders = [
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn chainline_weighs_the_first_token_and_lanyu_the_recomputed_share() {
+fn chainline_favors_the_first_token_and_lanyu_less_recomputed_work() {
     let chainline = Configuration::check(&example("chainline.toml")).unwrap();
     let lanyu = Configuration::check(&example("lanyu.toml")).unwrap();
     let history = route(&chainline, &prompt(Some("history"), 30_000));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_small_configuration_of_the_page_passes() {
+fn the_configuration_in_the_rules_page_is_valid() {
     let (_, rest) = RULES_PAGE.split_once("```toml\n").unwrap();
     let (text, _) = rest.split_once("```").unwrap();
     let configuration = Configuration::check(text).unwrap();
@@ -192,16 +192,17 @@
 }
 
 #[test]
-fn the_page_shows_the_explanation_as_it_is() {
+fn the_explanation_in_the_rules_page_matches_the_output() {
     let configuration = Configuration::check(&example("chainline.toml")).unwrap();
     let traces = configuration.explain(&call("GET", "/stock/tyre-29"));
     let lines: Vec<String> = traces.iter().map(ToString::to_string).collect();
     assert!(RULES_PAGE.contains(&lines.join("\n")), "{lines:#?}");
 }
 
-/// Symptom: an operator doesn't find a key, or one that is gone. Cause: page and reader differ.
+/// An operator doesn't find a key in the pages, or finds a removed one, if the pages and the parser
+/// differ.
 #[test]
-fn the_pages_name_every_key_of_the_examples() {
+fn the_pages_document_every_key_of_the_examples() {
     let sites = example("chainline.toml") + &example("lanyu.toml");
     let pages = [
         (sites, RULES_PAGE),
@@ -211,7 +212,7 @@
         let lines = text.lines().filter(|line| !line.starts_with('#'));
         let keys = lines.filter_map(|line| Some(line.split_once(" = ")?.0.trim()));
         for key in keys {
-            // A span stands in the page under its first unit.
+            // The pages list a duration only once, under the first of its two keys.
             let name = key.trim_end_matches("_s").trim_end_matches("_ms");
             let name = name.split('.').next_back().unwrap();
             assert!(page.contains(&format!("`{name}")), "{key}");
@@ -227,7 +228,7 @@
 }
 
 #[test]
-fn the_example_settings_pass_and_say_the_defaults() {
+fn the_example_settings_are_valid_and_equal_the_defaults() {
     let settings = Settings::check(&example("settings.toml")).unwrap();
     let minimal = Settings::check(
         r#"
--- a/crates/wisteriahitch-config/tests/all/generated.rs
+++ b/crates/wisteriahitch-config/tests/all/generated.rs
@@ -1,4 +1,4 @@
-//! Generated texts against both parsers: no panic, and every refusal has a code and a line.
+//! Property tests of both parsers: they never panic, and every problem has a code and a line.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -6,9 +6,9 @@
 use wisteriahitch_config::{Configuration, Report, Sections, Settings};
 use wisteriahitch_types::Code;
 
-use crate::support::{example, generated};
+use crate::support::{example, property_test_config};
 
-/// Pieces that bring a text near to what the parsers read.
+/// Fragments that make generated texts resemble valid ones.
 #[rustfmt::skip]
 const PIECES: [&str; 30] = [
     "[[rules]]\n", "[[services]]\n", "[[services.endpoints]]\n", "[[workspaces]]\n", "[limits]\n",
@@ -26,7 +26,7 @@
     vec(select(&PIECES[..]), 0..25).prop_map(|pieces| pieces.concat())
 }
 
-/// A right text with some stretches cut out, repeated or overwritten.
+/// A valid text with some ranges removed, repeated or overwritten.
 fn edited(file: &'static str) -> impl Strategy<Value = String> {
     let edit = (
         any::<Index>(),
@@ -87,29 +87,29 @@
 }
 
 proptest! {
-    #![proptest_config(generated(500))]
+    #![proptest_config(property_test_config(500))]
 
     #[test]
-    fn any_text_is_read_or_refused_with_a_place(text in any::<String>()) {
+    fn any_text_is_read_or_refused_with_a_location(text in any::<String>()) {
         check_text(&text)?;
     }
 
     #[test]
-    fn pieces_of_texts_are_read_or_refused_with_a_place(text in pieces()) {
+    fn pieces_of_texts_are_read_or_refused_with_a_location(text in pieces()) {
         check_text(&text)?;
     }
 }
 
 proptest! {
-    #![proptest_config(generated(150))]
+    #![proptest_config(property_test_config(150))]
 
     #[test]
-    fn an_edited_configuration_is_read_or_refused_with_a_place(text in edited("lanyu.toml")) {
+    fn an_edited_configuration_is_read_or_refused_with_a_location(text in edited("lanyu.toml")) {
         check_text(&text)?;
     }
 
     #[test]
-    fn edited_settings_are_read_or_refused_with_a_place(text in edited("settings.toml")) {
+    fn edited_settings_are_read_or_refused_with_a_location(text in edited("settings.toml")) {
         check_text(&text)?;
     }
 }
--- a/crates/wisteriahitch-config/tests/all/mistakes.rs
+++ b/crates/wisteriahitch-config/tests/all/mistakes.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a configuration with mistakes.
+//! Reports on invalid configurations.
 
 use expect_test::expect;
 use wisteriahitch_config::{Configuration, Sections};
@@ -198,10 +198,10 @@
 ];
 
 #[test]
-fn each_mistake_brings_its_own_code_and_line_alone() {
-    let right = example("chainline.toml");
+fn each_mistake_is_reported_alone_with_its_code_and_line() {
+    let valid = example("chainline.toml");
     for edit in EDITS {
-        let (text, line) = edit.apply(&right);
+        let (text, line) = edit.apply(&valid);
         let report = Configuration::check(&text).unwrap_err();
         let found = codes_and_lines(&report);
         assert!(
@@ -213,10 +213,10 @@
     }
 }
 
-/// Symptom: the check of a hostile text takes minutes. Events: a text repeats one name thousands
-/// of times. Cause: each repetition is located from the start of the text.
+/// The check of a hostile text that repeats one name thousands of times takes minutes if the line of
+/// each repetition is counted from the start of the text.
 #[test]
-fn a_text_with_endless_mistakes_gives_a_bounded_report() {
+fn a_text_with_thousands_of_mistakes_gives_a_bounded_report() {
     let text = "[[rules]]\nname = \"r\"\nthen.refuse.reason = \"no\"\n".repeat(20_000);
     let report = Configuration::check(&text).unwrap_err();
     assert!(report.is_truncated());
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_text_beyond_the_limit_is_refused_unparsed() {
+fn a_text_above_the_size_limit_is_refused_without_parsing() {
     let text = "#".repeat((8 << 20) + 1);
     let report = Configuration::check(&text).unwrap_err();
     assert_eq!(codes_and_lines(&report), [(Code::ConfigTooLarge, 1)]);
--- a/crates/wisteriahitch-config/tests/all/path.rs
+++ b/crates/wisteriahitch-config/tests/all/path.rs
@@ -1,12 +1,12 @@
-//! Which paths match which prefixes.
+//! Matching of paths against prefixes, and refusal of ambiguous paths.
 
 use wisteriahitch_config::{CallPattern, Configuration, RequestFacts, is_plain_path};
 
-/// Symptom: a stock pull runs twice. Events: `GET /stock` is declared repeatable, a caller posts
-/// to a path that only looks as if it were below it, and the call is retried. Cause: a prefix
-/// matched within a segment, or a path that the service folds into another one.
+/// A stock pull runs twice if a call that must not be repeated matches the repeatable prefix
+/// `/stock` and is retried: because the prefix ends inside a segment, or because the service
+/// normalizes the path to another one.
 #[test]
-fn repeatable_calls_end_at_a_segment_and_are_plain() {
+fn repeatable_calls_match_whole_segments_of_plain_paths() {
     struct Case {
         prefix: &'static str,
         path: &'static str,
@@ -72,11 +72,11 @@
 then.route.service = "till"
 "#;
 
-/// Symptom: a stock pull runs twice, or a call that a rule refuses is served. Events: a caller
-/// sends a path that the service folds into another one; the rule for the path as written lets it
-/// be repeated, or the refusal doesn't match it. Cause: rules and service see different paths.
+/// A stock pull runs twice, or a call that a rule refuses is served, if rules and service see
+/// different paths: the service normalizes the path to another one, while the rule for the path as
+/// sent allows repeating it, or the refusal doesn't match it.
 #[test]
-fn a_path_that_services_may_fold_is_refused_before_any_rule() {
+fn a_path_that_services_may_normalize_is_refused_before_any_rule() {
     struct Case {
         path: &'static str,
         rule: &'static str,
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_path_that_services_may_fold_is_not_plain() {
+fn a_path_that_services_may_normalize_is_not_plain() {
     for path in [
         "", "stock", "/a b", "/a\n", "/é", "/a?b=%41", "/..", "/a/..",
     ] {
--- a/crates/wisteriahitch-config/tests/all/sections.rs
+++ b/crates/wisteriahitch-config/tests/all/sections.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn sections_assemble_to_what_the_whole_text_gives() {
+fn sections_assemble_to_the_same_configuration_as_the_whole_text() {
     let sections = Sections::split(WHOLE).unwrap();
     assert_eq!(sections.len(), 3);
     let assembled = sections.assemble().unwrap();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_workspace_alone_replaces_its_section_only() {
+fn a_submitted_workspace_replaces_only_its_section() {
     let before = Sections::split(WHOLE).unwrap();
     let (after, configuration) = before.accept(GALLE).unwrap();
     assert_eq!(
@@ -72,8 +72,8 @@
     assert_eq!(after.assemble().unwrap(), configuration);
 }
 
-/// Symptom: two customers share answers. Events: an operator copies another workspace's key hash
-/// into the submission of one workspace. Cause: the key would belong to two workspaces.
+/// Two customers share answers if a key belongs to two workspaces, after an operator copied the key
+/// hash of one workspace into the submission of another.
 #[test]
 fn a_key_of_another_workspace_is_refused() {
     let before = Sections::split(WHOLE).unwrap();
@@ -120,10 +120,10 @@
     );
 }
 
-/// Symptom: a workspace's callers are all refused. Events: an operator submits the rules together
-/// with one new workspace. Cause: the text is taken for the whole site, and the others for gone.
+/// All callers of a workspace are refused if an operator submits the rules together with one new
+/// workspace, and the text is taken for the whole site, so that the other workspaces are removed.
 #[test]
-fn a_whole_text_that_leaves_out_a_workspace_is_refused() {
+fn a_whole_text_that_omits_a_workspace_is_refused() {
     let before = Sections::split(WHOLE).unwrap();
     let fewer = without_galle();
     let report = before.accept(&fewer).unwrap_err();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_workspace_goes_when_the_text_says_so() {
+fn a_workspace_is_removed_only_if_the_submission_names_it() {
     let before = Sections::split(WHOLE).unwrap();
     let removed = [SectionChange::Removed(workspace("galle-02"))];
     let alone = "removed_workspaces = [\"galle-02\"]\n".to_owned();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn submissions_with_mistakes_are_refused_with_all_sections_untouched() {
+fn an_invalid_submission_leaves_all_sections_unchanged() {
     struct Case {
         text: &'static str,
         code: Code,
@@ -170,7 +170,7 @@
             "removed_workspaces = [\"galle-2\"]",
             Code::ConfigUnknownName,
         ),
-        // A rule of the site names the workspace.
+        // A rule of the site refers to the removed workspace.
         case(
             "removed_workspaces = [\"kandy-01\"]",
             Code::ConfigUnknownName,
@@ -202,17 +202,17 @@
     assert_eq!(before, Sections::split(WHOLE).unwrap());
 }
 
-/// Symptom: of two workspaces with one name the later one wins unseen. Events: a part with both is
-/// split and merged without being checked as a whole. Cause: sections are kept by name.
+/// Of two workspaces with the same name, the later one silently replaces the first if a submission
+/// with both is split and merged without a check of the whole, since sections are stored by name.
 #[test]
-fn a_part_that_gives_a_workspace_twice_is_not_split() {
+fn a_submission_with_a_duplicate_workspace_is_not_split() {
     let report = Sections::split(&GALLE.repeat(2)).unwrap_err();
     let codes = codes(&report);
     assert!(codes.contains(&Code::ConfigDuplicateName), "{report}");
 }
 
 #[test]
-fn a_section_beyond_the_platforms_limit_is_refused() {
+fn a_section_above_the_size_limit_of_the_platform_is_refused() {
     let reason = "\\\"".repeat(250);
     let rules: String = (0..3_000)
         .map(|i| format!("[[rules]]\nname = \"r{i}\"\nthen.refuse.reason = \"{reason}\"\n"))
@@ -221,11 +221,10 @@
     assert_eq!(codes(&report), [Code::ConfigTooLarge]);
 }
 
-/// Symptom: daemons run with different configurations of the same version. Events: the platform,
-/// or a peer, answers with another text than the one asked for. Cause: the text isn't checked
-/// against its name.
+/// Daemons run different configurations under the same version if the platform or a peer answers
+/// with another text than the one requested, and the text isn't checked against its hash.
 #[test]
-fn a_fetched_text_must_have_the_hash_it_is_named_by() {
+fn a_fetched_text_must_match_the_requested_hash() {
     let whole = Sections::split(WHOLE).unwrap();
     let mut fetched = Sections::default();
     for (name, section) in whole.iter() {
@@ -239,7 +238,7 @@
 }
 
 #[test]
-fn names_and_hashes_read_as_they_are_written() {
+fn section_names_and_hashes_round_trip_through_text() {
     for (name, section) in Sections::split(WHOLE).unwrap().iter() {
         assert_eq!(name.to_string().parse::<SectionName>().as_ref(), Ok(name));
         let hash = section.hash();
--- a/crates/wisteriahitch-config/tests/all/settings.rs
+++ b/crates/wisteriahitch-config/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings.
+//! Parsing and checking of a daemon's settings.
 
 use expect_test::expect;
 use wisteriahitch_config::{LogLevel, Settings};
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_empty_file_lacks_what_has_no_default() {
+fn an_empty_file_reports_every_key_without_a_default() {
     let report = Settings::check("").unwrap_err();
     expect![[r#"
         settings.toml:1:1: W4008: `id` is missing
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn spans_may_be_given_in_either_unit() {
+fn durations_may_be_given_in_either_unit() {
     let text = example("settings.toml");
     let other = text.replace("timeout_ms = 2_000", "timeout_s = 2");
     let settings = Settings::check(&other).unwrap();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn levels_are_ordered_from_the_fewest_lines() {
+fn log_levels_are_ordered_from_least_to_most_verbose() {
     let text = example("settings.toml").replace("\"info\"", "\"trace\"");
     let settings = Settings::check(&text).unwrap();
     assert_eq!(settings.log.level, LogLevel::Trace);
@@ -113,10 +113,10 @@
 ];
 
 #[test]
-fn each_mistake_brings_its_own_code_and_line_alone() {
-    let right = example("settings.toml");
+fn each_mistake_is_reported_alone_with_its_code_and_line() {
+    let valid = example("settings.toml");
     for edit in EDITS {
-        let (text, line) = edit.apply(&right);
+        let (text, line) = edit.apply(&valid);
         let report = Settings::check(&text).unwrap_err();
         assert_eq!(
             codes_and_lines(&report),
--- a/crates/wisteriahitch-config/tests/all/shadow.rs
+++ b/crates/wisteriahitch-config/tests/all/shadow.rs
@@ -1,4 +1,4 @@
-//! Rules that can never match.
+//! Detection of rules that can never match.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 use wisteriahitch_types::Code;
 
 use crate::decide::{condition, facts};
-use crate::support::generated;
+use crate::support::property_test_config;
 
 const NAMES: &str = r#"
 availability_zones = ["a", "b"]
@@ -82,7 +82,7 @@
     text
 }
 
-/// Returns the positions of the rules that the check calls unreachable.
+/// Returns the positions of the rules that the check reports as unreachable.
 fn unreachable(conditions: &[Condition]) -> Vec<usize> {
     let Err(report) = Configuration::check(&text(conditions)) else {
         return Vec::new();
@@ -105,12 +105,12 @@
 }
 
 proptest! {
-    #![proptest_config(generated(400))]
+    #![proptest_config(property_test_config(400))]
 
-    /// Symptom: a right configuration is refused. Cause: a rule that does match some request is
-    /// called unreachable.
+    /// A valid configuration is refused if a rule that matches some request is reported as
+    /// unreachable.
     #[test]
-    fn a_rule_that_matches_is_never_called_unreachable(
+    fn a_rule_that_matches_a_request_is_never_reported_as_unreachable(
         conditions in vec(condition(), 1..10),
         requests in vec(facts(), 30),
     ) {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Two conditions in this order, and whether the first one covers the second.
+/// The conditions of two rules in this order, and whether the first covers the second.
 struct Case {
     earlier: &'static str,
     later: &'static str,
@@ -162,7 +162,7 @@
 ];
 
 #[test]
-fn a_rule_that_an_earlier_one_covers_is_called_unreachable() {
+fn a_rule_covered_by_an_earlier_one_is_reported_as_unreachable() {
     for Case {
         earlier,
         later,
--- a/crates/wisteriahitch-config/tests/all/support.rs
+++ b/crates/wisteriahitch-config/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! What several tests share.
+//! Helpers that several tests share.
 
 use std::path::Path;
 use std::{fmt, fs};
@@ -7,11 +7,11 @@
 use wisteriahitch_config::{Problem, Report};
 use wisteriahitch_types::Code;
 
-/// Seed of every generated run, so that a failure comes back.
+/// Seed of all property tests, so that failures are reproducible.
 const SEED: u64 = 20_260_501;
 
-/// Returns how generated runs are made: always from the same seed, and with no files written.
-pub(crate) fn generated(cases: u32) -> Config {
+/// Returns the configuration of a property test: a fixed seed, and no files of failed cases.
+pub(crate) fn property_test_config(cases: u32) -> Config {
     Config {
         cases,
         rng_seed: RngSeed::Fixed(SEED),
@@ -20,30 +20,30 @@
     }
 }
 
-/// Reads a file of the repository's examples.
+/// Reads a file from the `examples` directory of the repository.
 pub(crate) fn example(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     fs::read_to_string(path.join(name)).unwrap()
 }
 
-/// Returns code and line of every problem.
+/// Returns the code and line of every problem.
 pub(crate) fn codes_and_lines(report: &Report) -> Vec<(Code, u32)> {
     let pair = |problem: &Problem| (problem.code, problem.line);
     report.problems().iter().map(pair).collect()
 }
 
-/// Returns the line of the first place where `needle` stands.
+/// Returns the line of the first occurrence of `needle`, from 1.
 pub(crate) fn line_of(text: &str, needle: &str) -> u32 {
     let before = text.split(needle).next().unwrap();
     u32::try_from(before.matches('\n').count()).unwrap() + 1
 }
 
-/// One edit of a right text, and the problem that it must bring.
+/// An edit of a valid text, and the problem that it must cause.
 pub(crate) struct Edit {
     replace: &'static str,
     by: &'static str,
     pub(crate) code: Code,
-    /// Text at whose first place the problem is to be reported.
+    /// Text at whose first occurrence the problem must be reported.
     at: &'static str,
 }
 
@@ -62,16 +62,16 @@
 }
 
 impl Edit {
-    /// Returns the edited text, and the line that the problem must name.
-    pub(crate) fn apply(&self, right: &str) -> (String, u32) {
-        let text = right.replacen(self.replace, self.by, 1);
-        assert_ne!(text, right, "{} is not in the example", self.replace);
+    /// Returns the edited text, and the line where the problem must be reported.
+    pub(crate) fn apply(&self, valid: &str) -> (String, u32) {
+        let text = valid.replacen(self.replace, self.by, 1);
+        assert_ne!(text, valid, "{} is not in the example", self.replace);
         let line = line_of(&text, self.at);
         (text, line)
     }
 }
 
-/// Names the edit in a failure.
+/// Identifies the edit in failure messages.
 impl fmt::Display for Edit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.by)
