--- a/crates/wisteriahitch-config/src/draft/condition.rs
+++ b/crates/wisteriahitch-config/src/draft/condition.rs
@@ -10,7 +10,7 @@
 use crate::read::TableReader;
 
 const MAX_TOKENS: u64 = 1 << 53;
-const LABEL_CHARACTERS: &str = "small letters, digits and -";
+const LABEL_CHARACTERS: &str = "lower-case letters, digits and -";
 
 pub(super) fn read(table: &TableReader<'_, '_>, draft: &mut Draft) -> Condition {
     let workspaces = table.list("workspaces");
--- a/crates/wisteriahitch-config/src/draft/limits.rs
+++ b/crates/wisteriahitch-config/src/draft/limits.rs
@@ -36,7 +36,7 @@
     };
     // Otherwise a caller could repeat a request with a valid ticket after its answer was deleted.
     if limits.answer_kept_us < limits.ticket_lifetime_us {
-        let message = "answers are kept for less time than a ticket may be used";
+        let message = "`answer_kept` is shorter than `ticket_lifetime`";
         table
             .log()
             .add(Code::ConfigContradiction, table.location(), message);
