--- a/crates/wisteriahitch-config/benches/decide.rs
+++ b/crates/wisteriahitch-config/benches/decide.rs
@@ -58,7 +58,7 @@
 fn decide(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("decide");
     for workspaces in WORKSPACES {
-        let configuration = Configuration::check(&text(workspaces)).expect("the text is right");
+        let configuration = Configuration::check(&text(workspaces)).expect("the text is valid");
         for (name, path) in [
             ("own", "/own/7"),
             ("general", "/stock/7"),
@@ -78,7 +78,7 @@
     group.sample_size(10);
     for workspaces in WORKSPACES {
         let text = text(workspaces);
-        let sections = Sections::split(&text).expect("the text is right");
+        let sections = Sections::split(&text).expect("the text is valid");
         let changed = workspace(0, 2);
         group.bench_function(BenchmarkId::new("check", workspaces), |bencher| {
             bencher.iter(|| Configuration::check(black_box(&text)));
--- a/crates/wisteriahitch-config/src/decide/built_in.rs
+++ b/crates/wisteriahitch-config/src/decide/built_in.rs
@@ -25,7 +25,7 @@
 
 fn refusal(name: &str, reason: &str) -> Rule {
     Rule {
-        name: name.parse().expect("the name is a literal of ours"),
+        name: name.parse().expect("the literal is a valid rule name"),
         when: Condition::default(),
         then: Action::Refuse(Refusal {
             reason: reason.to_owned(),
--- a/crates/wisteriahitch-config/src/decide/configuration.rs
+++ b/crates/wisteriahitch-config/src/decide/configuration.rs
@@ -43,10 +43,10 @@
     ///     name = "closed"
     ///     then.refuse = { reason = "The site is being set up.", retry_after_s = 60 }
     /// "#;
-    /// let configuration = Configuration::check(text).expect("the text is right");
+    /// let configuration = Configuration::check(text).expect("the text is valid");
     /// assert_eq!(configuration.rules.len(), 1);
     ///
-    /// let report = Configuration::check("rulez = []").expect_err("the text is wrong");
+    /// let report = Configuration::check("rulez = []").expect_err("the text is invalid");
     /// assert!(report.in_file("site.toml").to_string().starts_with("site.toml:1:1: W"));
     /// ```
     pub fn check(text: &str) -> Result<Self, Report> {
--- a/crates/wisteriahitch-config/src/model/service.rs
+++ b/crates/wisteriahitch-config/src/model/service.rs
@@ -28,7 +28,8 @@
     pub models: Vec<ModelName>,
     /// Store VMs that the endpoints save cache blocks to.
     pub stores: Vec<StoreId>,
-    /// Calls that may be repeated; no other call of a plain service may.
+    /// Calls that may be repeated if their rule doesn't set `may_repeat`; other calls of a plain
+    /// service may not.
     pub repeatable: Vec<CallPattern>,
     /// Endpoints that serve requests.
     pub endpoints: Vec<Endpoint>,
--- a/crates/wisteriahitch-config/src/sections/sections.rs
+++ b/crates/wisteriahitch-config/src/sections/sections.rs
@@ -23,13 +23,13 @@
 ///     [[rules]]
 ///     name = "closed"
 ///     then.refuse = { reason = "Closed." }
-/// "#).expect("the text is right");
+/// "#).expect("the text is valid");
 /// let sections = site.accept(r#"
 ///     [[workspaces]]
 ///     id = "kandy-01"
 ///     key_hashes = ["000102030405060708090a0b0c0d0e0f"]
 ///     store_bytes = 1000000
-/// "#).expect("the text is right").0;
+/// "#).expect("the text is valid").0;
 /// assert_eq!(sections.get(&SectionName::Site), site.get(&SectionName::Site));
 /// assert_eq!(sections.len(), 2);
 /// ```
--- a/crates/wisteriahitch-config/src/sections/submission.rs
+++ b/crates/wisteriahitch-config/src/sections/submission.rs
@@ -33,8 +33,8 @@
     /// a workspace to the text of the rules expects all others to stay. Either guess would be wrong
     /// for some customers, so the submission must be explicit.
     pub(super) fn check_omitted_workspaces(&self, submitted: &Self, log: &ProblemLog<'_>) {
-        let is_whole = submitted.get(&SectionName::Site).is_some() && submitted.len() > 1;
-        if !is_whole {
+        let is_whole_site = submitted.get(&SectionName::Site).is_some() && submitted.len() > 1;
+        if !is_whole_site {
             return;
         }
         for name in self.sections.keys() {
--- a/crates/wisteriahitch-config/src/settings/read.rs
+++ b/crates/wisteriahitch-config/src/settings/read.rs
@@ -131,7 +131,8 @@
         let number = table.number(key, range);
         number.map_or(default, ByteCount::new)
     };
-    let span = |keys: DurationKeys, range, default| table.duration(keys, range).unwrap_or(default);
+    let duration_or =
+        |keys: DurationKeys, range, default| table.duration(keys, range).unwrap_or(default);
     let count = |key, default| {
         table
             .number_u32(key, 1..=MAX_CONCURRENT_REQUESTS)
@@ -142,22 +143,22 @@
         body_bytes: bytes("body_bytes", BODY_BYTES_RANGE, default.body_bytes),
         answer_bytes: bytes("answer_bytes", ANSWER_BYTES_RANGE, default.answer_bytes),
         streams: count("streams", default.streams),
-        header_timeout_us: span(
+        header_timeout_us: duration_or(
             duration_keys!("header_timeout"),
             TIMEOUT_RANGE_MS,
             default.header_timeout_us,
         ),
-        body_timeout_us: span(
+        body_timeout_us: duration_or(
             duration_keys!("body_timeout"),
             TIMEOUT_RANGE_MS,
             default.body_timeout_us,
         ),
-        reader_stall_timeout_us: span(
+        reader_stall_timeout_us: duration_or(
             duration_keys!("reader_stall_timeout"),
             TIMEOUT_RANGE_MS,
             default.reader_stall_timeout_us,
         ),
-        idle_keep_alive_us: span(
+        idle_keep_alive_us: duration_or(
             duration_keys!("idle_keep_alive"),
             KEEP_ALIVE_RANGE_MS,
             default.idle_keep_alive_us,
--- a/crates/wisteriahitch-config/src/settings/settings.rs
+++ b/crates/wisteriahitch-config/src/settings/settings.rs
@@ -18,7 +18,7 @@
 ///     listen = { callers = "127.0.0.1:8080", peers = "127.0.0.1:8081", operators = "127.0.0.1:8082" }
 ///     platform.addresses = ["127.0.0.1:9000"]
 ///     operators.key_hashes = ["000102030405060708090a0b0c0d0e0f"]
-/// "#).expect("the text is right");
+/// "#).expect("the text is valid");
 /// assert_eq!(settings.platform.reads_per_s, 20);
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize)]
