--- a/crates/wisteriahitch-config/src/read/problem_log.rs
+++ b/crates/wisteriahitch-config/src/read/problem_log.rs
@@ -1,4 +1,4 @@
-//! Collects problems while several readers walk the same texts.
+//! A log of problems that several readers of the same texts share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -6,115 +6,116 @@
 use toml::de::DeTable;
 use wisteriahitch_types::Code;
 
-use super::{Place, Source};
+use super::{Location, Source};
 use crate::{Problem, Report};
 
-/// Most problems that a report lists, so that a hostile text makes no endless one.
+/// Maximum number of problems in a report, which bounds the report on a hostile text.
 const MAX_PROBLEMS: usize = 200;
 
-/// Longest text that is parsed, several times what 3,200 workspaces take.
+/// Maximum size of a text that is parsed; several times the size of 3,200 workspaces.
 const MAX_TEXT_BYTES: usize = 8 << 20;
 
-/// Collects problems and turns their places into lines and columns.
+/// Collects problems and converts their locations into lines and columns.
 #[derive(Debug)]
 pub(crate) struct ProblemLog<'a> {
     sources: Vec<Source<'a>>,
     problems: RefCell<Vec<Problem>>,
-    is_cut: Cell<bool>,
+    is_truncated: Cell<bool>,
 }
 
 impl<'a> ProblemLog<'a> {
-    /// Opens an empty log for the texts that are checked together.
+    /// Creates an empty log for texts that are checked together.
     pub(crate) fn new(sources: Vec<Source<'a>>) -> Self {
         Self {
             sources,
             problems: RefCell::default(),
-            is_cut: Cell::default(),
+            is_truncated: Cell::default(),
         }
     }
 
-    /// Returns the texts, in the order that places count them in.
+    /// Returns the texts; locations refer to them by their index.
     pub(crate) fn sources(&self) -> &[Source<'a>] {
         &self.sources
     }
 
-    /// Adds a problem at a place.
-    pub(crate) fn add(&self, code: Code, place: &Place, message: impl Into<String>) {
+    /// Adds a problem at a location, unless the log has reached its maximum.
+    pub(crate) fn add(&self, code: Code, location: &Location, message: impl Into<String>) {
         let mut problems = self.problems.borrow_mut();
         if problems.len() >= MAX_PROBLEMS {
-            self.is_cut.set(true);
+            self.is_truncated.set(true);
             return;
         }
-        let Some(source) = self.sources.get(place.source) else {
+        let Some(source) = self.sources.get(location.source) else {
             return;
         };
-        let (line, column) = source.position(place.offset);
+        let (line, column) = source.position(location.offset);
         problems.push(Problem {
             code,
             section: source.section.clone(),
             line,
             column,
-            path: place.path.clone(),
+            path: location.path.clone(),
             message: message.into(),
         });
     }
 
-    /// Returns line and column of a place.
-    pub(crate) fn position(&self, place: &Place) -> (u32, u32) {
-        let source = self.sources.get(place.source);
-        source.map_or((1, 1), |source| source.position(place.offset))
+    /// Returns the line and column of a location, both from 1.
+    pub(crate) fn position(&self, location: &Location) -> (u32, u32) {
+        let source = self.sources.get(location.source);
+        source.map_or((1, 1), |source| source.position(location.offset))
     }
 
-    /// Returns what to call a place beside another one: its line, and its section where that
-    /// is not the submitted text.
-    pub(crate) fn describe(&self, place: &Place) -> String {
-        let (line, _) = self.position(place);
-        let source = self.sources.get(place.source);
-        let path = &place.path;
+    /// Describes a location for a message about another one: by its line in the submitted text, or
+    /// by the name of the section in force.
+    pub(crate) fn describe(&self, location: &Location) -> String {
+        let (line, _) = self.position(location);
+        let source = self.sources.get(location.source);
+        let path = &location.path;
         match source.and_then(|source| source.section.as_ref()) {
             Some(section) => format!("{path} of {section} (in force)"),
             None => format!("{path} in line {line}"),
         }
     }
 
-    /// Returns the start of the submitted text, or of the first one where none is submitted.
-    pub(crate) fn top(&self) -> Place {
+    /// Returns the start of the submitted text, or of the first text if none is submitted.
+    pub(crate) fn submission_start(&self) -> Location {
         let submitted = self.sources.iter().position(|s| s.section.is_none());
-        Place {
+        Location {
             source: submitted.unwrap_or_default(),
-            ..Place::default()
+            ..Location::default()
         }
     }
 
-    /// Returns how many problems were added so far.
+    /// Returns the number of problems added so far.
     pub(crate) fn len(&self) -> usize {
         self.problems.borrow().len()
     }
 
-    /// Returns whether no further problem will be listed; checks that cost much may stop.
-    pub(crate) fn is_cut(&self) -> bool {
-        self.is_cut.get()
+    /// Returns whether problems were dropped because the log is full. Expensive checks may then
+    /// stop.
+    pub(crate) fn is_truncated(&self) -> bool {
+        self.is_truncated.get()
     }
 
-    /// Returns whether no problem was added so far.
+    /// Returns whether no problems were added so far.
     pub(crate) fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Parses one of the texts; a text that is not TOML gives nothing, since what a recovering
-    /// parser guesses would only add misleading problems.
+    /// Parses one of the texts. Returns `None` for a text that is not valid TOML: the guesses of
+    /// the parser's error recovery would only add misleading problems.
     pub(crate) fn parse(&self, source: usize) -> Option<DeTable<'a>> {
         let text = self.sources.get(source)?.text;
         if text.len() > MAX_TEXT_BYTES {
-            let place = Place {
+            let location = Location {
                 source,
-                ..Place::default()
+                ..Location::default()
             };
             let message = format!(
                 "the text has {} bytes, more than {MAX_TEXT_BYTES}",
                 text.len()
             );
-            self.add(Code::ConfigTooLarge, &place, message);
+            self.add(Code::ConfigTooLarge, &location, message);
             return None;
         }
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -125,25 +126,28 @@
         for error in errors {
             let offset = error.span().map_or(0, |span| span.start);
             let (line, _) = self.sources[source].position(offset);
-            // A parser that recovers trips again over the rest of a broken line.
+            // After recovering, the parser may report further errors in the same broken line.
             if !lines.insert(line) {
                 continue;
             }
-            let place = Place {
+            let location = Location {
                 source,
                 offset,
                 path: String::new(),
             };
-            self.add(Code::ConfigSyntax, &place, error.message());
+            self.add(Code::ConfigSyntax, &location, error.message());
         }
         None
     }
 
-    /// Ends the log: `value` where no problem was added, else the report.
+    /// Returns the value if there is one and no problem was added, and the report otherwise.
     pub(crate) fn finish<T>(self, value: Option<T>) -> Result<T, Report> {
         match value {
             Some(value) if self.is_empty() => Ok(value),
-            _ => Err(Report::new(self.problems.into_inner(), self.is_cut.get())),
+            _ => Err(Report::new(
+                self.problems.into_inner(),
+                self.is_truncated.get(),
+            )),
         }
     }
 }
