--- a/crates/wisteriahitch-standin/src/engine/answer.rs
+++ b/crates/wisteriahitch-standin/src/engine/answer.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch_types::{AdapterName, ModelName, TokenCount, WeightVersion};
 
-const CONTEXT: &str = "wisteriahitch stand-in 2026 answer";
+const ANSWER_CONTEXT: &str = "wisteriahitch stand-in 2026 answer";
 
 /// Gives the tokens of one answer as a pure function of what was asked.
 ///
@@ -34,7 +34,7 @@
     ) -> Self {
         let adapter = adapter.map_or("", AdapterName::as_str);
         let parts = [model.as_str(), adapter, weight_version.as_str(), prompt];
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(ANSWER_CONTEXT);
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
--- a/crates/wisteriahitch-standin/src/engine/cache.rs
+++ b/crates/wisteriahitch-standin/src/engine/cache.rs
@@ -18,33 +18,33 @@
 
 struct Entry {
     block: CachedBlock,
-    used_number: u64,
+    last_use: u64,
 }
 
 /// Holds prompt prefixes by block key, the least recently used of which go first.
 pub(super) struct PrefixCache {
     entries: HashMap<BlockKey, Entry>,
-    by_use: BTreeMap<u64, BlockKey>,
-    next_use: u64,
+    keys_by_last_use: BTreeMap<u64, BlockKey>,
+    next_use_number: u64,
     used_tokens: TokenCount,
     capacity_tokens: TokenCount,
-    events: EventLog,
+    events: CacheEventLog,
 }
 
 impl PrefixCache {
     pub(super) fn new(
         capacity_tokens: TokenCount,
         incarnation: String,
-        lag: Duration,
-        keep: usize,
+        publish_delay: Duration,
+        max_events: usize,
     ) -> Self {
         Self {
             entries: HashMap::new(),
-            by_use: BTreeMap::new(),
-            next_use: 0,
+            keys_by_last_use: BTreeMap::new(),
+            next_use_number: 0,
             used_tokens: TokenCount::ZERO,
             capacity_tokens,
-            events: EventLog::new(incarnation, lag, keep),
+            events: CacheEventLog::new(incarnation, publish_delay, max_events),
         }
     }
 
@@ -61,16 +61,21 @@
     }
 
     /// Returns the tokens of the longest held start of `chain`, which counts as used now.
-    pub(super) fn use_prefix(&mut self, chain: &[BlockRef], version: &WeightVersion) -> TokenCount {
-        let is_held = |block: &&BlockRef| {
-            self.get(block.key)
-                .is_some_and(|held| held.weight_version == *version && held.tokens == block.tokens)
+    pub(super) fn use_cached_prefix(
+        &mut self,
+        chain: &[BlockRef],
+        version: &WeightVersion,
+    ) -> TokenCount {
+        let is_cached = |block: &&BlockRef| {
+            self.get(block.key).is_some_and(|cached| {
+                cached.weight_version == *version && cached.tokens == block.tokens
+            })
         };
-        let length = chain.iter().take_while(is_held).count();
-        let held = &chain[..length];
+        let length = chain.iter().take_while(is_cached).count();
+        let cached = &chain[..length];
         // The end of a chain is worth nothing without its start, so the start counts as used last.
-        held.iter().rev().for_each(|block| self.touch(block.key));
-        held.iter().map(|block| block.tokens).sum()
+        cached.iter().rev().for_each(|block| self.touch(block.key));
+        cached.iter().map(|block| block.tokens).sum()
     }
 
     /// Stores a block, and drops others until there is room.
@@ -87,19 +92,19 @@
             return false;
         }
         while self.used_tokens + tokens > self.capacity_tokens {
-            self.drop_oldest();
+            self.evict_least_recently_used();
         }
         self.used_tokens += tokens;
-        let used_number = self.next_use;
-        self.entries.insert(key, Entry { block, used_number });
-        self.by_use.insert(used_number, key);
-        self.next_use += 1;
+        let last_use = self.next_use_number;
+        self.entries.insert(key, Entry { block, last_use });
+        self.keys_by_last_use.insert(last_use, key);
+        self.next_use_number += 1;
         self.events.add(CacheEventKind::Stored, key);
         true
     }
 
     /// Drops the blocks that a swap of `model` away from `version` leaves without use.
-    pub(super) fn drop_version(&mut self, model: &ModelName, version: &WeightVersion) {
+    pub(super) fn evict_version(&mut self, model: &ModelName, version: &WeightVersion) {
         let is_stale = |block: &CachedBlock| {
             let is_of_model = block.model.as_ref().is_none_or(|name| name == model);
             is_of_model && block.weight_version == *version
@@ -110,7 +115,7 @@
     }
 
     pub(super) fn events_after(&self, after: u64) -> CacheEvents {
-        self.events.get_after(after)
+        self.events.published_after(after)
     }
 
     pub(super) fn listing(&self) -> CacheListing {
@@ -125,22 +130,22 @@
 
     fn touch(&mut self, key: BlockKey) {
         if let Some(entry) = self.entries.get_mut(&key) {
-            self.by_use.remove(&entry.used_number);
-            entry.used_number = self.next_use;
-            self.by_use.insert(self.next_use, key);
-            self.next_use += 1;
+            self.keys_by_last_use.remove(&entry.last_use);
+            entry.last_use = self.next_use_number;
+            self.keys_by_last_use.insert(self.next_use_number, key);
+            self.next_use_number += 1;
         }
     }
 
-    fn drop_oldest(&mut self) {
-        if let Some((_, key)) = self.by_use.first_key_value() {
+    fn evict_least_recently_used(&mut self) {
+        if let Some((_, key)) = self.keys_by_last_use.first_key_value() {
             self.remove(*key);
         }
     }
 
     fn remove(&mut self, key: BlockKey) {
         if let Some(entry) = self.entries.remove(&key) {
-            self.by_use.remove(&entry.used_number);
+            self.keys_by_last_use.remove(&entry.last_use);
             self.used_tokens = self.used_tokens - entry.block.tokens;
             self.events.add(CacheEventKind::Evicted, key);
         }
@@ -148,21 +153,21 @@
 }
 
 /// Keeps the last events and tells of them late.
-struct EventLog {
+struct CacheEventLog {
     incarnation: String,
-    lag: Duration,
-    keep: usize,
+    publish_delay: Duration,
+    max_events: usize,
     events: VecDeque<(Instant, CacheEvent)>,
     /// Number of the next event; the first one has the number 1.
     next: u64,
 }
 
-impl EventLog {
-    fn new(incarnation: String, lag: Duration, keep: usize) -> Self {
+impl CacheEventLog {
+    fn new(incarnation: String, publish_delay: Duration, max_events: usize) -> Self {
         Self {
             incarnation,
-            lag,
-            keep,
+            publish_delay,
+            max_events,
             events: VecDeque::new(),
             next: 1,
         }
@@ -173,24 +178,24 @@
         self.next += 1;
         let event = CacheEvent { number, kind, key };
         self.events.push_back((Instant::now(), event));
-        if self.events.len() > self.keep {
+        if self.events.len() > self.max_events {
             self.events.pop_front();
         }
     }
 
-    fn get_after(&self, after: u64) -> CacheEvents {
+    fn published_after(&self, after: u64) -> CacheEvents {
         let now = Instant::now();
-        let is_told = |at: Instant| now.duration_since(at) >= self.lag;
-        let told = self.events.iter().take_while(|(at, _)| is_told(*at));
-        let told: Vec<&CacheEvent> = told.map(|(_, event)| event).collect();
+        let is_published = |at: Instant| now.duration_since(at) >= self.publish_delay;
+        let published = self.events.iter().take_while(|(at, _)| is_published(*at));
+        let published: Vec<&CacheEvent> = published.map(|(_, event)| event).collect();
         let first = self.events.front().map_or(self.next, |(_, e)| e.number);
-        let told_next = told.last().map_or(first, |event| event.number + 1);
-        let known_next = after.saturating_add(1).min(self.next);
+        let published_next = published.last().map_or(first, |event| event.number + 1);
+        let requested_next = after.saturating_add(1).min(self.next);
         CacheEvents {
             incarnation: self.incarnation.clone(),
             first,
-            next: told_next.max(known_next),
-            events: told
+            next: published_next.max(requested_next),
+            events: published
                 .into_iter()
                 .filter(|event| event.number > after)
                 .cloned()
--- a/crates/wisteriahitch-standin/src/engine/completion.rs
+++ b/crates/wisteriahitch-standin/src/engine/completion.rs
@@ -28,7 +28,7 @@
 use crate::util::{Abort, Answer, answer_json};
 
 /// Request id that an answer carries in place of its own on demand.
-const ANOTHER_REQUEST: &str = "r-of-another";
+const WRONG_REQUEST_ID: &str = "r-of-another";
 
 /// Runs a completion.
 pub(super) async fn complete(
@@ -38,7 +38,7 @@
     if let Err(reason) = check_body(&body) {
         return Ok(refuse(StatusCode::BAD_REQUEST, false, reason));
     }
-    let fault = state.fault.lock().take_for_completion();
+    let fault = state.fault.lock().consume_for_completion();
     if fault == EngineFault::Reject {
         return Ok(refuse(
             StatusCode::BAD_REQUEST,
@@ -128,21 +128,21 @@
         },
     };
     let mut answer = answer_json(StatusCode::OK, &whole);
-    set_head(&mut answer, &head);
+    set_head_headers(&mut answer, &head);
     Ok(answer)
 }
 
 fn stream_events(run: Run, fault: EngineFault) -> Answer {
     let mut head = run.head();
     if fault == EngineFault::WrongRequestId {
-        head.request_id = another_request(head.request_id);
+        head.request_id = wrong_request_id(head.request_id);
     }
     let events = EventStream {
-        middle: run.middle(),
+        fault_position: run.middle_position(),
         run,
         fault,
-        waiting: VecDeque::new(),
-        is_over: false,
+        pending_events: VecDeque::new(),
+        is_finished: false,
     };
     let frames = unfold(events, |mut events| async move {
         let event = events.next().await?;
@@ -151,11 +151,11 @@
     let mut answer = Response::new(BodyExt::boxed(StreamBody::new(frames)));
     let event_stream = HeaderValue::from_static("text/event-stream");
     answer.headers_mut().insert(CONTENT_TYPE, event_stream);
-    set_head(&mut answer, &head);
+    set_head_headers(&mut answer, &head);
     answer
 }
 
-fn set_head(answer: &mut Answer, head: &CompletionHead) {
+fn set_head_headers(answer: &mut Answer, head: &CompletionHead) {
     let values = [
         (HEADER_REQUEST_ID, head.request_id.to_string()),
         (HEADER_ATTEMPT, head.attempt.to_string()),
@@ -173,15 +173,15 @@
 struct EventStream {
     run: Run,
     fault: EngineFault,
-    middle: u64,
-    waiting: VecDeque<io::Result<Bytes>>,
-    is_over: bool,
+    fault_position: u64,
+    pending_events: VecDeque<io::Result<Bytes>>,
+    is_finished: bool,
 }
 
 impl EventStream {
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
-            if let Some(event) = self.waiting.pop_front() {
+            if let Some(event) = self.pending_events.pop_front() {
                 if event.is_err() {
                     // The server sends what it has when it is made to wait. Without this, an
                     // error right after the first tokens takes them and the head along.
@@ -189,38 +189,40 @@
                 }
                 return Some(event);
             }
-            if self.is_over {
+            if self.is_finished {
                 return None;
             }
             match self.run.next_token().await {
                 Ok(Some(token)) => self.push(token),
-                Ok(None) => self.end_with(Ok(write_event(DONE))),
-                Err(_) => self.end_with(Err(io::Error::other("cancelled"))),
+                Ok(None) => self.finish_with(Ok(write_event(DONE))),
+                Err(_) => self.finish_with(Err(io::Error::other("cancelled"))),
             }
         }
     }
 
     fn push(&mut self, mut token: Token) {
         if self.fault == EngineFault::WrongRequestId {
-            token.request_id = another_request(token.request_id);
+            token.request_id = wrong_request_id(token.request_id);
         }
         let event = write_token(&token);
-        if token.position != self.middle {
-            self.waiting.push_back(Ok(event));
+        if token.position != self.fault_position {
+            self.pending_events.push_back(Ok(event));
             return;
         }
         match self.fault {
             EngineFault::SkipPosition => {}
-            EngineFault::RepeatPosition => self.waiting.extend([Ok(event.clone()), Ok(event)]),
-            EngineFault::CloseMidway => self.end_with(Err(io::Error::other("closed on demand"))),
-            EngineFault::Nonsense => self.waiting.push_back(Ok(write_event("{nonsense"))),
-            _ => self.waiting.push_back(Ok(event)),
+            EngineFault::RepeatPosition => {
+                self.pending_events.extend([Ok(event.clone()), Ok(event)])
+            }
+            EngineFault::CloseMidway => self.finish_with(Err(io::Error::other("closed on demand"))),
+            EngineFault::Nonsense => self.pending_events.push_back(Ok(write_event("{nonsense"))),
+            _ => self.pending_events.push_back(Ok(event)),
         }
     }
 
-    fn end_with(&mut self, event: io::Result<Bytes>) {
-        self.waiting.push_back(event);
-        self.is_over = true;
+    fn finish_with(&mut self, event: io::Result<Bytes>) {
+        self.pending_events.push_back(event);
+        self.is_finished = true;
     }
 }
 
@@ -233,6 +235,6 @@
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-fn another_request(own: RequestId) -> RequestId {
-    ANOTHER_REQUEST.parse().unwrap_or(own)
+fn wrong_request_id(own: RequestId) -> RequestId {
+    WRONG_REQUEST_ID.parse().unwrap_or(own)
 }
--- a/crates/wisteriahitch-standin/src/engine/control.rs
+++ b/crates/wisteriahitch-standin/src/engine/control.rs
@@ -39,7 +39,7 @@
 }
 
 impl EngineFault {
-    fn is_of_export(self) -> bool {
+    fn is_export_fault(self) -> bool {
         matches!(self, Self::CorruptExport | Self::ShortExport)
     }
 }
@@ -61,36 +61,36 @@
 
 /// Fault that is on, with the requests that it still hits.
 #[derive(Debug, Default)]
-pub(super) struct FaultSetting {
+pub(super) struct ActiveFault {
     fault: Option<EngineFault>,
-    left: Option<u64>,
+    remaining: Option<u64>,
 }
 
-impl FaultSetting {
+impl ActiveFault {
     pub(super) fn set(&mut self, fault: EngineFault, count: Option<u64>) {
         self.fault = Some(fault);
-        self.left = count;
+        self.remaining = count;
     }
 
     /// Returns the fault that hits the next completion.
-    pub(super) fn take_for_completion(&mut self) -> EngineFault {
-        self.take(|fault| !fault.is_of_export())
+    pub(super) fn consume_for_completion(&mut self) -> EngineFault {
+        self.consume(|fault| !fault.is_export_fault())
     }
 
     /// Returns the fault that hits the next export.
-    pub(super) fn take_for_export(&mut self) -> EngineFault {
-        self.take(EngineFault::is_of_export)
+    pub(super) fn consume_for_export(&mut self) -> EngineFault {
+        self.consume(EngineFault::is_export_fault)
     }
 
-    fn take(&mut self, is_wanted: impl Fn(EngineFault) -> bool) -> EngineFault {
-        let Some(fault) = self.fault.filter(|fault| is_wanted(*fault)) else {
+    fn consume(&mut self, applies: impl Fn(EngineFault) -> bool) -> EngineFault {
+        let Some(fault) = self.fault.filter(|fault| applies(*fault)) else {
             return EngineFault::None;
         };
-        match &mut self.left {
+        match &mut self.remaining {
             None => fault,
             Some(0) => EngineFault::None,
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 fault
             }
         }
--- a/crates/wisteriahitch-standin/src/engine/handler.rs
+++ b/crates/wisteriahitch-standin/src/engine/handler.rs
@@ -56,7 +56,7 @@
                 Err(refusal) => Ok(refusal),
             },
             (Method::POST, ["v1", "orders"]) => match parse(request).await? {
-                Ok(body) => Ok(order::carry_out(&self.state, body).await),
+                Ok(body) => Ok(order::handle_order(&self.state, body).await),
                 Err(refusal) => Ok(refusal),
             },
             _ => Ok(answer_status(StatusCode::NOT_FOUND)),
@@ -84,7 +84,7 @@
         }
         match parse::<EngineControl>(request).await? {
             Ok(control) => {
-                self.state.control(control);
+                self.state.apply_control(control);
                 Ok(answer_status(StatusCode::OK))
             }
             Err(refusal) => Ok(refusal),
--- a/crates/wisteriahitch-standin/src/engine/kv_block.rs
+++ b/crates/wisteriahitch-standin/src/engine/kv_block.rs
@@ -39,7 +39,7 @@
     pub key: BlockKey,
     /// Tokens in the block.
     pub tokens: TokenCount,
-    version_mark: [u8; VERSION_LEN],
+    version_digest: [u8; VERSION_LEN],
 }
 
 impl KvBlockHeader {
@@ -48,7 +48,7 @@
         Self {
             key,
             tokens,
-            version_mark: mark_version(weight_version),
+            version_digest: digest_version(weight_version),
         }
     }
 
@@ -56,7 +56,7 @@
     pub fn parse(content: &[u8]) -> Result<Self, KvBlockError> {
         let (magic, rest) = split::<4>(content)?;
         let (key, rest) = split::<KEY_LEN>(rest)?;
-        let (version_mark, rest) = split::<VERSION_LEN>(rest)?;
+        let (version_digest, rest) = split::<VERSION_LEN>(rest)?;
         let (tokens, _) = split::<TOKENS_LEN>(rest)?;
         if magic != MAGIC {
             return Err(KvBlockError::NoHeader);
@@ -64,19 +64,19 @@
         Ok(Self {
             key: BlockKey::from_bytes(key),
             tokens: TokenCount::new(u64::from_le_bytes(tokens)),
-            version_mark,
+            version_digest,
         })
     }
 
     /// Returns whether the block was computed with `weight_version`.
     pub fn is_of_version(&self, weight_version: &WeightVersion) -> bool {
-        self.version_mark == mark_version(weight_version)
+        self.version_digest == digest_version(weight_version)
     }
 
     fn write(&self, content: &mut BytesMut) {
         content.extend_from_slice(&MAGIC);
         content.extend_from_slice(self.key.as_bytes());
-        content.extend_from_slice(&self.version_mark);
+        content.extend_from_slice(&self.version_digest);
         content.extend_from_slice(&self.tokens.get().to_le_bytes());
     }
 }
@@ -100,8 +100,8 @@
     header.write(&mut content);
     let pattern = fill_pattern(&header);
     while content.len() < length {
-        let part = PATTERN_LEN.min(length - content.len());
-        content.extend_from_slice(&pattern[..part]);
+        let copy_len = PATTERN_LEN.min(length - content.len());
+        content.extend_from_slice(&pattern[..copy_len]);
     }
     content.freeze()
 }
@@ -138,17 +138,17 @@
     Ok((*head, rest))
 }
 
-fn mark_version(weight_version: &WeightVersion) -> [u8; VERSION_LEN] {
+fn digest_version(weight_version: &WeightVersion) -> [u8; VERSION_LEN] {
     let hash = blake3::derive_key(VERSION_CONTEXT, weight_version.as_str().as_bytes());
-    let mut mark = [0; VERSION_LEN];
-    mark.copy_from_slice(&hash[..VERSION_LEN]);
-    mark
+    let mut digest = [0; VERSION_LEN];
+    digest.copy_from_slice(&hash[..VERSION_LEN]);
+    digest
 }
 
 fn fill_pattern(header: &KvBlockHeader) -> [u8; PATTERN_LEN] {
     let mut hasher = blake3::Hasher::new_derive_key(PATTERN_CONTEXT);
     hasher.update(header.key.as_bytes());
-    hasher.update(&header.version_mark);
+    hasher.update(&header.version_digest);
     let mut pattern = [0; PATTERN_LEN];
     hasher.finalize_xof().fill(&mut pattern);
     pattern
--- a/crates/wisteriahitch-standin/src/engine/mod.rs
+++ b/crates/wisteriahitch-standin/src/engine/mod.rs
@@ -15,10 +15,10 @@
 mod control;
 mod handler;
 mod kv_block;
-mod line;
 mod models;
 mod options;
 mod order;
+mod priority_slots;
 mod registry;
 mod run;
 mod state;
@@ -41,7 +41,7 @@
 use tokio::time::sleep;
 use wisteriahitch_types::{DurationUs, EndpointId};
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::EngineHandler;
 use state::EngineState;
 
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct EngineStandin {
     server: Server,
-    reporter: Option<JoinHandle<()>>,
+    report_task: Option<JoinHandle<()>>,
 }
 
 impl EngineStandin {
@@ -84,10 +84,14 @@
         let handler = Arc::new(EngineHandler {
             state: Arc::clone(&state),
         });
-        let server = Server::start(listen, handler, Gate::new()).await?;
+        let server = Server::start(listen, handler, ListenerGate::new()).await?;
         let is_lagging = load_lag_us > DurationUs::ZERO;
-        let reporter = is_lagging.then(|| tokio::spawn(report_load(state, load_lag_us.into())));
-        Ok(Self { server, reporter })
+        let report_task =
+            is_lagging.then(|| tokio::spawn(refresh_load_reports(state, load_lag_us.into())));
+        Ok(Self {
+            server,
+            report_task,
+        })
     }
 
     /// Returns the address that is served.
@@ -98,14 +102,14 @@
 
 impl Drop for EngineStandin {
     fn drop(&mut self) {
-        if let Some(reporter) = &self.reporter {
-            reporter.abort();
+        if let Some(report_task) = &self.report_task {
+            report_task.abort();
         }
     }
 }
 
 /// Keeps each load report in force for `lag`.
-async fn report_load(state: Arc<EngineState>, lag: Duration) {
+async fn refresh_load_reports(state: Arc<EngineState>, lag: Duration) {
     loop {
         sleep(lag).await;
         state.refresh_load_report();
@@ -127,5 +131,5 @@
         listening: engine.address(),
         id,
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/engine/models.rs
+++ b/crates/wisteriahitch-standin/src/engine/models.rs
@@ -19,7 +19,7 @@
     }
 }
 
-struct Model {
+struct ModelEntry {
     weight_version: WeightVersion,
     adapters: BTreeSet<AdapterName>,
     is_ready: bool,
@@ -30,14 +30,14 @@
 /// Holds every model of an engine.
 #[derive(Default)]
 pub(super) struct ModelTable {
-    models: BTreeMap<ModelName, Model>,
-    next_load: u64,
+    models: BTreeMap<ModelName, ModelEntry>,
+    last_load_number: u64,
 }
 
 impl ModelTable {
     /// Puts a model in place at once.
     pub(super) fn insert(&mut self, model: ModelName, weight_version: WeightVersion) {
-        let loaded = Model {
+        let loaded = ModelEntry {
             weight_version,
             adapters: BTreeSet::new(),
             is_ready: true,
@@ -76,14 +76,17 @@
 
     /// Begins to load a version; nothing is to be done where it is in force already.
     pub(super) fn begin_load(&mut self, model: &ModelName, version: &WeightVersion) -> Option<u64> {
-        self.next_load += 1;
-        let number = self.next_load;
-        let entry = self.models.entry(model.clone()).or_insert_with(|| Model {
-            weight_version: version.clone(),
-            adapters: BTreeSet::new(),
-            is_ready: false,
-            load_number: 0,
-        });
+        self.last_load_number += 1;
+        let number = self.last_load_number;
+        let entry = self
+            .models
+            .entry(model.clone())
+            .or_insert_with(|| ModelEntry {
+                weight_version: version.clone(),
+                adapters: BTreeSet::new(),
+                is_ready: false,
+                load_number: 0,
+            });
         if entry.is_ready && entry.weight_version == *version {
             return None;
         }
@@ -95,7 +98,7 @@
     /// Ends a load, and returns the version that it took the place of.
     ///
     /// Nothing happens where a later order has replaced the load.
-    pub(super) fn end_load(
+    pub(super) fn finish_load(
         &mut self,
         model: &ModelName,
         version: WeightVersion,
@@ -124,14 +127,14 @@
         true
     }
 
-    pub(super) fn drop_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
+    pub(super) fn unload_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
         if let Some(entry) = self.models.get_mut(model) {
             entry.adapters.remove(adapter);
         }
     }
 
     pub(super) fn report(&self) -> Vec<ModelReport> {
-        let to_report = |(name, model): (&ModelName, &Model)| ModelReport {
+        let to_report = |(name, model): (&ModelName, &ModelEntry)| ModelReport {
             model: name.clone(),
             weight_version: model.weight_version.clone(),
             adapters: model.adapters.iter().cloned().collect(),
--- a/crates/wisteriahitch-standin/src/engine/order.rs
+++ b/crates/wisteriahitch-standin/src/engine/order.rs
@@ -14,18 +14,18 @@
 use crate::util::{Answer, answer_status};
 
 /// Part of a model's load time that an adapter takes.
-const ADAPTER_SHARE: u32 = 10;
+const ADAPTER_LOAD_DIVISOR: u32 = 10;
 
 /// Body of an order, which may also be one that daemons don't give.
 #[derive(Deserialize)]
-pub(super) struct AnyOrderBody {
+pub(super) struct OrderRequestBody {
     fence: FenceNumber,
-    order: AnyOrder,
+    order: StandinOrder,
 }
 
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum AnyOrder {
+enum StandinOrder {
     Known(Order),
     Leave(Leave),
 }
@@ -39,8 +39,8 @@
 /// Carries out an order, and answers when it is done.
 ///
 /// An order that was taken is carried out also when the one who gave it doesn't wait.
-pub(super) async fn carry_out(state: &Arc<EngineState>, body: AnyOrderBody) -> Answer {
-    if !is_in_force(state, body.fence) {
+pub(super) async fn handle_order(state: &Arc<EngineState>, body: OrderRequestBody) -> Answer {
+    if !accept_fence(state, body.fence) {
         state.counters.lock().fenced_orders += 1;
         return refuse(StatusCode::CONFLICT, false, "fenced");
     }
@@ -48,8 +48,8 @@
     let state = Arc::clone(state);
     let work = tokio::spawn(async move {
         match body.order {
-            AnyOrder::Known(order) => obey(&state, order).await,
-            AnyOrder::Leave(Leave::Leave) => {
+            StandinOrder::Known(order) => execute_order(&state, order).await,
+            StandinOrder::Leave(Leave::Leave) => {
                 state.set_leaving(true);
                 true
             }
@@ -66,7 +66,7 @@
 }
 
 /// Takes note of the fencing number; only an engine that checks it refuses an old one.
-fn is_in_force(state: &EngineState, fence: FenceNumber) -> bool {
+fn accept_fence(state: &EngineState, fence: FenceNumber) -> bool {
     let mut highest = state.highest_fence.lock();
     let is_old = fence < *highest;
     *highest = fence.max(*highest);
@@ -74,7 +74,7 @@
 }
 
 /// Returns whether the order could be carried out.
-async fn obey(state: &EngineState, order: Order) -> bool {
+async fn execute_order(state: &EngineState, order: Order) -> bool {
     match order {
         Order::LoadModel {
             model,
@@ -83,15 +83,15 @@
         Order::UnloadModel { model } => {
             let mut models = state.models.lock();
             if let Some(version) = models.unload(&model) {
-                state.cache.lock().drop_version(&model, &version);
+                state.cache.lock().evict_version(&model, &version);
             }
         }
         Order::LoadAdapter { model, adapter } => {
-            sleep(Duration::from(state.options.load_model_us) / ADAPTER_SHARE).await;
+            sleep(Duration::from(state.options.load_model_us) / ADAPTER_LOAD_DIVISOR).await;
             return state.models.lock().add_adapter(&model, adapter);
         }
         Order::UnloadAdapter { model, adapter } => {
-            state.models.lock().drop_adapter(&model, &adapter);
+            state.models.lock().unload_adapter(&model, &adapter);
         }
         Order::SetRole { role } => *state.role.lock() = role,
     }
@@ -99,15 +99,15 @@
 }
 
 async fn load_model(state: &EngineState, model: ModelName, version: WeightVersion) {
-    let begun = state.models.lock().begin_load(&model, &version);
-    let Some(number) = begun else {
+    let load_number = state.models.lock().begin_load(&model, &version);
+    let Some(number) = load_number else {
         return;
     };
     sleep(state.options.load_model_us.into()).await;
     // Both are changed under the lock of the models, so that no request of the new version finds
     // a block of the old one.
     let mut models = state.models.lock();
-    if let Some(old) = models.end_load(&model, version, number) {
-        state.cache.lock().drop_version(&model, &old);
+    if let Some(old) = models.finish_load(&model, version, number) {
+        state.cache.lock().evict_version(&model, &old);
     }
 }
--- a/crates/wisteriahitch-standin/src/engine/line.rs
+++ b/crates/wisteriahitch-standin/src/engine/priority_slots.rs
@@ -13,21 +13,21 @@
 #[derive(Debug)]
 struct Inner {
     free: u64,
-    taken: u64,
-    waiting: BTreeMap<Rank, oneshot::Sender<Place>>,
+    occupied: u64,
+    waiting: BTreeMap<Rank, oneshot::Sender<Slot>>,
 }
 
 /// A limited number of places.
 #[derive(Clone, Debug)]
-pub(super) struct Line {
+pub(super) struct PrioritySlots {
     inner: Arc<Mutex<Inner>>,
 }
 
-impl Line {
-    pub(super) fn new(places: u64) -> Self {
+impl PrioritySlots {
+    pub(super) fn new(slot_count: u64) -> Self {
         let inner = Inner {
-            free: places.max(1),
-            taken: 0,
+            free: slot_count.max(1),
+            occupied: 0,
             waiting: BTreeMap::new(),
         };
         Self {
@@ -36,84 +36,86 @@
     }
 
     /// Waits for a place; each one who waits needs a rank of its own.
-    pub(super) async fn enter(&self, rank: Rank) -> Place {
+    pub(super) async fn acquire(&self, rank: Rank) -> Slot {
         let receiver = {
             let mut inner = self.inner.lock();
             if inner.free > 0 {
                 inner.free -= 1;
-                inner.taken += 1;
-                return self.place();
+                inner.occupied += 1;
+                return self.new_slot();
             }
             let (sender, receiver) = oneshot::channel();
             inner.waiting.insert(rank, sender);
             receiver
         };
-        let waiter = Waiter { line: self, rank };
-        let place = receiver.await;
-        drop(waiter);
+        let guard = WaiterGuard { slots: self, rank };
+        let slot = receiver.await;
+        drop(guard);
         // The sender is dropped only by the waiter itself, so this never waits in vain.
-        match place {
-            Ok(place) => place,
+        match slot {
+            Ok(slot) => slot,
             Err(_) => std::future::pending().await,
         }
     }
 
     /// Returns whether one who waits goes before `rank`.
-    pub(super) fn has_better(&self, rank: Rank) -> bool {
+    pub(super) fn has_waiter_before(&self, rank: Rank) -> bool {
         let inner = self.inner.lock();
         let best = inner.waiting.first_key_value();
         best.is_some_and(|(waiting, _)| *waiting < rank)
     }
 
-    pub(super) fn taken(&self) -> u64 {
-        self.inner.lock().taken
+    pub(super) fn occupied(&self) -> u64 {
+        self.inner.lock().occupied
     }
 
     pub(super) fn waiting(&self) -> u64 {
         self.inner.lock().waiting.len() as u64
     }
 
-    fn place(&self) -> Place {
-        Place { line: self.clone() }
+    fn new_slot(&self) -> Slot {
+        Slot {
+            slots: self.clone(),
+        }
     }
 
-    fn leave(&self) {
+    fn release(&self) {
         let next = {
             let mut inner = self.inner.lock();
             let next = inner.waiting.pop_first();
             if next.is_none() {
                 inner.free += 1;
-                inner.taken -= 1;
+                inner.occupied -= 1;
             }
             next
         };
         // One who has just given up hands the place back, and it leaves from there.
         if let Some((_, sender)) = next {
-            drop(sender.send(self.place()));
+            drop(sender.send(self.new_slot()));
         }
     }
 }
 
 /// Takes one who gives up out of the line.
-struct Waiter<'a> {
-    line: &'a Line,
+struct WaiterGuard<'a> {
+    slots: &'a PrioritySlots,
     rank: Rank,
 }
 
-impl Drop for Waiter<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
-        self.line.inner.lock().waiting.remove(&self.rank);
+        self.slots.inner.lock().waiting.remove(&self.rank);
     }
 }
 
 /// One place, given up when it is dropped.
 #[derive(Debug)]
-pub(super) struct Place {
-    line: Line,
+pub(super) struct Slot {
+    slots: PrioritySlots,
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.line.leave();
+        self.slots.release();
     }
 }
--- a/crates/wisteriahitch-standin/src/engine/registry.rs
+++ b/crates/wisteriahitch-standin/src/engine/registry.rs
@@ -23,7 +23,7 @@
 
 impl RunRegistry {
     /// Enters a request until the entry is dropped.
-    pub(super) fn enter(&self, request: RequestId) -> RunEntry {
+    pub(super) fn register(&self, request: RequestId) -> RunEntry {
         let mut inner = self.inner.lock();
         let number = inner.next_number;
         inner.next_number += 1;
@@ -41,12 +41,12 @@
     pub(super) fn cancel(&self, request: &RequestId) -> bool {
         let inner = self.inner.lock();
         let range = (request.clone(), 0)..=(request.clone(), u64::MAX);
-        let mut is_found = false;
+        let mut was_found = false;
         for cancelled in inner.runs.range(range).map(|(_, cancelled)| cancelled) {
             cancelled.notify_one();
-            is_found = true;
+            was_found = true;
         }
-        is_found
+        was_found
     }
 }
 
@@ -59,7 +59,7 @@
 
 impl RunEntry {
     /// Returns the number of the arrival, from zero.
-    pub(super) fn number(&self) -> u64 {
+    pub(super) fn arrival_number(&self) -> u64 {
         self.id.1
     }
 
--- a/crates/wisteriahitch-standin/src/engine/run.rs
+++ b/crates/wisteriahitch-standin/src/engine/run.rs
@@ -12,13 +12,13 @@
 
 use super::answer::{AnswerSource, count_tokens};
 use super::cache::CachedBlock;
-use super::line::{Place, Rank};
 use super::models::NotRun;
+use super::priority_slots::{Rank, Slot};
 use super::registry::RunEntry;
 use super::state::EngineState;
 
 /// Most requests that wait for a place in the batch.
-const MAX_WAITING: u64 = 1024;
+const MAX_QUEUED_REQUESTS: u64 = 1024;
 
 /// Finish reason of an answer that has all the tokens that were asked for.
 pub(super) const FINISH_LENGTH: &str = "length";
@@ -33,13 +33,13 @@
     entry: RunEntry,
     body: CompletionBody,
     source: AnswerSource,
-    place: Option<Place>,
-    backlog: Backlog,
+    slot: Option<Slot>,
+    backlog: PromptBacklog,
     cached_tokens: TokenCount,
     prompt_tokens: TokenCount,
     next_position: u64,
     /// When the next token is due, once the prompt has been read.
-    due_at: Option<Instant>,
+    next_token_at: Option<Instant>,
 }
 
 impl Run {
@@ -52,24 +52,24 @@
     ) -> Result<Self, NotRun> {
         let prompt_tokens = count_tokens(&body.prompt);
         check_can_run(state, &body)?;
-        if state.batch.waiting() >= MAX_WAITING {
+        if state.batch.waiting() >= MAX_QUEUED_REQUESTS {
             return Err(unavailable("busy"));
         }
-        let entry = state.runs.enter(body.wisteriahitch.request_id.clone());
-        let mut backlog = Backlog::new(state, prompt_tokens);
+        let entry = state.runs.register(body.wisteriahitch.request_id.clone());
+        let mut backlog = PromptBacklog::new(state, prompt_tokens);
         let rank = rank(&body, &entry);
-        let place = tokio::select! {
-            place = state.batch.enter(rank) => place,
+        let slot = tokio::select! {
+            slot = state.batch.acquire(rank) => slot,
             () = entry.cancelled() => return Err(unavailable("cancelled")),
         };
         // The weights may have been swapped while the request waited.
         check_can_run(state, &body)?;
         let extension = &body.wisteriahitch;
         let mut cache = state.cache.lock();
-        let cached_tokens = cache.use_prefix(&extension.blocks, &extension.weight_version);
+        let cached_tokens = cache.use_cached_prefix(&extension.blocks, &extension.weight_version);
         drop(cache);
-        backlog.take(cached_tokens.get());
-        count_begin(state, &body, cached_tokens);
+        backlog.consume(cached_tokens.get());
+        count_started_run(state, &body, cached_tokens);
         let model = &body.model;
         let adapter = extension.adapter.as_ref();
         let version = &extension.weight_version;
@@ -79,11 +79,11 @@
             next_position: extension.position,
             entry,
             body,
-            place: Some(place),
+            slot: Some(slot),
             backlog,
             cached_tokens,
             prompt_tokens,
-            due_at: None,
+            next_token_at: None,
         })
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Returns the position in the middle of what is to be sent.
-    pub(super) fn middle(&self) -> u64 {
+    pub(super) fn middle_position(&self) -> u64 {
         let first = self.body.wisteriahitch.position;
         first + (self.body.max_tokens.get() - first) / 2
     }
@@ -117,17 +117,17 @@
             return Ok(None);
         }
         let state = Arc::clone(&self.state);
-        let due_at = match self.due_at {
-            Some(due_at) => due_at,
+        let next_token_at = match self.next_token_at {
+            Some(next_token_at) => next_token_at,
             None => self.read_prompt().await?,
         };
         tokio::select! {
-            () = sleep_until(due_at) => {}
+            () = sleep_until(next_token_at) => {}
             () = self.entry.cancelled() => return Err(Cancelled),
         }
         state.freeze.wait_until_thawed().await;
         let decode = Duration::from(state.options.decode_us_per_token);
-        self.due_at = Some(due_at + decode);
+        self.next_token_at = Some(next_token_at + decode);
         Ok(Some(self.make_token()))
     }
 
@@ -136,7 +136,7 @@
         self.next_position += 1;
         let is_last = self.next_position == self.body.max_tokens.get();
         if is_last {
-            self.place = None;
+            self.slot = None;
         }
         self.state.counters.lock().decoded_tokens += 1;
         Token {
@@ -152,29 +152,29 @@
     async fn read_prompt(&mut self) -> Result<Instant, Cancelled> {
         let resumed_tokens = self.body.wisteriahitch.position;
         let prompt_rest = (self.prompt_tokens - self.cached_tokens).get();
-        let mut left_tokens = prompt_rest + resumed_tokens;
+        let mut remaining_tokens = prompt_rest + resumed_tokens;
         let rank = rank(&self.body, &self.entry);
         let state = Arc::clone(&self.state);
         let piece_tokens = state.options.piece_tokens.get().max(1);
-        let mut server = None;
+        let mut prefill_slot = None;
         let mut done_at = Instant::now();
-        while left_tokens > 0 {
+        while remaining_tokens > 0 {
             // A waiting request of higher priority goes first between two pieces.
-            if server.is_some() && state.prefill.has_better(rank) {
-                server = None;
+            if prefill_slot.is_some() && state.prefill.has_waiter_before(rank) {
+                prefill_slot = None;
             }
-            if server.is_none() {
-                server = Some(self.unless_cancelled(state.prefill.enter(rank)).await?);
+            if prefill_slot.is_none() {
+                prefill_slot = Some(self.unless_cancelled(state.prefill.acquire(rank)).await?);
             }
-            let piece = left_tokens.min(piece_tokens);
+            let piece = remaining_tokens.min(piece_tokens);
             let span = state.options.prefill_tokens_per_s;
             let span = span.time_for(TokenCount::new(piece));
-            done_at = state.prefill_pacer.lock().book(span.into());
+            done_at = state.prefill_pacer.lock().schedule(span.into());
             self.unless_cancelled(sleep_until(done_at)).await?;
-            left_tokens -= piece;
-            self.backlog.take(piece);
+            remaining_tokens -= piece;
+            self.backlog.consume(piece);
         }
-        drop(server);
+        drop(prefill_slot);
         state.counters.lock().prefilled_tokens += prompt_rest;
         self.store_blocks();
         Ok(done_at)
@@ -203,39 +203,39 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        if self.place.is_some() {
+        if self.slot.is_some() {
             self.state.counters.lock().cancelled_runs += 1;
         }
     }
 }
 
 /// Counts the prompt tokens of one request that still have to be read.
-struct Backlog {
+struct PromptBacklog {
     state: Arc<EngineState>,
-    left_tokens: u64,
+    remaining_tokens: u64,
 }
 
-impl Backlog {
+impl PromptBacklog {
     fn new(state: &Arc<EngineState>, tokens: TokenCount) -> Self {
         let tokens = tokens.get();
         state.backlog_tokens.fetch_add(tokens, Ordering::Relaxed);
         Self {
             state: Arc::clone(state),
-            left_tokens: tokens,
+            remaining_tokens: tokens,
         }
     }
 
-    fn take(&mut self, tokens: u64) {
-        let taken = tokens.min(self.left_tokens);
-        self.left_tokens -= taken;
+    fn consume(&mut self, tokens: u64) {
+        let consumed = tokens.min(self.remaining_tokens);
+        self.remaining_tokens -= consumed;
         let backlog = &self.state.backlog_tokens;
-        backlog.fetch_sub(taken, Ordering::Relaxed);
+        backlog.fetch_sub(consumed, Ordering::Relaxed);
     }
 }
 
-impl Drop for Backlog {
+impl Drop for PromptBacklog {
     fn drop(&mut self) {
-        self.take(self.left_tokens);
+        self.consume(self.remaining_tokens);
     }
 }
 
@@ -249,7 +249,7 @@
     models.check(&body.model, adapter, &extension.weight_version)
 }
 
-fn count_begin(state: &EngineState, body: &CompletionBody, cached_tokens: TokenCount) {
+fn count_started_run(state: &EngineState, body: &CompletionBody, cached_tokens: TokenCount) {
     let mut counters = state.counters.lock();
     counters.add_run(&body.wisteriahitch.request_id);
     counters.cached_tokens += cached_tokens.get();
@@ -257,7 +257,7 @@
 }
 
 fn rank(body: &CompletionBody, entry: &RunEntry) -> Rank {
-    (Reverse(body.wisteriahitch.priority), entry.number())
+    (Reverse(body.wisteriahitch.priority), entry.arrival_number())
 }
 
 const fn unavailable(reason: &'static str) -> NotRun {
--- a/crates/wisteriahitch-standin/src/engine/state.rs
+++ b/crates/wisteriahitch-standin/src/engine/state.rs
@@ -10,9 +10,9 @@
 
 use super::EngineOptions;
 use super::cache::{CachedBlock, PrefixCache};
-use super::control::{EngineControl, EngineCounters, EngineFault, FaultSetting};
-use super::line::Line;
+use super::control::{ActiveFault, EngineControl, EngineCounters, EngineFault};
 use super::models::ModelTable;
+use super::priority_slots::PrioritySlots;
 use super::registry::RunRegistry;
 use crate::shared::{Freeze, Pacer};
 
@@ -23,12 +23,12 @@
     pub(super) options: EngineOptions,
     pub(super) models: Mutex<ModelTable>,
     pub(super) cache: Mutex<PrefixCache>,
-    pub(super) batch: Line,
-    pub(super) prefill: Line,
+    pub(super) batch: PrioritySlots,
+    pub(super) prefill: PrioritySlots,
     pub(super) prefill_pacer: Mutex<Pacer>,
     pub(super) runs: RunRegistry,
     pub(super) backlog_tokens: AtomicU64,
-    pub(super) fault: Mutex<FaultSetting>,
+    pub(super) fault: Mutex<ActiveFault>,
     pub(super) freeze: Freeze,
     pub(super) counters: Mutex<EngineCounters>,
     pub(super) highest_fence: Mutex<FenceNumber>,
@@ -43,19 +43,19 @@
     pub(super) fn new(options: EngineOptions) -> Self {
         let cache = PrefixCache::new(
             options.kv_capacity_tokens,
-            draw_incarnation(options.seed),
+            generate_incarnation(options.seed),
             options.event_lag_us.into(),
             options.event_keep,
         );
         Self {
-            models: Mutex::new(load_first_models(&options)),
+            models: Mutex::new(load_initial_models(&options)),
             cache: Mutex::new(cache),
-            batch: Line::new(options.batch_slots),
-            prefill: Line::new(1),
+            batch: PrioritySlots::new(options.batch_slots),
+            prefill: PrioritySlots::new(1),
             prefill_pacer: Mutex::new(Pacer::new()),
             runs: RunRegistry::default(),
             backlog_tokens: AtomicU64::new(0),
-            fault: Mutex::new(FaultSetting::default()),
+            fault: Mutex::new(ActiveFault::default()),
             freeze: Freeze::default(),
             counters: Mutex::new(EngineCounters::default()),
             highest_fence: Mutex::new(FenceNumber::new(0)),
@@ -85,7 +85,7 @@
         self.is_leaving.store(is_leaving, Ordering::Relaxed);
     }
 
-    pub(super) fn control(&self, control: EngineControl) {
+    pub(super) fn apply_control(&self, control: EngineControl) {
         if let Some(is_leaving) = control.leaving {
             self.set_leaving(is_leaving);
         }
@@ -115,7 +115,7 @@
         let cache = self.cache.lock();
         LoadReport {
             made_at_ms: self.started_at.elapsed().as_millis() as u64,
-            running: self.batch.taken(),
+            running: self.batch.occupied(),
             batch_slots: self.options.batch_slots,
             queued: self.batch.waiting(),
             queued_tokens: TokenCount::new(self.backlog_tokens.load(Ordering::Relaxed)),
@@ -131,7 +131,7 @@
     }
 }
 
-fn load_first_models(options: &EngineOptions) -> ModelTable {
+fn load_initial_models(options: &EngineOptions) -> ModelTable {
     let mut models = ModelTable::default();
     for loaded in &options.models {
         models.insert(loaded.model.clone(), loaded.weight_version.clone());
@@ -143,7 +143,7 @@
 }
 
 /// Names this life of the engine, so that event numbers of two lives are never compared.
-fn draw_incarnation(seed: u64) -> String {
+fn generate_incarnation(seed: u64) -> String {
     let number = if seed == 0 { rand::random() } else { seed };
     format!("e{number:016x}")
 }
--- a/crates/wisteriahitch-standin/src/engine/transfer.rs
+++ b/crates/wisteriahitch-standin/src/engine/transfer.rs
@@ -21,10 +21,10 @@
 const TRANSFER_TIMEOUT: DurationUs = DurationUs::from_ms(60_000);
 
 /// Largest answer to a write.
-const ANSWER_LIMIT: ByteCount = ByteCount::new(64 * 1024);
+const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(64 * 1024);
 
 /// Status and reason of a refused transfer.
-type Refusal = (StatusCode, String);
+type TransferRefusal = (StatusCode, String);
 
 /// Writes a held block to a store.
 pub(super) async fn export(state: &Arc<EngineState>, request: ExportRequest) -> Answer {
@@ -47,16 +47,19 @@
     }
 }
 
-async fn try_export(state: &EngineState, request: ExportRequest) -> Result<ExportResult, Refusal> {
-    let held = state.cache.lock().get(request.key).cloned();
-    let held = held.ok_or_else(|| refusal(StatusCode::GONE, "the block is not held"))?;
-    if held.weight_version != request.weight_version {
+async fn try_export(
+    state: &EngineState,
+    request: ExportRequest,
+) -> Result<ExportResult, TransferRefusal> {
+    let cached = state.cache.lock().get(request.key).cloned();
+    let cached = cached.ok_or_else(|| refusal(StatusCode::GONE, "the block is not cached"))?;
+    if cached.weight_version != request.weight_version {
         return Err(refusal(StatusCode::CONFLICT, "another weight version"));
     }
-    let bytes = block_bytes(held.tokens, state.options.kv_bytes_per_token);
-    let content = build_block(request.key, held.tokens, &held.weight_version, bytes);
-    let content = spoil(state, content);
-    let own = ExportResult {
+    let bytes = block_bytes(cached.tokens, state.options.kv_bytes_per_token);
+    let content = build_block(request.key, cached.tokens, &cached.weight_version, bytes);
+    let content = apply_export_fault(state, content);
+    let exported = ExportResult {
         bytes: ByteCount::new(content.len() as u64),
         crc32c: crc32c::crc32c(&content),
     };
@@ -64,7 +67,7 @@
     let answer = call_store(state, &request.to, &query, StoreCall::Write(content));
     let response = answer.await?;
     let sealed = serde_json::from_slice::<ExportResult>(response.body());
-    if sealed.ok().as_ref() != Some(&own) {
+    if sealed.ok().as_ref() != Some(&exported) {
         return Err(refusal(
             StatusCode::BAD_GATEWAY,
             "the store sealed another length",
@@ -72,18 +75,23 @@
     }
     let mut counters = state.counters.lock();
     counters.exported_blocks += 1;
-    counters.exported_bytes += own.bytes.get();
-    Ok(own)
+    counters.exported_bytes += exported.bytes.get();
+    Ok(exported)
 }
 
-async fn try_import(state: &EngineState, request: ImportRequest) -> Result<(), Refusal> {
+async fn try_import(state: &EngineState, request: ImportRequest) -> Result<(), TransferRefusal> {
     let version = &request.weight_version;
     let other_version = || refusal(StatusCode::CONFLICT, "another weight version");
     if !state.models.lock().has_version(version) {
         return Err(other_version());
     }
-    let is_held = |block: &CachedBlock| block.weight_version == *version;
-    if state.cache.lock().get(request.key).is_some_and(is_held) {
+    let is_of_version = |block: &CachedBlock| block.weight_version == *version;
+    if state
+        .cache
+        .lock()
+        .get(request.key)
+        .is_some_and(is_of_version)
+    {
         return Ok(());
     }
     let query = format!("generation={}&pin={}", request.generation, request.pin);
@@ -119,10 +127,10 @@
     url: &str,
     query: &str,
     call: StoreCall,
-) -> Result<Response<Bytes>, Refusal> {
+) -> Result<Response<Bytes>, TransferRefusal> {
     let (address, path) = parse_url(url)?;
     let (method, class, content, limit_bytes) = match call {
-        StoreCall::Write(content) => (Method::PUT, "save", content, ANSWER_LIMIT),
+        StoreCall::Write(content) => (Method::PUT, "save", content, MAX_ANSWER_BYTES),
         StoreCall::Read(bytes) => (Method::GET, "wait", Bytes::new(), bytes),
     };
     let request = Request::builder()
@@ -133,7 +141,7 @@
         .map_err(|error| refusal(StatusCode::BAD_REQUEST, &error.to_string()))?;
     let client = &state.store_client;
     let answer = client.fetch(address, request, TRANSFER_TIMEOUT, limit_bytes);
-    let response = answer.await.map_err(|error| store_failure(&error))?;
+    let response = answer.await.map_err(|error| http_error_refusal(&error))?;
     match response.status() {
         status if status.is_success() => Ok(response),
         StatusCode::GONE => Err(refusal(StatusCode::GONE, "the store has no such block")),
@@ -144,7 +152,7 @@
     }
 }
 
-fn parse_url(url: &str) -> Result<(SocketAddr, String), Refusal> {
+fn parse_url(url: &str) -> Result<(SocketAddr, String), TransferRefusal> {
     let bad = || refusal(StatusCode::BAD_REQUEST, "not the URL of a block");
     let uri: Uri = url.parse().map_err(|_| bad())?;
     let address = uri.authority().ok_or_else(bad)?;
@@ -153,7 +161,7 @@
 }
 
 /// A body that breaks off is a broken link; one that is too long or malformed is corrupt.
-fn store_failure(error: &HttpError) -> Refusal {
+fn http_error_refusal(error: &HttpError) -> TransferRefusal {
     let status = match error.kind() {
         HttpErrorKind::TooLarge | HttpErrorKind::Malformed => StatusCode::UNPROCESSABLE_ENTITY,
         HttpErrorKind::NotSent | HttpErrorKind::Timeout | HttpErrorKind::Lost => {
@@ -163,21 +171,21 @@
     (status, error.to_string())
 }
 
-fn refuse_corrupt(error: KvBlockError) -> Refusal {
+fn refuse_corrupt(error: KvBlockError) -> TransferRefusal {
     let status = StatusCode::UNPROCESSABLE_ENTITY;
     (status, format!("the block is corrupt: {error:?}"))
 }
 
 /// Applies the fault that is on to one export.
-fn spoil(state: &EngineState, content: Bytes) -> Bytes {
+fn apply_export_fault(state: &EngineState, content: Bytes) -> Bytes {
     /// Place of the first byte of the key in the header.
-    const KEY_AT: usize = 4;
+    const KEY_OFFSET: usize = 4;
 
-    match state.fault.lock().take_for_export() {
+    match state.fault.lock().consume_for_export() {
         // The checksum is of the changed content, so that only the header shows the change.
         EngineFault::CorruptExport => {
             let mut changed = content.to_vec();
-            changed[KEY_AT] ^= 1;
+            changed[KEY_OFFSET] ^= 1;
             changed.into()
         }
         EngineFault::ShortExport => content.slice(..content.len() / 2),
@@ -185,6 +193,6 @@
     }
 }
 
-fn refusal(status: StatusCode, reason: &str) -> Refusal {
+fn refusal(status: StatusCode, reason: &str) -> TransferRefusal {
     (status, reason.to_owned())
 }
--- a/crates/wisteriahitch-standin/src/platform/answer.rs
+++ b/crates/wisteriahitch-standin/src/platform/answer.rs
@@ -10,7 +10,7 @@
 use crate::util::{Answer, answer_json};
 
 /// Largest content of an object.
-const SPEC_LIMIT_BYTES: usize = 1_000_000;
+const MAX_SPEC_BYTES: usize = 1_000_000;
 
 /// Makes a write to the table and answers it; a deletion brings no document.
 pub(crate) fn write_object(
@@ -19,22 +19,22 @@
     document: Option<ObjectDocument>,
 ) -> Answer {
     let Some(document) = document else {
-        let Some(expected) = call.get_number("resourceVersion") else {
+        let Some(expected) = call.query_number("resourceVersion") else {
             return refusal(StatusCode::BAD_REQUEST, "BadRequest");
         };
         return match objects.delete(call.kind, &call.name, expected) {
             Ok(()) => answer_json(StatusCode::OK, &json!({"status": "Success"})),
-            Err(reason) => refused_write(reason),
+            Err(reason) => write_refusal_answer(reason),
         };
     };
-    if document.spec.to_string().len() > SPEC_LIMIT_BYTES {
+    if document.spec.to_string().len() > MAX_SPEC_BYTES {
         return refusal(StatusCode::PAYLOAD_TOO_LARGE, "RequestEntityTooLarge");
     }
     let name = document.metadata.name;
     if call.method == CallMethod::Create {
         return match objects.create(call.kind, &name, document.spec) {
             Ok(object) => answer_json(StatusCode::CREATED, &object),
-            Err(reason) => refused_write(reason),
+            Err(reason) => write_refusal_answer(reason),
         };
     }
     let expected = document.metadata.resource_version;
@@ -43,11 +43,11 @@
     };
     match objects.update(call.kind, &call.name, document.spec, expected) {
         Ok(object) => answer_json(StatusCode::OK, &object),
-        Err(reason) => refused_write(reason),
+        Err(reason) => write_refusal_answer(reason),
     }
 }
 
-fn refused_write(reason: WriteRefusal) -> Answer {
+fn write_refusal_answer(reason: WriteRefusal) -> Answer {
     match reason {
         WriteRefusal::AlreadyExists => refusal(StatusCode::CONFLICT, "AlreadyExists"),
         WriteRefusal::Conflict => refusal(StatusCode::CONFLICT, "Conflict"),
@@ -60,10 +60,10 @@
     answer_json(status, &body)
 }
 
-pub(crate) fn too_many_requests(wait_us: DurationUs) -> Answer {
+pub(crate) fn too_many_requests(retry_after_us: DurationUs) -> Answer {
     let mut answer = refusal(StatusCode::TOO_MANY_REQUESTS, "TooManyRequests");
-    let wait_s = wait_us.as_secs_f64().ceil().max(1.0);
-    if let Ok(value) = HeaderValue::from_str(&wait_s.to_string()) {
+    let retry_after_s = retry_after_us.as_secs_f64().ceil().max(1.0);
+    if let Ok(value) = HeaderValue::from_str(&retry_after_s.to_string()) {
         answer.headers_mut().insert(RETRY_AFTER, value);
     }
     answer
--- a/crates/wisteriahitch-standin/src/platform/call.rs
+++ b/crates/wisteriahitch-standin/src/platform/call.rs
@@ -5,7 +5,7 @@
 use http::{Method, Uri};
 use serde::Serialize;
 
-use super::object_table::get_kind;
+use super::object_table::find_kind;
 
 const API_ROOT: &str = "/apis/wisteriahitch.example/v1/";
 const NAME_SELECTOR: &str = "metadata.name=";
@@ -45,17 +45,17 @@
     pub(crate) fn try_parse(method: &Method, uri: &Uri) -> Option<Self> {
         let rest = uri.path().strip_prefix(API_ROOT)?;
         let (kind, name) = rest.split_once('/').unwrap_or((rest, ""));
-        let kind = get_kind(kind)?;
+        let kind = find_kind(kind)?;
         let query = parse_query(uri.query().unwrap_or(""));
         let has_name = !name.is_empty();
         let is_watch = query.contains_key("watch");
         let (method, name) = match (method, has_name) {
-            (&Method::GET, true) => (CallMethod::Get, decode(name)),
-            (&Method::GET, false) if is_watch => (CallMethod::Watch, selected_name(&query)?),
+            (&Method::GET, true) => (CallMethod::Get, percent_decode(name)),
+            (&Method::GET, false) if is_watch => (CallMethod::Watch, parse_selected_name(&query)?),
             (&Method::GET, false) => (CallMethod::List, String::new()),
             (&Method::POST, false) => (CallMethod::Create, String::new()),
-            (&Method::PUT, true) => (CallMethod::Update, decode(name)),
-            (&Method::DELETE, true) => (CallMethod::Delete, decode(name)),
+            (&Method::PUT, true) => (CallMethod::Update, percent_decode(name)),
+            (&Method::DELETE, true) => (CallMethod::Delete, percent_decode(name)),
             _ => return None,
         };
         Some(Self {
@@ -67,12 +67,12 @@
     }
 
     /// Returns a number from the query.
-    pub(crate) fn get_number(&self, key: &str) -> Option<u64> {
+    pub(crate) fn query_number(&self, key: &str) -> Option<u64> {
         self.query.get(key)?.parse().ok()
     }
 }
 
-fn selected_name(query: &BTreeMap<String, String>) -> Option<String> {
+fn parse_selected_name(query: &BTreeMap<String, String>) -> Option<String> {
     let selector = query.get("fieldSelector")?;
     selector.strip_prefix(NAME_SELECTOR).map(str::to_owned)
 }
@@ -81,22 +81,24 @@
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
-        .map(|(key, value)| (decode(key), decode(value)))
+        .map(|(key, value)| (percent_decode(key), percent_decode(value)))
         .collect()
 }
 
 /// Decodes `%41` forms; what isn't one stays as it is.
-fn decode(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
-    let mut at = 0;
-    while at < bytes.len() {
-        let escaped = bytes.get(at + 1..at + 3).filter(|_| bytes[at] == b'%');
+    let mut index = 0;
+    while index < bytes.len() {
+        let escaped = bytes
+            .get(index + 1..index + 3)
+            .filter(|_| bytes[index] == b'%');
         let code = escaped
             .and_then(|digits| std::str::from_utf8(digits).ok())
             .and_then(|digits| u8::from_str_radix(digits, 16).ok());
-        decoded.push(code.unwrap_or(bytes[at]));
-        at += if code.is_some() { 3 } else { 1 };
+        decoded.push(code.unwrap_or(bytes[index]));
+        index += if code.is_some() { 3 } else { 1 };
     }
     String::from_utf8_lossy(&decoded).into_owned()
 }
--- a/crates/wisteriahitch-standin/src/platform/control.rs
+++ b/crates/wisteriahitch-standin/src/platform/control.rs
@@ -39,7 +39,7 @@
 
 /// Faults in force, and counts of what happened.
 #[derive(Clone, Debug, Default, Serialize)]
-pub(crate) struct ControlState {
+pub(crate) struct PlatformControlState {
     pub(crate) mode: PlatformMode,
     pub(crate) slow_ms: u64,
     pub(crate) lose_answers: u64,
@@ -49,7 +49,7 @@
     pub(crate) answers_lost: u64,
 }
 
-impl ControlState {
+impl PlatformControlState {
     pub(crate) fn apply(&mut self, change: PlatformControl) {
         self.mode = change.mode.unwrap_or(self.mode);
         self.slow_ms = change.slow_ms.unwrap_or(self.slow_ms);
@@ -65,7 +65,7 @@
     }
 
     /// Returns whether the answer to a write that took effect is to be lost, and counts it.
-    pub(crate) fn take_lost_answer(&mut self, call: &Call) -> bool {
+    pub(crate) fn consume_lost_answer(&mut self, call: &Call) -> bool {
         let kinds = &self.lose_answer_kinds;
         let is_kind = kinds.is_empty() || kinds.iter().any(|kind| kind == call.kind);
         if !call.method.is_write() || self.lose_answers == 0 || !is_kind {
--- a/crates/wisteriahitch-standin/src/platform/handler.rs
+++ b/crates/wisteriahitch-standin/src/platform/handler.rs
@@ -15,54 +15,54 @@
 
 use super::answer::{refusal, too_many_requests, write_object};
 use super::call::{Call, CallMethod};
-use super::control::{ControlState, PlatformControl, PlatformMode};
+use super::control::{PlatformControl, PlatformControlState, PlatformMode};
 use super::object_table::{ObjectDocument, ObjectTable};
 use super::options::PlatformOptions;
 use super::vm_list::{VM_KIND, VmList};
-use crate::util::{Abort, Answer, Gate, Handler, answer_json, answer_status, read_json};
+use crate::util::{Abort, Answer, Handler, ListenerGate, answer_json, answer_status, read_json};
 
 /// Largest body that is read at all.
-const BODY_LIMIT_BYTES: usize = 8_000_000;
+const MAX_BODY_BYTES: usize = 8_000_000;
 
 /// Rate limits save up what a second gives.
-const BURST_US: DurationUs = DurationUs::from_ms(1_000);
+const RATE_BURST_US: DurationUs = DurationUs::from_ms(1_000);
 
 #[derive(Debug)]
 pub(crate) struct PlatformHandler {
-    state: Mutex<State>,
-    changed: watch::Sender<u64>,
-    gate: Gate,
+    state: Mutex<PlatformState>,
+    version_changed: watch::Sender<u64>,
+    gate: ListenerGate,
     writes: TokenBucket,
     reads: TokenBucket,
     vm_lag: Duration,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct PlatformState {
     objects: ObjectTable,
-    control: ControlState,
-    vm_lists_taken: u64,
-    vm_lists_shown: u64,
+    control: PlatformControlState,
+    vm_lists_received: u64,
+    visible_vm_list: u64,
 }
 
 impl PlatformHandler {
-    pub(crate) fn new(options: &PlatformOptions, gate: Gate) -> Self {
+    pub(crate) fn new(options: &PlatformOptions, gate: ListenerGate) -> Self {
         Self {
             state: Mutex::default(),
-            changed: watch::Sender::new(0),
+            version_changed: watch::Sender::new(0),
             gate,
-            writes: TokenBucket::new(options.writes_per_s, BURST_US),
-            reads: TokenBucket::new(options.reads_per_s, BURST_US),
+            writes: TokenBucket::new(options.writes_per_s, RATE_BURST_US),
+            reads: TokenBucket::new(options.reads_per_s, RATE_BURST_US),
             vm_lag: options.vm_lag_us.into(),
         }
     }
 
     async fn handle_call(self: &Arc<Self>, call: Call, body: Incoming) -> Result<Answer, Abort> {
-        let (mode, slow) = {
+        let (mode, delay) = {
             let mut state = self.state.lock();
             state.control.count(&call);
-            let slow = Duration::from_millis(state.control.slow_ms);
-            (state.control.mode, slow)
+            let delay = Duration::from_millis(state.control.slow_ms);
+            (state.control.mode, delay)
         };
         match mode {
             PlatformMode::Up => {}
@@ -79,9 +79,9 @@
             return Ok(answer);
         }
         if call.method.is_write() {
-            return self.handle_write(call, body, slow).await;
+            return self.handle_write(call, body, delay).await;
         }
-        sleep(slow).await;
+        sleep(delay).await;
         match call.method {
             CallMethod::Watch => Ok(self.watch(&call).await),
             CallMethod::List => Ok(self.list(&call)),
@@ -95,9 +95,9 @@
         } else {
             &self.reads
         };
-        let wait_us = bucket.try_take().err()?;
+        let retry_after_us = bucket.try_take().err()?;
         self.state.lock().control.rate_limited += 1;
-        Some(too_many_requests(wait_us))
+        Some(too_many_requests(retry_after_us))
     }
 
     fn get(&self, call: &Call) -> Answer {
@@ -116,19 +116,19 @@
     }
 
     async fn watch(&self, call: &Call) -> Answer {
-        let after = call.get_number("resourceVersion").unwrap_or(0);
-        let wait_s = call.get_number("timeoutSeconds").unwrap_or(0);
-        let deadline = Instant::now() + Duration::from_secs(wait_s);
-        let mut changes = self.changed.subscribe();
+        let after = call.query_number("resourceVersion").unwrap_or(0);
+        let timeout_s = call.query_number("timeoutSeconds").unwrap_or(0);
+        let deadline = Instant::now() + Duration::from_secs(timeout_s);
+        let mut changes = self.version_changed.subscribe();
         loop {
             let event = self
                 .state
                 .lock()
                 .objects
-                .get_event(call.kind, &call.name, after);
+                .event_after(call.kind, &call.name, after);
             if let Some(event) = event {
-                let line = json!({"type": event.type_name, "object": event.object});
-                return answer_json(StatusCode::OK, &line);
+                let event_body = json!({"type": event.type_name, "object": event.object});
+                return answer_json(StatusCode::OK, &event_body);
             }
             if timeout_at(deadline, changes.changed()).await.is_err() {
                 return answer_status(StatusCode::OK);
@@ -140,7 +140,7 @@
         self: &Arc<Self>,
         call: Call,
         body: Incoming,
-        slow: Duration,
+        delay: Duration,
     ) -> Result<Answer, Abort> {
         if call.kind == VM_KIND {
             return Ok(refusal(StatusCode::FORBIDDEN, "Forbidden"));
@@ -148,7 +148,7 @@
         let document = if call.method == CallMethod::Delete {
             None
         } else {
-            match read_json::<ObjectDocument>(body, BODY_LIMIT_BYTES).await? {
+            match read_json::<ObjectDocument>(body, MAX_BODY_BYTES).await? {
                 Ok(document) => Some(document),
                 Err(_) => return Ok(refusal(StatusCode::BAD_REQUEST, "BadRequest")),
             }
@@ -158,7 +158,7 @@
         // future the write would be dropped with the connection, and a test of such a late write
         // would pass without bringing one about.
         let write = tokio::spawn(async move {
-            sleep(slow).await;
+            sleep(delay).await;
             handler.write(&call, document)
         });
         write.await.unwrap_or(Err(Abort))
@@ -170,8 +170,8 @@
         if !answer.status().is_success() {
             return Ok(answer);
         }
-        self.changed.send_replace(state.objects.version());
-        if state.control.take_lost_answer(call) {
+        self.version_changed.send_replace(state.objects.version());
+        if state.control.consume_lost_answer(call) {
             return Err(Abort);
         }
         Ok(answer)
@@ -182,11 +182,11 @@
             let state = self.state.lock();
             return Ok(answer_json(StatusCode::OK, &state.control));
         }
-        let change =
-            match read_json::<PlatformControl>(request.into_body(), BODY_LIMIT_BYTES).await? {
-                Ok(change) => change,
-                Err(error) => return Ok(refusal(StatusCode::BAD_REQUEST, &error.to_string())),
-            };
+        let change = match read_json::<PlatformControl>(request.into_body(), MAX_BODY_BYTES).await?
+        {
+            Ok(change) => change,
+            Err(error) => return Ok(refusal(StatusCode::BAD_REQUEST, &error.to_string())),
+        };
         let is_open = {
             let mut state = self.state.lock();
             state.control.apply(change);
@@ -197,32 +197,32 @@
     }
 
     async fn handle_vms(self: &Arc<Self>, body: Incoming) -> Result<Answer, Abort> {
-        let list = match read_json::<VmList>(body, BODY_LIMIT_BYTES).await? {
+        let list = match read_json::<VmList>(body, MAX_BODY_BYTES).await? {
             Ok(list) => list,
             Err(error) => return Ok(refusal(StatusCode::BAD_REQUEST, &error.to_string())),
         };
         let number = {
             let mut state = self.state.lock();
-            state.vm_lists_taken += 1;
-            state.vm_lists_taken
+            state.vm_lists_received += 1;
+            state.vm_lists_received
         };
         let handler = Arc::clone(self);
         tokio::spawn(async move {
             sleep(handler.vm_lag).await;
-            handler.show_vms(number, list);
+            handler.make_vm_list_visible(number, list);
         });
         Ok(answer_status(StatusCode::ACCEPTED))
     }
 
     /// Puts a VM list in place unless a later one shows already.
-    fn show_vms(&self, number: u64, list: VmList) {
+    fn make_vm_list_visible(&self, number: u64, list: VmList) {
         let mut state = self.state.lock();
-        if number < state.vm_lists_shown {
+        if number < state.visible_vm_list {
             return;
         }
-        state.vm_lists_shown = number;
-        list.show(&mut state.objects);
-        self.changed.send_replace(state.objects.version());
+        state.visible_vm_list = number;
+        list.apply_to(&mut state.objects);
+        self.version_changed.send_replace(state.objects.version());
     }
 }
 
--- a/crates/wisteriahitch-standin/src/platform/mod.rs
+++ b/crates/wisteriahitch-standin/src/platform/mod.rs
@@ -17,7 +17,7 @@
 
 use serde::Serialize;
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::{PlatformHandler, SharedPlatformHandler};
 
 /// Serves the platform's object API until it is dropped.
@@ -38,11 +38,11 @@
     ///
     /// A second address serves the same and stays reachable while the first refuses connections.
     pub async fn start(options: &PlatformOptions) -> anyhow::Result<Self> {
-        let gate = Gate::new();
+        let gate = ListenerGate::new();
         let handler = PlatformHandler::new(options, gate.clone());
         let handler = Arc::new(SharedPlatformHandler(Arc::new(handler)));
         let control_listen = SocketAddr::new(options.listen.ip(), 0);
-        let control = Server::start(control_listen, handler.clone(), Gate::new()).await?;
+        let control = Server::start(control_listen, handler.clone(), ListenerGate::new()).await?;
         let objects = Server::start(options.listen, handler, gate).await?;
         Ok(Self { objects, control })
     }
@@ -65,5 +65,5 @@
         listening: standin.address(),
         control: standin.control_address(),
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/platform/object_table.rs
+++ b/crates/wisteriahitch-standin/src/platform/object_table.rs
@@ -18,13 +18,13 @@
 ];
 
 /// Returns the kind's name in an object, if there is such a kind.
-pub(crate) fn get_type_name(kind: &str) -> Option<&'static str> {
+pub(crate) fn find_type_name(kind: &str) -> Option<&'static str> {
     let found = KINDS.iter().find(|(path_name, _)| *path_name == kind);
     found.map(|(_, type_name)| *type_name)
 }
 
 /// Returns the kind's name in a path, if there is such a kind.
-pub(crate) fn get_kind(text: &str) -> Option<&'static str> {
+pub(crate) fn find_kind(text: &str) -> Option<&'static str> {
     let found = KINDS.iter().find(|(path_name, _)| *path_name == text);
     found.map(|(path_name, _)| *path_name)
 }
@@ -64,8 +64,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
-    created: u64,
+struct ObjectEntry {
+    created_version: u64,
     version: u64,
     spec: Value,
     is_deleted: bool,
@@ -75,7 +75,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ObjectTable {
     version: u64,
-    entries: BTreeMap<(&'static str, String), Entry>,
+    entries: BTreeMap<(&'static str, String), ObjectEntry>,
 }
 
 impl ObjectTable {
@@ -85,15 +85,15 @@
     }
 
     pub(crate) fn get(&self, kind: &'static str, name: &str) -> Option<ObjectDocument> {
-        let entry = self.get_live(kind, name)?;
-        Some(document(kind, name, entry))
+        let entry = self.get_existing(kind, name)?;
+        Some(to_document(kind, name, entry))
     }
 
     pub(crate) fn list(&self, kind: &'static str) -> Vec<ObjectDocument> {
         self.entries
             .iter()
             .filter(|((entry_kind, _), entry)| *entry_kind == kind && !entry.is_deleted)
-            .map(|((_, name), entry)| document(kind, name, entry))
+            .map(|((_, name), entry)| to_document(kind, name, entry))
             .collect()
     }
 
@@ -103,7 +103,7 @@
         name: &str,
         spec: Value,
     ) -> Result<ObjectDocument, WriteRefusal> {
-        if self.get_live(kind, name).is_some() {
+        if self.get_existing(kind, name).is_some() {
             return Err(WriteRefusal::AlreadyExists);
         }
         self.version += 1;
@@ -117,9 +117,9 @@
         spec: Value,
         expected: u64,
     ) -> Result<ObjectDocument, WriteRefusal> {
-        let created = self.check_expected(kind, name, expected)?.created;
+        let created_version = self.check_expected(kind, name, expected)?.created_version;
         self.version += 1;
-        Ok(self.put(kind, name, spec, created))
+        Ok(self.put(kind, name, spec, created_version))
     }
 
     pub(crate) fn delete(
@@ -129,12 +129,12 @@
         expected: u64,
     ) -> Result<(), WriteRefusal> {
         self.check_expected(kind, name, expected)?;
-        self.delete_now(kind, name);
+        self.delete_unconditionally(kind, name);
         Ok(())
     }
 
     /// Deletes an object whatever its version, as the platform does with its own.
-    pub(crate) fn delete_now(&mut self, kind: &'static str, name: &str) {
+    pub(crate) fn delete_unconditionally(&mut self, kind: &'static str, name: &str) {
         self.version += 1;
         if let Some(entry) = self.entries.get_mut(&(kind, name.to_owned())) {
             entry.version = self.version;
@@ -143,16 +143,16 @@
     }
 
     /// Writes an object whatever its version, as the platform does with its own.
-    pub(crate) fn put_now(&mut self, kind: &'static str, name: &str, spec: Value) {
+    pub(crate) fn put_unconditionally(&mut self, kind: &'static str, name: &str, spec: Value) {
         self.version += 1;
-        let created = self
-            .get_live(kind, name)
-            .map_or(self.version, |entry| entry.created);
-        self.put(kind, name, spec, created);
+        let created_version = self
+            .get_existing(kind, name)
+            .map_or(self.version, |entry| entry.created_version);
+        self.put(kind, name, spec, created_version);
     }
 
     /// Returns what happened to an object since the version `after`.
-    pub(crate) fn get_event(
+    pub(crate) fn event_after(
         &self,
         kind: &'static str,
         name: &str,
@@ -163,19 +163,19 @@
             return None;
         }
         let type_name = match entry {
-            Entry {
+            ObjectEntry {
                 is_deleted: true, ..
             } => "DELETED",
-            entry if entry.created > after => "ADDED",
+            entry if entry.created_version > after => "ADDED",
             _ => "MODIFIED",
         };
         Some(ObjectEvent {
             type_name,
-            object: document(kind, name, entry),
+            object: to_document(kind, name, entry),
         })
     }
 
-    fn get_live(&self, kind: &'static str, name: &str) -> Option<&Entry> {
+    fn get_existing(&self, kind: &'static str, name: &str) -> Option<&ObjectEntry> {
         let entry = self.entries.get(&(kind, name.to_owned()))?;
         (!entry.is_deleted).then_some(entry)
     }
@@ -185,8 +185,10 @@
         kind: &'static str,
         name: &str,
         expected: u64,
-    ) -> Result<&Entry, WriteRefusal> {
-        let entry = self.get_live(kind, name).ok_or(WriteRefusal::NotFound)?;
+    ) -> Result<&ObjectEntry, WriteRefusal> {
+        let entry = self
+            .get_existing(kind, name)
+            .ok_or(WriteRefusal::NotFound)?;
         if entry.version == expected {
             Ok(entry)
         } else {
@@ -194,23 +196,29 @@
         }
     }
 
-    fn put(&mut self, kind: &'static str, name: &str, spec: Value, created: u64) -> ObjectDocument {
-        let entry = Entry {
-            created,
+    fn put(
+        &mut self,
+        kind: &'static str,
+        name: &str,
+        spec: Value,
+        created_version: u64,
+    ) -> ObjectDocument {
+        let entry = ObjectEntry {
+            created_version,
             version: self.version,
             spec,
             is_deleted: false,
         };
-        let written = document(kind, name, &entry);
+        let written = to_document(kind, name, &entry);
         self.entries.insert((kind, name.to_owned()), entry);
         written
     }
 }
 
-fn document(kind: &'static str, name: &str, entry: &Entry) -> ObjectDocument {
+fn to_document(kind: &'static str, name: &str, entry: &ObjectEntry) -> ObjectDocument {
     ObjectDocument {
         api_version: API_VERSION.to_owned(),
-        kind: get_type_name(kind).unwrap_or(kind).to_owned(),
+        kind: find_type_name(kind).unwrap_or(kind).to_owned(),
         metadata: Metadata {
             name: name.to_owned(),
             resource_version: Some(entry.version.to_string()),
--- a/crates/wisteriahitch-standin/src/platform/vm_list.rs
+++ b/crates/wisteriahitch-standin/src/platform/vm_list.rs
@@ -44,11 +44,11 @@
 
 impl VmList {
     /// Makes the table's VMs those of this list; what is the same keeps its version.
-    pub(crate) fn show(self, objects: &mut ObjectTable) {
-        for gone in objects.list(VM_KIND) {
-            let name = gone.metadata.name;
+    pub(crate) fn apply_to(self, objects: &mut ObjectTable) {
+        for existing in objects.list(VM_KIND) {
+            let name = existing.metadata.name;
             if self.vms.iter().all(|vm| vm.name != name) {
-                objects.delete_now(VM_KIND, &name);
+                objects.delete_unconditionally(VM_KIND, &name);
             }
         }
         for vm in self.vms {
@@ -56,7 +56,7 @@
             let spec = json!(vm.into_spec());
             let old = objects.get(VM_KIND, &name);
             if old.is_none_or(|old| old.spec != spec) {
-                objects.put_now(VM_KIND, &name, spec);
+                objects.put_unconditionally(VM_KIND, &name, spec);
             }
         }
     }
--- a/crates/wisteriahitch-standin/src/service/control.rs
+++ b/crates/wisteriahitch-standin/src/service/control.rs
@@ -39,7 +39,7 @@
 
 /// Faults in force, and counts of what happened.
 #[derive(Clone, Debug, Default, Serialize)]
-pub(crate) struct ControlState {
+pub(crate) struct ServiceControlState {
     pub(crate) mode: ServiceMode,
     /// Requests that the mode is still for; nothing stands for all.
     pub(crate) count: Option<u64>,
@@ -51,7 +51,7 @@
     pub(crate) runs: BTreeMap<String, u64>,
 }
 
-impl ControlState {
+impl ServiceControlState {
     pub(crate) fn apply(&mut self, change: ServiceControl) {
         if let Some(mode) = change.mode {
             self.mode = mode;
@@ -62,12 +62,12 @@
     }
 
     /// Returns how to treat one more request.
-    pub(crate) fn take_mode(&mut self) -> ServiceMode {
+    pub(crate) fn consume_mode(&mut self) -> ServiceMode {
         match &mut self.count {
             None => self.mode,
             Some(0) => ServiceMode::Normal,
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 self.mode
             }
         }
--- a/crates/wisteriahitch-standin/src/service/handler.rs
+++ b/crates/wisteriahitch-standin/src/service/handler.rs
@@ -13,46 +13,46 @@
 use tokio::time::sleep;
 use wisteriahitch_wire::service::ServiceLoad;
 
-use super::control::{ControlState, ServiceControl, ServiceMode};
+use super::control::{ServiceControl, ServiceControlState, ServiceMode};
 use super::options::ServiceOptions;
 use crate::util::{
-    Abort, Answer, Handler, answer_body, answer_broken_midway, answer_json, answer_status,
-    read_json, read_whole,
+    Abort, Answer, Handler, answer_body, answer_json, answer_status, answer_truncated, read_json,
+    read_whole,
 };
 
-const BODY_LIMIT_BYTES: usize = 8_000_000;
-const REQUEST_ID: &str = "x-request-id";
-const NOT_RUN: &str = "x-not-run";
+const MAX_BODY_BYTES: usize = 8_000_000;
+const HEADER_REQUEST_ID: &str = "x-request-id";
+const HEADER_NOT_RUN: &str = "x-not-run";
 
 /// Headers that may name a run, the first one present counts.
-const KEY_HEADERS: [&str; 3] = ["x-test-key", "idempotency-key", REQUEST_ID];
+const RUN_KEY_HEADERS: [&str; 3] = ["x-test-key", "idempotency-key", HEADER_REQUEST_ID];
 
 #[derive(Debug)]
 pub(crate) struct ServiceHandler {
-    state: Mutex<ControlState>,
+    state: Mutex<ServiceControlState>,
     slots: usize,
     free_slots: Semaphore,
-    work: Duration,
-    started: Instant,
+    run_time: Duration,
+    started_at: Instant,
 }
 
 /// Counts a request as waiting or running until it ends or its caller goes away.
-struct Counted<'a> {
-    state: &'a Mutex<ControlState>,
-    counter: fn(&mut ControlState) -> &mut u64,
+struct CountGuard<'a> {
+    state: &'a Mutex<ServiceControlState>,
+    counter: fn(&mut ServiceControlState) -> &mut u64,
 }
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(
-        state: &'a Mutex<ControlState>,
-        counter: fn(&mut ControlState) -> &mut u64,
-    ) -> Counted<'a> {
+        state: &'a Mutex<ServiceControlState>,
+        counter: fn(&mut ServiceControlState) -> &mut u64,
+    ) -> CountGuard<'a> {
         *counter(&mut state.lock()) += 1;
-        Counted { state, counter }
+        CountGuard { state, counter }
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         *(self.counter)(&mut self.state.lock()) -= 1;
     }
@@ -64,33 +64,33 @@
             state: Mutex::default(),
             slots: options.slots,
             free_slots: Semaphore::new(options.slots),
-            work: options.work_us.into(),
-            started: Instant::now(),
+            run_time: options.work_us.into(),
+            started_at: Instant::now(),
         }
     }
 
     async fn run(&self, head: Parts, body: Incoming) -> Result<Answer, Abort> {
-        let body = read_whole(body, BODY_LIMIT_BYTES).await?;
-        let mode = self.state.lock().take_mode();
+        let body = read_whole(body, MAX_BODY_BYTES).await?;
+        let mode = self.state.lock().consume_mode();
         if mode == ServiceMode::RefuseNotRun {
             return Ok(refuse_not_run(&head.headers));
         }
-        let queued = Counted::new(&self.state, |state| &mut state.queued);
+        let queued = CountGuard::new(&self.state, |state| &mut state.queued);
         let _slot = self.free_slots.acquire().await.map_err(|_| Abort)?;
         drop(queued);
-        let _running = Counted::new(&self.state, |state| &mut state.running);
+        let _running = CountGuard::new(&self.state, |state| &mut state.running);
         let (sequence, slow_ms) = {
             let mut state = self.state.lock();
             (state.count_run(run_key(&head.headers)), state.slow_ms)
         };
-        sleep(self.work + Duration::from_millis(slow_ms)).await;
+        sleep(self.run_time + Duration::from_millis(slow_ms)).await;
         answer_run(mode, &head, &body, sequence).await
     }
 
     fn load(&self) -> ServiceLoad {
         let state = self.state.lock();
         ServiceLoad {
-            made_at_ms: u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX),
+            made_at_ms: u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             running: state.running,
             slots: self.slots as u64,
             queued: state.queued,
@@ -100,7 +100,7 @@
 
     async fn handle_control(&self, request: Request<Incoming>) -> Result<Answer, Abort> {
         if request.method() == Method::POST {
-            match read_json::<ServiceControl>(request.into_body(), BODY_LIMIT_BYTES).await? {
+            match read_json::<ServiceControl>(request.into_body(), MAX_BODY_BYTES).await? {
                 Ok(change) => self.state.lock().apply(change),
                 Err(error) => return Ok(answer_body(StatusCode::BAD_REQUEST, error.to_string())),
             }
@@ -139,34 +139,34 @@
     let mut answer = match mode {
         ServiceMode::Freeze => std::future::pending().await,
         ServiceMode::CloseBeforeAnswer => return Err(Abort),
-        ServiceMode::CloseMidway => answer_broken_midway(StatusCode::OK, result.to_string().into()),
+        ServiceMode::CloseMidway => answer_truncated(StatusCode::OK, result.to_string().into()),
         _ => answer_json(StatusCode::OK, &result),
     };
     if mode == ServiceMode::WrongId {
         let other = HeaderValue::from_static("r-of-another-request");
-        answer.headers_mut().insert(REQUEST_ID, other);
+        answer.headers_mut().insert(HEADER_REQUEST_ID, other);
     } else {
-        echo_id(&head.headers, &mut answer);
+        echo_request_id(&head.headers, &mut answer);
     }
     Ok(answer)
 }
 
 fn refuse_not_run(headers: &HeaderMap) -> Answer {
     let mut answer = answer_status(StatusCode::SERVICE_UNAVAILABLE);
-    let said = HeaderValue::from_static("1");
-    answer.headers_mut().insert(NOT_RUN, said);
-    echo_id(headers, &mut answer);
+    let value = HeaderValue::from_static("1");
+    answer.headers_mut().insert(HEADER_NOT_RUN, value);
+    echo_request_id(headers, &mut answer);
     answer
 }
 
-fn echo_id(headers: &HeaderMap, answer: &mut Answer) {
-    if let Some(id) = headers.get(REQUEST_ID) {
-        answer.headers_mut().insert(REQUEST_ID, id.clone());
+fn echo_request_id(headers: &HeaderMap, answer: &mut Answer) {
+    if let Some(id) = headers.get(HEADER_REQUEST_ID) {
+        answer.headers_mut().insert(HEADER_REQUEST_ID, id.clone());
     }
 }
 
 fn run_key(headers: &HeaderMap) -> &str {
-    let mut found = KEY_HEADERS.iter().filter_map(|name| headers.get(*name));
+    let mut found = RUN_KEY_HEADERS.iter().filter_map(|name| headers.get(*name));
     let first = found.next().and_then(|value| value.to_str().ok());
     first.unwrap_or("")
 }
--- a/crates/wisteriahitch-standin/src/service/mod.rs
+++ b/crates/wisteriahitch-standin/src/service/mod.rs
@@ -12,7 +12,7 @@
 
 use serde::Serialize;
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::ServiceHandler;
 
 /// Serves a plain service until it is dropped.
@@ -30,7 +30,7 @@
     /// Starts with no runs counted.
     pub async fn start(options: &ServiceOptions) -> anyhow::Result<Self> {
         let handler = Arc::new(ServiceHandler::new(options));
-        let server = Server::start(options.listen, handler, Gate::new()).await?;
+        let server = Server::start(options.listen, handler, ListenerGate::new()).await?;
         Ok(Self { server })
     }
 
@@ -46,5 +46,5 @@
     let announcement = Announcement {
         listening: standin.address(),
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/store/block.rs
+++ b/crates/wisteriahitch-standin/src/store/block.rs
@@ -58,7 +58,7 @@
     }
 
     /// Describes the block for a listing.
-    pub(super) fn to_listed(&self, (key, generation): BlockId) -> StoredBlock {
+    pub(super) fn to_stored_block(&self, (key, generation): BlockId) -> StoredBlock {
         StoredBlock {
             key,
             generation,
--- a/crates/wisteriahitch-standin/src/store/control.rs
+++ b/crates/wisteriahitch-standin/src/store/control.rs
@@ -60,16 +60,16 @@
 
 impl StoreFault {
     /// Uses up one read of a fault that hits a number of reads, and returns what to do to it.
-    pub(super) fn take_read(&mut self) -> ReadFault {
-        let (left, fault) = match self {
-            Self::CorruptReads(left) => (left, ReadFault::Corrupt),
-            Self::ShortReads(left) => (left, ReadFault::Short),
+    pub(super) fn consume_read_fault(&mut self) -> ReadFault {
+        let (remaining, fault) = match self {
+            Self::CorruptReads(remaining) => (remaining, ReadFault::Corrupt),
+            Self::ShortReads(remaining) => (remaining, ReadFault::Short),
             _ => return ReadFault::None,
         };
-        if *left == 0 {
+        if *remaining == 0 {
             return ReadFault::None;
         }
-        *left -= 1;
+        *remaining -= 1;
         fault
     }
 }
--- a/crates/wisteriahitch-standin/src/store/handler.rs
+++ b/crates/wisteriahitch-standin/src/store/handler.rs
@@ -11,7 +11,7 @@
 use wisteriahitch_wire::store::{MoveBody, PinBody, ReserveRequest};
 
 use super::block::BlockId;
-use super::refusal::Refusal;
+use super::refusal::StoreRefusal;
 use super::state::StoreState;
 use super::{StoreControl, transfer};
 use crate::shared::get_query;
@@ -25,7 +25,7 @@
     pub(super) state: Arc<StoreState>,
 }
 
-type Outcome = Result<Result<Answer, Refusal>, Abort>;
+type CallOutcome = Result<Result<Answer, StoreRefusal>, Abort>;
 
 #[async_trait]
 impl Handler for StoreHandler {
@@ -66,23 +66,23 @@
         }
         match read_json::<StoreControl>(request.into_body(), BODY_LIMIT_BYTES).await? {
             Ok(control) => {
-                self.state.control(control);
+                self.state.apply_control(control);
                 Ok(answer_status(StatusCode::OK))
             }
-            Err(error) => Ok(bad_json(&error)),
+            Err(error) => Ok(refuse_bad_json(&error)),
         }
     }
 
-    async fn reserve(&self, request: Request<Incoming>) -> Outcome {
+    async fn reserve(&self, request: Request<Incoming>) -> CallOutcome {
         let body = match read_json::<ReserveRequest>(request.into_body(), BODY_LIMIT_BYTES).await? {
             Ok(body) => body,
-            Err(error) => return Ok(Ok(bad_json(&error))),
+            Err(error) => return Ok(Ok(refuse_bad_json(&error))),
         };
         let reserved = self
             .state
-            .check_takes_blocks()
+            .check_accepts_blocks()
             .and_then(|()| self.state.table.lock().reserve(body, Instant::now()));
-        if reserved == Err(Refusal::Full) {
+        if reserved == Err(StoreRefusal::Full) {
             self.state.counters.lock().refused_full += 1;
         }
         Ok(reserved.map(|reserved| {
@@ -94,70 +94,70 @@
         }))
     }
 
-    fn read(&self, key: &str, request: &Request<Incoming>) -> Result<Answer, Refusal> {
+    fn read(&self, key: &str, request: &Request<Incoming>) -> Result<Answer, StoreRefusal> {
         let id = parse_id(key, request.uri())?;
-        let pin: String = get_query(request.uri(), "pin").ok_or(Refusal::Gone)?;
+        let pin: String = get_query(request.uri(), "pin").ok_or(StoreRefusal::Gone)?;
         transfer::read(&self.state, id, &pin, request.headers())
     }
 
-    fn free(&self, key: &str, uri: &Uri) -> Result<Answer, Refusal> {
+    fn free(&self, key: &str, uri: &Uri) -> Result<Answer, StoreRefusal> {
         let id = parse_id(key, uri)?;
         self.state.table.lock().free(id, Instant::now())?;
         Ok(answer_status(StatusCode::OK))
     }
 
-    async fn pin(&self, key: &str, request: Request<Incoming>) -> Outcome {
+    async fn pin(&self, key: &str, request: Request<Incoming>) -> CallOutcome {
         let body = match read_json::<PinBody>(request.into_body(), BODY_LIMIT_BYTES).await? {
             Ok(body) => body,
-            Err(error) => return Ok(Ok(bad_json(&error))),
+            Err(error) => return Ok(Ok(refuse_bad_json(&error))),
         };
         // The name of a store survives it. A block that was saved with an earlier life isn't here,
         // even where the same key has been written again, because its generation means another use.
         if body.incarnation != self.state.incarnation {
-            return Ok(Err(Refusal::Gone));
+            return Ok(Err(StoreRefusal::Gone));
         }
         let pin = parse_key(key).and_then(|key| self.state.table.lock().pin(key, Instant::now()));
         Ok(pin.map(|pin| answer_json(StatusCode::CREATED, &pin)))
     }
 
-    fn unpin(&self, key: &str, pin: &str) -> Result<Answer, Refusal> {
+    fn unpin(&self, key: &str, pin: &str) -> Result<Answer, StoreRefusal> {
         self.state.table.lock().unpin(parse_key(key)?, pin);
         Ok(answer_status(StatusCode::OK))
     }
 
-    async fn move_to(&self, key: &str, request: Request<Incoming>) -> Outcome {
+    async fn move_to(&self, key: &str, request: Request<Incoming>) -> CallOutcome {
         let body = match read_json::<MoveBody>(request.into_body(), BODY_LIMIT_BYTES).await? {
             Ok(body) => body,
-            Err(error) => return Ok(Ok(bad_json(&error))),
+            Err(error) => return Ok(Ok(refuse_bad_json(&error))),
         };
         let moved = parse_key(key).and_then(|key| self.state.table.lock().move_to(key, body));
         Ok(moved.map(|()| answer_status(StatusCode::OK)))
     }
 }
 
-fn ok_json(value: &impl serde::Serialize) -> Outcome {
+fn ok_json(value: &impl serde::Serialize) -> CallOutcome {
     Ok(Ok(answer_json(StatusCode::OK, value)))
 }
 
-fn parse_key(key: &str) -> Result<BlockKey, Refusal> {
-    key.parse().map_err(|_| Refusal::Gone)
+fn parse_key(key: &str) -> Result<BlockKey, StoreRefusal> {
+    key.parse().map_err(|_| StoreRefusal::Gone)
 }
 
-fn parse_id(key: &str, uri: &Uri) -> Result<BlockId, Refusal> {
-    let generation: Generation = get_query(uri, "generation").ok_or(Refusal::Gone)?;
+fn parse_id(key: &str, uri: &Uri) -> Result<BlockId, StoreRefusal> {
+    let generation: Generation = get_query(uri, "generation").ok_or(StoreRefusal::Gone)?;
     Ok((parse_key(key)?, generation))
 }
 
-fn refuse(refusal: Refusal) -> Answer {
+fn refuse(refusal: StoreRefusal) -> Answer {
     let (status, reason) = match refusal {
-        Refusal::Gone => (StatusCode::GONE, "gone"),
-        Refusal::Full => (StatusCode::INSUFFICIENT_STORAGE, "full"),
-        Refusal::WrongLength => (StatusCode::UNPROCESSABLE_ENTITY, "wrong length"),
+        StoreRefusal::Gone => (StatusCode::GONE, "gone"),
+        StoreRefusal::Full => (StatusCode::INSUFFICIENT_STORAGE, "full"),
+        StoreRefusal::WrongLength => (StatusCode::UNPROCESSABLE_ENTITY, "wrong length"),
     };
     refuse_with(status, reason)
 }
 
-fn bad_json(error: &serde_json::Error) -> Answer {
+fn refuse_bad_json(error: &serde_json::Error) -> Answer {
     refuse_with(StatusCode::BAD_REQUEST, &error.to_string())
 }
 
--- a/crates/wisteriahitch-standin/src/store/link.rs
+++ b/crates/wisteriahitch-standin/src/store/link.rs
@@ -25,7 +25,7 @@
     queued_bytes: AtomicU64,
     sent_bytes: AtomicU64,
     /// Waiting transfers get the turn in the order in which they asked for it.
-    turn: Mutex<Pacer>,
+    pacer: Mutex<Pacer>,
 }
 
 impl Link {
@@ -35,7 +35,7 @@
             slow_factor: AtomicU64::new(1),
             queued_bytes: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
-            turn: Mutex::new(Pacer::new()),
+            pacer: Mutex::new(Pacer::new()),
         }
     }
 
@@ -55,27 +55,27 @@
     /// Waits until `content` has crossed, passing on each part of it that has.
     ///
     /// It gives up when nobody takes the parts any more; dropping the future gives up too.
-    pub(super) async fn cross(
+    pub(super) async fn transfer(
         &self,
         content: Bytes,
         freeze: &Freeze,
-        arrived: Option<&UnboundedSender<Bytes>>,
+        sent_chunks: Option<&UnboundedSender<Bytes>>,
     ) {
-        let mut queued = Queued::new(self, content.len() as u64);
-        let mut turn = self.turn.lock().await;
-        let mut rest = content;
-        while !rest.is_empty() {
-            let chunk = rest.split_to(CHUNK_BYTES.min(rest.len()));
+        let mut queued_transfer = QueuedTransfer::new(self, content.len() as u64);
+        let mut pacer = self.pacer.lock().await;
+        let mut remaining = content;
+        while !remaining.is_empty() {
+            let chunk = remaining.split_to(CHUNK_BYTES.min(remaining.len()));
             freeze.wait_until_thawed().await;
-            sleep_until(turn.book(self.time_for(&chunk))).await;
-            queued.take(chunk.len() as u64);
-            if arrived.is_some_and(|sender| sender.send(chunk).is_err()) {
+            sleep_until(pacer.schedule(self.transfer_time(&chunk))).await;
+            queued_transfer.record_sent(chunk.len() as u64);
+            if sent_chunks.is_some_and(|sender| sender.send(chunk).is_err()) {
                 return;
             }
         }
     }
 
-    fn time_for(&self, chunk: &Bytes) -> Duration {
+    fn transfer_time(&self, chunk: &Bytes) -> Duration {
         let at_full_rate = self
             .rate_bytes_per_s
             .time_for(ByteCount::new(chunk.len() as u64));
@@ -85,31 +85,33 @@
 }
 
 /// Counts the bytes of one transfer that still have to cross.
-struct Queued<'a> {
+struct QueuedTransfer<'a> {
     link: &'a Link,
-    left_bytes: u64,
+    remaining_bytes: u64,
 }
 
-impl<'a> Queued<'a> {
+impl<'a> QueuedTransfer<'a> {
     fn new(link: &'a Link, bytes: u64) -> Self {
         link.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         Self {
             link,
-            left_bytes: bytes,
+            remaining_bytes: bytes,
         }
     }
 
-    fn take(&mut self, bytes: u64) {
-        self.left_bytes -= bytes;
+    fn record_sent(&mut self, bytes: u64) {
+        self.remaining_bytes -= bytes;
         self.link.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
         self.link.sent_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 }
 
-impl Drop for Queued<'_> {
+impl Drop for QueuedTransfer<'_> {
     fn drop(&mut self) {
-        let left = self.left_bytes;
-        self.link.queued_bytes.fetch_sub(left, Ordering::Relaxed);
+        let remaining = self.remaining_bytes;
+        self.link
+            .queued_bytes
+            .fetch_sub(remaining, Ordering::Relaxed);
     }
 }
 
@@ -119,14 +121,14 @@
     link: Arc<Link>,
     freeze: Arc<Freeze>,
     content: Bytes,
-    arrived: UnboundedSender<Bytes>,
-    when_done: impl Send + 'static,
+    sent_chunks: UnboundedSender<Bytes>,
+    guard: impl Send + 'static,
 ) {
     tokio::spawn(async move {
         tokio::select! {
-            () = link.cross(content, &freeze, Some(&arrived)) => {}
-            () = arrived.closed() => {}
+            () = link.transfer(content, &freeze, Some(&sent_chunks)) => {}
+            () = sent_chunks.closed() => {}
         }
-        drop(when_done);
+        drop(guard);
     });
 }
--- a/crates/wisteriahitch-standin/src/store/mod.rs
+++ b/crates/wisteriahitch-standin/src/store/mod.rs
@@ -11,9 +11,9 @@
 mod link;
 mod options;
 mod refusal;
-mod room;
 mod state;
 mod table;
+mod tier_capacity;
 mod transfer;
 
 pub use control::{StoreControl, StoreCounters, StoreFault};
@@ -26,7 +26,7 @@
 use serde::Serialize;
 use wisteriahitch_types::StoreIncarnation;
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::StoreHandler;
 use state::StoreState;
 
@@ -61,10 +61,10 @@
     /// Starts an empty store under a new incarnation.
     pub async fn start(options: StoreOptions) -> io::Result<Self> {
         let listen = options.listen;
-        let incarnation = draw_incarnation()?;
+        let incarnation = generate_incarnation()?;
         let state = Arc::new(StoreState::new(options, incarnation.clone()));
         let handler = Arc::new(StoreHandler { state });
-        let server = Server::start(listen, handler, Gate::new()).await?;
+        let server = Server::start(listen, handler, ListenerGate::new()).await?;
         Ok(Self {
             server,
             incarnation,
@@ -83,7 +83,7 @@
 }
 
 /// Draws a name that no other life of a store has.
-fn draw_incarnation() -> io::Result<StoreIncarnation> {
+fn generate_incarnation() -> io::Result<StoreIncarnation> {
     let number: u64 = rand::random();
     let name = format!("s{number:016x}");
     name.parse().map_err(io::Error::other)
@@ -102,5 +102,5 @@
         listening: store.address(),
         incarnation: store.incarnation(),
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/store/refusal.rs
+++ b/crates/wisteriahitch-standin/src/store/refusal.rs
@@ -2,7 +2,7 @@
 
 /// Says why the table refuses something.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Refusal {
+pub(super) enum StoreRefusal {
     Gone,
     Full,
     WrongLength,
--- a/crates/wisteriahitch-standin/src/store/state.rs
+++ b/crates/wisteriahitch-standin/src/store/state.rs
@@ -11,7 +11,7 @@
 use super::StoreOptions;
 use super::control::{StoreControl, StoreCounters, StoreFault};
 use super::link::Link;
-use super::refusal::Refusal;
+use super::refusal::StoreRefusal;
 use super::table::BlockTable;
 use crate::shared::Freeze;
 
@@ -58,14 +58,14 @@
     }
 
     /// Refuses new blocks at a store that is full on demand or leaves.
-    pub(super) fn check_takes_blocks(&self) -> Result<(), Refusal> {
+    pub(super) fn check_accepts_blocks(&self) -> Result<(), StoreRefusal> {
         if self.is_leaving() || *self.fault.lock() == StoreFault::Full {
-            return Err(Refusal::Full);
+            return Err(StoreRefusal::Full);
         }
         Ok(())
     }
 
-    pub(super) fn control(&self, control: StoreControl) {
+    pub(super) fn apply_control(&self, control: StoreControl) {
         if let Some(is_leaving) = control.leaving {
             self.is_leaving.store(is_leaving, Ordering::Relaxed);
         }
--- a/crates/wisteriahitch-standin/src/store/table.rs
+++ b/crates/wisteriahitch-standin/src/store/table.rs
@@ -11,15 +11,15 @@
 };
 
 use super::block::{Block, BlockId};
-use super::refusal::Refusal;
-use super::room::Room;
+use super::refusal::StoreRefusal;
+use super::tier_capacity::TierCapacity;
 
 /// Holds every block of a store.
 pub(super) struct BlockTable {
     blocks: BTreeMap<BlockId, Block>,
-    room: Room,
+    capacity: TierCapacity,
     next_generation: Generation,
-    next_pin: u64,
+    next_pin_number: u64,
     pin_timeout: Duration,
     reserve_timeout: Duration,
 }
@@ -28,9 +28,9 @@
     pub(super) fn new(options: &super::StoreOptions) -> Self {
         Self {
             blocks: BTreeMap::new(),
-            room: Room::new(options.memory_bytes, options.disk_bytes),
+            capacity: TierCapacity::new(options.memory_bytes, options.disk_bytes),
             next_generation: Generation::new(1),
-            next_pin: 1,
+            next_pin_number: 1,
             pin_timeout: options.pin_timeout_us.into(),
             reserve_timeout: options.reserve_timeout_us.into(),
         }
@@ -41,7 +41,7 @@
         &mut self,
         request: ReserveRequest,
         now: Instant,
-    ) -> Result<ReservedBody, Refusal> {
+    ) -> Result<ReservedBody, StoreRefusal> {
         self.expire(now);
         let key = request.key;
         if let Some((id, state)) = self.find_current(key) {
@@ -50,7 +50,7 @@
                 state: Some(state),
             });
         }
-        self.room.take(request.tier, request.bytes)?;
+        self.capacity.reserve(request.tier, request.bytes)?;
         let generation = self.next_generation;
         self.next_generation = generation.next();
         let block = Block::reserve(request, now + self.reserve_timeout);
@@ -62,17 +62,21 @@
     }
 
     /// Begins to write a reserved block and returns the length that it must have.
-    pub(super) fn begin_write(&mut self, id: BlockId) -> Result<ByteCount, Refusal> {
+    pub(super) fn begin_write(&mut self, id: BlockId) -> Result<ByteCount, StoreRefusal> {
         let block = self.get_in_state(id, BlockState::Reserved)?;
         block.state = BlockState::Writing;
         Ok(block.bytes)
     }
 
     /// Seals a block with its length and checksum, and then lets readers pin it.
-    pub(super) fn finish_write(&mut self, id: BlockId, content: Bytes) -> Result<u32, Refusal> {
+    pub(super) fn finish_write(
+        &mut self,
+        id: BlockId,
+        content: Bytes,
+    ) -> Result<u32, StoreRefusal> {
         let block = self.get_in_state(id, BlockState::Writing)?;
         if content.len() as u64 != block.bytes.get() {
-            return Err(Refusal::WrongLength);
+            return Err(StoreRefusal::WrongLength);
         }
         block.seal(content);
         Ok(block.crc32c)
@@ -86,12 +90,12 @@
     }
 
     /// Keeps a readable block for one reader.
-    pub(super) fn pin(&mut self, key: BlockKey, now: Instant) -> Result<Pin, Refusal> {
-        let (id, _) = self.find_current(key).ok_or(Refusal::Gone)?;
-        let lapses_at = now + self.pin_timeout;
-        let name = format!("p{}", self.next_pin);
+    pub(super) fn pin(&mut self, key: BlockKey, now: Instant) -> Result<Pin, StoreRefusal> {
+        let (id, _) = self.find_current(key).ok_or(StoreRefusal::Gone)?;
+        let expires_at = now + self.pin_timeout;
+        let name = format!("p{}", self.next_pin_number);
         let block = self.get_in_state(id, BlockState::Readable)?;
-        block.pins.insert(name.clone(), lapses_at);
+        block.pins.insert(name.clone(), expires_at);
         let pin = Pin {
             pin: name,
             generation: id.1,
@@ -100,18 +104,18 @@
             weight_version: block.weight_version.clone(),
             tier: block.tier,
         };
-        self.next_pin += 1;
+        self.next_pin_number += 1;
         Ok(pin)
     }
 
     /// Gives up a pin; one that has lapsed counts as given up.
     pub(super) fn unpin(&mut self, key: BlockKey, pin: &str) {
         let range = block_range(key);
-        let holder = self
+        let pinned_id = self
             .blocks
             .range_mut(range)
             .find_map(|(id, block)| block.pins.remove(pin).map(|_| *id));
-        if let Some(id) = holder {
+        if let Some(id) = pinned_id {
             self.remove_if_drained(id);
         }
     }
@@ -124,12 +128,12 @@
         id: BlockId,
         pin: &str,
         now: Instant,
-    ) -> Result<(Bytes, bool), Refusal> {
+    ) -> Result<(Bytes, bool), StoreRefusal> {
         self.expire(now);
-        let block = self.blocks.get_mut(&id).ok_or(Refusal::Gone)?;
-        let is_written = matches!(block.state, BlockState::Readable | BlockState::Draining);
-        if !is_written || !block.pins.contains_key(pin) {
-            return Err(Refusal::Gone);
+        let block = self.blocks.get_mut(&id).ok_or(StoreRefusal::Gone)?;
+        let has_content = matches!(block.state, BlockState::Readable | BlockState::Draining);
+        if !has_content || !block.pins.contains_key(pin) {
+            return Err(StoreRefusal::Gone);
         }
         block.readers += 1;
         let is_first = !block.was_read;
@@ -148,24 +152,24 @@
     /// Lets a block drain, and removes it when nobody uses it.
     ///
     /// A writer of the block is told that it has gone when it ends.
-    pub(super) fn free(&mut self, id: BlockId, now: Instant) -> Result<(), Refusal> {
+    pub(super) fn free(&mut self, id: BlockId, now: Instant) -> Result<(), StoreRefusal> {
         self.expire(now);
-        let block = self.blocks.get_mut(&id).ok_or(Refusal::Gone)?;
+        let block = self.blocks.get_mut(&id).ok_or(StoreRefusal::Gone)?;
         block.state = BlockState::Draining;
         self.remove_if_drained(id);
         Ok(())
     }
 
     /// Moves a readable block to another tier.
-    pub(super) fn move_to(&mut self, key: BlockKey, body: MoveBody) -> Result<(), Refusal> {
+    pub(super) fn move_to(&mut self, key: BlockKey, body: MoveBody) -> Result<(), StoreRefusal> {
         let id = (key, body.generation);
         let block = self.get_in_state(id, BlockState::Readable)?;
         let (from, bytes) = (block.tier, block.bytes);
         if from == body.tier {
             return Ok(());
         }
-        self.room.take(body.tier, bytes)?;
-        self.room.give(from, bytes);
+        self.capacity.reserve(body.tier, bytes)?;
+        self.capacity.release(from, bytes);
         self.get_in_state(id, BlockState::Readable)?.tier = body.tier;
         Ok(())
     }
@@ -174,20 +178,22 @@
     pub(super) fn list(&mut self, now: Instant) -> Vec<StoredBlock> {
         self.expire(now);
         let blocks = self.blocks.iter();
-        blocks.map(|(id, block)| block.to_listed(*id)).collect()
+        blocks
+            .map(|(id, block)| block.to_stored_block(*id))
+            .collect()
     }
 
     /// Returns the room of memory and disk.
     pub(super) fn report(&mut self, now: Instant) -> (TierReport, TierReport) {
         self.expire(now);
-        self.room.report()
+        self.capacity.report()
     }
 
     /// Drops lapsed pins and reservations, and what they kept.
     fn expire(&mut self, now: Instant) {
         let mut to_check = Vec::new();
         for (id, block) in &mut self.blocks {
-            block.pins.retain(|_, lapses_at| *lapses_at > now);
+            block.pins.retain(|_, expires_at| *expires_at > now);
             match block.state {
                 BlockState::Reserved if block.reserved_until <= now => {
                     block.state = BlockState::Draining;
@@ -207,10 +213,10 @@
         (block.state != BlockState::Draining).then_some((*id, block.state))
     }
 
-    fn get_in_state(&mut self, id: BlockId, state: BlockState) -> Result<&mut Block, Refusal> {
-        let block = self.blocks.get_mut(&id).ok_or(Refusal::Gone)?;
+    fn get_in_state(&mut self, id: BlockId, state: BlockState) -> Result<&mut Block, StoreRefusal> {
+        let block = self.blocks.get_mut(&id).ok_or(StoreRefusal::Gone)?;
         if block.state != state {
-            return Err(Refusal::Gone);
+            return Err(StoreRefusal::Gone);
         }
         Ok(block)
     }
@@ -227,7 +233,7 @@
 
     fn remove(&mut self, id: BlockId) {
         if let Some(block) = self.blocks.remove(&id) {
-            self.room.give(block.tier, block.bytes);
+            self.capacity.release(block.tier, block.bytes);
         }
     }
 }
--- a/crates/wisteriahitch-standin/src/store/room.rs
+++ b/crates/wisteriahitch-standin/src/store/tier_capacity.rs
@@ -3,15 +3,15 @@
 use wisteriahitch_types::ByteCount;
 use wisteriahitch_wire::store::{Tier, TierReport};
 
-use super::refusal::Refusal;
+use super::refusal::StoreRefusal;
 
 /// Counts the room that is taken in each tier.
-pub(super) struct Room {
+pub(super) struct TierCapacity {
     memory: TierReport,
     disk: TierReport,
 }
 
-impl Room {
+impl TierCapacity {
     pub(super) fn new(memory_bytes: ByteCount, disk_bytes: ByteCount) -> Self {
         let empty = |capacity_bytes| TierReport {
             capacity_bytes,
@@ -29,20 +29,20 @@
     }
 
     /// Takes room, unless the tier has too little.
-    pub(super) fn take(&mut self, tier: Tier, bytes: ByteCount) -> Result<(), Refusal> {
-        let room = self.get_mut(tier);
-        let used_bytes = room.used_bytes + bytes;
-        if used_bytes > room.capacity_bytes {
-            return Err(Refusal::Full);
+    pub(super) fn reserve(&mut self, tier: Tier, bytes: ByteCount) -> Result<(), StoreRefusal> {
+        let report = self.get_mut(tier);
+        let used_bytes = report.used_bytes + bytes;
+        if used_bytes > report.capacity_bytes {
+            return Err(StoreRefusal::Full);
         }
-        room.used_bytes = used_bytes;
+        report.used_bytes = used_bytes;
         Ok(())
     }
 
     /// Gives room back.
-    pub(super) fn give(&mut self, tier: Tier, bytes: ByteCount) {
-        let room = self.get_mut(tier);
-        room.used_bytes = room.used_bytes - bytes;
+    pub(super) fn release(&mut self, tier: Tier, bytes: ByteCount) {
+        let report = self.get_mut(tier);
+        report.used_bytes = report.used_bytes - bytes;
     }
 
     fn get_mut(&mut self, tier: Tier) -> &mut TierReport {
--- a/crates/wisteriahitch-standin/src/store/transfer.rs
+++ b/crates/wisteriahitch-standin/src/store/transfer.rs
@@ -20,29 +20,32 @@
 use super::block::BlockId;
 use super::control::ReadFault;
 use super::link::send_over;
-use super::refusal::Refusal;
+use super::refusal::StoreRefusal;
 use super::state::StoreState;
 use crate::util::{Abort, Answer, answer_json};
 
 /// Longest wait for the content of a block that is being written.
-const WRITE_WAIT: Duration = Duration::from_secs(60);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Writes a reserved block.
 pub(super) async fn write(
     state: &Arc<StoreState>,
     id: BlockId,
     request: Request<Incoming>,
-) -> Result<Result<Answer, Refusal>, Abort> {
+) -> Result<Result<Answer, StoreRefusal>, Abort> {
     let bytes = match state.table.lock().begin_write(id) {
         Ok(bytes) => bytes,
         Err(refusal) => return Ok(Err(refusal)),
     };
     let _write = WriteGuard { state, id };
-    count_class(state, request.headers(), bytes);
+    count_transfer_class(state, request.headers(), bytes);
     let Some(content) = read_content(request.into_body(), bytes).await? else {
-        return Ok(Err(Refusal::WrongLength));
+        return Ok(Err(StoreRefusal::WrongLength));
     };
-    state.link.cross(content.clone(), &state.freeze, None).await;
+    state
+        .link
+        .transfer(content.clone(), &state.freeze, None)
+        .await;
     let sealed = state.table.lock().finish_write(id, content);
     Ok(sealed.map(|crc32c| {
         let mut counters = state.counters.lock();
@@ -55,7 +58,7 @@
 /// Returns the content, or nothing where it is longer than `bytes`.
 async fn read_content(body: Incoming, bytes: ByteCount) -> Result<Option<Bytes>, Abort> {
     let limit = usize::try_from(bytes.get()).map_err(|_| Abort)?;
-    let whole = timeout(WRITE_WAIT, Limited::new(body, limit).collect()).await;
+    let whole = timeout(WRITE_TIMEOUT, Limited::new(body, limit).collect()).await;
     match whole.map_err(|_| Abort)? {
         Ok(whole) => Ok(Some(whole.to_bytes())),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Ok(None),
@@ -81,16 +84,16 @@
     id: BlockId,
     pin: &str,
     headers: &HeaderMap,
-) -> Result<Answer, Refusal> {
+) -> Result<Answer, StoreRefusal> {
     let (content, is_first) = state.table.lock().begin_read(id, pin, Instant::now())?;
     let guard = ReadGuard {
         state: Arc::clone(state),
         id,
     };
     let bytes = ByteCount::new(content.len() as u64);
-    count_class(state, headers, bytes);
+    count_transfer_class(state, headers, bytes);
     count_read(state, bytes, is_first);
-    let content = spoil(state, content);
+    let content = apply_read_fault(state, content);
     Ok(stream_over_link(state, content, guard))
 }
 
@@ -119,8 +122,8 @@
 }
 
 /// Applies the fault that is on to one read.
-fn spoil(state: &StoreState, content: Bytes) -> Bytes {
-    let fault = state.fault.lock().take_read();
+fn apply_read_fault(state: &StoreState, content: Bytes) -> Bytes {
+    let fault = state.fault.lock().consume_read_fault();
     let mut counters = state.counters.lock();
     match fault {
         ReadFault::None => content,
@@ -150,7 +153,7 @@
     counters.blocks_later_read += u64::from(is_first);
 }
 
-fn count_class(state: &StoreState, headers: &HeaderMap, bytes: ByteCount) {
+fn count_transfer_class(state: &StoreState, headers: &HeaderMap, bytes: ByteCount) {
     let class = headers.get(HEADER_TRANSFER_CLASS);
     let mut counters = state.counters.lock();
     match class.map(HeaderValue::as_bytes) {
--- a/crates/wisteriahitch-standin/src/util/answer.rs
+++ b/crates/wisteriahitch-standin/src/util/answer.rs
@@ -40,15 +40,15 @@
 }
 
 /// Builds an answer that promises the whole of `body` and breaks off after half of it.
-pub fn answer_broken_midway(status: StatusCode, body: Bytes) -> Answer {
-    let promised_bytes = body.len();
-    let half = body.slice(..promised_bytes / 2);
+pub fn answer_truncated(status: StatusCode, body: Bytes) -> Answer {
+    let declared_bytes = body.len();
+    let half = body.slice(..declared_bytes / 2);
     let broken = io::Error::from(io::ErrorKind::ConnectionReset);
     let frames = stream::iter([Ok(Frame::data(half)), Err(broken)]);
     let mut answer = Response::new(BodyExt::boxed(StreamBody::new(frames)));
     *answer.status_mut() = status;
     answer
         .headers_mut()
-        .insert(CONTENT_LENGTH, HeaderValue::from(promised_bytes));
+        .insert(CONTENT_LENGTH, HeaderValue::from(declared_bytes));
     answer
 }
--- a/crates/wisteriahitch-standin/src/util/mod.rs
+++ b/crates/wisteriahitch-standin/src/util/mod.rs
@@ -4,6 +4,6 @@
 mod run;
 mod server;
 
-pub use answer::{Answer, answer_body, answer_broken_midway, answer_json, answer_status};
-pub use run::run_until_told_to_end;
-pub use server::{Abort, Gate, Handler, Server, read_json, read_whole};
+pub use answer::{Answer, answer_body, answer_json, answer_status, answer_truncated};
+pub use run::run_until_signal;
+pub use server::{Abort, Handler, ListenerGate, Server, read_json, read_whole};
--- a/crates/wisteriahitch-standin/src/util/run.rs
+++ b/crates/wisteriahitch-standin/src/util/run.rs
@@ -8,7 +8,7 @@
 
 /// Prints `announcement`, which names the addresses, as one JSON line, and returns on SIGTERM or
 /// SIGINT.
-pub async fn run_until_told_to_end(announcement: &impl Serialize) -> anyhow::Result<()> {
+pub async fn run_until_signal(announcement: &impl Serialize) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("can't wait for SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("can't wait for SIGINT")?;
     let line = serde_json::to_string(announcement)?;
--- a/crates/wisteriahitch-standin/src/util/server.rs
+++ b/crates/wisteriahitch-standin/src/util/server.rs
@@ -23,7 +23,7 @@
 use super::Answer;
 
 /// Wait before an address that is still taken is tried again.
-const REBIND_WAIT: Duration = Duration::from_millis(10);
+const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Makes the server close the connection without an answer.
 #[derive(Clone, Copy, Debug)]
@@ -56,17 +56,17 @@
 ///
 /// While it is shut, connections are refused and the existing ones are gone.
 #[derive(Clone, Debug)]
-pub struct Gate {
-    wanted: watch::Sender<bool>,
-    applied: watch::Sender<bool>,
+pub struct ListenerGate {
+    requested_open: watch::Sender<bool>,
+    applied_open: watch::Sender<bool>,
 }
 
-impl Gate {
+impl ListenerGate {
     /// Builds an open gate.
     pub fn new() -> Self {
         Self {
-            wanted: watch::Sender::new(true),
-            applied: watch::Sender::new(true),
+            requested_open: watch::Sender::new(true),
+            applied_open: watch::Sender::new(true),
         }
     }
 
@@ -75,12 +75,12 @@
     /// Without the wait a test's next call could still reach the server; it would fail now and
     /// then with another kind of error.
     pub async fn set_open(&self, is_open: bool) {
-        self.wanted.send_replace(is_open);
-        wait_until(&self.applied, is_open).await;
+        self.requested_open.send_replace(is_open);
+        wait_until(&self.applied_open, is_open).await;
     }
 }
 
-impl Default for Gate {
+impl Default for ListenerGate {
     fn default() -> Self {
         Self::new()
     }
@@ -89,7 +89,7 @@
 async fn wait_until(state: &watch::Sender<bool>, expected: bool) {
     let mut receiver = state.subscribe();
     // The sender outlives the receiver, so the wait can't fail.
-    let _ = receiver.wait_for(|now| *now == expected).await;
+    let _ = receiver.wait_for(|current| *current == expected).await;
 }
 
 /// Serves one address until it is dropped.
@@ -104,7 +104,7 @@
     pub async fn start(
         listen: SocketAddr,
         handler: Arc<dyn Handler>,
-        gate: Gate,
+        gate: ListenerGate,
     ) -> io::Result<Self> {
         if !listen.ip().is_loopback() {
             let message = "a stand-in listens on loopback only";
@@ -132,18 +132,18 @@
     mut listener: TcpListener,
     address: SocketAddr,
     handler: Arc<dyn Handler>,
-    gate: Gate,
+    gate: ListenerGate,
 ) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
-            () = wait_until(&gate.wanted, false) => {
+            () = wait_until(&gate.requested_open, false) => {
                 drop(listener);
                 connections.shutdown().await;
-                gate.applied.send_replace(false);
-                wait_until(&gate.wanted, true).await;
+                gate.applied_open.send_replace(false);
+                wait_until(&gate.requested_open, true).await;
                 listener = rebind(address).await;
-                gate.applied.send_replace(true);
+                gate.applied_open.send_replace(true);
             }
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
@@ -159,7 +159,7 @@
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(REBIND_WAIT).await,
+            Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
         }
     }
 }
