--- a/crates/wisteriahitch-standin/src/engine/answer.rs
+++ b/crates/wisteriahitch-standin/src/engine/answer.rs
@@ -1,12 +1,13 @@
-//! Answers of the stand-in engine, which anybody can work out.
+//! Answers of the stand-in engine, which callers can compute for themselves.
 
 use wisteriahitch_types::{AdapterName, ModelName, TokenCount, WeightVersion};
 
 const ANSWER_CONTEXT: &str = "wisteriahitch stand-in 2026 answer";
 
-/// Gives the tokens of one answer as a pure function of what was asked.
+/// Tokens of one answer, a pure function of prompt, model, adapter and weight version.
 ///
-/// So a caller, a test or a bench can check that an answer is its own and whole.
+/// A caller, test or benchmark computes them too, to check that an answer is complete and belongs
+/// to its request.
 ///
 /// # Examples
 ///
@@ -71,7 +72,7 @@
     AnswerSource::new(prompt, model, adapter, weight_version).token(position)
 }
 
-/// Counts the tokens of a prompt, which the stand-ins tell apart by white space.
+/// Counts the tokens of a prompt; the stand-ins split it at white space.
 pub fn count_tokens(prompt: &str) -> TokenCount {
     TokenCount::new(prompt.split_whitespace().count() as u64)
 }
--- a/crates/wisteriahitch-standin/src/engine/cache.rs
+++ b/crates/wisteriahitch-standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache of a stand-in engine, and the events that tell of it late.
+//! Prefix cache of a stand-in engine and the log of its events, published with a delay.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use wisteriahitch_types::{BlockKey, ModelName, TokenCount, WeightVersion};
 use wisteriahitch_wire::engine::{BlockRef, CacheEvent, CacheEventKind, CacheEvents, CacheListing};
 
-/// Block in the cache.
+/// One block in the prefix cache.
 #[derive(Clone, Debug)]
 pub(super) struct CachedBlock {
     pub(super) tokens: TokenCount,
     pub(super) weight_version: WeightVersion,
-    /// Model that computed the block, or nothing for one that was imported.
+    /// Model that computed the block; `None` for an imported block.
     pub(super) model: Option<ModelName>,
 }
 
@@ -21,7 +21,7 @@
     last_use: u64,
 }
 
-/// Holds prompt prefixes by block key, the least recently used of which go first.
+/// Cached blocks of prompt prefixes by block key; the least recently used are evicted first.
 pub(super) struct PrefixCache {
     entries: HashMap<BlockKey, Entry>,
     keys_by_last_use: BTreeMap<u64, BlockKey>,
@@ -60,7 +60,7 @@
         self.entries.get(&key).map(|entry| &entry.block)
     }
 
-    /// Returns the tokens of the longest held start of `chain`, which counts as used now.
+    /// Marks the longest cached prefix of `chain` as just used and returns its number of tokens.
     pub(super) fn use_cached_prefix(
         &mut self,
         chain: &[BlockRef],
@@ -73,14 +73,15 @@
         };
         let length = chain.iter().take_while(is_cached).count();
         let cached = &chain[..length];
-        // The end of a chain is worth nothing without its start, so the start counts as used last.
+        // A later block is useless without those before it, so the first block is marked last and
+        // evicted last.
         cached.iter().rev().for_each(|block| self.touch(block.key));
         cached.iter().map(|block| block.tokens).sum()
     }
 
-    /// Stores a block, and drops others until there is room.
+    /// Stores a block and evicts others until it fits.
     ///
-    /// Returns whether the block is held now.
+    /// Returns whether the block is cached now; one larger than the whole cache never is.
     pub(super) fn store(&mut self, key: BlockKey, block: CachedBlock) -> bool {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.block = block;
@@ -103,7 +104,9 @@
         true
     }
 
-    /// Drops the blocks that a swap of `model` away from `version` leaves without use.
+    /// Evicts the blocks of `version` that become useless when `model` no longer runs on it.
+    ///
+    /// Imported blocks, whose model is unknown, are evicted too.
     pub(super) fn evict_version(&mut self, model: &ModelName, version: &WeightVersion) {
         let is_stale = |block: &CachedBlock| {
             let is_of_model = block.model.as_ref().is_none_or(|name| name == model);
@@ -152,13 +155,13 @@
     }
 }
 
-/// Keeps the last events and tells of them late.
+/// The most recent cache events, each published once it is `publish_delay` old.
 struct CacheEventLog {
     incarnation: String,
     publish_delay: Duration,
     max_events: usize,
     events: VecDeque<(Instant, CacheEvent)>,
-    /// Number of the next event; the first one has the number 1.
+    /// Number of the next event; numbers start at 1.
     next: u64,
 }
 
--- a/crates/wisteriahitch-standin/src/engine/completion.rs
+++ b/crates/wisteriahitch-standin/src/engine/completion.rs
@@ -27,10 +27,10 @@
 use super::state::EngineState;
 use crate::util::{Abort, Answer, answer_json};
 
-/// Request id that an answer carries in place of its own on demand.
+/// Request id that answers carry under [`EngineFault::WrongRequestId`].
 const WRONG_REQUEST_ID: &str = "r-of-another";
 
-/// Runs a completion.
+/// Runs a completion and answers it, under the current fault.
 pub(super) async fn complete(
     state: &Arc<EngineState>,
     body: CompletionBody,
@@ -67,7 +67,7 @@
     answer_whole(run).await
 }
 
-/// Answers that something isn't done.
+/// Builds the answer to a refused request.
 pub(super) fn refuse(status: StatusCode, not_run: bool, reason: &str) -> Answer {
     let body = RefusalBody {
         not_run,
@@ -169,7 +169,7 @@
     }
 }
 
-/// Writes the tokens of a run as events, with the fault that hits it.
+/// Writes the tokens of a run as server-sent events and applies the current fault.
 struct EventStream {
     run: Run,
     fault: EngineFault,
@@ -183,8 +183,8 @@
         loop {
             if let Some(event) = self.pending_events.pop_front() {
                 if event.is_err() {
-                    // The server sends what it has when it is made to wait. Without this, an
-                    // error right after the first tokens takes them and the head along.
+                    // The server flushes its buffer only when the body is pending. Without this
+                    // yield, an error right after the first tokens discards them and the head.
                     yield_now().await;
                 }
                 return Some(event);
@@ -227,7 +227,7 @@
 }
 
 fn write_token(token: &Token) -> Bytes {
-    // A token is numbers and text, which always serialize.
+    // Tokens consist of numbers and strings, so serialization can't fail.
     write_event(&serde_json::to_string(token).unwrap_or_default())
 }
 
--- a/crates/wisteriahitch-standin/src/engine/control.rs
+++ b/crates/wisteriahitch-standin/src/engine/control.rs
@@ -5,34 +5,35 @@
 use serde::{Deserialize, Serialize};
 use wisteriahitch_types::RequestId;
 
-/// Most request ids whose runs are counted; later ones are counted only together.
+/// Maximum number of request ids whose runs are counted one by one; the runs of further ids are
+/// counted in one total.
 const MAX_COUNTED_REQUESTS: usize = 100_000;
 
-/// Names what a stand-in engine does wrong on demand.
+/// Fault that a stand-in engine shows on demand.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It doesn't answer, and streams stand still.
+    /// Requests are not answered and open streams stall.
     Freeze,
-    /// The head of an answer comes this many milliseconds late.
+    /// The head of an answer is delayed by this many milliseconds.
     LateMs(u64),
-    /// An answer carries the id of another request.
+    /// A streamed answer carries the id of another request.
     WrongRequestId,
-    /// A token in the middle comes twice.
+    /// The token halfway through a stream is sent twice.
     RepeatPosition,
-    /// A token in the middle is left out.
+    /// The token halfway through a stream is left out.
     SkipPosition,
-    /// The connection breaks in the middle.
+    /// The connection is closed halfway through a stream.
     CloseMidway,
-    /// An event in the middle doesn't parse.
+    /// The event halfway through a stream isn't valid JSON.
     Nonsense,
-    /// A request is refused as not run.
+    /// A request is answered with 503 as not run.
     RefuseNotRun,
-    /// Answers 400, as to a request that is wrong.
+    /// A request is answered with 400, like an invalid request.
     Reject,
-    /// An exported block names another block than its own.
+    /// The header of an exported block carries a wrong block key, under a valid checksum.
     CorruptExport,
     /// An exported block lacks its second half.
     ShortExport,
@@ -48,18 +49,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineControl {
-    /// Fault to show from now on, in place of the one before.
+    /// Fault that replaces the current one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fault: Option<EngineFault>,
-    /// Requests that the fault hits, or nothing for all.
+    /// Number of requests that the fault affects; `None` for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub count: Option<u64>,
-    /// Whether the endpoint will go away soon.
+    /// Whether the endpoint reports that it is leaving.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaving: Option<bool>,
 }
 
-/// Fault that is on, with the requests that it still hits.
+/// The current fault and the number of requests that it still affects (`None` for all).
 #[derive(Debug, Default)]
 pub(super) struct ActiveFault {
     fault: Option<EngineFault>,
@@ -72,12 +73,12 @@
         self.remaining = count;
     }
 
-    /// Returns the fault that hits the next completion.
+    /// Returns the fault for one completion and counts it against the remaining requests.
     pub(super) fn consume_for_completion(&mut self) -> EngineFault {
         self.consume(|fault| !fault.is_export_fault())
     }
 
-    /// Returns the fault that hits the next export.
+    /// Returns the fault for one export and counts it against the remaining requests.
     pub(super) fn consume_for_export(&mut self) -> EngineFault {
         self.consume(EngineFault::is_export_fault)
     }
@@ -102,31 +103,31 @@
 pub struct EngineCounters {
     /// Prompt tokens that were computed.
     pub prefilled_tokens: u64,
-    /// Prompt tokens that were held already.
+    /// Prompt tokens that were found in the prefix cache.
     pub cached_tokens: u64,
-    /// Tokens of answers that were read again for a resumed stream.
+    /// Answer tokens that resumed streams had to read again.
     pub resumed_tokens: u64,
-    /// Tokens of answers that were sent.
+    /// Answer tokens that were generated.
     pub decoded_tokens: u64,
-    /// Blocks that came from a store.
+    /// Blocks that were imported from a store.
     pub imported_blocks: u64,
-    /// Tokens of the blocks that came from a store.
+    /// Tokens of the imported blocks.
     pub imported_tokens: u64,
-    /// Imports whose block was not the one that was asked for.
+    /// Imports refused because the content was not the requested block.
     pub corrupt_imports: u64,
-    /// Blocks that were written to a store.
+    /// Blocks that were exported to a store.
     pub exported_blocks: u64,
-    /// Bytes of the blocks that were written to a store.
+    /// Bytes of the exported blocks.
     pub exported_bytes: u64,
     /// Runs that ended before their last token.
     pub cancelled_runs: u64,
-    /// Orders that were refused for their fencing number.
+    /// Orders that were refused because of an old fencing number.
     pub fenced_orders: u64,
-    /// Orders that were taken.
+    /// Orders that were accepted.
     pub taken_orders: u64,
-    /// How often each request ran, for the first hundred thousand requests.
+    /// Number of runs of each request, for the first 100,000 request ids.
     pub runs: BTreeMap<RequestId, u64>,
-    /// Runs of requests beyond these.
+    /// Runs of all request ids beyond these.
     pub uncounted_runs: u64,
 }
 
--- a/crates/wisteriahitch-standin/src/engine/handler.rs
+++ b/crates/wisteriahitch-standin/src/engine/handler.rs
@@ -1,4 +1,4 @@
-//! Paths of a stand-in engine.
+//! HTTP routes of a stand-in engine.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::shared::get_query;
 use crate::util::{Abort, Answer, Handler, answer_json, answer_status, read_json};
 
-/// Largest body, which is a long prompt.
+/// Maximum length of a request body; long prompts need the most.
 const BODY_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 /// Answers the requests of one engine.
--- a/crates/wisteriahitch-standin/src/engine/kv_block.rs
+++ b/crates/wisteriahitch-standin/src/engine/kv_block.rs
@@ -1,4 +1,4 @@
-//! Content of a KV cache block, which names the block that it belongs to.
+//! Content of a KV cache block: a header that identifies the block, then a generated pattern.
 
 use bytes::{Bytes, BytesMut};
 use wisteriahitch_types::{BlockKey, ByteCount, TokenCount, WeightVersion};
@@ -8,23 +8,23 @@
 const VERSION_LEN: usize = 16;
 const TOKENS_LEN: usize = 8;
 
-/// Length of the header that opens a block.
+/// Length of the header at the start of a block, in bytes.
 pub const HEADER_LEN: usize = MAGIC.len() + KEY_LEN + VERSION_LEN + TOKENS_LEN;
 
-/// Bytes of the pattern that fills a block.
+/// Length of the pattern that is repeated to fill a block, in bytes.
 const PATTERN_LEN: usize = 4096;
 
 const VERSION_CONTEXT: &str = "wisteriahitch stand-in 2026 weight version";
 const PATTERN_CONTEXT: &str = "wisteriahitch stand-in 2026 block pattern";
 
-/// Reports content that isn't the block that was asked for.
+/// Reason why content isn't the requested block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KvBlockError {
-    /// The content is shorter than a header or doesn't open like a block.
+    /// The content is shorter than a header or doesn't start with the magic bytes.
     NoHeader,
-    /// The content has another length than it must have.
+    /// The length of the content differs from the expected one.
     WrongLength,
-    /// The checksum of the content differs.
+    /// The checksum of the content differs from the expected one.
     WrongChecksum,
     /// The content belongs to another block.
     WrongKey,
@@ -32,7 +32,7 @@
     WrongVersion,
 }
 
-/// Opens every block, so that content under a wrong name is found out.
+/// Header of every block; it reveals content that is stored under another block's key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct KvBlockHeader {
     /// Block that the content belongs to.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reads the header that `content` opens with.
+    /// Parses the header at the start of `content`.
     pub fn parse(content: &[u8]) -> Result<Self, KvBlockError> {
         let (magic, rest) = split::<4>(content)?;
         let (key, rest) = split::<KEY_LEN>(rest)?;
@@ -81,13 +81,14 @@
     }
 }
 
-/// Returns the length of a block.
+/// Returns the length of a block, which is at least that of its header.
 pub fn block_bytes(tokens: TokenCount, kv_bytes_per_token: u64) -> ByteCount {
     let body_bytes = tokens.get().saturating_mul(kv_bytes_per_token);
     ByteCount::new(body_bytes.max(HEADER_LEN as u64))
 }
 
-/// Builds the content of a block, which follows from its key, tokens and weight version alone.
+/// Builds the content of a block, `bytes` long, which depends only on its key, tokens and weight
+/// version.
 pub fn build_block(
     key: BlockKey,
     tokens: TokenCount,
@@ -108,8 +109,8 @@
 
 /// Checks that `content` is the whole block `key` of `weight_version`, and returns its tokens.
 ///
-/// A store may hand out a block that was cut, changed or exchanged for another. The engine would
-/// compute on with it, and only wrong answers would show it; so nothing unchecked gets in.
+/// A store may return a block that was truncated, altered or exchanged for another. An engine that
+/// used it would give wrong answers without any error, so every imported block is checked first.
 pub fn check_block(
     content: &[u8],
     key: BlockKey,
--- a/crates/wisteriahitch-standin/src/engine/mod.rs
+++ b/crates/wisteriahitch-standin/src/engine/mod.rs
@@ -1,13 +1,13 @@
 //! Stand-in for a model engine: continuous batching, a prefix cache and KV transfer.
 //!
-//! Prompts are read by one server, piece by piece, in the order of priority and then of arrival;
-//! tokens come at a set rate while a request holds a place in the batch. Answers follow from what
-//! was asked alone, see [`AnswerSource`].
+//! One request at a time prefills its prompt, in pieces, in the order of priority and then of
+//! arrival. Tokens are decoded at a fixed rate while a request occupies a slot in the batch.
+//! Answers are a pure function of the request, see [`AnswerSource`].
 //!
 //! `POST /control` takes [`EngineControl`]: `{"fault":F,"count":N}` with F one of `"none"`,
 //! `"freeze"`, `{"late_ms":N}`, `"wrong_request_id"`, `"repeat_position"`, `"skip_position"`,
-//! `"close_midway"`, `"nonsense"`, `"refuse_not_run"`, `"reject"`, `"corrupt_export"` and `"short_export"`, or
-//! `{"leaving":bool}`; `GET /control` gives [`EngineCounters`].
+//! `"close_midway"`, `"nonsense"`, `"refuse_not_run"`, `"reject"`, `"corrupt_export"` and
+//! `"short_export"`, or `{"leaving":bool}`; `GET /control` returns [`EngineCounters`].
 
 mod answer;
 mod cache;
@@ -108,7 +108,7 @@
     }
 }
 
-/// Keeps each load report in force for `lag`.
+/// Replaces the cached load report every `lag`.
 async fn refresh_load_reports(state: Arc<EngineState>, lag: Duration) {
     loop {
         sleep(lag).await;
@@ -123,7 +123,7 @@
     id: Option<EndpointId>,
 }
 
-/// Serves an engine until the process is told to end.
+/// Serves an engine until the process receives SIGTERM or SIGINT.
 pub async fn run(options: EngineOptions) -> anyhow::Result<()> {
     let id = options.id.clone();
     let engine = EngineStandin::start(options).await?;
--- a/crates/wisteriahitch-standin/src/engine/models.rs
+++ b/crates/wisteriahitch-standin/src/engine/models.rs
@@ -6,7 +6,7 @@
 use wisteriahitch_types::{AdapterName, ModelName, WeightVersion};
 use wisteriahitch_wire::engine::ModelReport;
 
-/// Says why a request isn't run.
+/// Status and reason of a request that is refused without being run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct NotRun {
     pub(super) status: StatusCode,
@@ -23,11 +23,11 @@
     weight_version: WeightVersion,
     adapters: BTreeSet<AdapterName>,
     is_ready: bool,
-    /// Number of the load that will be in force when it ends; a later one replaces it.
+    /// Number of the most recent load; an earlier load that ends later has no effect.
     load_number: u64,
 }
 
-/// Holds every model of an engine.
+/// Every model of an engine by name.
 #[derive(Default)]
 pub(super) struct ModelTable {
     models: BTreeMap<ModelName, ModelEntry>,
@@ -35,7 +35,7 @@
 }
 
 impl ModelTable {
-    /// Puts a model in place at once.
+    /// Adds a model that is ready at once.
     pub(super) fn insert(&mut self, model: ModelName, weight_version: WeightVersion) {
         let loaded = ModelEntry {
             weight_version,
@@ -46,7 +46,7 @@
         self.models.insert(model, loaded);
     }
 
-    /// Returns whether a request may run now.
+    /// Checks that a model is ready with the given adapter and weight version.
     pub(super) fn check(
         &self,
         model: &ModelName,
@@ -74,7 +74,8 @@
             .any(|model| model.is_ready && model.weight_version == *version)
     }
 
-    /// Begins to load a version; nothing is to be done where it is in force already.
+    /// Begins to load a version and returns the number of the load, or `None` if the model is
+    /// ready with that version.
     pub(super) fn begin_load(&mut self, model: &ModelName, version: &WeightVersion) -> Option<u64> {
         self.last_load_number += 1;
         let number = self.last_load_number;
@@ -95,9 +96,9 @@
         Some(number)
     }
 
-    /// Ends a load, and returns the version that it took the place of.
+    /// Ends a load and returns the version that it replaced, if that was another one.
     ///
-    /// Nothing happens where a later order has replaced the load.
+    /// Has no effect if a later order has superseded the load.
     pub(super) fn finish_load(
         &mut self,
         model: &ModelName,
@@ -113,12 +114,12 @@
         (old != entry.weight_version).then_some(old)
     }
 
-    /// Drops a model, and returns the version that it had.
+    /// Removes a model and returns its weight version.
     pub(super) fn unload(&mut self, model: &ModelName) -> Option<WeightVersion> {
         self.models.remove(model).map(|model| model.weight_version)
     }
 
-    /// Adds an adapter; returns whether the model is there.
+    /// Adds an adapter; returns `false` if the model is not loaded.
     pub(super) fn add_adapter(&mut self, model: &ModelName, adapter: AdapterName) -> bool {
         let Some(entry) = self.models.get_mut(model) else {
             return false;
--- a/crates/wisteriahitch-standin/src/engine/options.rs
+++ b/crates/wisteriahitch-standin/src/engine/options.rs
@@ -41,7 +41,7 @@
 pub struct EngineOptions {
     /// Loopback address to serve.
     pub listen: SocketAddr,
-    /// Name of the endpoint, which the first line of output repeats.
+    /// Name of the endpoint, included in the first line of output.
     pub id: Option<EndpointId>,
     /// Models that are loaded at the start.
     pub models: Vec<LoadedModel>,
@@ -49,29 +49,29 @@
     pub adapters: Vec<AdapterName>,
     /// Role at the start.
     pub role: String,
-    /// Prompt tokens that are read before a request of higher priority may go first.
+    /// Prompt tokens that are prefilled before a request of higher priority may preempt.
     pub piece_tokens: TokenCount,
-    /// Length of the KV cache of one token.
+    /// Length of the KV cache of one token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Speed of reading prompts, over all requests.
+    /// Rate at which prompts are prefilled, shared by all requests.
     pub prefill_tokens_per_s: TokenRate,
     /// Time between two tokens of one answer.
     pub decode_us_per_token: DurationUs,
     /// Requests that run at once.
     pub batch_slots: u64,
-    /// Tokens whose KV cache is held.
+    /// Capacity of the prefix cache, in tokens.
     pub kv_capacity_tokens: TokenCount,
-    /// Age of a load report.
+    /// Interval between load reports, and so their maximum age; zero measures each one afresh.
     pub load_lag_us: DurationUs,
-    /// Age that a cache event must have before it is told.
+    /// Delay before a cache event is published.
     pub event_lag_us: DurationUs,
-    /// Cache events that are kept.
+    /// Maximum number of cache events that are retained.
     pub event_keep: usize,
     /// Whether orders with an old fencing number are refused.
     pub checks_fence: bool,
     /// Time to load a version of a model.
     pub load_model_us: DurationUs,
-    /// Seed of the name of this life, or zero to draw one.
+    /// Seed of the incarnation's name; zero generates a random one.
     pub seed: u64,
 }
 
--- a/crates/wisteriahitch-standin/src/engine/order.rs
+++ b/crates/wisteriahitch-standin/src/engine/order.rs
@@ -13,10 +13,10 @@
 use super::state::EngineState;
 use crate::util::{Answer, answer_status};
 
-/// Part of a model's load time that an adapter takes.
+/// An adapter loads in the load time of a model divided by this.
 const ADAPTER_LOAD_DIVISOR: u32 = 10;
 
-/// Body of an order, which may also be one that daemons don't give.
+/// Body of an order, including orders that daemons never send.
 #[derive(Deserialize)]
 pub(super) struct OrderRequestBody {
     fence: FenceNumber,
@@ -36,9 +36,9 @@
     Leave,
 }
 
-/// Carries out an order, and answers when it is done.
+/// Executes an order and answers when it is done.
 ///
-/// An order that was taken is carried out also when the one who gave it doesn't wait.
+/// An accepted order is executed to its end even if its sender closes the connection.
 pub(super) async fn handle_order(state: &Arc<EngineState>, body: OrderRequestBody) -> Answer {
     if !accept_fence(state, body.fence) {
         state.counters.lock().fenced_orders += 1;
@@ -65,7 +65,9 @@
     }
 }
 
-/// Takes note of the fencing number; only an engine that checks it refuses an old one.
+/// Records the fencing number and returns whether its order may be executed.
+///
+/// Only an engine with `checks_fence` refuses a number below the highest one seen.
 fn accept_fence(state: &EngineState, fence: FenceNumber) -> bool {
     let mut highest = state.highest_fence.lock();
     let is_old = fence < *highest;
@@ -73,7 +75,7 @@
     !is_old || !state.options.checks_fence
 }
 
-/// Returns whether the order could be carried out.
+/// Executes an order; returns `false` for an adapter whose model is not loaded.
 async fn execute_order(state: &EngineState, order: Order) -> bool {
     match order {
         Order::LoadModel {
@@ -104,8 +106,8 @@
         return;
     };
     sleep(state.options.load_model_us.into()).await;
-    // Both are changed under the lock of the models, so that no request of the new version finds
-    // a block of the old one.
+    // Weights and cache change under the same lock of the models, so that no request of the new
+    // version finds a block of the old one.
     let mut models = state.models.lock();
     if let Some(old) = models.finish_load(&model, version, number) {
         state.cache.lock().evict_version(&model, &old);
--- a/crates/wisteriahitch-standin/src/engine/priority_slots.rs
+++ b/crates/wisteriahitch-standin/src/engine/priority_slots.rs
@@ -1,4 +1,4 @@
-//! Places that are taken in the order of priority, then of arrival.
+//! A limited number of slots, granted to waiters by priority and then by order of arrival.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-/// Rank of one who waits: higher priority first, then the lower number.
+/// Sort key of a waiter: higher priority first, then lower arrival number.
 pub(super) type Rank = (Reverse<u8>, u64);
 
 #[derive(Debug)]
@@ -17,7 +17,7 @@
     waiting: BTreeMap<Rank, oneshot::Sender<Slot>>,
 }
 
-/// A limited number of places.
+/// Semaphore that grants a limited number of slots in the order of [`Rank`].
 #[derive(Clone, Debug)]
 pub(super) struct PrioritySlots {
     inner: Arc<Mutex<Inner>>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Waits for a place; each one who waits needs a rank of its own.
+    /// Waits for a free slot; the rank of each waiter must be unique.
     pub(super) async fn acquire(&self, rank: Rank) -> Slot {
         let receiver = {
             let mut inner = self.inner.lock();
@@ -51,14 +51,14 @@
         let guard = WaiterGuard { slots: self, rank };
         let slot = receiver.await;
         drop(guard);
-        // The sender is dropped only by the waiter itself, so this never waits in vain.
+        // Only the waiter itself drops the sender unused, so `pending` is never reached.
         match slot {
             Ok(slot) => slot,
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// Returns whether one who waits goes before `rank`.
+    /// Returns whether any waiter comes before `rank`.
     pub(super) fn has_waiter_before(&self, rank: Rank) -> bool {
         let inner = self.inner.lock();
         let best = inner.waiting.first_key_value();
@@ -89,14 +89,15 @@
             }
             next
         };
-        // One who has just given up hands the place back, and it leaves from there.
+        // If the waiter has just given up, the send fails and dropping the returned slot releases
+        // it again.
         if let Some((_, sender)) = next {
             drop(sender.send(self.new_slot()));
         }
     }
 }
 
-/// Takes one who gives up out of the line.
+/// Removes a waiter that gives up from the queue.
 struct WaiterGuard<'a> {
     slots: &'a PrioritySlots,
     rank: Rank,
@@ -108,7 +109,7 @@
     }
 }
 
-/// One place, given up when it is dropped.
+/// One occupied slot, released when it is dropped.
 #[derive(Debug)]
 pub(super) struct Slot {
     slots: PrioritySlots,
--- a/crates/wisteriahitch-standin/src/engine/registry.rs
+++ b/crates/wisteriahitch-standin/src/engine/registry.rs
@@ -1,4 +1,4 @@
-//! Requests under way, so that they can be cancelled by their id.
+//! Requests in progress, by request id, for cancellation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
     runs: BTreeMap<RunId, Arc<Notify>>,
 }
 
-/// Holds every request that waits or runs; one request may be there more than once.
+/// Every run that waits or is in progress; a request id may have more than one run.
 #[derive(Clone, Default)]
 pub(super) struct RunRegistry {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl RunRegistry {
-    /// Enters a request until the entry is dropped.
+    /// Registers a run of a request until the returned entry is dropped.
     pub(super) fn register(&self, request: RequestId) -> RunEntry {
         let mut inner = self.inner.lock();
         let number = inner.next_number;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Cancels every run of a request, and returns whether there was one.
+    /// Cancels every run of a request and returns whether there was any.
     pub(super) fn cancel(&self, request: &RequestId) -> bool {
         let inner = self.inner.lock();
         let range = (request.clone(), 0)..=(request.clone(), u64::MAX);
@@ -50,7 +50,7 @@
     }
 }
 
-/// One request under way.
+/// Registration of one run, removed when it is dropped.
 pub(super) struct RunEntry {
     registry: RunRegistry,
     id: RunId,
@@ -58,7 +58,7 @@
 }
 
 impl RunEntry {
-    /// Returns the number of the arrival, from zero.
+    /// Returns the run's number in order of arrival, starting at zero.
     pub(super) fn arrival_number(&self) -> u64 {
         self.id.1
     }
--- a/crates/wisteriahitch-standin/src/engine/run.rs
+++ b/crates/wisteriahitch-standin/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One completion from its place in the batch to its last token.
+//! One completion, from its admission to the batch to its last token.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use super::registry::RunEntry;
 use super::state::EngineState;
 
-/// Most requests that wait for a place in the batch.
+/// Maximum number of requests that wait for a slot in the batch; more are refused as busy.
 const MAX_QUEUED_REQUESTS: u64 = 1024;
 
-/// Finish reason of an answer that has all the tokens that were asked for.
+/// Finish reason of an answer that reached `max_tokens`.
 pub(super) const FINISH_LENGTH: &str = "length";
 
-/// Says that a run was cancelled by its id.
+/// A run was cancelled through its request id.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cancelled;
 
-/// A completion that holds a place in the batch.
+/// A completion that was admitted to the batch.
 pub(super) struct Run {
     state: Arc<EngineState>,
     entry: RunEntry,
@@ -38,14 +38,15 @@
     cached_tokens: TokenCount,
     prompt_tokens: TokenCount,
     next_position: u64,
-    /// When the next token is due, once the prompt has been read.
+    /// Time at which the next token is due; `None` until the prompt has been prefilled.
     next_token_at: Option<Instant>,
 }
 
 impl Run {
-    /// Waits for a place in the batch.
+    /// Waits for a slot in the batch and looks up the cached prefix.
     ///
-    /// Every refusal is true: nothing of the request has been run before the place is taken.
+    /// Nothing of a request is run before it has its slot and its model has been checked again, so
+    /// a request that is refused with [`NotRun`] has not run.
     pub(super) async fn begin(
         state: &Arc<EngineState>,
         body: CompletionBody,
@@ -105,13 +106,13 @@
         self.prompt_tokens
     }
 
-    /// Returns the position in the middle of what is to be sent.
+    /// Returns the position halfway through the tokens to be sent, where stream faults strike.
     pub(super) fn middle_position(&self) -> u64 {
         let first = self.body.wisteriahitch.position;
         first + (self.body.max_tokens.get() - first) / 2
     }
 
-    /// Returns the next token when it is due, or nothing after the last one.
+    /// Waits until the next token is due and returns it, or `None` after the last one.
     pub(super) async fn next_token(&mut self) -> Result<Option<Token>, Cancelled> {
         if self.next_position >= self.body.max_tokens.get() {
             return Ok(None);
@@ -148,7 +149,9 @@
         }
     }
 
-    /// Reads what isn't held of the prompt, and the tokens of a resumed answer.
+    /// Prefills the uncached rest of the prompt and the already sent tokens of a resumed answer.
+    ///
+    /// Returns the time at which the prefill was done.
     async fn read_prompt(&mut self) -> Result<Instant, Cancelled> {
         let resumed_tokens = self.body.wisteriahitch.position;
         let prompt_rest = (self.prompt_tokens - self.cached_tokens).get();
@@ -159,7 +162,7 @@
         let mut prefill_slot = None;
         let mut done_at = Instant::now();
         while remaining_tokens > 0 {
-            // A waiting request of higher priority goes first between two pieces.
+            // Between two pieces, a waiting request that ranks before this one may go first.
             if prefill_slot.is_some() && state.prefill.has_waiter_before(rank) {
                 prefill_slot = None;
             }
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Stores the blocks of the prompt, the first one last, so that it is dropped last.
+    /// Caches the blocks of the prompt, the first one last, so that it is evicted last.
     fn store_blocks(&self) {
         let extension = &self.body.wisteriahitch;
         for block in extension.blocks.iter().rev() {
@@ -209,7 +212,7 @@
     }
 }
 
-/// Counts the prompt tokens of one request that still have to be read.
+/// Adds the unread prompt tokens of one request to the engine's backlog until it is dropped.
 struct PromptBacklog {
     state: Arc<EngineState>,
     remaining_tokens: u64,
--- a/crates/wisteriahitch-standin/src/engine/state.rs
+++ b/crates/wisteriahitch-standin/src/engine/state.rs
@@ -16,9 +16,9 @@
 use super::registry::RunRegistry;
 use crate::shared::{Freeze, Pacer};
 
-/// Holds what the requests of one engine share.
+/// State that the requests of one engine share.
 ///
-/// Where two locks are held at once, `models` is taken before `cache`.
+/// Lock order: `models` before `cache`.
 pub(super) struct EngineState {
     pub(super) options: EngineOptions,
     pub(super) models: Mutex<ModelTable>,
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Stores a block, unless its weight version is no longer the one that new requests run on.
+    /// Caches a block, unless no loaded model runs on its weight version any more.
     ///
-    /// Returns whether the block is held now.
+    /// Returns whether the block is cached now.
     pub(super) fn store_block(&self, key: BlockKey, block: CachedBlock) -> bool {
         let models = self.models.lock();
         let is_current = models.has_version(&block.weight_version);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the load report, which is as old as the engine's lag may make it.
+    /// Returns the load report, up to `load_lag_us` old.
     pub(super) fn load_report(&self) -> LoadReport {
         let lagging = match self.options.load_lag_us {
             DurationUs::ZERO => None,
@@ -104,7 +104,7 @@
         lagging.unwrap_or_else(|| self.measure_load())
     }
 
-    /// Replaces the load report that is given out from now on.
+    /// Measures the load and caches it as the report to return from now on.
     pub(super) fn refresh_load_report(&self) {
         let report = self.measure_load();
         *self.load_report.lock() = Some(report);
@@ -142,7 +142,8 @@
     models
 }
 
-/// Names this life of the engine, so that event numbers of two lives are never compared.
+/// Generates the name of this incarnation of the engine, so that event numbers of two incarnations
+/// are never compared. A seed of zero gives a random name.
 fn generate_incarnation(seed: u64) -> String {
     let number = if seed == 0 { rand::random() } else { seed };
     format!("e{number:016x}")
--- a/crates/wisteriahitch-standin/src/engine/transfer.rs
+++ b/crates/wisteriahitch-standin/src/engine/transfer.rs
@@ -17,16 +17,16 @@
 use crate::store::HEADER_TRANSFER_CLASS;
 use crate::util::{Answer, answer_json, answer_status};
 
-/// Longest wait for a block to cross a link that others wait for too.
+/// Timeout of one transfer, which may queue for the store's link behind others.
 const TRANSFER_TIMEOUT: DurationUs = DurationUs::from_ms(60_000);
 
-/// Largest answer to a write.
+/// Maximum length of the answer to a write.
 const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(64 * 1024);
 
 /// Status and reason of a refused transfer.
 type TransferRefusal = (StatusCode, String);
 
-/// Writes a held block to a store.
+/// Writes a cached block to a store.
 pub(super) async fn export(state: &Arc<EngineState>, request: ExportRequest) -> Answer {
     match try_export(state, request).await {
         Ok(result) => answer_json(StatusCode::OK, &result),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reads a block from a store, and takes it up once it has been checked.
+/// Reads a block from a store, checks it and caches it.
 pub(super) async fn import(state: &Arc<EngineState>, request: ImportRequest) -> Answer {
     match try_import(state, request).await {
         Ok(()) => answer_status(StatusCode::OK),
@@ -114,7 +114,7 @@
     Ok(())
 }
 
-/// What is done at a store.
+/// Call to a store.
 enum StoreCall {
     /// Writes this content.
     Write(Bytes),
@@ -160,7 +160,8 @@
     Ok((address, uri.path().to_owned()))
 }
 
-/// A body that breaks off is a broken link; one that is too long or malformed is corrupt.
+/// Maps a failed call to a refusal: 502 if the answer was lost or its body broke off, 422 (corrupt)
+/// if it is too long or malformed.
 fn http_error_refusal(error: &HttpError) -> TransferRefusal {
     let status = match error.kind() {
         HttpErrorKind::TooLarge | HttpErrorKind::Malformed => StatusCode::UNPROCESSABLE_ENTITY,
@@ -176,13 +177,14 @@
     (status, format!("the block is corrupt: {error:?}"))
 }
 
-/// Applies the fault that is on to one export.
+/// Applies the current fault to the content of one export.
 fn apply_export_fault(state: &EngineState, content: Bytes) -> Bytes {
-    /// Place of the first byte of the key in the header.
+    /// Offset of the block key in the header, in bytes.
     const KEY_OFFSET: usize = 4;
 
     match state.fault.lock().consume_for_export() {
-        // The checksum is of the changed content, so that only the header shows the change.
+        // The checksum is computed from the changed content, so that only the header reveals the
+        // change.
         EngineFault::CorruptExport => {
             let mut changed = content.to_vec();
             changed[KEY_OFFSET] ^= 1;
