--- a/crates/wisteriahitch-standin/src/store/block.rs
+++ b/crates/wisteriahitch-standin/src/store/block.rs
@@ -7,10 +7,10 @@
 use wisteriahitch_types::{BlockKey, ByteCount, Generation, TokenCount, WeightVersion};
 use wisteriahitch_wire::store::{BlockState, ReserveRequest, StoredBlock, Tier};
 
-/// Identifies one use of a block's place.
+/// Key and generation; the generation tells apart blocks written under the same key over time.
 pub(super) type BlockId = (BlockKey, Generation);
 
-/// One use of a block's place.
+/// One generation of a block.
 pub(super) struct Block {
     pub(super) state: BlockState,
     pub(super) tier: Tier,
@@ -19,17 +19,17 @@
     pub(super) weight_version: WeightVersion,
     pub(super) content: Bytes,
     pub(super) crc32c: u32,
-    /// Pins by name, each with the time at which it lapses.
+    /// Expiry time of each pin, by the pin's name.
     pub(super) pins: HashMap<String, Instant>,
-    /// Reads under way; they keep the block like a pin that doesn't lapse.
+    /// Reads in progress; each retains the block like a pin that doesn't expire.
     pub(super) readers: u32,
     pub(super) was_read: bool,
-    /// Time at which room that nobody writes to is given back.
+    /// Time at which a reservation that nobody has begun to write expires.
     pub(super) reserved_until: Instant,
 }
 
 impl Block {
-    /// Takes the place of a block that is to be written before `reserved_until`.
+    /// Builds a reserved block; its write must begin before `reserved_until`.
     pub(super) fn reserve(request: ReserveRequest, reserved_until: Instant) -> Self {
         Self {
             state: BlockState::Reserved,
@@ -46,18 +46,17 @@
         }
     }
 
-    /// Fixes content and checksum, and then lets readers pin the block.
+    /// Sets content and checksum, and then makes the block readable.
     pub(super) fn seal(&mut self, content: Bytes) {
         self.crc32c = crc32c::crc32c(&content);
         self.content = content;
-        // Length and checksum are fixed before anyone may pin the block. In the other order a
-        // reader could take a block that is only partly written, which it would notice only by
-        // wrong tokens.
+        // Length and checksum are final before anyone may pin the block. In the other order a
+        // reader could get a partly written block, which only wrong tokens would reveal.
         self.state = BlockState::Sealed;
         self.state = BlockState::Readable;
     }
 
-    /// Describes the block for a listing.
+    /// Builds the block's entry in a listing.
     pub(super) fn to_stored_block(&self, (key, generation): BlockId) -> StoredBlock {
         StoredBlock {
             key,
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Returns whether a pin or a read keeps the block.
+    /// Returns whether a pin or a read in progress retains the block.
     pub(super) fn is_in_use(&self) -> bool {
         !self.pins.is_empty() || self.readers > 0
     }
--- a/crates/wisteriahitch-standin/src/store/control.rs
+++ b/crates/wisteriahitch-standin/src/store/control.rs
@@ -2,22 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Names what a stand-in store does wrong on demand.
+/// Fault that a stand-in store shows on demand.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It has no room for another block.
+    /// New blocks are refused as if the tier were full.
     Full,
-    /// Its link takes this many times as long.
+    /// Transfers over the link take this many times as long.
     SlowFactor(u32),
-    /// It changes a byte in this many reads.
+    /// This many reads return content with one byte changed.
     CorruptReads(u64),
-    /// It leaves out the end in this many reads.
+    /// This many reads return only the first half of the content.
     ShortReads(u64),
-    /// It doesn't answer.
+    /// Requests are not answered and transfers stall.
     Freeze,
 }
 
@@ -25,10 +25,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreControl {
-    /// Fault to show from now on, in place of the one before.
+    /// Fault that replaces the current one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fault: Option<StoreFault>,
-    /// Whether the VM will go away soon.
+    /// Whether the store reports that its VM is leaving.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaving: Option<bool>,
 }
@@ -42,24 +42,24 @@
     pub saved_bytes: u64,
     /// Reads that began.
     pub read_blocks: u64,
-    /// Bytes that readers were sent.
+    /// Bytes of the reads that began.
     pub read_bytes: u64,
-    /// Blocks that became readable and were read at least once.
+    /// Blocks that were read at least once.
     pub blocks_later_read: u64,
-    /// Bytes of transfers that a caller waits for.
+    /// Bytes of transfers of class `wait`, which a caller waits for.
     pub wait_bytes: u64,
-    /// Bytes of transfers that nobody waits for.
+    /// Bytes of transfers of class `save`, which nobody waits for.
     pub save_bytes: u64,
-    /// Reservations without room.
+    /// Reservations that were refused as full.
     pub refused_full: u64,
-    /// Reads that were changed on demand.
+    /// Reads whose content was changed by a fault.
     pub corrupted_reads: u64,
-    /// Reads that were cut on demand.
+    /// Reads whose content was truncated by a fault.
     pub short_reads: u64,
 }
 
 impl StoreFault {
-    /// Uses up one read of a fault that hits a number of reads, and returns what to do to it.
+    /// Returns the fault for one read and counts it against the remaining reads.
     pub(super) fn consume_read_fault(&mut self) -> ReadFault {
         let (remaining, fault) = match self {
             Self::CorruptReads(remaining) => (remaining, ReadFault::Corrupt),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Names what is done to one read.
+/// Fault of one read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ReadFault {
     None,
--- a/crates/wisteriahitch-standin/src/store/handler.rs
+++ b/crates/wisteriahitch-standin/src/store/handler.rs
@@ -1,4 +1,4 @@
-//! Paths of a stand-in store.
+//! HTTP routes of a stand-in store.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::shared::get_query;
 use crate::util::{Abort, Answer, Handler, answer_json, answer_status, read_json};
 
-/// Largest body of a call that moves no content.
+/// Maximum length of a request body other than block content.
 const BODY_LIMIT_BYTES: usize = 64 * 1024;
 
 /// Answers the requests of one store.
@@ -25,6 +25,7 @@
     pub(super) state: Arc<StoreState>,
 }
 
+/// Answer, or the reason to refuse the call, or [`Abort`] to close the connection unanswered.
 type CallOutcome = Result<Result<Answer, StoreRefusal>, Abort>;
 
 #[async_trait]
@@ -111,8 +112,9 @@
             Ok(body) => body,
             Err(error) => return Ok(Ok(refuse_bad_json(&error))),
         };
-        // The name of a store survives it. A block that was saved with an earlier life isn't here,
-        // even where the same key has been written again, because its generation means another use.
+        // A new incarnation of a store keeps its name. A block that was saved with an earlier
+        // incarnation isn't here, even if the same key has been written again, because
+        // generations of different incarnations can't be compared.
         if body.incarnation != self.state.incarnation {
             return Ok(Err(StoreRefusal::Gone));
         }
--- a/crates/wisteriahitch-standin/src/store/link.rs
+++ b/crates/wisteriahitch-standin/src/store/link.rs
@@ -1,4 +1,4 @@
-//! The one link of a store, which transfers cross in the order of their arrival.
+//! The link of a store, which all transfers share in the order of their arrival.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,17 +14,17 @@
 
 use crate::shared::{Freeze, Pacer};
 
-/// Bytes that cross the link before its rate is looked at again.
+/// Size of the chunks that transfers are paced by; a new slow factor applies from the next chunk.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Paces transfers, one at a time.
+/// Link of limited rate that carries one transfer at a time.
 #[derive(Debug)]
 pub(super) struct Link {
     rate_bytes_per_s: ByteRate,
     slow_factor: AtomicU64,
     queued_bytes: AtomicU64,
     sent_bytes: AtomicU64,
-    /// Waiting transfers get the turn in the order in which they asked for it.
+    /// Locked by the current transfer; waiting transfers get the lock in the order of arrival.
     pacer: Mutex<Pacer>,
 }
 
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Waits until `content` has crossed, passing on each part of it that has.
+    /// Waits until `content` has been transferred, and sends each transferred chunk to the given
+    /// channel, if any.
     ///
-    /// It gives up when nobody takes the parts any more; dropping the future gives up too.
+    /// Stops early if the receiver of the channel is dropped; dropping the future stops it too.
     pub(super) async fn transfer(
         &self,
         content: Bytes,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Counts the bytes of one transfer that still have to cross.
+/// Adds the unsent bytes of one transfer to the link's queue until it is dropped.
 struct QueuedTransfer<'a> {
     link: &'a Link,
     remaining_bytes: u64,
@@ -115,8 +116,9 @@
     }
 }
 
-/// Sends `content` over the link from a task of its own, so that a reader that stalls holds up no
-/// other transfer.
+/// Transfers `content` in a separate task, so that a reader that stalls delays no other transfer.
+///
+/// `guard` is dropped when the transfer ends.
 pub(super) fn send_over(
     link: Arc<Link>,
     freeze: Arc<Freeze>,
--- a/crates/wisteriahitch-standin/src/store/mod.rs
+++ b/crates/wisteriahitch-standin/src/store/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in for a store VM: blocks in memory and on disk behind one limited link.
+//! Stand-in for a store VM: blocks in memory and on disk behind one link of limited rate.
 //!
 //! `POST /control` takes `{"fault":F}` with F one of `"none"`, `"full"`, `"freeze"`,
 //! `{"slow_factor":N}`, `{"corrupt_reads":N}` and `{"short_reads":N}`, or `{"leaving":bool}`;
-//! `GET /control` gives [`StoreCounters`]. The header `x-transfer-class: wait|save` on reads and
-//! writes is recorded in the counters alone.
+//! `GET /control` returns [`StoreCounters`]. The header `x-transfer-class: wait|save` on reads and
+//! writes affects only the counters.
 
 mod block;
 mod control;
@@ -76,13 +76,13 @@
         self.server.address()
     }
 
-    /// Returns the name of this life of the store.
+    /// Returns the name of this incarnation of the store.
     pub fn incarnation(&self) -> &StoreIncarnation {
         &self.incarnation
     }
 }
 
-/// Draws a name that no other life of a store has.
+/// Generates a random incarnation name, so that no two incarnations share one.
 fn generate_incarnation() -> io::Result<StoreIncarnation> {
     let number: u64 = rand::random();
     let name = format!("s{number:016x}");
@@ -95,7 +95,7 @@
     incarnation: &'a StoreIncarnation,
 }
 
-/// Serves a store until the process is told to end.
+/// Serves a store until the process receives SIGTERM or SIGINT.
 pub async fn run(options: StoreOptions) -> anyhow::Result<()> {
     let store = StoreStandin::start(options).await?;
     let announcement = Announcement {
--- a/crates/wisteriahitch-standin/src/store/options.rs
+++ b/crates/wisteriahitch-standin/src/store/options.rs
@@ -9,15 +9,15 @@
 pub struct StoreOptions {
     /// Loopback address to serve.
     pub listen: SocketAddr,
-    /// Room in memory.
+    /// Capacity of the memory tier.
     pub memory_bytes: ByteCount,
-    /// Room on disk.
+    /// Capacity of the disk tier.
     pub disk_bytes: ByteCount,
-    /// Speed of the one link.
+    /// Rate of the link that all transfers share.
     pub link_bytes_per_s: ByteRate,
-    /// How long a pin keeps its block.
+    /// Time after which a pin expires.
     pub pin_timeout_us: DurationUs,
-    /// How long reserved room waits for its content.
+    /// Time after which a reservation expires unless its write has begun.
     pub reserve_timeout_us: DurationUs,
 }
 
--- a/crates/wisteriahitch-standin/src/store/state.rs
+++ b/crates/wisteriahitch-standin/src/store/state.rs
@@ -15,7 +15,7 @@
 use super::table::BlockTable;
 use crate::shared::Freeze;
 
-/// Holds what the requests of one store share.
+/// State that the requests of one store share.
 pub(super) struct StoreState {
     pub(super) incarnation: StoreIncarnation,
     pub(super) table: Mutex<BlockTable>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Refuses new blocks at a store that is full on demand or leaves.
+    /// Refuses new blocks while the store is leaving or has the fault [`StoreFault::Full`].
     pub(super) fn check_accepts_blocks(&self) -> Result<(), StoreRefusal> {
         if self.is_leaving() || *self.fault.lock() == StoreFault::Full {
             return Err(StoreRefusal::Full);
--- a/crates/wisteriahitch-standin/src/store/table.rs
+++ b/crates/wisteriahitch-standin/src/store/table.rs
@@ -1,4 +1,4 @@
-//! Blocks of a store and the steps of their life, see `docs/design/blocks.md`.
+//! Blocks of a store and the transitions between their states, see `docs/design/blocks.md`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::refusal::StoreRefusal;
 use super::tier_capacity::TierCapacity;
 
-/// Holds every block of a store.
+/// Every block of a store, by key and generation.
 pub(super) struct BlockTable {
     blocks: BTreeMap<BlockId, Block>,
     capacity: TierCapacity,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes room for a block, or tells in which state it is there already.
+    /// Reserves space for a block, or returns the generation and state of the one that exists.
     pub(super) fn reserve(
         &mut self,
         request: ReserveRequest,
@@ -61,14 +61,14 @@
         })
     }
 
-    /// Begins to write a reserved block and returns the length that it must have.
+    /// Begins to write a reserved block and returns the length that its content must have.
     pub(super) fn begin_write(&mut self, id: BlockId) -> Result<ByteCount, StoreRefusal> {
         let block = self.get_in_state(id, BlockState::Reserved)?;
         block.state = BlockState::Writing;
         Ok(block.bytes)
     }
 
-    /// Seals a block with its length and checksum, and then lets readers pin it.
+    /// Seals a block that was written in full, makes it readable and returns its checksum.
     pub(super) fn finish_write(
         &mut self,
         id: BlockId,
@@ -82,14 +82,14 @@
         Ok(block.crc32c)
     }
 
-    /// Gives back the room of a block whose writing broke off.
+    /// Removes a block whose write was aborted and releases its space.
     pub(super) fn abandon_write(&mut self, id: BlockId) {
         if self.get_in_state(id, BlockState::Writing).is_ok() {
             self.remove(id);
         }
     }
 
-    /// Keeps a readable block for one reader.
+    /// Pins a readable block for one reader.
     pub(super) fn pin(&mut self, key: BlockKey, now: Instant) -> Result<Pin, StoreRefusal> {
         let (id, _) = self.find_current(key).ok_or(StoreRefusal::Gone)?;
         let expires_at = now + self.pin_timeout;
@@ -108,7 +108,7 @@
         Ok(pin)
     }
 
-    /// Gives up a pin; one that has lapsed counts as given up.
+    /// Removes a pin; has no effect on one that has expired.
     pub(super) fn unpin(&mut self, key: BlockKey, pin: &str) {
         let range = block_range(key);
         let pinned_id = self
@@ -120,9 +120,9 @@
         }
     }
 
-    /// Begins a read under a pin; the block stays until [`BlockTable::end_read`].
+    /// Begins a read under a pin; the block is retained until [`BlockTable::end_read`].
     ///
-    /// The second value tells whether this is the first read of the block.
+    /// Returns the content, and whether this is the first read of the block.
     pub(super) fn begin_read(
         &mut self,
         id: BlockId,
@@ -141,7 +141,7 @@
         Ok((block.content.clone(), is_first))
     }
 
-    /// Ends a read.
+    /// Ends a read, and removes the block if it was draining and this was its last user.
     pub(super) fn end_read(&mut self, id: BlockId) {
         if let Some(block) = self.blocks.get_mut(&id) {
             block.readers -= 1;
@@ -149,9 +149,9 @@
         self.remove_if_drained(id);
     }
 
-    /// Lets a block drain, and removes it when nobody uses it.
+    /// Starts to drain a block, and removes it at once if nobody uses it.
     ///
-    /// A writer of the block is told that it has gone when it ends.
+    /// A write in progress fails with [`StoreRefusal::Gone`] when it ends.
     pub(super) fn free(&mut self, id: BlockId, now: Instant) -> Result<(), StoreRefusal> {
         self.expire(now);
         let block = self.blocks.get_mut(&id).ok_or(StoreRefusal::Gone)?;
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// Returns every block.
+    /// Returns every block, draining ones included.
     pub(super) fn list(&mut self, now: Instant) -> Vec<StoredBlock> {
         self.expire(now);
         let blocks = self.blocks.iter();
@@ -183,13 +183,13 @@
             .collect()
     }
 
-    /// Returns the room of memory and disk.
+    /// Returns capacity and use of memory and disk, in this order.
     pub(super) fn report(&mut self, now: Instant) -> (TierReport, TierReport) {
         self.expire(now);
         self.capacity.report()
     }
 
-    /// Drops lapsed pins and reservations, and what they kept.
+    /// Removes expired pins and reservations, and the blocks that only they retained.
     fn expire(&mut self, now: Instant) {
         let mut to_check = Vec::new();
         for (id, block) in &mut self.blocks {
--- a/crates/wisteriahitch-standin/src/store/tier_capacity.rs
+++ b/crates/wisteriahitch-standin/src/store/tier_capacity.rs
@@ -1,11 +1,11 @@
-//! Room in the memory and on the disk of a store.
+//! Capacity of the memory and disk tiers of a store.
 
 use wisteriahitch_types::ByteCount;
 use wisteriahitch_wire::store::{Tier, TierReport};
 
 use super::refusal::StoreRefusal;
 
-/// Counts the room that is taken in each tier.
+/// Capacity and used bytes of each tier.
 pub(super) struct TierCapacity {
     memory: TierReport,
     disk: TierReport,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Returns memory and disk.
+    /// Returns the reports of memory and disk, in this order.
     pub(super) fn report(&self) -> (TierReport, TierReport) {
         (self.memory, self.disk)
     }
 
-    /// Takes room, unless the tier has too little.
+    /// Reserves bytes in a tier, or refuses if the tier has too little free space.
     pub(super) fn reserve(&mut self, tier: Tier, bytes: ByteCount) -> Result<(), StoreRefusal> {
         let report = self.get_mut(tier);
         let used_bytes = report.used_bytes + bytes;
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Gives room back.
+    /// Releases reserved bytes.
     pub(super) fn release(&mut self, tier: Tier, bytes: ByteCount) {
         let report = self.get_mut(tier);
         report.used_bytes = report.used_bytes - bytes;
--- a/crates/wisteriahitch-standin/src/store/transfer.rs
+++ b/crates/wisteriahitch-standin/src/store/transfer.rs
@@ -24,7 +24,7 @@
 use super::state::StoreState;
 use crate::util::{Abort, Answer, answer_json};
 
-/// Longest wait for the content of a block that is being written.
+/// Timeout for receiving the content of a block that is being written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Writes a reserved block.
@@ -55,7 +55,7 @@
     }))
 }
 
-/// Returns the content, or nothing where it is longer than `bytes`.
+/// Returns the content, or `None` if it is longer than `bytes`.
 async fn read_content(body: Incoming, bytes: ByteCount) -> Result<Option<Bytes>, Abort> {
     let limit = usize::try_from(bytes.get()).map_err(|_| Abort)?;
     let whole = timeout(WRITE_TIMEOUT, Limited::new(body, limit).collect()).await;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Gives back the room of a block whose writer goes away before it has sealed the block.
+/// Removes the block when its writer goes away before the block is sealed.
 struct WriteGuard<'a> {
     state: &'a StoreState,
     id: BlockId,
@@ -97,7 +97,7 @@
     Ok(stream_over_link(state, content, guard))
 }
 
-/// Keeps a block while it is read, also past the time-out of the pin.
+/// Retains a block while it is read, even after its pin has expired.
 struct ReadGuard {
     state: Arc<StoreState>,
     id: BlockId,
@@ -121,7 +121,7 @@
     answer
 }
 
-/// Applies the fault that is on to one read.
+/// Applies the current fault to the content of one read.
 fn apply_read_fault(state: &StoreState, content: Bytes) -> Bytes {
     let fault = state.fault.lock().consume_read_fault();
     let mut counters = state.counters.lock();
