--- a/crates/wisteriahitch-standin/src/platform/answer.rs
+++ b/crates/wisteriahitch-standin/src/platform/answer.rs
@@ -1,4 +1,4 @@
-//! Writes to the table and the answers to them.
+//! Execution of writes, and the answers to writes and refused calls.
 
 use http::header::RETRY_AFTER;
 use http::{HeaderValue, StatusCode};
@@ -9,10 +9,10 @@
 use super::object_table::{ObjectDocument, ObjectTable, WriteRefusal};
 use crate::util::{Answer, answer_json};
 
-/// Largest content of an object.
+/// Maximum length of an object's `spec` as JSON, in bytes.
 const MAX_SPEC_BYTES: usize = 1_000_000;
 
-/// Makes a write to the table and answers it; a deletion brings no document.
+/// Applies a write to the table and answers it; `document` is `None` for a deletion.
 pub(crate) fn write_object(
     objects: &mut ObjectTable,
     call: &Call,
--- a/crates/wisteriahitch-standin/src/platform/call.rs
+++ b/crates/wisteriahitch-standin/src/platform/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the object API as they stand in a request's head.
+//! Calls of the object API, parsed from method and URI.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 const API_ROOT: &str = "/apis/wisteriahitch.example/v1/";
 const NAME_SELECTOR: &str = "metadata.name=";
 
-/// What a call does, as it is counted.
+/// Kind of operation; the call counters are kept by it.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum CallMethod {
@@ -33,15 +33,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) method: CallMethod,
-    /// Kind by its name in a path.
+    /// Kind of the object, as named in paths.
     pub(crate) kind: &'static str,
-    /// Name of the object; empty for a listing and a creation.
+    /// Name of the object; empty for lists and creations.
     pub(crate) name: String,
     query: BTreeMap<String, String>,
 }
 
 impl Call {
-    /// Reads a call, or returns nothing where the API has no such call.
+    /// Parses a call; returns `None` if the API has no such call.
     pub(crate) fn try_parse(method: &Method, uri: &Uri) -> Option<Self> {
         let rest = uri.path().strip_prefix(API_ROOT)?;
         let (kind, name) = rest.split_once('/').unwrap_or((rest, ""));
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Returns a number from the query.
+    /// Returns a query parameter as a number, or `None` if it is absent or doesn't parse.
     pub(crate) fn query_number(&self, key: &str) -> Option<u64> {
         self.query.get(key)?.parse().ok()
     }
@@ -85,7 +85,7 @@
         .collect()
 }
 
-/// Decodes `%41` forms; what isn't one stays as it is.
+/// Decodes percent-encoded bytes such as `%41`; malformed ones are left unchanged.
 fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
--- a/crates/wisteriahitch-standin/src/platform/control.rs
+++ b/crates/wisteriahitch-standin/src/platform/control.rs
@@ -1,4 +1,4 @@
-//! Faults that a test asks for, and what the platform's stand-in counts.
+//! Faults that tests set through `/control`, and call counters of the platform's stand-in.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,13 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformMode {
-    /// Calls are answered.
+    /// Calls are executed and answered.
     #[default]
     Up,
     /// Calls have no effect and their connections are closed.
     Down,
-    /// Connections are refused, also for `/control` on the same port.
+    /// Connections are refused, also for `/control` on the same port; the second address stays
+    /// reachable.
     Refuse,
     /// Calls have no effect and are answered with 503.
     Unavailable,
@@ -23,7 +24,7 @@
     Hang,
 }
 
-/// A change of the faults; what isn't named stays as it is.
+/// Body of `POST /control`; absent fields leave their settings unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformControl {
@@ -31,13 +32,13 @@
     pub mode: Option<PlatformMode>,
     /// Delay before each call takes effect, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// How many of the next writes take effect and lose their answer.
+    /// Number of the next writes that take effect but whose connection is closed unanswered.
     pub lose_answers: Option<u64>,
-    /// Kinds whose answers may be lost; an empty list stands for all.
+    /// Kinds whose answers may be lost, as named in paths; an empty list means all kinds.
     pub lose_answer_kinds: Option<Vec<String>>,
 }
 
-/// Faults in force, and counts of what happened.
+/// Current faults, and counters since the start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct PlatformControlState {
     pub(crate) mode: PlatformMode,
@@ -64,7 +65,7 @@
         *by_kind.entry(call.kind).or_default() += 1;
     }
 
-    /// Returns whether the answer to a write that took effect is to be lost, and counts it.
+    /// Returns whether to lose the answer to a write that took effect, and counts the loss.
     pub(crate) fn consume_lost_answer(&mut self, call: &Call) -> bool {
         let kinds = &self.lose_answer_kinds;
         let is_kind = kinds.is_empty() || kinds.iter().any(|kind| kind == call.kind);
--- a/crates/wisteriahitch-standin/src/platform/handler.rs
+++ b/crates/wisteriahitch-standin/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform's stand-in.
+//! Request handler of the platform's stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 use super::vm_list::{VM_KIND, VmList};
 use crate::util::{Abort, Answer, Handler, ListenerGate, answer_json, answer_status, read_json};
 
-/// Largest body that is read at all.
+/// Maximum length of a request body.
 const MAX_BODY_BYTES: usize = 8_000_000;
 
-/// Rate limits save up what a second gives.
+/// Burst of the rate limits: the calls of one second.
 const RATE_BURST_US: DurationUs = DurationUs::from_ms(1_000);
 
 #[derive(Debug)]
@@ -41,7 +41,9 @@
 struct PlatformState {
     objects: ObjectTable,
     control: PlatformControlState,
+    /// Number of VM lists received, which numbers them in order of arrival.
     vm_lists_received: u64,
+    /// Number of the VM list that is visible, or zero.
     visible_vm_list: u64,
 }
 
@@ -154,9 +156,9 @@
             }
         };
         let handler = Arc::clone(self);
-        // A slow platform goes on with a write whose caller has given up. Within this request's
+        // A slow platform completes a write even if its caller has given up. Inside this request's
         // future the write would be dropped with the connection, and a test of such a late write
-        // would pass without bringing one about.
+        // would pass without one.
         let write = tokio::spawn(async move {
             sleep(delay).await;
             handler.write(&call, document)
@@ -214,7 +216,7 @@
         Ok(answer_status(StatusCode::ACCEPTED))
     }
 
-    /// Puts a VM list in place unless a later one shows already.
+    /// Makes a VM list visible, unless a later one is visible already.
     fn make_vm_list_visible(&self, number: u64, list: VmList) {
         let mut state = self.state.lock();
         if number < state.visible_vm_list {
@@ -226,7 +228,7 @@
     }
 }
 
-/// Serves the handler that a server and the tasks of VM lists share.
+/// Handler shared by both servers and by the tasks that delay VM lists.
 #[derive(Clone, Debug)]
 pub(crate) struct SharedPlatformHandler(pub(crate) Arc<PlatformHandler>);
 
--- a/crates/wisteriahitch-standin/src/platform/mod.rs
+++ b/crates/wisteriahitch-standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: objects with versions, watches and the lagging list of VMs.
+//! Stand-in for the platform: versioned objects, watches and a delayed list of VMs.
 
 mod answer;
 mod call;
@@ -34,9 +34,10 @@
 }
 
 impl PlatformStandin {
-    /// Starts with no objects.
+    /// Starts the stand-in with no objects.
     ///
-    /// A second address serves the same and stays reachable while the first refuses connections.
+    /// A second address serves the same paths and stays reachable while the first one refuses
+    /// connections.
     pub async fn start(options: &PlatformOptions) -> anyhow::Result<Self> {
         let gate = ListenerGate::new();
         let handler = PlatformHandler::new(options, gate.clone());
@@ -52,13 +53,13 @@
         self.objects.address()
     }
 
-    /// Returns the address that takes `/control` also while connections are refused.
+    /// Returns the second address, which stays reachable in [`PlatformMode::Refuse`].
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 }
 
-/// Serves the platform's stand-in until the process is told to end.
+/// Serves the platform's stand-in until the process receives SIGTERM or SIGINT.
 pub async fn run(options: PlatformOptions) -> anyhow::Result<()> {
     let standin = PlatformStandin::start(&options).await?;
     let announcement = Announcement {
--- a/crates/wisteriahitch-standin/src/platform/object_table.rs
+++ b/crates/wisteriahitch-standin/src/platform/object_table.rs
@@ -1,4 +1,4 @@
-//! The platform's objects and their versions.
+//! Objects of the platform and their versions.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 const API_VERSION: &str = "wisteriahitch.example/v1";
 
-/// Kinds by the name in a path, with the name in an object.
+/// Each kind's name in paths and its name in objects.
 const KINDS: [(&str, &str); 6] = [
     ("claims", "Claim"),
     ("configheads", "ConfigHead"),
@@ -17,19 +17,19 @@
     ("virtualmachines", "VirtualMachine"),
 ];
 
-/// Returns the kind's name in an object, if there is such a kind.
+/// Returns the name in objects of a kind given by its name in paths.
 pub(crate) fn find_type_name(kind: &str) -> Option<&'static str> {
     let found = KINDS.iter().find(|(path_name, _)| *path_name == kind);
     found.map(|(_, type_name)| *type_name)
 }
 
-/// Returns the kind's name in a path, if there is such a kind.
+/// Returns the kind with this name in paths, if any.
 pub(crate) fn find_kind(text: &str) -> Option<&'static str> {
     let found = KINDS.iter().find(|(path_name, _)| *path_name == text);
     found.map(|(path_name, _)| *path_name)
 }
 
-/// One object on the wire.
+/// Wire format of an object.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ObjectDocument {
@@ -39,7 +39,7 @@
     pub(crate) spec: Value,
 }
 
-/// Name and version of an object on the wire.
+/// Wire format of an object's name and version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Metadata {
@@ -48,7 +48,7 @@
     pub(crate) resource_version: Option<String>,
 }
 
-/// Says why a write had no effect.
+/// Reason why a write had no effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum WriteRefusal {
     AlreadyExists,
@@ -56,7 +56,7 @@
     NotFound,
 }
 
-/// What a watch reports about one object.
+/// Event that a watch reports for one object.
 #[derive(Clone, Debug)]
 pub(crate) struct ObjectEvent {
     pub(crate) type_name: &'static str,
@@ -71,7 +71,7 @@
     is_deleted: bool,
 }
 
-/// Holds every object by kind and name; deleted ones stay so that late watches hear of it.
+/// Every object by kind and name; deleted ones are retained so that later watches report them.
 #[derive(Debug, Default)]
 pub(crate) struct ObjectTable {
     version: u64,
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Deletes an object whatever its version, as the platform does with its own.
+    /// Deletes an object regardless of its version, as the platform does with its own objects.
     pub(crate) fn delete_unconditionally(&mut self, kind: &'static str, name: &str) {
         self.version += 1;
         if let Some(entry) = self.entries.get_mut(&(kind, name.to_owned())) {
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Writes an object whatever its version, as the platform does with its own.
+    /// Creates or replaces an object regardless of its version, as the platform does with its own
+    /// objects.
     pub(crate) fn put_unconditionally(&mut self, kind: &'static str, name: &str, spec: Value) {
         self.version += 1;
         let created_version = self
@@ -151,7 +152,7 @@
         self.put(kind, name, spec, created_version);
     }
 
-    /// Returns what happened to an object since the version `after`.
+    /// Returns the last change of an object after the version `after`, if any.
     pub(crate) fn event_after(
         &self,
         kind: &'static str,
--- a/crates/wisteriahitch-standin/src/platform/options.rs
+++ b/crates/wisteriahitch-standin/src/platform/options.rs
@@ -5,16 +5,16 @@
 use wisteriahitch_types::DurationUs;
 use wisteriahitch_wire::platform::CallRate;
 
-/// Sets how the platform's stand-in listens and what it allows.
+/// Address, delay and rate limits of the platform's stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
     /// Loopback address of the object API; `/control` is served there too.
     pub listen: SocketAddr,
-    /// Delay before a new VM list shows up.
+    /// Delay before a new VM list becomes visible.
     pub vm_lag_us: DurationUs,
-    /// Writes a second above which calls are answered with 429.
+    /// Maximum rate of writes; more are answered with 429.
     pub writes_per_s: CallRate,
-    /// Reads and watches a second above which calls are answered with 429.
+    /// Maximum rate of reads and watches; more are answered with 429.
     pub reads_per_s: CallRate,
 }
 
--- a/crates/wisteriahitch-standin/src/platform/vm_list.rs
+++ b/crates/wisteriahitch-standin/src/platform/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of VMs.
+//! The platform's delayed list of VMs.
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -7,19 +7,19 @@
 
 use super::object_table::ObjectTable;
 
-/// Kind of the VMs' objects by its name in a path.
+/// Kind of the objects that represent VMs, as named in paths.
 pub(crate) const VM_KIND: &str = "virtualmachines";
 
-/// One VM of the lagging list.
+/// One VM of a [`VmList`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VmEntry {
     /// Name of the VM.
     pub name: String,
     /// IP address.
     pub address: String,
-    /// Availability zone it is in.
+    /// Availability zone of the VM.
     pub availability_zone: AvailabilityZone,
-    /// Whether it stays.
+    /// Whether the VM is running or leaving.
     pub phase: VmPhase,
 }
 
@@ -34,16 +34,16 @@
     }
 }
 
-/// The whole list of VMs that shows up after the lag.
+/// Body of `POST /control/vms`: the complete list of VMs, visible after the configured delay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmList {
-    /// VMs; one that isn't named is gone.
+    /// All VMs; the object of a VM that isn't listed is deleted.
     pub vms: Vec<VmEntry>,
 }
 
 impl VmList {
-    /// Makes the table's VMs those of this list; what is the same keeps its version.
+    /// Replaces the table's VMs by those of this list; unchanged VMs keep their version.
     pub(crate) fn apply_to(self, objects: &mut ObjectTable) {
         for existing in objects.list(VM_KIND) {
             let name = existing.metadata.name;
