--- a/crates/wisteriahitch-standin/src/service/control.rs
+++ b/crates/wisteriahitch-standin/src/service/control.rs
@@ -1,4 +1,4 @@
-//! Faults that a test asks for, and the count of runs.
+//! Faults that tests set through `/control`, and run counters.
 
 use std::collections::BTreeMap;
 
@@ -17,31 +17,31 @@
     CloseBeforeAnswer,
     /// Requests run and their connections are closed after half of the answer.
     CloseMidway,
-    /// Requests run and are answered under another request's id.
+    /// Requests run and are answered with another request's id.
     WrongId,
-    /// Requests don't run, and the answer says so.
+    /// Requests are answered with 503 and `x-not-run`, and don't run.
     RefuseNotRun,
 }
 
-/// A change of the faults; what isn't named stays as it is.
+/// Body of `POST /control`; absent fields leave their settings unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceControl {
     /// How requests are treated from now on.
     pub mode: Option<ServiceMode>,
-    /// How many requests `mode` is for; without it, all until the next change.
+    /// Number of requests that `mode` applies to; if absent, all until the next change of `mode`.
     pub count: Option<u64>,
-    /// Time that each run takes in addition, in milliseconds.
+    /// Additional duration of each run, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Whether load reports say that the endpoint leaves.
+    /// Whether load reports say that the endpoint is leaving.
     pub leaving: Option<bool>,
 }
 
-/// Faults in force, and counts of what happened.
+/// Current faults, and counters since the start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct ServiceControlState {
     pub(crate) mode: ServiceMode,
-    /// Requests that the mode is still for; nothing stands for all.
+    /// Number of requests that the mode still applies to; `None` for all.
     pub(crate) count: Option<u64>,
     pub(crate) slow_ms: u64,
     pub(crate) leaving: bool,
@@ -61,7 +61,7 @@
         self.leaving = change.leaving.unwrap_or(self.leaving);
     }
 
-    /// Returns how to treat one more request.
+    /// Returns the mode for one request and counts it against the remaining requests.
     pub(crate) fn consume_mode(&mut self) -> ServiceMode {
         match &mut self.count {
             None => self.mode,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Counts a run and returns its place among all runs.
+    /// Counts a run and returns its number among all runs, starting at 1.
     pub(crate) fn count_run(&mut self, key: &str) -> u64 {
         *self.runs.entry(key.to_owned()).or_default() += 1;
         self.sequence += 1;
--- a/crates/wisteriahitch-standin/src/service/handler.rs
+++ b/crates/wisteriahitch-standin/src/service/handler.rs
@@ -1,4 +1,4 @@
-//! Answers of the plain service's stand-in.
+//! Request handler of the plain service's stand-in.
 
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
 const HEADER_REQUEST_ID: &str = "x-request-id";
 const HEADER_NOT_RUN: &str = "x-not-run";
 
-/// Headers that may name a run, the first one present counts.
+/// Headers that runs are counted by; the first one present is used.
 const RUN_KEY_HEADERS: [&str; 3] = ["x-test-key", "idempotency-key", HEADER_REQUEST_ID];
 
 #[derive(Debug)]
@@ -36,7 +36,8 @@
     started_at: Instant,
 }
 
-/// Counts a request as waiting or running until it ends or its caller goes away.
+/// Increments a counter of waiting or running requests until it is dropped, which also happens when
+/// the caller disconnects.
 struct CountGuard<'a> {
     state: &'a Mutex<ServiceControlState>,
     counter: fn(&mut ServiceControlState) -> &mut u64,
--- a/crates/wisteriahitch-standin/src/service/mod.rs
+++ b/crates/wisteriahitch-standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service, which counts how often each request ran.
+//! Stand-in for a plain service, which counts the runs of each request.
 
 mod control;
 mod handler;
@@ -27,7 +27,7 @@
 }
 
 impl ServiceStandin {
-    /// Starts with no runs counted.
+    /// Starts the stand-in with all counters at zero.
     pub async fn start(options: &ServiceOptions) -> anyhow::Result<Self> {
         let handler = Arc::new(ServiceHandler::new(options));
         let server = Server::start(options.listen, handler, ListenerGate::new()).await?;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Serves the plain service's stand-in until the process is told to end.
+/// Serves the plain service's stand-in until the process receives SIGTERM or SIGINT.
 pub async fn run(options: ServiceOptions) -> anyhow::Result<()> {
     let standin = ServiceStandin::start(&options).await?;
     let announcement = Announcement {
--- a/crates/wisteriahitch-standin/src/service/options.rs
+++ b/crates/wisteriahitch-standin/src/service/options.rs
@@ -4,14 +4,14 @@
 
 use wisteriahitch_types::DurationUs;
 
-/// Sets how the plain service's stand-in listens and works.
+/// Address, run time and concurrency of the plain service's stand-in.
 #[derive(Clone, Debug)]
 pub struct ServiceOptions {
     /// Loopback address that is served.
     pub listen: SocketAddr,
-    /// How long a request runs.
+    /// Duration of each run.
     pub work_us: DurationUs,
-    /// Requests that run at once; others wait.
+    /// Maximum number of requests that run at once; others wait.
     pub slots: usize,
 }
 
