--- a/crates/wisteriahitch-standin/src/flags.rs
+++ b/crates/wisteriahitch-standin/src/flags.rs
@@ -1,4 +1,4 @@
-//! Command line, one command for each stand-in.
+//! Command line: one subcommand for each stand-in.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 xflags::xflags! {
     /// Stand-ins for the systems around wisteriahitch, for development only.
     cmd wisteriahitch-standin {
-        /// Loopback address to serve; port 0 takes a free one.
+        /// Loopback address to serve; port 0 picks a free port.
         optional --listen address: SocketAddr
 
-        /// Serves the platform's object API and the lagging list of VMs.
+        /// Serves the platform's object API and its delayed list of VMs.
         cmd platform {
-            /// Delay before a new VM list shows up, in milliseconds.
+            /// Delay before a new VM list becomes visible, in milliseconds.
             optional --vm-lag-ms ms: u64
-            /// Writes a second that are taken.
+            /// Maximum rate of writes, per second.
             optional --writes-per-s rate: CallRate
-            /// Reads and watches a second that are taken.
+            /// Maximum rate of reads and watches, per second.
             optional --reads-per-s rate: CallRate
         }
 
@@ -31,13 +31,13 @@
         cmd service {
             /// How long a request runs, in milliseconds.
             optional --work-ms ms: u64
-            /// Requests that run at once.
+            /// Maximum number of requests that run at once.
             optional --slots count: usize
         }
 
-        /// Serves a model engine whose answers anybody can work out.
+        /// Serves a model engine whose answers callers can compute themselves.
         cmd engine {
-            /// Name of the endpoint, which the first line of output repeats.
+            /// Name of the endpoint, included in the first line of output.
             optional --id id: EndpointId
             /// Model that is loaded at the start, such as hist-7b@v1.
             repeated --model model: LoadedModel
@@ -45,43 +45,43 @@
             repeated --adapter adapter: AdapterName
             /// Role at the start.
             optional --role role: String
-            /// Prompt tokens read before a request of higher priority may go first.
+            /// Prompt tokens that are prefilled before a request of higher priority may preempt.
             optional --piece-tokens count: TokenCount
-            /// Length of the KV cache of one token.
+            /// Length of the KV cache of one token, in bytes.
             optional --kv-bytes-per-token bytes: u64
-            /// Speed of reading prompts, over all requests.
+            /// Rate at which prompts are prefilled, shared by all requests.
             optional --prefill-tokens-per-s rate: TokenRate
             /// Time between two tokens of one answer, in microseconds.
             optional --decode-us-per-token us: DurationUs
-            /// Requests that run at once.
+            /// Maximum number of requests that run at once.
             optional --batch-slots count: u64
-            /// Tokens whose KV cache is held.
+            /// Capacity of the prefix cache, in tokens.
             optional --kv-capacity-tokens count: TokenCount
-            /// Age of a load report, in milliseconds.
+            /// Interval between load reports, in milliseconds; zero measures each one afresh.
             optional --load-lag-ms ms: u64
-            /// Age that a cache event must have before it is told, in milliseconds.
+            /// Delay before a cache event is published, in milliseconds.
             optional --event-lag-ms ms: u64
-            /// Cache events that are kept.
+            /// Maximum number of cache events that are retained.
             optional --event-keep count: usize
             /// Refuses orders with an old fencing number.
             optional --checks-fence
             /// Time to load a version of a model, in milliseconds.
             optional --load-model-ms ms: u64
-            /// Seed of the name of this life; without it, or zero, one is drawn.
+            /// Seed of the incarnation's name; without it, or with zero, the name is random.
             optional --seed seed: u64
         }
 
-        /// Serves a store VM with memory and disk behind one limited link.
+        /// Serves a store VM with memory and disk behind one link of limited rate.
         cmd store {
-            /// Room in memory.
+            /// Capacity of the memory tier, in bytes.
             optional --memory-bytes bytes: ByteCount
-            /// Room on disk.
+            /// Capacity of the disk tier, in bytes.
             optional --disk-bytes bytes: ByteCount
-            /// Speed of the link.
+            /// Rate of the link, in bytes per second.
             optional --link-bytes-per-s rate: ByteRate
-            /// How long a pin keeps its block, in milliseconds.
+            /// Time after which a pin expires, in milliseconds.
             optional --pin-timeout-ms ms: u64
-            /// How long reserved room waits for its content, in milliseconds.
+            /// Time after which a reservation expires unless its write has begun, in milliseconds.
             optional --reserve-timeout-ms ms: u64
         }
     }
--- a/crates/wisteriahitch-standin/src/lib.rs
+++ b/crates/wisteriahitch-standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform, engines, services and stores, for development only.
 //!
-//! Each outside system is one module with its options and a `run` function that serves until the
-//! process is told to end; `docs/design/outside-protocols.md` has the wire formats.
+//! Each external system is one module with its options and a `run` function that serves until
+//! SIGTERM or SIGINT; `docs/design/outside-protocols.md` describes the wire formats.
 
 pub mod engine;
 pub mod platform;
--- a/crates/wisteriahitch-standin/src/main.rs
+++ b/crates/wisteriahitch-standin/src/main.rs
@@ -1,6 +1,6 @@
 //! Entry point of the stand-ins.
 
-// The command line's macro makes its types public although nothing outside can reach them.
+// `xflags` generates public types, which nothing outside this binary can reach.
 #[allow(unreachable_pub)]
 mod flags;
 
--- a/crates/wisteriahitch-standin/src/shared/mod.rs
+++ b/crates/wisteriahitch-standin/src/shared/mod.rs
@@ -1,4 +1,4 @@
-//! Parts that the engine and the store share.
+//! Helpers that the engine and the store share.
 
 mod freeze;
 mod pacer;
--- a/crates/wisteriahitch-standin/src/shared/pacer.rs
+++ b/crates/wisteriahitch-standin/src/shared/pacer.rs
@@ -1,32 +1,33 @@
-//! Work that takes its time one piece after the other.
+//! Pacing of work that is done in pieces, one after the other.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Longest lateness that the next piece makes up for.
+/// Maximum delay of a timer that the next piece makes up for.
 ///
-/// The timer wakes up to a millisecond late; without this, short pieces would run far under rate.
+/// The timer fires up to 1 ms late; without catching up, short pieces would run far below the rate.
 const MAX_CATCH_UP: Duration = Duration::from_millis(5);
 
-/// Gives the times at which the pieces of one server's work are done.
+/// Computes the times at which successive pieces of work are done.
 #[derive(Debug)]
 pub(crate) struct Pacer {
     free_at: Instant,
 }
 
 impl Pacer {
-    /// Builds a pacer that is free now.
+    /// Builds an idle pacer.
     pub(crate) fn new() -> Self {
         Self {
             free_at: Instant::now(),
         }
     }
 
-    /// Takes on a piece that lasts `span` and returns when it is done.
+    /// Schedules a piece that lasts `span` and returns the time at which it is done.
     ///
-    /// Whoever books has waited for the piece before, so one that isn't done yet was given up. Its
-    /// time is free again; otherwise a reader that leaves would hold up all that follow.
+    /// Callers wait for the previous piece before they schedule the next one. A previous piece that
+    /// is still in progress was therefore abandoned, and its remaining time is not charged;
+    /// otherwise a reader that disconnects would delay all that follow.
     pub(crate) fn schedule(&mut self, span: Duration) -> Instant {
         let now = Instant::now();
         let earliest = now.checked_sub(MAX_CATCH_UP).unwrap_or(now);
--- a/crates/wisteriahitch-standin/src/shared/query.rs
+++ b/crates/wisteriahitch-standin/src/shared/query.rs
@@ -4,7 +4,7 @@
 
 use http::Uri;
 
-/// Returns the value of the parameter `name` if it is there and parses.
+/// Returns the value of the query parameter `name`, or `None` if it is absent or doesn't parse.
 pub(crate) fn get_query<T: FromStr>(uri: &Uri, name: &str) -> Option<T> {
     let pairs = uri.query()?.split('&');
     let value = pairs
--- a/crates/wisteriahitch-standin/src/util/answer.rs
+++ b/crates/wisteriahitch-standin/src/util/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the stand-ins.
+//! Builders of HTTP answers.
 
 use std::convert::Infallible;
 use std::io;
@@ -12,10 +12,10 @@
 use hyper::body::Frame;
 use serde::Serialize;
 
-/// An answer whose body may break off with an error, which closes the connection.
+/// HTTP response whose body may end with an error, which closes the connection.
 pub type Answer = Response<BoxBody<Bytes, io::Error>>;
 
-/// Builds an answer with a whole body.
+/// Builds an answer with a complete body.
 pub fn answer_body(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let body = Full::new(body.into()).map_err(|never: Infallible| match never {});
     let mut answer = Response::new(body.boxed());
@@ -39,7 +39,7 @@
     answer
 }
 
-/// Builds an answer that promises the whole of `body` and breaks off after half of it.
+/// Builds an answer that declares the length of `body` and closes the connection after half of it.
 pub fn answer_truncated(status: StatusCode, body: Bytes) -> Answer {
     let declared_bytes = body.len();
     let half = body.slice(..declared_bytes / 2);
--- a/crates/wisteriahitch-standin/src/util/mod.rs
+++ b/crates/wisteriahitch-standin/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP server and answers that the stand-ins share.
+//! HTTP server, answers and signal handling that the stand-ins share.
 
 mod answer;
 mod run;
--- a/crates/wisteriahitch-standin/src/util/server.rs
+++ b/crates/wisteriahitch-standin/src/util/server.rs
@@ -1,4 +1,4 @@
-//! Small HTTP/1.1 server on a loopback address.
+//! Minimal HTTP/1.1 server on a loopback address.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -22,7 +22,7 @@
 
 use super::Answer;
 
-/// Wait before an address that is still taken is tried again.
+/// Interval between attempts to bind an address that is still in use.
 const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Makes the server close the connection without an answer.
@@ -31,7 +31,7 @@
 
 impl fmt::Display for Abort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the connection is closed on purpose")
+        f.write_str("the stand-in closes the connection without an answer")
     }
 }
 
@@ -44,17 +44,17 @@
 }
 
 /// Answers the requests of one server.
-///
-/// The future is dropped when the caller closes its connection.
 #[async_trait]
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a request, or has its connection closed.
+    /// Answers a request, or returns [`Abort`] to close its connection.
+    ///
+    /// The future is dropped when the caller closes the connection.
     async fn handle(&self, request: Request<Incoming>) -> Result<Answer, Abort>;
 }
 
-/// Opens and shuts a server's address.
+/// Opens and closes the listener of a server.
 ///
-/// While it is shut, connections are refused and the existing ones are gone.
+/// Closing it also closes existing connections; new ones are refused until it is opened again.
 #[derive(Clone, Debug)]
 pub struct ListenerGate {
     requested_open: watch::Sender<bool>,
@@ -70,10 +70,10 @@
         }
     }
 
-    /// Opens or shuts the address, and returns once the server has done so.
+    /// Opens or closes the listener, and returns once the server has done so.
     ///
-    /// Without the wait a test's next call could still reach the server; it would fail now and
-    /// then with another kind of error.
+    /// Without the wait a test's next call could still reach the server and sometimes fail with
+    /// another kind of error.
     pub async fn set_open(&self, is_open: bool) {
         self.requested_open.send_replace(is_open);
         wait_until(&self.applied_open, is_open).await;
@@ -88,7 +88,7 @@
 
 async fn wait_until(state: &watch::Sender<bool>, expected: bool) {
     let mut receiver = state.subscribe();
-    // The sender outlives the receiver, so the wait can't fail.
+    // `state` outlives the receiver, so the wait can't fail.
     let _ = receiver.wait_for(|current| *current == expected).await;
 }
 
@@ -107,7 +107,7 @@
         gate: ListenerGate,
     ) -> io::Result<Self> {
         if !listen.ip().is_loopback() {
-            let message = "a stand-in listens on loopback only";
+            let message = "a stand-in listens on loopback addresses only";
             return Err(io::Error::new(io::ErrorKind::InvalidInput, message));
         }
         let listener = TcpListener::bind(listen).await?;
@@ -165,25 +165,25 @@
 }
 
 async fn serve_connection(stream: TcpStream, handler: Arc<dyn Handler>) {
-    // Without it, answers in two parts wait for the client's delayed acknowledgement.
+    // With Nagle's algorithm, an answer sent in two parts waits for the client's delayed ACK.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
         async move { handler.handle(request).await }
     });
-    // An error here is a connection that either side closed, which the stand-ins do on purpose.
+    // Errors mean that either side closed the connection, which the stand-ins do on purpose.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-/// Reads a request's body, or gives up the connection when it is larger than `limit_bytes`.
+/// Reads a request's body, or returns [`Abort`] if it fails or is larger than `limit_bytes`.
 pub async fn read_whole(body: Incoming, limit_bytes: usize) -> Result<Bytes, Abort> {
     let whole = Limited::new(body, limit_bytes).collect().await;
     whole.map(|body| body.to_bytes()).map_err(|_| Abort)
 }
 
-/// Reads a request's body as JSON, or says why it isn't.
+/// Reads a request's body as JSON, or returns the parse error.
 pub async fn read_json<T: DeserializeOwned>(
     body: Incoming,
     limit_bytes: usize,
