--- a/crates/wisteriahitch-standin/tests/all/control.rs
+++ b/crates/wisteriahitch-standin/tests/all/control.rs
@@ -1,4 +1,4 @@
-//! Calls to the stand-ins' control paths.
+//! Calls to the control paths of the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 const TIMEOUT_US: DurationUs = DurationUs::from_ms(20_000);
 const LIMIT_BYTES: ByteCount = ByteCount::new(1_000_000);
 
-/// Longest wait for a state that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of [`wait_for`].
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) async fn post(address: SocketAddr, path: &str, value: &impl Serialize) {
     let body = serde_json::to_vec(value).unwrap();
@@ -27,7 +27,7 @@
     serde_json::from_slice(&send(address, request).await).unwrap()
 }
 
-/// Waits until `probe` returns something.
+/// Polls `probe` until it returns `Some`; panics after [`WAIT_TIMEOUT`].
 pub(crate) async fn wait_for<T, F: Future<Output = Option<T>>>(mut probe: impl FnMut() -> F) -> T {
     let wait = async {
         loop {
@@ -37,7 +37,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.unwrap()
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.unwrap()
 }
 
 async fn send(address: SocketAddr, request: Request<Bytes>) -> Bytes {
--- a/crates/wisteriahitch-standin/tests/all/engine.rs
+++ b/crates/wisteriahitch-standin/tests/all/engine.rs
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn answers_are_whole_and_follow_from_the_question() {
+async fn answers_are_complete_and_a_function_of_the_request() {
     let site = Site::start_engine(fast_engine()).await;
     let adapted = CompletionRequest {
         adapter: Some("parts".parse().unwrap()),
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_has_the_text_of_the_stream() {
+async fn an_unstreamed_answer_equals_the_streamed_text() {
     let site = Site::start_engine(fast_engine()).await;
     let request = request("r-1", &[1]);
     let body = CompletionBody {
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn only_the_held_start_of_a_chain_counts_as_cached() {
+async fn only_the_cached_prefix_of_a_chain_counts_as_cached() {
     struct Case {
         name: &'static str,
         keys: &'static [u8],
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn the_end_of_the_oldest_chain_goes_first() {
+async fn the_tail_of_the_least_recently_used_chain_is_evicted_first() {
     let site = Site::start_engine(EngineOptions {
         kv_capacity_tokens: TokenCount::new(40),
         ..fast_engine()
@@ -152,13 +152,13 @@
 }
 
 #[tokio::test]
-async fn higher_priority_gets_the_next_place() {
+async fn higher_priority_gets_the_next_batch_slot() {
     let options = EngineOptions {
         batch_slots: 1,
         ..fast_engine()
     };
     let site = Site::start_engine(options).await;
-    let (_, holding) = site.start_run(endless_request("r-holding")).await.unwrap();
+    let (_, slot_holder) = site.start_run(endless_request("r-holding")).await.unwrap();
     let order = Arc::new(Mutex::new(Vec::new()));
     let mut runs = Vec::new();
     for (queued, (id, priority)) in [("r-low", 1), ("r-mid", 5), ("r-high", 9), ("r-mid2", 5)]
@@ -184,7 +184,7 @@
         })
         .await;
     }
-    drop(holding);
+    drop(slot_holder);
     for run in runs {
         run.await.unwrap();
     }
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn cancelled_requests_leave_their_places() {
+async fn cancelled_requests_release_their_batch_slots() {
     let options = EngineOptions {
         batch_slots: 1,
         ..fast_engine()
@@ -237,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_show_gaps_and_come_late() {
+async fn cache_events_show_gaps_and_are_delayed() {
     let site = Site::start_engine(EngineOptions {
         event_keep: 3,
         kv_capacity_tokens: TokenCount::new(20),
@@ -251,13 +251,14 @@
     let known = site.engine.cache_events(address, 2).await.unwrap();
     assert_eq!((known.next, known.events.len()), (3, 0));
 
-    // The next visit makes four events of which three are kept: one is lost for whoever has two.
+    // The next visit creates four events, of which three are retained: a client that has read two
+    // misses one.
     site.visit("r-2", &[3, 4]).await;
     let events = site.engine.cache_events(address, 2).await.unwrap();
     assert!(events.first > 3, "a gap: {events:?}");
-    let told: Vec<_> = events.events.iter().map(|e| (e.number, e.kind)).collect();
+    let published: Vec<_> = events.events.iter().map(|e| (e.number, e.kind)).collect();
     let (stored, evicted) = (CacheEventKind::Stored, CacheEventKind::Evicted);
-    assert_eq!(told, [(4, stored), (5, evicted), (6, stored)]);
+    assert_eq!(published, [(4, stored), (5, evicted), (6, stored)]);
     let listing = site.engine.cache_listing(address).await.unwrap();
     assert_eq!((listing.next, listing.keys), (7, [3, 4].map(key).to_vec()));
     assert_eq!(listing.incarnation, events.incarnation);
@@ -276,7 +277,7 @@
 }
 
 #[tokio::test]
-async fn load_reports_lag() {
+async fn load_reports_are_delayed() {
     let site = Site::start_engine(EngineOptions {
         load_lag_us: DurationUs::from_ms(3_600_000),
         ..fast_engine()
@@ -287,19 +288,19 @@
 }
 
 #[tokio::test]
-async fn only_engines_that_check_refuse_old_fencing_numbers() {
+async fn only_engines_that_check_fencing_refuse_old_numbers() {
     struct Case {
         checks_fence: bool,
         fence: u64,
         role: &'static str,
-        given: Result<(), EngineErrorKind>,
+        result: Result<(), EngineErrorKind>,
         role_after: &'static str,
     }
-    let case = |checks_fence, fence, role, given, role_after| Case {
+    let case = |checks_fence, fence, role, result, role_after| Case {
         checks_fence,
         fence,
         role,
-        given,
+        result,
         role_after,
     };
     let fenced = Err(EngineErrorKind::Fenced);
@@ -328,12 +329,12 @@
                 role: case.role.to_owned(),
             };
             let fence = FenceNumber::new(case.fence);
-            let given = site
+            let result = site
                 .engine
                 .order(site.engine_address(), fence, order, ORDER_TIMEOUT)
                 .await;
-            let given = given.map_err(|error| error.kind());
-            assert_eq!(given, case.given, "{checks_fence} {}", case.fence);
+            let result = result.map_err(|error| error.kind());
+            assert_eq!(result, case.result, "{checks_fence} {}", case.fence);
             let load = site.load().await;
             assert_eq!(load.role, case.role_after, "{checks_fence} {}", case.fence);
             assert_eq!(load.checks_fence, checks_fence);
@@ -342,10 +343,10 @@
 }
 
 #[tokio::test]
-async fn a_swap_leaves_running_requests_their_weights() {
-    // Symptom: an answer is made of two weight versions, or of another version's cache blocks.
-    // Sequence: the weights are swapped while one request runs and others arrive.
-    // Cause: the engine looks at the version in force in place of the request's own.
+async fn a_weight_swap_does_not_affect_running_requests() {
+    // Guards against answers that mix two weight versions or use cache blocks of another version.
+    // That happens if the weights are swapped while one request runs and others arrive, and the
+    // engine uses the loaded version instead of the version of the request.
     let site = Site::start_engine(fast_engine()).await;
     site.visit("r-1", &[1]).await;
     let long = CompletionRequest {
@@ -355,10 +356,10 @@
     let (_, running) = site.start_run(long.clone()).await.unwrap();
     let fence = FenceNumber::new(1);
     let order = load_order("hist-7b", "v2");
-    let given = site
+    let result = site
         .engine
         .order(site.engine_address(), fence, order, ORDER_TIMEOUT);
-    given.await.unwrap();
+    result.await.unwrap();
     assert_eq!(site.cached_keys().await, []);
 
     let refused = site.start_run(request("r-3", &[1])).await.err().unwrap();
@@ -377,13 +378,13 @@
 }
 
 #[tokio::test]
-async fn a_request_that_waits_across_a_swap_is_refused() {
+async fn a_request_queued_during_a_weight_swap_is_refused() {
     let site = Site::start_engine(EngineOptions {
         batch_slots: 1,
         ..fast_engine()
     })
     .await;
-    let (_, holding) = site.start_run(endless_request("r-1")).await.unwrap();
+    let (_, slot_holder) = site.start_run(endless_request("r-1")).await.unwrap();
     let engine = site.engine.clone();
     let address = site.engine_address();
     let late = request("r-2", &[1]);
@@ -397,9 +398,9 @@
     .await;
     let order = load_order("hist-7b", "v2");
     let fence = FenceNumber::new(1);
-    let given = site.engine.order(address, fence, order, ORDER_TIMEOUT);
-    given.await.unwrap();
-    drop(holding);
+    let result = site.engine.order(address, fence, order, ORDER_TIMEOUT);
+    result.await.unwrap();
+    drop(slot_holder);
     let refused = waiting.await.unwrap();
     assert_eq!(refused, EngineErrorKind::OtherVersion);
     let counters = site.engine_counters().await;
@@ -430,13 +431,13 @@
     };
     assert!(refusal(unknown_model).await.contains("model"));
 
-    // The order outlives the wait of the one who gave it.
+    // The order is executed to its end although its sender has timed out.
     let short = DurationUs::from_ms(50);
     let order = load_order("hist-7b", "v2");
-    let given = site
+    let result = site
         .engine
         .order(address, FenceNumber::new(1), order, short);
-    let error = given.await.unwrap_err();
+    let error = result.await.unwrap_err();
     assert_eq!(error.kind(), EngineErrorKind::Timeout);
     assert!(!site.load().await.models[0].ready);
     assert!(refusal(request("r-3", &[])).await.contains("loading"));
@@ -452,18 +453,18 @@
 }
 
 #[tokio::test]
-async fn faults_show_in_the_answer() {
+async fn each_fault_changes_the_answer_and_is_used_up() {
     struct Case {
         fault: EngineFault,
         positions: &'static [u64],
         end: Option<EngineErrorKind>,
-        is_own: bool,
+        has_own_request_id: bool,
     }
-    let case = |fault, positions, end, is_own| Case {
+    let case = |fault, positions, end, has_own_request_id| Case {
         fault,
         positions,
         end,
-        is_own,
+        has_own_request_id,
     };
     let lost = Some(EngineErrorKind::Lost);
     let nonsense = Some(EngineErrorKind::Nonsense);
@@ -487,8 +488,12 @@
         let positions: Vec<u64> = tokens.iter().map(|token| token.position).collect();
         assert_eq!(positions, case.positions, "{:?}", case.fault);
         assert_eq!(end, case.end, "{:?}", case.fault);
-        let is_own = head.request_id == request.request_id;
-        assert_eq!(is_own, case.is_own, "{:?}", case.fault);
+        let has_own_request_id = head.request_id == request.request_id;
+        assert_eq!(
+            has_own_request_id, case.has_own_request_id,
+            "{:?}",
+            case.fault
+        );
 
         let (head, tokens) = site.complete(request.clone()).await;
         assert_eq!(head.request_id, request.request_id, "used up");
@@ -507,7 +512,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_engine_goes_on_when_it_thaws() {
+async fn a_frozen_engine_resumes_when_it_thaws() {
     let site = Site::start_engine(fast_engine()).await;
     let (_, mut running) = site.start_run(endless_request("r-1")).await.unwrap();
     running.next().await.unwrap().unwrap();
@@ -525,7 +530,7 @@
 #[tokio::test]
 async fn hundreds_of_streams_at_once_get_their_own_answers() {
     const STREAMS: usize = 300;
-    const OPENING: usize = 32;
+    const MAX_CONCURRENT_CONNECTS: usize = 32;
     let site = Site::start_engine(EngineOptions {
         batch_slots: STREAMS as u64,
         decode_us_per_token: DurationUs::from_ms(5),
@@ -538,15 +543,18 @@
         ..request(&format!("r-{number}"), &[])
     });
     let requests: Vec<_> = requests.collect();
-    // Connections open a few at a time: a burst that overflows the queue of the listener is
-    // refused by the system, which isn't the matter here.
-    let begun = requests
+    // Connections are opened a few at a time, because the system refuses a burst that overflows
+    // the listener's backlog, which this test isn't about.
+    let started_runs = requests
         .iter()
         .cloned()
         .map(|request| site.start_run(request));
-    let begun: Vec<_> = stream::iter(begun).buffered(OPENING).collect().await;
-    assert_eq!(begun.len(), STREAMS);
-    let answers = begun.into_iter().map(|run| async {
+    let started_runs: Vec<_> = stream::iter(started_runs)
+        .buffered(MAX_CONCURRENT_CONNECTS)
+        .collect()
+        .await;
+    assert_eq!(started_runs.len(), STREAMS);
+    let answers = started_runs.into_iter().map(|run| async {
         let (_, tokens) = run.unwrap();
         tokens.map(|token| token.unwrap().text).collect().await
     });
--- a/crates/wisteriahitch-standin/tests/all/kv_block.rs
+++ b/crates/wisteriahitch-standin/tests/all/kv_block.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn any_bytes_are_a_header_or_a_typed_error() {
+fn any_bytes_parse_as_a_header_or_give_an_error() {
     let magic = prop_oneof![Just(b"WKV1".to_vec()), vec(any::<u8>(), 0..5)];
     let contents = (magic, vec(any::<u8>(), 0..80));
     let outcome = runner().run(&contents, |(magic, rest)| {
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn a_changed_block_is_never_taken() {
+fn a_changed_or_truncated_block_is_rejected() {
     let changes = (0..500u64, 0..20u64, any::<prop::sample::Index>(), 1..=255u8);
-    let outcome = runner().run(&changes, |(tokens, per_token, place, change)| {
+    let outcome = runner().run(&changes, |(tokens, per_token, position, change)| {
         let tokens = TokenCount::new(tokens);
         let v1 = version("v1");
         let bytes = block_bytes(tokens, per_token);
@@ -49,11 +49,11 @@
         prop_assert_eq!(whole, Ok(tokens));
 
         let mut changed = content.to_vec();
-        changed[place.index(content.len())] ^= change;
+        changed[position.index(content.len())] ^= change;
         let checked = check_block(&changed, key(1), &v1, bytes, crc32c);
         prop_assert_eq!(checked, Err(KvBlockError::WrongChecksum));
-        let cut = &content[..place.index(content.len())];
-        let checked = check_block(cut, key(1), &v1, bytes, crc32c);
+        let truncated = &content[..position.index(content.len())];
+        let checked = check_block(truncated, key(1), &v1, bytes, crc32c);
         prop_assert_eq!(checked, Err(KvBlockError::WrongLength));
         Ok(())
     });
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_block_under_another_name_is_found_out_by_its_header() {
+fn a_block_of_another_key_or_version_is_rejected_by_its_header() {
     let (v1, v2) = (version("v1"), version("v2"));
     let tokens = TokenCount::new(100);
     let bytes = ByteCount::new(1_000);
--- a/crates/wisteriahitch-standin/tests/all/main.rs
+++ b/crates/wisteriahitch-standin/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the wire's clients against the stand-ins.
+//! Tests of the stand-ins through the clients of `wisteriahitch-wire`.
 
-// Helpers of tests may unwrap as the tests themselves do; the linter knows only the latter.
+// Clippy allows `unwrap` in tests, but not in their helper functions.
 #![allow(clippy::unwrap_used)]
 
 mod control;
--- a/crates/wisteriahitch-standin/tests/all/platform.rs
+++ b/crates/wisteriahitch-standin/tests/all/platform.rs
@@ -12,28 +12,28 @@
 };
 
 use crate::control;
-use crate::process::STARTING;
+use crate::process::PROCESS_START_LOCK;
 
-const PLENTY: CallRate = CallRate::new(10_000.0);
+const UNLIMITED_RATE: CallRate = CallRate::new(10_000.0);
 
-async fn start() -> PlatformStandin {
+async fn start_platform() -> PlatformStandin {
     PlatformStandin::start(&PlatformOptions::default())
         .await
         .unwrap()
 }
 
-fn client_of(addresses: &[SocketAddr], call_timeout_us: DurationUs) -> HttpPlatform {
+fn client_with(addresses: &[SocketAddr], call_timeout_us: DurationUs) -> HttpPlatform {
     HttpPlatform::new(HttpPlatformOptions {
         addresses: addresses.to_vec(),
         call_timeout_us,
-        reads_per_s: PLENTY,
-        writes_per_s: PLENTY,
+        reads_per_s: UNLIMITED_RATE,
+        writes_per_s: UNLIMITED_RATE,
         ..HttpPlatformOptions::default()
     })
 }
 
 fn client(standin: &PlatformStandin) -> HttpPlatform {
-    client_of(&[standin.address()], DurationUs::from_ms(20_000))
+    client_with(&[standin.address()], DurationUs::from_ms(20_000))
 }
 
 async fn set_mode(standin: &PlatformStandin, mode: PlatformMode) {
@@ -45,8 +45,8 @@
 }
 
 #[tokio::test]
-async fn objects_change_only_against_their_version() {
-    let standin = start().await;
+async fn objects_change_only_with_their_current_version() {
+    let standin = start_platform().await;
     let platform = client(&standin);
     let kind = ObjectKind::Claim;
 
@@ -82,9 +82,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn one_of_many_racing_updates_wins() {
+async fn exactly_one_of_concurrent_updates_succeeds() {
     const WRITERS: usize = 16;
-    let standin = start().await;
+    let standin = start_platform().await;
     let platform = Arc::new(client(&standin));
     let kind = ObjectKind::ConfigHead;
     let before = platform.create(kind, "site", json!(0)).await.unwrap();
@@ -112,8 +112,8 @@
 }
 
 #[tokio::test]
-async fn a_watch_ends_with_the_next_event_or_its_time() {
-    let standin = start().await;
+async fn a_watch_ends_with_the_next_event_or_its_timeout() {
+    let standin = start_platform().await;
     let platform = Arc::new(client(&standin));
     let kind = ObjectKind::ConfigHead;
     let short_us = DurationUs::from_ms(1_000);
@@ -152,11 +152,11 @@
     assert_eq!(deleted.unwrap_err().kind(), PlatformErrorKind::NotFound);
 }
 
-/// Symptom: a daemon takes a write for lost or for done although it was neither. Sequence: the
-/// platform fails in one of its ways while a claim is written. Cause: the ways look alike.
+/// Guards against a daemon that misjudges whether a write took effect. That happens if the platform
+/// fails while a claim is written and the client doesn't distinguish the kinds of failure.
 #[tokio::test]
-async fn outages_write_nothing_and_are_told_apart() {
-    let _no_copied_sockets = STARTING.lock().await;
+async fn outages_write_nothing_and_are_distinguished() {
+    let _no_copied_sockets = PROCESS_START_LOCK.lock().await;
     struct Case {
         mode: PlatformMode,
         expected: PlatformErrorKind,
@@ -179,14 +179,15 @@
             expected: PlatformErrorKind::AnswerLost,
         },
     ];
-    let standin = start().await;
+    let standin = start_platform().await;
     let platform = client(&standin);
-    // A connection is kept from here on, as in a daemon that meets an outage midway.
+    // The client keeps a connection open from here on, like a daemon that was running before the
+    // outage.
     platform.list(ObjectKind::Claim).await.unwrap();
-    let impatient = client_of(&[standin.address()], DurationUs::from_ms(1_000));
+    let short_timeout_client = client_with(&[standin.address()], DurationUs::from_ms(1_000));
     for case in cases {
         set_mode(&standin, case.mode).await;
-        let error = impatient
+        let error = short_timeout_client
             .create(ObjectKind::Claim, "a", json!(0))
             .await
             .unwrap_err();
@@ -198,13 +199,13 @@
 }
 
 #[tokio::test]
-async fn a_write_refused_at_one_address_goes_to_the_next() {
-    let _no_copied_sockets = STARTING.lock().await;
-    let standin = start().await;
+async fn a_write_refused_at_one_address_is_sent_to_the_next() {
+    let _no_copied_sockets = PROCESS_START_LOCK.lock().await;
+    let standin = start_platform().await;
     let addresses = [standin.address(), standin.control_address()];
-    let platform = client_of(&addresses, DurationUs::from_ms(20_000));
+    let platform = client_with(&addresses, DurationUs::from_ms(20_000));
     set_mode(&standin, PlatformMode::Refuse).await;
-    // The second address shares the mode, so what arrives there is cut off unanswered.
+    // The second address shares the mode, so it closes the connections of calls unanswered.
     let error = platform
         .create(ObjectKind::Claim, "a", json!(0))
         .await
@@ -214,12 +215,12 @@
     assert_eq!(state["calls"]["create"]["claims"], 1);
 }
 
-/// Symptom: a claim is taken for free and its request runs twice. Sequence: the claim is written,
-/// the connection breaks before the answer, and the daemon writes it again. Cause: a lost answer
-/// is taken for a write that had no effect.
+/// Guards against a request that runs twice because its claim is believed to be free. That happens
+/// if the claim is written, the connection breaks before the answer, and the daemon treats the lost
+/// answer as a write without effect and writes again.
 #[tokio::test]
-async fn a_lost_answer_leaves_its_write_in_place() {
-    let standin = start().await;
+async fn a_write_with_a_lost_answer_has_taken_effect() {
+    let standin = start_platform().await;
     let platform = client(&standin);
     let change = PlatformControl {
         lose_answers: Some(1),
@@ -244,19 +245,19 @@
     assert!(next.is_ok(), "{next:?}");
 }
 
-/// Symptom: a claim that was read back as absent exists later. Sequence: the platform is slow, the
-/// daemon gives the write up, reads nothing back, and the write takes effect then. Cause: a write
-/// that was given up is taken for one that won't happen.
+/// Guards against a claim that was read back as absent and exists later. That happens if the
+/// platform is slow and the daemon abandons a write, reads nothing back and concludes that the
+/// write won't take effect, which it then does.
 #[tokio::test]
-async fn a_write_that_was_given_up_may_take_effect_later() {
-    let standin = start().await;
+async fn an_abandoned_write_may_take_effect_later() {
+    let standin = start_platform().await;
     let change = PlatformControl {
         slow_ms: Some(2_000),
         ..PlatformControl::default()
     };
     control::post(standin.address(), "/control", &change).await;
-    let impatient = client_of(&[standin.address()], DurationUs::from_ms(500));
-    let error = impatient
+    let short_timeout_client = client_with(&[standin.address()], DurationUs::from_ms(500));
+    let error = short_timeout_client
         .create(ObjectKind::Claim, "a", json!(0))
         .await
         .unwrap_err();
@@ -266,11 +267,11 @@
 }
 
 #[tokio::test]
-async fn calls_over_the_rate_are_refused() {
-    let slow = CallRate::new(0.001);
+async fn calls_over_the_rate_limit_are_refused() {
+    let low_rate = CallRate::new(0.001);
     let options = PlatformOptions {
-        writes_per_s: slow,
-        reads_per_s: slow,
+        writes_per_s: low_rate,
+        reads_per_s: low_rate,
         ..PlatformOptions::default()
     };
     let standin = PlatformStandin::start(&options).await.unwrap();
@@ -288,12 +289,12 @@
 }
 
 #[tokio::test]
-async fn a_value_above_a_megabyte_is_refused() {
+async fn a_spec_above_one_megabyte_is_refused() {
     struct Case {
         text_bytes: usize,
         expected: Result<(), PlatformErrorKind>,
     }
-    // A string's quotes count, too.
+    // The quotes of the JSON string count towards the limit.
     let cases = [
         Case {
             text_bytes: 999_998,
@@ -304,7 +305,7 @@
             expected: Err(PlatformErrorKind::TooLarge),
         },
     ];
-    let standin = start().await;
+    let standin = start_platform().await;
     let platform = client(&standin);
     for case in cases {
         let spec = json!("x".repeat(case.text_bytes));
@@ -318,19 +319,19 @@
 }
 
 #[tokio::test]
-async fn the_list_of_vms_lags_and_is_the_platforms_own() {
+async fn the_vm_list_is_delayed_and_read_only() {
     struct Case {
         vm_lag_us: DurationUs,
-        is_shown: bool,
+        is_visible: bool,
     }
     let cases = [
         Case {
             vm_lag_us: DurationUs::ZERO,
-            is_shown: true,
+            is_visible: true,
         },
         Case {
             vm_lag_us: DurationUs::from_ms(3_600_000),
-            is_shown: false,
+            is_visible: false,
         },
     ];
     let kind = ObjectKind::VirtualMachine;
@@ -352,7 +353,7 @@
 
         let vms = vec![vm("a", VmPhase::Live), vm("b", VmPhase::Live)];
         control::post(standin.address(), "/control/vms", &VmList { vms }).await;
-        if !case.is_shown {
+        if !case.is_visible {
             assert!(platform.list(kind).await.unwrap().items.is_empty());
             continue;
         }
--- a/crates/wisteriahitch-standin/tests/all/process.rs
+++ b/crates/wisteriahitch-standin/tests/all/process.rs
@@ -5,14 +5,14 @@
 use serde_json::Value;
 use tokio::sync::Mutex;
 
-/// Held while a process is started, and by tests whose stand-in must refuse connections.
+/// Locked while a process is started, and by tests whose stand-in must refuse connections.
 ///
-/// Until a new process runs its program it holds a copy of every socket of this one, so that a
-/// closed address still takes connections for a moment, which are reset then instead of refused.
-pub(crate) static STARTING: Mutex<()> = Mutex::const_new(());
+/// Between fork and exec a new process has a copy of every socket of this one. A closed listener
+/// therefore still accepts connections for a moment, which are then reset instead of refused.
+pub(crate) static PROCESS_START_LOCK: Mutex<()> = Mutex::const_new(());
 
 fn start(arguments: &[&str]) -> Child {
-    let _starting = STARTING.blocking_lock();
+    let _starting = PROCESS_START_LOCK.blocking_lock();
     Command::new(env!("CARGO_BIN_EXE_wisteriahitch-standin"))
         .args(arguments)
         .stdout(Stdio::piped())
@@ -22,13 +22,13 @@
 }
 
 fn send_signal(signal: &str, pid: &str) {
-    let _starting = STARTING.blocking_lock();
+    let _starting = PROCESS_START_LOCK.blocking_lock();
     let kill = Command::new("kill").args([signal, pid]).status();
     assert!(kill.unwrap().success());
 }
 
 #[test]
-fn a_standin_tells_its_address_and_ends_on_a_signal() {
+fn a_standin_prints_its_address_and_exits_on_a_signal() {
     struct Case {
         arguments: &'static [&'static str],
         signal: &'static str,
--- a/crates/wisteriahitch-standin/tests/all/service.rs
+++ b/crates/wisteriahitch-standin/tests/all/service.rs
@@ -68,10 +68,10 @@
     }
 }
 
-/// Symptom: "not run" is said of a booking that was made. Sequence: the service runs the request
-/// and fails before its answer is whole. Cause: a failed call is taken for one that didn't run.
+/// Guards against "not run" being reported for a request that ran. That happens if the service runs
+/// the request and fails before its answer is complete, and every failed call counts as not run.
 #[tokio::test]
-async fn faults_are_sorted_and_end_with_their_count() {
+async fn faults_are_classified_and_end_after_their_count() {
     struct Case {
         mode: ServiceMode,
         expected: ServiceErrorKind,
@@ -97,14 +97,17 @@
             count: Some(1),
             ..ServiceControl::default()
         };
-        // The connection is kept from here on, as between a daemon and its endpoint.
+        // The client keeps its connection open from here on, like a daemon and its endpoint.
         service.call(address, request("r-0", &[])).await.unwrap();
         control::post(address, "/control", &change).await;
-        let failing = ServiceRequest {
+        let short_timeout_request = ServiceRequest {
             timeout_us: DurationUs::from_ms(1_000),
             ..request("r-1", &[])
         };
-        let error = service.call(address, failing).await.unwrap_err();
+        let error = service
+            .call(address, short_timeout_request)
+            .await
+            .unwrap_err();
         assert_eq!(error.kind(), case.expected, "{:?}: {error}", case.mode);
         assert_eq!(error.is_not_run(), case.runs == 0, "{:?}", case.mode);
         service.call(address, request("r-2", &[])).await.unwrap();
@@ -119,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn the_load_report_tells_what_runs_and_waits() {
+async fn the_load_report_counts_running_and_queued_requests() {
     let options = ServiceOptions {
         slots: 1,
         ..ServiceOptions::default()
--- a/crates/wisteriahitch-standin/tests/all/site.rs
+++ b/crates/wisteriahitch-standin/tests/all/site.rs
@@ -23,9 +23,9 @@
 use wisteriahitch_wire::http_client::{HttpClient, HttpClientOptions};
 use wisteriahitch_wire::store::HttpStore;
 
-/// Bound on every wait for a state, far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
-const LONG: DurationUs = DurationUs::from_ms(30_000);
+/// Timeout of [`eventually`], far above the time that any state takes to be reached.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: DurationUs = DurationUs::from_ms(30_000);
 
 pub(crate) const PIECE: TokenCount = TokenCount::new(10);
 
@@ -37,7 +37,7 @@
     name.parse().unwrap()
 }
 
-/// Gives options for an engine that has `hist-7b@v1` and loses no time.
+/// Returns options for an engine that has `hist-7b@v1` loaded and adds no noticeable delays.
 pub(crate) fn fast_engine() -> EngineOptions {
     EngineOptions {
         models: vec!["hist-7b@v1".parse().unwrap()],
@@ -52,7 +52,7 @@
     }
 }
 
-/// Builds a request whose prompt consists of whole pieces under `keys` and one word.
+/// Builds a request whose prompt consists of one block for each of `keys`, then one more word.
 pub(crate) fn request(id: &str, keys: &[u8]) -> CompletionRequest {
     let words: Vec<String> = keys
         .iter()
@@ -72,7 +72,7 @@
     }
 }
 
-/// Builds a request that holds its place until it is cancelled.
+/// Builds a request that occupies its batch slot until it is cancelled.
 pub(crate) fn endless_request(id: &str) -> CompletionRequest {
     CompletionRequest {
         max_tokens: TokenCount::new(u64::MAX),
@@ -88,7 +88,7 @@
     keys.iter().map(to_block).collect()
 }
 
-/// Gives the tokens that the engine must answer with.
+/// Returns the texts of the tokens that the engine must answer with.
 pub(crate) fn expected_texts(request: &CompletionRequest) -> Vec<String> {
     let adapter = request.adapter.as_ref();
     let version = &request.weight_version;
@@ -97,7 +97,7 @@
     positions.map(|position| source.token(position)).collect()
 }
 
-/// Waits until `check` gives something.
+/// Polls `check` until it returns `Some`; panics after [`WAIT_TIMEOUT`].
 pub(crate) async fn eventually<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
     let wait = async {
         loop {
@@ -107,13 +107,13 @@
             sleep(Duration::from_millis(2)).await;
         }
     };
-    let Ok(found) = timeout(PATIENCE, wait).await else {
-        panic!("it never came about that {what}");
+    let Ok(found) = timeout(WAIT_TIMEOUT, wait).await else {
+        panic!("timed out after {WAIT_TIMEOUT:?} waiting until {what}");
     };
     found
 }
 
-/// One engine, one store, and clients of both.
+/// One engine and one store, with clients of both.
 pub(crate) struct Site {
     engine_standin: EngineStandin,
     store_standin: StoreStandin,
@@ -163,7 +163,9 @@
     ) -> Response<Bytes> {
         let request = Request::builder().method(method).uri(path);
         let request = request.body(body.into()).unwrap();
-        let answer = self.http.fetch(address, request, LONG, ByteCount::MAX);
+        let answer = self
+            .http
+            .fetch(address, request, CALL_TIMEOUT, ByteCount::MAX);
         answer.await.unwrap()
     }
 
@@ -172,10 +174,10 @@
         request: CompletionRequest,
     ) -> Result<(CompletionHead, TokenStream), EngineError> {
         let address = self.engine_address();
-        self.engine.complete(address, request, LONG).await
+        self.engine.complete(address, request, CALL_TIMEOUT).await
     }
 
-    /// Runs a request to its end.
+    /// Runs a request to its end and returns all its tokens.
     pub(crate) async fn complete(
         &self,
         request: CompletionRequest,
@@ -184,7 +186,7 @@
         (head, tokens.map(Result::unwrap).collect().await)
     }
 
-    /// Runs a request with `keys` and returns the tokens that were cached.
+    /// Runs a request with `keys` and returns the number of its tokens that were cached.
     pub(crate) async fn visit(&self, id: &str, keys: &[u8]) -> u64 {
         let (head, _) = self.complete(request(id, keys)).await;
         head.cached_tokens.get()
--- a/crates/wisteriahitch-standin/tests/all/transfer.rs
+++ b/crates/wisteriahitch-standin/tests/all/transfer.rs
@@ -1,4 +1,4 @@
-//! Blocks that travel between an engine and a store.
+//! Export and import of blocks between an engine and a store.
 
 use bytes::Bytes;
 use http::Request;
@@ -34,11 +34,11 @@
     };
     match site.store.reserve(site.store_address(), request).await {
         Ok(Reserved::Room(generation)) => generation,
-        other => panic!("no room: {other:?}"),
+        other => panic!("expected a new reservation of block {number}, got {other:?}"),
     }
 }
 
-/// Has a held block written to the store.
+/// Exports a cached block to the store.
 async fn export(site: &Site, number: u8) -> Result<ExportResult, EngineErrorKind> {
     let generation = reserve(site, number).await;
     let request = ExportRequest {
@@ -51,7 +51,7 @@
     exported.map_err(|error| error.kind())
 }
 
-/// Pins a block of the store and describes its import.
+/// Pins a block of the store and returns the request that imports it.
 async fn pin(site: &Site, number: u8) -> ImportRequest {
     let address = site.store_address();
     let incarnation = site.store_standin().incarnation();
@@ -73,12 +73,12 @@
     imported.map_err(|error| error.kind())
 }
 
-fn path(request: &ImportRequest) -> &str {
+fn url_path(request: &ImportRequest) -> &str {
     let at = request.from.find("/v1").unwrap();
     &request.from[at..]
 }
 
-/// Computes block 1, writes it to the store and has it dropped from the engine's cache.
+/// Computes block 1, exports it to the store and evicts it from the engine's cache.
 async fn save_and_evict(site: &Site) {
     site.visit("r-save", &[1]).await;
     let exported = export(site, 1).await.unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn an_imported_block_is_not_computed_again() {
+async fn an_imported_block_is_not_prefilled_again() {
     let site = start().await;
     save_and_evict(&site).await;
     let request = pin(&site, 1).await;
@@ -122,7 +122,7 @@
             kind: EngineErrorKind::Corrupt,
         },
         ImportCase {
-            name: "cut content",
+            name: "truncated content",
             fault: StoreFault::ShortReads(1),
             change: |_| {},
             kind: EngineErrorKind::Corrupt,
@@ -134,7 +134,7 @@
             kind: EngineErrorKind::Corrupt,
         },
         ImportCase {
-            name: "longer than it must be",
+            name: "longer than expected",
             fault: StoreFault::None,
             change: |request| request.bytes = ByteCount::new(5119),
             kind: EngineErrorKind::Corrupt,
@@ -164,7 +164,7 @@
             kind: EngineErrorKind::Gone,
         },
         ImportCase {
-            name: "a store that is not there",
+            name: "unreachable store",
             fault: StoreFault::None,
             change: |request| request.from = "http://127.0.0.1:1/v1/blocks/x".to_owned(),
             kind: EngineErrorKind::Lost,
@@ -179,11 +179,10 @@
 }
 
 #[tokio::test]
-async fn imports_of_anything_but_the_block_are_refused() {
-    // Symptom: answers go wrong without an error anywhere.
-    // Sequence: a store hands out a block that was changed, cut, freed, exchanged or computed
-    // with other weights, and the engine computes on with it.
-    // Cause: content is trusted because its name is right.
+async fn imports_of_other_than_the_requested_block_are_refused() {
+    // Guards against wrong answers without any error. They arise when a store returns a block that
+    // was changed, truncated, freed, exchanged or computed with other weights, and the engine
+    // uses the content because the key was right.
     let site = start().await;
     save_and_evict(&site).await;
     for case in import_cases() {
@@ -200,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn a_freed_block_is_gone_once_its_pins_are() {
+async fn a_freed_block_is_removed_with_its_last_pin() {
     let site = start().await;
     save_and_evict(&site).await;
     let (first, second) = (pin(&site, 1).await, pin(&site, 1).await);
@@ -219,11 +218,11 @@
 }
 
 #[tokio::test]
-async fn a_wrongly_exported_block_does_no_harm() {
+async fn a_corrupt_or_short_export_is_rejected() {
     let site = start().await;
     site.visit("r-1", &[1, 2]).await;
 
-    // A block that names another one has the right length and checksum; its header gives it away.
+    // A block with another block's key has a valid length and checksum; only its header is wrong.
     let corrupt = EngineFault::CorruptExport;
     site.engine_fault(corrupt, Some(1)).await;
     export(&site, 1).await.unwrap();
@@ -233,21 +232,21 @@
     assert_eq!(imported, Err(EngineErrorKind::Corrupt));
     assert_eq!(site.engine_counters().await.corrupt_imports, 1);
 
-    // A block that is too short never becomes readable, and its room is free again.
+    // A block that is too short never becomes readable, and its space is released.
     site.visit("r-2", &[1, 2]).await;
     site.engine_fault(EngineFault::ShortExport, Some(1)).await;
     let exported = export(&site, 2).await;
     assert_eq!(exported, Err(EngineErrorKind::Lost));
-    let used = async || {
+    let failed_space_released = async || {
         let report = site.store.report(site.store_address()).await.unwrap();
         (report.memory.used_bytes == BLOCK_BYTES).then_some(())
     };
-    eventually("the room is free again", used).await;
+    eventually("the space is free again", failed_space_released).await;
     assert_eq!(export(&site, 2).await.unwrap().bytes, BLOCK_BYTES);
 }
 
 #[tokio::test]
-async fn exports_need_the_block_and_its_weights() {
+async fn exports_require_a_cached_block_of_the_weight_version() {
     let site = start().await;
     site.visit("r-1", &[1]).await;
     assert_eq!(export(&site, 3).await, Err(EngineErrorKind::Gone));
@@ -271,29 +270,31 @@
 }
 
 #[tokio::test]
-async fn an_import_that_a_swap_overtakes_is_refused() {
-    // Symptom: a request of the new weights computes on with a block of the old ones.
-    // Sequence: an import begins, the weights are swapped, the block arrives.
-    // Cause: the version is checked only before the transfer.
+async fn an_import_overtaken_by_a_weight_swap_is_refused() {
+    // Guards against a request of the new weights that uses a block of the old ones. That happens
+    // if the weights are swapped between the start of an import and the arrival of its block, and
+    // the version is checked only before the transfer.
     let site = start().await;
     save_and_evict(&site).await;
-    let (ahead, request) = (pin(&site, 1).await, pin(&site, 1).await);
-    // The import has begun and waits for the link, which another reader takes for an hour.
+    let (link_holder, request) = (pin(&site, 1).await, pin(&site, 1).await);
+    // The import has begun and waits for the link, which another reader occupies for an hour.
     site.store_fault(StoreFault::SlowFactor(1_000_000_000))
         .await;
-    let ahead = format!(
+    let link_holder = format!(
         "{}?generation={}&pin={}",
-        path(&ahead),
-        ahead.generation,
-        ahead.pin
+        url_path(&link_holder),
+        link_holder.generation,
+        link_holder.pin
     );
-    let ahead = Request::get(ahead).body(Bytes::new()).unwrap();
-    let patient = DurationUs::from_ms(20_000);
-    let ahead = site.http.send(site.store_address(), ahead, patient);
-    let ahead = ahead.await.unwrap();
+    let link_holder = Request::get(link_holder).body(Bytes::new()).unwrap();
+    let long_timeout = DurationUs::from_ms(20_000);
+    let link_holder = site
+        .http
+        .send(site.store_address(), link_holder, long_timeout);
+    let link_holder = link_holder.await.unwrap();
     let engine = site.engine.clone();
     let address = site.engine_address();
-    let waiting = tokio::spawn(async move { engine.import(address, request).await });
+    let pending_import = tokio::spawn(async move { engine.import(address, request).await });
     let is_queued = async || {
         let report = site.store.report(site.store_address()).await.unwrap();
         (report.link.queued_bytes.get() == 2 * BLOCK_BYTES.get()).then_some(())
@@ -306,11 +307,11 @@
     };
     let given = site
         .engine
-        .order(address, FenceNumber::new(1), order, patient);
+        .order(address, FenceNumber::new(1), order, long_timeout);
     given.await.unwrap();
     site.store_fault(StoreFault::None).await;
-    drop(ahead);
-    let error = waiting.await.unwrap().unwrap_err();
+    drop(link_holder);
+    let error = pending_import.await.unwrap().unwrap_err();
     assert_eq!(error.kind(), EngineErrorKind::OtherVersion);
     assert_eq!(site.cached_keys().await, []);
 }
