--- a/crates/wisteriahitch-standin/src/engine/completion.rs
+++ b/crates/wisteriahitch-standin/src/engine/completion.rs
@@ -235,6 +235,6 @@
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-fn wrong_request_id(own: RequestId) -> RequestId {
-    WRONG_REQUEST_ID.parse().unwrap_or(own)
+fn wrong_request_id(original: RequestId) -> RequestId {
+    WRONG_REQUEST_ID.parse().unwrap_or(original)
 }
--- a/crates/wisteriahitch-standin/src/engine/options.rs
+++ b/crates/wisteriahitch-standin/src/engine/options.rs
@@ -57,7 +57,7 @@
     pub prefill_tokens_per_s: TokenRate,
     /// Time between two tokens of one answer.
     pub decode_us_per_token: DurationUs,
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     pub batch_slots: u64,
     /// Capacity of the prefix cache, in tokens.
     pub kv_capacity_tokens: TokenCount,
@@ -66,7 +66,7 @@
     /// Delay before a cache event is published.
     pub event_lag_us: DurationUs,
     /// Maximum number of cache events that are retained.
-    pub event_keep: usize,
+    pub max_retained_events: usize,
     /// Whether orders with an old fencing number are refused.
     pub checks_fence: bool,
     /// Time to load a version of a model.
@@ -91,7 +91,7 @@
             kv_capacity_tokens: TokenCount::new(100_000),
             load_lag_us: DurationUs::from_ms(200),
             event_lag_us: DurationUs::from_ms(200),
-            event_keep: 4_096,
+            max_retained_events: 4_096,
             checks_fence: false,
             load_model_us: DurationUs::from_ms(400),
             seed: 0,
--- a/crates/wisteriahitch-standin/src/engine/state.rs
+++ b/crates/wisteriahitch-standin/src/engine/state.rs
@@ -45,7 +45,7 @@
             options.kv_capacity_tokens,
             generate_incarnation(options.seed),
             options.event_lag_us.into(),
-            options.event_keep,
+            options.max_retained_events,
         );
         Self {
             models: Mutex::new(load_initial_models(&options)),
--- a/crates/wisteriahitch-standin/src/flags.rs
+++ b/crates/wisteriahitch-standin/src/flags.rs
@@ -106,7 +106,9 @@
         let default = ServiceOptions::default();
         ServiceOptions {
             listen: listen.unwrap_or(default.listen),
-            work_us: self.work_ms.map_or(default.work_us, DurationUs::from_ms),
+            run_time_us: self
+                .work_ms
+                .map_or(default.run_time_us, DurationUs::from_ms),
             slots: self.slots.unwrap_or(default.slots),
         }
     }
@@ -138,7 +140,7 @@
                 .unwrap_or(default.kv_capacity_tokens),
             load_lag_us: from_ms(self.load_lag_ms, default.load_lag_us),
             event_lag_us: from_ms(self.event_lag_ms, default.event_lag_us),
-            event_keep: self.event_keep.unwrap_or(default.event_keep),
+            max_retained_events: self.event_keep.unwrap_or(default.max_retained_events),
             checks_fence: self.checks_fence,
             load_model_us: from_ms(self.load_model_ms, default.load_model_us),
             seed: self.seed.unwrap_or(default.seed),
--- a/crates/wisteriahitch-standin/src/service/handler.rs
+++ b/crates/wisteriahitch-standin/src/service/handler.rs
@@ -65,7 +65,7 @@
             state: Mutex::default(),
             slots: options.slots,
             free_slots: Semaphore::new(options.slots),
-            run_time: options.work_us.into(),
+            run_time: options.run_time_us.into(),
             started_at: Instant::now(),
         }
     }
--- a/crates/wisteriahitch-standin/src/service/options.rs
+++ b/crates/wisteriahitch-standin/src/service/options.rs
@@ -10,7 +10,7 @@
     /// Loopback address that is served.
     pub listen: SocketAddr,
     /// Duration of each run.
-    pub work_us: DurationUs,
+    pub run_time_us: DurationUs,
     /// Maximum number of requests that run at once; others wait.
     pub slots: usize,
 }
@@ -19,7 +19,7 @@
     fn default() -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            work_us: DurationUs::ZERO,
+            run_time_us: DurationUs::ZERO,
             slots: 16,
         }
     }
--- a/crates/wisteriahitch-standin/src/shared/pacer.rs
+++ b/crates/wisteriahitch-standin/src/shared/pacer.rs
@@ -23,17 +23,17 @@
         }
     }
 
-    /// Schedules a piece that lasts `span` and returns the time at which it is done.
+    /// Schedules a piece that lasts `duration` and returns the time at which it is done.
     ///
     /// Callers wait for the previous piece before they schedule the next one. A previous piece that
     /// is still in progress was therefore abandoned, and its remaining time is not charged;
     /// otherwise a reader that disconnects would delay all that follow.
-    pub(crate) fn schedule(&mut self, span: Duration) -> Instant {
+    pub(crate) fn schedule(&mut self, duration: Duration) -> Instant {
         let now = Instant::now();
         let earliest = now.checked_sub(MAX_CATCH_UP).unwrap_or(now);
         let was_free_recently = self.free_at >= earliest && self.free_at <= now;
         let start = if was_free_recently { self.free_at } else { now };
-        self.free_at = start + span;
+        self.free_at = start + duration;
         self.free_at
     }
 }
--- a/crates/wisteriahitch-standin/src/store/handler.rs
+++ b/crates/wisteriahitch-standin/src/store/handler.rs
@@ -113,8 +113,8 @@
             Err(error) => return Ok(Ok(refuse_bad_json(&error))),
         };
         // A new incarnation of a store keeps its name. A block that was saved with an earlier
-        // incarnation isn't here, even if the same key has been written again, because
-        // generations of different incarnations can't be compared.
+        // incarnation isn't here, even if the same key has been written again, because a
+        // generation identifies different content in each incarnation.
         if body.incarnation != self.state.incarnation {
             return Ok(Err(StoreRefusal::Gone));
         }
--- a/crates/wisteriahitch-standin/tests/all/engine.rs
+++ b/crates/wisteriahitch-standin/tests/all/engine.rs
@@ -239,7 +239,7 @@
 #[tokio::test]
 async fn cache_events_show_gaps_and_are_delayed() {
     let site = Site::start_engine(EngineOptions {
-        event_keep: 3,
+        max_retained_events: 3,
         kv_capacity_tokens: TokenCount::new(20),
         ..fast_engine()
     })
