--- a/crates/wisteriahitch-standin/src/engine/handler.rs
+++ b/crates/wisteriahitch-standin/src/engine/handler.rs
@@ -1,4 +1,4 @@
-//! Paths of a stand-in engine.
+//! HTTP routes of a stand-in engine.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::shared::get_query;
 use crate::util::{Abort, Answer, Handler, answer_json, answer_status, read_json};
 
-/// Largest body, which is a long prompt.
+/// Maximum length of a request body; long prompts need the most.
 const BODY_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 /// Answers the requests of one engine.
@@ -56,7 +56,7 @@
                 Err(refusal) => Ok(refusal),
             },
             (Method::POST, ["v1", "orders"]) => match parse(request).await? {
-                Ok(body) => Ok(order::carry_out(&self.state, body).await),
+                Ok(body) => Ok(order::handle_order(&self.state, body).await),
                 Err(refusal) => Ok(refusal),
             },
             _ => Ok(answer_status(StatusCode::NOT_FOUND)),
@@ -84,7 +84,7 @@
         }
         match parse::<EngineControl>(request).await? {
             Ok(control) => {
-                self.state.control(control);
+                self.state.apply_control(control);
                 Ok(answer_status(StatusCode::OK))
             }
             Err(refusal) => Ok(refusal),
--- a/crates/wisteriahitch-standin/src/engine/kv_block.rs
+++ b/crates/wisteriahitch-standin/src/engine/kv_block.rs
@@ -1,4 +1,4 @@
-//! Content of a KV cache block, which names the block that it belongs to.
+//! Content of a KV cache block: a header that identifies the block, then a generated pattern.
 
 use bytes::{Bytes, BytesMut};
 use wisteriahitch_types::{BlockKey, ByteCount, TokenCount, WeightVersion};
@@ -8,23 +8,23 @@
 const VERSION_LEN: usize = 16;
 const TOKENS_LEN: usize = 8;
 
-/// Length of the header that opens a block.
+/// Length of the header at the start of a block, in bytes.
 pub const HEADER_LEN: usize = MAGIC.len() + KEY_LEN + VERSION_LEN + TOKENS_LEN;
 
-/// Bytes of the pattern that fills a block.
+/// Length of the pattern that is repeated to fill a block, in bytes.
 const PATTERN_LEN: usize = 4096;
 
 const VERSION_CONTEXT: &str = "wisteriahitch stand-in 2026 weight version";
 const PATTERN_CONTEXT: &str = "wisteriahitch stand-in 2026 block pattern";
 
-/// Reports content that isn't the block that was asked for.
+/// Reason why content isn't the requested block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KvBlockError {
-    /// The content is shorter than a header or doesn't open like a block.
+    /// The content is shorter than a header or doesn't start with the magic bytes.
     NoHeader,
-    /// The content has another length than it must have.
+    /// The length of the content differs from the expected one.
     WrongLength,
-    /// The checksum of the content differs.
+    /// The checksum of the content differs from the expected one.
     WrongChecksum,
     /// The content belongs to another block.
     WrongKey,
@@ -32,14 +32,14 @@
     WrongVersion,
 }
 
-/// Opens every block, so that content under a wrong name is found out.
+/// Header of every block; it reveals content that is stored under another block's key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct KvBlockHeader {
     /// Block that the content belongs to.
     pub key: BlockKey,
     /// Tokens in the block.
     pub tokens: TokenCount,
-    version_mark: [u8; VERSION_LEN],
+    version_digest: [u8; VERSION_LEN],
 }
 
 impl KvBlockHeader {
@@ -48,15 +48,15 @@
         Self {
             key,
             tokens,
-            version_mark: mark_version(weight_version),
+            version_digest: digest_version(weight_version),
         }
     }
 
-    /// Reads the header that `content` opens with.
+    /// Parses the header at the start of `content`.
     pub fn parse(content: &[u8]) -> Result<Self, KvBlockError> {
         let (magic, rest) = split::<4>(content)?;
         let (key, rest) = split::<KEY_LEN>(rest)?;
-        let (version_mark, rest) = split::<VERSION_LEN>(rest)?;
+        let (version_digest, rest) = split::<VERSION_LEN>(rest)?;
         let (tokens, _) = split::<TOKENS_LEN>(rest)?;
         if magic != MAGIC {
             return Err(KvBlockError::NoHeader);
@@ -64,30 +64,31 @@
         Ok(Self {
             key: BlockKey::from_bytes(key),
             tokens: TokenCount::new(u64::from_le_bytes(tokens)),
-            version_mark,
+            version_digest,
         })
     }
 
     /// Returns whether the block was computed with `weight_version`.
     pub fn is_of_version(&self, weight_version: &WeightVersion) -> bool {
-        self.version_mark == mark_version(weight_version)
+        self.version_digest == digest_version(weight_version)
     }
 
     fn write(&self, content: &mut BytesMut) {
         content.extend_from_slice(&MAGIC);
         content.extend_from_slice(self.key.as_bytes());
-        content.extend_from_slice(&self.version_mark);
+        content.extend_from_slice(&self.version_digest);
         content.extend_from_slice(&self.tokens.get().to_le_bytes());
     }
 }
 
-/// Returns the length of a block.
+/// Returns the length of a block, which is at least that of its header.
 pub fn block_bytes(tokens: TokenCount, kv_bytes_per_token: u64) -> ByteCount {
     let body_bytes = tokens.get().saturating_mul(kv_bytes_per_token);
     ByteCount::new(body_bytes.max(HEADER_LEN as u64))
 }
 
-/// Builds the content of a block, which follows from its key, tokens and weight version alone.
+/// Builds the content of a block, `bytes` long, which depends only on its key, tokens and weight
+/// version.
 pub fn build_block(
     key: BlockKey,
     tokens: TokenCount,
@@ -100,16 +101,16 @@
     header.write(&mut content);
     let pattern = fill_pattern(&header);
     while content.len() < length {
-        let part = PATTERN_LEN.min(length - content.len());
-        content.extend_from_slice(&pattern[..part]);
+        let copy_len = PATTERN_LEN.min(length - content.len());
+        content.extend_from_slice(&pattern[..copy_len]);
     }
     content.freeze()
 }
 
 /// Checks that `content` is the whole block `key` of `weight_version`, and returns its tokens.
 ///
-/// A store may hand out a block that was cut, changed or exchanged for another. The engine would
-/// compute on with it, and only wrong answers would show it; so nothing unchecked gets in.
+/// A store may return a block that was truncated, altered or exchanged for another. An engine that
+/// used it would give wrong answers without any error, so every imported block is checked first.
 pub fn check_block(
     content: &[u8],
     key: BlockKey,
@@ -138,17 +139,17 @@
     Ok((*head, rest))
 }
 
-fn mark_version(weight_version: &WeightVersion) -> [u8; VERSION_LEN] {
+fn digest_version(weight_version: &WeightVersion) -> [u8; VERSION_LEN] {
     let hash = blake3::derive_key(VERSION_CONTEXT, weight_version.as_str().as_bytes());
-    let mut mark = [0; VERSION_LEN];
-    mark.copy_from_slice(&hash[..VERSION_LEN]);
-    mark
+    let mut digest = [0; VERSION_LEN];
+    digest.copy_from_slice(&hash[..VERSION_LEN]);
+    digest
 }
 
 fn fill_pattern(header: &KvBlockHeader) -> [u8; PATTERN_LEN] {
     let mut hasher = blake3::Hasher::new_derive_key(PATTERN_CONTEXT);
     hasher.update(header.key.as_bytes());
-    hasher.update(&header.version_mark);
+    hasher.update(&header.version_digest);
     let mut pattern = [0; PATTERN_LEN];
     hasher.finalize_xof().fill(&mut pattern);
     pattern
--- a/crates/wisteriahitch-standin/src/engine/mod.rs
+++ b/crates/wisteriahitch-standin/src/engine/mod.rs
@@ -1,13 +1,13 @@
 //! Stand-in for a model engine: continuous batching, a prefix cache and KV transfer.
 //!
-//! Prompts are read by one server, piece by piece, in the order of priority and then of arrival;
-//! tokens come at a set rate while a request holds a place in the batch. Answers follow from what
-//! was asked alone, see [`AnswerSource`].
+//! One request at a time prefills its prompt, in pieces, in the order of priority and then of
+//! arrival. Tokens are decoded at a fixed rate while a request occupies a slot in the batch.
+//! Answers are a pure function of the request, see [`AnswerSource`].
 //!
 //! `POST /control` takes [`EngineControl`]: `{"fault":F,"count":N}` with F one of `"none"`,
 //! `"freeze"`, `{"late_ms":N}`, `"wrong_request_id"`, `"repeat_position"`, `"skip_position"`,
-//! `"close_midway"`, `"nonsense"`, `"refuse_not_run"`, `"reject"`, `"corrupt_export"` and `"short_export"`, or
-//! `{"leaving":bool}`; `GET /control` gives [`EngineCounters`].
+//! `"close_midway"`, `"nonsense"`, `"refuse_not_run"`, `"reject"`, `"corrupt_export"` and
+//! `"short_export"`, or `{"leaving":bool}`; `GET /control` returns [`EngineCounters`].
 
 mod answer;
 mod cache;
@@ -15,10 +15,10 @@
 mod control;
 mod handler;
 mod kv_block;
-mod line;
 mod models;
 mod options;
 mod order;
+mod priority_slots;
 mod registry;
 mod run;
 mod state;
@@ -41,7 +41,7 @@
 use tokio::time::sleep;
 use wisteriahitch_types::{DurationUs, EndpointId};
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::EngineHandler;
 use state::EngineState;
 
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct EngineStandin {
     server: Server,
-    reporter: Option<JoinHandle<()>>,
+    report_task: Option<JoinHandle<()>>,
 }
 
 impl EngineStandin {
@@ -84,10 +84,14 @@
         let handler = Arc::new(EngineHandler {
             state: Arc::clone(&state),
         });
-        let server = Server::start(listen, handler, Gate::new()).await?;
+        let server = Server::start(listen, handler, ListenerGate::new()).await?;
         let is_lagging = load_lag_us > DurationUs::ZERO;
-        let reporter = is_lagging.then(|| tokio::spawn(report_load(state, load_lag_us.into())));
-        Ok(Self { server, reporter })
+        let report_task =
+            is_lagging.then(|| tokio::spawn(refresh_load_reports(state, load_lag_us.into())));
+        Ok(Self {
+            server,
+            report_task,
+        })
     }
 
     /// Returns the address that is served.
@@ -98,14 +102,14 @@
 
 impl Drop for EngineStandin {
     fn drop(&mut self) {
-        if let Some(reporter) = &self.reporter {
-            reporter.abort();
+        if let Some(report_task) = &self.report_task {
+            report_task.abort();
         }
     }
 }
 
-/// Keeps each load report in force for `lag`.
-async fn report_load(state: Arc<EngineState>, lag: Duration) {
+/// Replaces the cached load report every `lag`.
+async fn refresh_load_reports(state: Arc<EngineState>, lag: Duration) {
     loop {
         sleep(lag).await;
         state.refresh_load_report();
@@ -119,7 +123,7 @@
     id: Option<EndpointId>,
 }
 
-/// Serves an engine until the process is told to end.
+/// Serves an engine until the process receives SIGTERM or SIGINT.
 pub async fn run(options: EngineOptions) -> anyhow::Result<()> {
     let id = options.id.clone();
     let engine = EngineStandin::start(options).await?;
@@ -127,5 +131,5 @@
         listening: engine.address(),
         id,
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/engine/models.rs
+++ b/crates/wisteriahitch-standin/src/engine/models.rs
@@ -6,7 +6,7 @@
 use wisteriahitch_types::{AdapterName, ModelName, WeightVersion};
 use wisteriahitch_wire::engine::ModelReport;
 
-/// Says why a request isn't run.
+/// Status and reason of a request that is refused without being run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct NotRun {
     pub(super) status: StatusCode,
@@ -19,25 +19,25 @@
     }
 }
 
-struct Model {
+struct ModelEntry {
     weight_version: WeightVersion,
     adapters: BTreeSet<AdapterName>,
     is_ready: bool,
-    /// Number of the load that will be in force when it ends; a later one replaces it.
+    /// Number of the most recent load; an earlier load that ends later has no effect.
     load_number: u64,
 }
 
-/// Holds every model of an engine.
+/// Every model of an engine by name.
 #[derive(Default)]
 pub(super) struct ModelTable {
-    models: BTreeMap<ModelName, Model>,
-    next_load: u64,
+    models: BTreeMap<ModelName, ModelEntry>,
+    last_load_number: u64,
 }
 
 impl ModelTable {
-    /// Puts a model in place at once.
+    /// Adds a model that is ready at once.
     pub(super) fn insert(&mut self, model: ModelName, weight_version: WeightVersion) {
-        let loaded = Model {
+        let loaded = ModelEntry {
             weight_version,
             adapters: BTreeSet::new(),
             is_ready: true,
@@ -46,7 +46,7 @@
         self.models.insert(model, loaded);
     }
 
-    /// Returns whether a request may run now.
+    /// Checks that a model is ready with the given adapter and weight version.
     pub(super) fn check(
         &self,
         model: &ModelName,
@@ -74,16 +74,20 @@
             .any(|model| model.is_ready && model.weight_version == *version)
     }
 
-    /// Begins to load a version; nothing is to be done where it is in force already.
+    /// Begins to load a version and returns the number of the load, or `None` if the model is
+    /// ready with that version.
     pub(super) fn begin_load(&mut self, model: &ModelName, version: &WeightVersion) -> Option<u64> {
-        self.next_load += 1;
-        let number = self.next_load;
-        let entry = self.models.entry(model.clone()).or_insert_with(|| Model {
-            weight_version: version.clone(),
-            adapters: BTreeSet::new(),
-            is_ready: false,
-            load_number: 0,
-        });
+        self.last_load_number += 1;
+        let number = self.last_load_number;
+        let entry = self
+            .models
+            .entry(model.clone())
+            .or_insert_with(|| ModelEntry {
+                weight_version: version.clone(),
+                adapters: BTreeSet::new(),
+                is_ready: false,
+                load_number: 0,
+            });
         if entry.is_ready && entry.weight_version == *version {
             return None;
         }
@@ -92,10 +96,10 @@
         Some(number)
     }
 
-    /// Ends a load, and returns the version that it took the place of.
+    /// Ends a load and returns the version that it replaced, if that was another one.
     ///
-    /// Nothing happens where a later order has replaced the load.
-    pub(super) fn end_load(
+    /// Has no effect if a later order has superseded the load.
+    pub(super) fn finish_load(
         &mut self,
         model: &ModelName,
         version: WeightVersion,
@@ -110,12 +114,12 @@
         (old != entry.weight_version).then_some(old)
     }
 
-    /// Drops a model, and returns the version that it had.
+    /// Removes a model and returns its weight version.
     pub(super) fn unload(&mut self, model: &ModelName) -> Option<WeightVersion> {
         self.models.remove(model).map(|model| model.weight_version)
     }
 
-    /// Adds an adapter; returns whether the model is there.
+    /// Adds an adapter; returns `false` if the model is not loaded.
     pub(super) fn add_adapter(&mut self, model: &ModelName, adapter: AdapterName) -> bool {
         let Some(entry) = self.models.get_mut(model) else {
             return false;
@@ -124,14 +128,14 @@
         true
     }
 
-    pub(super) fn drop_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
+    pub(super) fn unload_adapter(&mut self, model: &ModelName, adapter: &AdapterName) {
         if let Some(entry) = self.models.get_mut(model) {
             entry.adapters.remove(adapter);
         }
     }
 
     pub(super) fn report(&self) -> Vec<ModelReport> {
-        let to_report = |(name, model): (&ModelName, &Model)| ModelReport {
+        let to_report = |(name, model): (&ModelName, &ModelEntry)| ModelReport {
             model: name.clone(),
             weight_version: model.weight_version.clone(),
             adapters: model.adapters.iter().cloned().collect(),
--- a/crates/wisteriahitch-standin/src/engine/registry.rs
+++ b/crates/wisteriahitch-standin/src/engine/registry.rs
@@ -1,4 +1,4 @@
-//! Requests under way, so that they can be cancelled by their id.
+//! Requests in progress, by request id, for cancellation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,15 +15,15 @@
     runs: BTreeMap<RunId, Arc<Notify>>,
 }
 
-/// Holds every request that waits or runs; one request may be there more than once.
+/// Every run that waits or is in progress; a request id may have more than one run.
 #[derive(Clone, Default)]
 pub(super) struct RunRegistry {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl RunRegistry {
-    /// Enters a request until the entry is dropped.
-    pub(super) fn enter(&self, request: RequestId) -> RunEntry {
+    /// Registers a run of a request until the returned entry is dropped.
+    pub(super) fn register(&self, request: RequestId) -> RunEntry {
         let mut inner = self.inner.lock();
         let number = inner.next_number;
         inner.next_number += 1;
@@ -37,20 +37,20 @@
         }
     }
 
-    /// Cancels every run of a request, and returns whether there was one.
+    /// Cancels every run of a request and returns whether there was any.
     pub(super) fn cancel(&self, request: &RequestId) -> bool {
         let inner = self.inner.lock();
         let range = (request.clone(), 0)..=(request.clone(), u64::MAX);
-        let mut is_found = false;
+        let mut was_found = false;
         for cancelled in inner.runs.range(range).map(|(_, cancelled)| cancelled) {
             cancelled.notify_one();
-            is_found = true;
+            was_found = true;
         }
-        is_found
+        was_found
     }
 }
 
-/// One request under way.
+/// Registration of one run, removed when it is dropped.
 pub(super) struct RunEntry {
     registry: RunRegistry,
     id: RunId,
@@ -58,8 +58,8 @@
 }
 
 impl RunEntry {
-    /// Returns the number of the arrival, from zero.
-    pub(super) fn number(&self) -> u64 {
+    /// Returns the run's number in order of arrival, starting at zero.
+    pub(super) fn arrival_number(&self) -> u64 {
         self.id.1
     }
 
--- a/crates/wisteriahitch-standin/src/engine/state.rs
+++ b/crates/wisteriahitch-standin/src/engine/state.rs
@@ -10,25 +10,25 @@
 
 use super::EngineOptions;
 use super::cache::{CachedBlock, PrefixCache};
-use super::control::{EngineControl, EngineCounters, EngineFault, FaultSetting};
-use super::line::Line;
+use super::control::{ActiveFault, EngineControl, EngineCounters, EngineFault};
 use super::models::ModelTable;
+use super::priority_slots::PrioritySlots;
 use super::registry::RunRegistry;
 use crate::shared::{Freeze, Pacer};
 
-/// Holds what the requests of one engine share.
+/// State that the requests of one engine share.
 ///
-/// Where two locks are held at once, `models` is taken before `cache`.
+/// Lock order: `models` before `cache`.
 pub(super) struct EngineState {
     pub(super) options: EngineOptions,
     pub(super) models: Mutex<ModelTable>,
     pub(super) cache: Mutex<PrefixCache>,
-    pub(super) batch: Line,
-    pub(super) prefill: Line,
+    pub(super) batch: PrioritySlots,
+    pub(super) prefill: PrioritySlots,
     pub(super) prefill_pacer: Mutex<Pacer>,
     pub(super) runs: RunRegistry,
     pub(super) backlog_tokens: AtomicU64,
-    pub(super) fault: Mutex<FaultSetting>,
+    pub(super) fault: Mutex<ActiveFault>,
     pub(super) freeze: Freeze,
     pub(super) counters: Mutex<EngineCounters>,
     pub(super) highest_fence: Mutex<FenceNumber>,
@@ -43,19 +43,19 @@
     pub(super) fn new(options: EngineOptions) -> Self {
         let cache = PrefixCache::new(
             options.kv_capacity_tokens,
-            draw_incarnation(options.seed),
+            generate_incarnation(options.seed),
             options.event_lag_us.into(),
-            options.event_keep,
+            options.max_retained_events,
         );
         Self {
-            models: Mutex::new(load_first_models(&options)),
+            models: Mutex::new(load_initial_models(&options)),
             cache: Mutex::new(cache),
-            batch: Line::new(options.batch_slots),
-            prefill: Line::new(1),
+            batch: PrioritySlots::new(options.batch_slots),
+            prefill: PrioritySlots::new(1),
             prefill_pacer: Mutex::new(Pacer::new()),
             runs: RunRegistry::default(),
             backlog_tokens: AtomicU64::new(0),
-            fault: Mutex::new(FaultSetting::default()),
+            fault: Mutex::new(ActiveFault::default()),
             freeze: Freeze::default(),
             counters: Mutex::new(EngineCounters::default()),
             highest_fence: Mutex::new(FenceNumber::new(0)),
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Stores a block, unless its weight version is no longer the one that new requests run on.
+    /// Caches a block, unless no loaded model runs on its weight version any more.
     ///
-    /// Returns whether the block is held now.
+    /// Returns whether the block is cached now.
     pub(super) fn store_block(&self, key: BlockKey, block: CachedBlock) -> bool {
         let models = self.models.lock();
         let is_current = models.has_version(&block.weight_version);
@@ -85,7 +85,7 @@
         self.is_leaving.store(is_leaving, Ordering::Relaxed);
     }
 
-    pub(super) fn control(&self, control: EngineControl) {
+    pub(super) fn apply_control(&self, control: EngineControl) {
         if let Some(is_leaving) = control.leaving {
             self.set_leaving(is_leaving);
         }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the load report, which is as old as the engine's lag may make it.
+    /// Returns the load report, up to `load_lag_us` old.
     pub(super) fn load_report(&self) -> LoadReport {
         let lagging = match self.options.load_lag_us {
             DurationUs::ZERO => None,
@@ -104,7 +104,7 @@
         lagging.unwrap_or_else(|| self.measure_load())
     }
 
-    /// Replaces the load report that is given out from now on.
+    /// Measures the load and caches it as the report to return from now on.
     pub(super) fn refresh_load_report(&self) {
         let report = self.measure_load();
         *self.load_report.lock() = Some(report);
@@ -115,7 +115,7 @@
         let cache = self.cache.lock();
         LoadReport {
             made_at_ms: self.started_at.elapsed().as_millis() as u64,
-            running: self.batch.taken(),
+            running: self.batch.occupied(),
             batch_slots: self.options.batch_slots,
             queued: self.batch.waiting(),
             queued_tokens: TokenCount::new(self.backlog_tokens.load(Ordering::Relaxed)),
@@ -131,7 +131,7 @@
     }
 }
 
-fn load_first_models(options: &EngineOptions) -> ModelTable {
+fn load_initial_models(options: &EngineOptions) -> ModelTable {
     let mut models = ModelTable::default();
     for loaded in &options.models {
         models.insert(loaded.model.clone(), loaded.weight_version.clone());
@@ -142,8 +142,9 @@
     models
 }
 
-/// Names this life of the engine, so that event numbers of two lives are never compared.
-fn draw_incarnation(seed: u64) -> String {
+/// Generates the name of this incarnation of the engine, so that event numbers of two incarnations
+/// are never compared. A seed of zero gives a random name.
+fn generate_incarnation(seed: u64) -> String {
     let number = if seed == 0 { rand::random() } else { seed };
     format!("e{number:016x}")
 }
--- a/crates/wisteriahitch-standin/src/platform/mod.rs
+++ b/crates/wisteriahitch-standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: objects with versions, watches and the lagging list of VMs.
+//! Stand-in for the platform: versioned objects, watches and a delayed list of VMs.
 
 mod answer;
 mod call;
@@ -17,7 +17,7 @@
 
 use serde::Serialize;
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::{PlatformHandler, SharedPlatformHandler};
 
 /// Serves the platform's object API until it is dropped.
@@ -34,15 +34,16 @@
 }
 
 impl PlatformStandin {
-    /// Starts with no objects.
+    /// Starts the stand-in with no objects.
     ///
-    /// A second address serves the same and stays reachable while the first refuses connections.
+    /// A second address serves the same paths and stays reachable while the first one refuses
+    /// connections.
     pub async fn start(options: &PlatformOptions) -> anyhow::Result<Self> {
-        let gate = Gate::new();
+        let gate = ListenerGate::new();
         let handler = PlatformHandler::new(options, gate.clone());
         let handler = Arc::new(SharedPlatformHandler(Arc::new(handler)));
         let control_listen = SocketAddr::new(options.listen.ip(), 0);
-        let control = Server::start(control_listen, handler.clone(), Gate::new()).await?;
+        let control = Server::start(control_listen, handler.clone(), ListenerGate::new()).await?;
         let objects = Server::start(options.listen, handler, gate).await?;
         Ok(Self { objects, control })
     }
@@ -52,18 +53,18 @@
         self.objects.address()
     }
 
-    /// Returns the address that takes `/control` also while connections are refused.
+    /// Returns the second address, which stays reachable in [`PlatformMode::Refuse`].
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 }
 
-/// Serves the platform's stand-in until the process is told to end.
+/// Serves the platform's stand-in until the process receives SIGTERM or SIGINT.
 pub async fn run(options: PlatformOptions) -> anyhow::Result<()> {
     let standin = PlatformStandin::start(&options).await?;
     let announcement = Announcement {
         listening: standin.address(),
         control: standin.control_address(),
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/service/mod.rs
+++ b/crates/wisteriahitch-standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service, which counts how often each request ran.
+//! Stand-in for a plain service, which counts the runs of each request.
 
 mod control;
 mod handler;
@@ -12,7 +12,7 @@
 
 use serde::Serialize;
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::ServiceHandler;
 
 /// Serves a plain service until it is dropped.
@@ -27,10 +27,10 @@
 }
 
 impl ServiceStandin {
-    /// Starts with no runs counted.
+    /// Starts the stand-in with all counters at zero.
     pub async fn start(options: &ServiceOptions) -> anyhow::Result<Self> {
         let handler = Arc::new(ServiceHandler::new(options));
-        let server = Server::start(options.listen, handler, Gate::new()).await?;
+        let server = Server::start(options.listen, handler, ListenerGate::new()).await?;
         Ok(Self { server })
     }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// Serves the plain service's stand-in until the process is told to end.
+/// Serves the plain service's stand-in until the process receives SIGTERM or SIGINT.
 pub async fn run(options: ServiceOptions) -> anyhow::Result<()> {
     let standin = ServiceStandin::start(&options).await?;
     let announcement = Announcement {
         listening: standin.address(),
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/service/options.rs
+++ b/crates/wisteriahitch-standin/src/service/options.rs
@@ -4,14 +4,14 @@
 
 use wisteriahitch_types::DurationUs;
 
-/// Sets how the plain service's stand-in listens and works.
+/// Address, run time and concurrency of the plain service's stand-in.
 #[derive(Clone, Debug)]
 pub struct ServiceOptions {
     /// Loopback address that is served.
     pub listen: SocketAddr,
-    /// How long a request runs.
-    pub work_us: DurationUs,
-    /// Requests that run at once; others wait.
+    /// Duration of each run.
+    pub run_time_us: DurationUs,
+    /// Maximum number of requests that run at once; others wait.
     pub slots: usize,
 }
 
@@ -19,7 +19,7 @@
     fn default() -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            work_us: DurationUs::ZERO,
+            run_time_us: DurationUs::ZERO,
             slots: 16,
         }
     }
--- a/crates/wisteriahitch-standin/src/store/link.rs
+++ b/crates/wisteriahitch-standin/src/store/link.rs
@@ -1,4 +1,4 @@
-//! The one link of a store, which transfers cross in the order of their arrival.
+//! The link of a store, which all transfers share in the order of their arrival.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,18 +14,18 @@
 
 use crate::shared::{Freeze, Pacer};
 
-/// Bytes that cross the link before its rate is looked at again.
+/// Size of the chunks that transfers are paced by; a new slow factor applies from the next chunk.
 const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Paces transfers, one at a time.
+/// Link of limited rate that carries one transfer at a time.
 #[derive(Debug)]
 pub(super) struct Link {
     rate_bytes_per_s: ByteRate,
     slow_factor: AtomicU64,
     queued_bytes: AtomicU64,
     sent_bytes: AtomicU64,
-    /// Waiting transfers get the turn in the order in which they asked for it.
-    turn: Mutex<Pacer>,
+    /// Locked by the current transfer; waiting transfers get the lock in the order of arrival.
+    pacer: Mutex<Pacer>,
 }
 
 impl Link {
@@ -35,7 +35,7 @@
             slow_factor: AtomicU64::new(1),
             queued_bytes: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
-            turn: Mutex::new(Pacer::new()),
+            pacer: Mutex::new(Pacer::new()),
         }
     }
 
@@ -52,30 +52,31 @@
         }
     }
 
-    /// Waits until `content` has crossed, passing on each part of it that has.
+    /// Waits until `content` has been transferred, and sends each transferred chunk to the given
+    /// channel, if any.
     ///
-    /// It gives up when nobody takes the parts any more; dropping the future gives up too.
-    pub(super) async fn cross(
+    /// Stops early if the receiver of the channel is dropped; dropping the future stops it too.
+    pub(super) async fn transfer(
         &self,
         content: Bytes,
         freeze: &Freeze,
-        arrived: Option<&UnboundedSender<Bytes>>,
+        sent_chunks: Option<&UnboundedSender<Bytes>>,
     ) {
-        let mut queued = Queued::new(self, content.len() as u64);
-        let mut turn = self.turn.lock().await;
-        let mut rest = content;
-        while !rest.is_empty() {
-            let chunk = rest.split_to(CHUNK_BYTES.min(rest.len()));
+        let mut queued_transfer = QueuedTransfer::new(self, content.len() as u64);
+        let mut pacer = self.pacer.lock().await;
+        let mut remaining = content;
+        while !remaining.is_empty() {
+            let chunk = remaining.split_to(CHUNK_BYTES.min(remaining.len()));
             freeze.wait_until_thawed().await;
-            sleep_until(turn.book(self.time_for(&chunk))).await;
-            queued.take(chunk.len() as u64);
-            if arrived.is_some_and(|sender| sender.send(chunk).is_err()) {
+            sleep_until(pacer.schedule(self.transfer_time(&chunk))).await;
+            queued_transfer.record_sent(chunk.len() as u64);
+            if sent_chunks.is_some_and(|sender| sender.send(chunk).is_err()) {
                 return;
             }
         }
     }
 
-    fn time_for(&self, chunk: &Bytes) -> Duration {
+    fn transfer_time(&self, chunk: &Bytes) -> Duration {
         let at_full_rate = self
             .rate_bytes_per_s
             .time_for(ByteCount::new(chunk.len() as u64));
@@ -84,49 +85,52 @@
     }
 }
 
-/// Counts the bytes of one transfer that still have to cross.
-struct Queued<'a> {
+/// Adds the unsent bytes of one transfer to the link's queue until it is dropped.
+struct QueuedTransfer<'a> {
     link: &'a Link,
-    left_bytes: u64,
+    remaining_bytes: u64,
 }
 
-impl<'a> Queued<'a> {
+impl<'a> QueuedTransfer<'a> {
     fn new(link: &'a Link, bytes: u64) -> Self {
         link.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         Self {
             link,
-            left_bytes: bytes,
+            remaining_bytes: bytes,
         }
     }
 
-    fn take(&mut self, bytes: u64) {
-        self.left_bytes -= bytes;
+    fn record_sent(&mut self, bytes: u64) {
+        self.remaining_bytes -= bytes;
         self.link.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
         self.link.sent_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 }
 
-impl Drop for Queued<'_> {
+impl Drop for QueuedTransfer<'_> {
     fn drop(&mut self) {
-        let left = self.left_bytes;
-        self.link.queued_bytes.fetch_sub(left, Ordering::Relaxed);
+        let remaining = self.remaining_bytes;
+        self.link
+            .queued_bytes
+            .fetch_sub(remaining, Ordering::Relaxed);
     }
 }
 
-/// Sends `content` over the link from a task of its own, so that a reader that stalls holds up no
-/// other transfer.
+/// Transfers `content` in a separate task, so that a reader that stalls delays no other transfer.
+///
+/// `guard` is dropped when the transfer ends.
 pub(super) fn send_over(
     link: Arc<Link>,
     freeze: Arc<Freeze>,
     content: Bytes,
-    arrived: UnboundedSender<Bytes>,
-    when_done: impl Send + 'static,
+    sent_chunks: UnboundedSender<Bytes>,
+    guard: impl Send + 'static,
 ) {
     tokio::spawn(async move {
         tokio::select! {
-            () = link.cross(content, &freeze, Some(&arrived)) => {}
-            () = arrived.closed() => {}
+            () = link.transfer(content, &freeze, Some(&sent_chunks)) => {}
+            () = sent_chunks.closed() => {}
         }
-        drop(when_done);
+        drop(guard);
     });
 }
--- a/crates/wisteriahitch-standin/src/store/mod.rs
+++ b/crates/wisteriahitch-standin/src/store/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in for a store VM: blocks in memory and on disk behind one limited link.
+//! Stand-in for a store VM: blocks in memory and on disk behind one link of limited rate.
 //!
 //! `POST /control` takes `{"fault":F}` with F one of `"none"`, `"full"`, `"freeze"`,
 //! `{"slow_factor":N}`, `{"corrupt_reads":N}` and `{"short_reads":N}`, or `{"leaving":bool}`;
-//! `GET /control` gives [`StoreCounters`]. The header `x-transfer-class: wait|save` on reads and
-//! writes is recorded in the counters alone.
+//! `GET /control` returns [`StoreCounters`]. The header `x-transfer-class: wait|save` on reads and
+//! writes affects only the counters.
 
 mod block;
 mod control;
@@ -11,9 +11,9 @@
 mod link;
 mod options;
 mod refusal;
-mod room;
 mod state;
 mod table;
+mod tier_capacity;
 mod transfer;
 
 pub use control::{StoreControl, StoreCounters, StoreFault};
@@ -26,7 +26,7 @@
 use serde::Serialize;
 use wisteriahitch_types::StoreIncarnation;
 
-use crate::util::{Gate, Server, run_until_told_to_end};
+use crate::util::{ListenerGate, Server, run_until_signal};
 use handler::StoreHandler;
 use state::StoreState;
 
@@ -61,10 +61,10 @@
     /// Starts an empty store under a new incarnation.
     pub async fn start(options: StoreOptions) -> io::Result<Self> {
         let listen = options.listen;
-        let incarnation = draw_incarnation()?;
+        let incarnation = generate_incarnation()?;
         let state = Arc::new(StoreState::new(options, incarnation.clone()));
         let handler = Arc::new(StoreHandler { state });
-        let server = Server::start(listen, handler, Gate::new()).await?;
+        let server = Server::start(listen, handler, ListenerGate::new()).await?;
         Ok(Self {
             server,
             incarnation,
@@ -76,14 +76,14 @@
         self.server.address()
     }
 
-    /// Returns the name of this life of the store.
+    /// Returns the name of this incarnation of the store.
     pub fn incarnation(&self) -> &StoreIncarnation {
         &self.incarnation
     }
 }
 
-/// Draws a name that no other life of a store has.
-fn draw_incarnation() -> io::Result<StoreIncarnation> {
+/// Generates a random incarnation name, so that no two incarnations share one.
+fn generate_incarnation() -> io::Result<StoreIncarnation> {
     let number: u64 = rand::random();
     let name = format!("s{number:016x}");
     name.parse().map_err(io::Error::other)
@@ -95,12 +95,12 @@
     incarnation: &'a StoreIncarnation,
 }
 
-/// Serves a store until the process is told to end.
+/// Serves a store until the process receives SIGTERM or SIGINT.
 pub async fn run(options: StoreOptions) -> anyhow::Result<()> {
     let store = StoreStandin::start(options).await?;
     let announcement = Announcement {
         listening: store.address(),
         incarnation: store.incarnation(),
     };
-    run_until_told_to_end(&announcement).await
+    run_until_signal(&announcement).await
 }
--- a/crates/wisteriahitch-standin/src/store/state.rs
+++ b/crates/wisteriahitch-standin/src/store/state.rs
@@ -11,11 +11,11 @@
 use super::StoreOptions;
 use super::control::{StoreControl, StoreCounters, StoreFault};
 use super::link::Link;
-use super::refusal::Refusal;
+use super::refusal::StoreRefusal;
 use super::table::BlockTable;
 use crate::shared::Freeze;
 
-/// Holds what the requests of one store share.
+/// State that the requests of one store share.
 pub(super) struct StoreState {
     pub(super) incarnation: StoreIncarnation,
     pub(super) table: Mutex<BlockTable>,
@@ -57,15 +57,15 @@
         }
     }
 
-    /// Refuses new blocks at a store that is full on demand or leaves.
-    pub(super) fn check_takes_blocks(&self) -> Result<(), Refusal> {
+    /// Refuses new blocks while the store is leaving or has the fault [`StoreFault::Full`].
+    pub(super) fn check_accepts_blocks(&self) -> Result<(), StoreRefusal> {
         if self.is_leaving() || *self.fault.lock() == StoreFault::Full {
-            return Err(Refusal::Full);
+            return Err(StoreRefusal::Full);
         }
         Ok(())
     }
 
-    pub(super) fn control(&self, control: StoreControl) {
+    pub(super) fn apply_control(&self, control: StoreControl) {
         if let Some(is_leaving) = control.leaving {
             self.is_leaving.store(is_leaving, Ordering::Relaxed);
         }
