--- a/crates/wisteriahitch-cli/src/client.rs
+++ b/crates/wisteriahitch-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' addresses of daemons.
+//! HTTP client for the operators' addresses of daemons.
 
 use std::net::SocketAddr;
 
@@ -11,35 +11,36 @@
 
 use crate::flags::Wisteriahitch;
 
+/// Comma-separated operators' addresses, used if no `--daemon` is given.
 const ADDRESSES_ENV_VAR: &str = "WISTERIAHITCH_OPERATORS";
+/// Operators' key, used if no `--key-file` is given.
 const KEY_ENV_VAR: &str = "WISTERIAHITCH_OPERATOR_KEY";
 const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(30_000);
 const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(256 * 1_024 * 1_024);
 
-/// Asks daemons on an operator's behalf.
+/// Sends an operator's calls to the given daemons, in the order of their addresses.
 pub(crate) struct Client {
     http: HttpClient,
     addresses: Vec<SocketAddr>,
     key: String,
 }
 
-/// Holds a daemon's answer.
+/// A daemon's HTTP answer, whatever its status.
 pub(crate) struct Answer {
-    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// Body as sent.
+    /// Unparsed body.
     pub(crate) body: Bytes,
 }
 
 impl Answer {
-    /// Returns the body as JSON.
+    /// Parses the body as JSON.
     pub(crate) fn json(&self) -> anyhow::Result<Value> {
         serde_json::from_slice(&self.body).context("the daemon's answer is not JSON")
     }
 }
 
 impl Client {
-    /// Builds a client from the flags and the environment.
+    /// Builds a client from the flags, or from the environment where they are not given.
     pub(crate) fn from_flags(flags: &Wisteriahitch) -> anyhow::Result<Self> {
         let addresses = resolve_addresses(flags)?;
         let key = read_operator_key(flags)?;
@@ -51,17 +52,17 @@
         })
     }
 
-    /// Returns a client that asks the daemon at this operators' address first.
+    /// Moves this operators' address to the front of the addresses to call, adding it if it is new.
     pub(crate) fn with_preferred_address(mut self, address: SocketAddr) -> Self {
         self.addresses.retain(|other| *other != address);
         self.addresses.insert(0, address);
         self
     }
 
-    /// Sends a call to the first daemon that can be reached.
+    /// Calls the first daemon that can be reached.
     ///
-    /// Another daemon is asked only where no byte of the call has left, so that nothing is
-    /// submitted twice.
+    /// The next daemon is tried only if no byte of the call was sent to the previous one, so that
+    /// nothing is submitted twice.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -113,12 +114,12 @@
         return Ok(flags.daemon.clone());
     }
     let Ok(text) = std::env::var(ADDRESSES_ENV_VAR) else {
-        bail!("no daemon is named; use --daemon IP:PORT or set {ADDRESSES_ENV_VAR}");
+        bail!("no daemon address is given; use --daemon IP:PORT or set {ADDRESSES_ENV_VAR}");
     };
     let parse = |part: &str| {
         part.trim()
             .parse()
-            .with_context(|| format!("{part:?} in {ADDRESSES_ENV_VAR}"))
+            .with_context(|| format!("{part:?} in {ADDRESSES_ENV_VAR} is not an address IP:PORT"))
     };
     text.split(',').map(parse).collect()
 }
--- a/crates/wisteriahitch-cli/src/command/config.rs
+++ b/crates/wisteriahitch-cli/src/command/config.rs
@@ -1,4 +1,4 @@
-//! Checks, submits and shows configuration.
+//! The `config` command: checks, submits and shows the configuration.
 
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -52,9 +52,10 @@
     Ok(false)
 }
 
-/// Submits a file under a name that is known here before anything is sent.
+/// Submits a file under a submission id that is chosen before anything is sent.
 ///
-/// A daemon would draw a name too, but an operator who never gets its answer couldn't ask again.
+/// A daemon generates an id where none is given, but an operator who never receives its answer
+/// doesn't know that id and can't submit again with it.
 async fn run_submit(flags: &Wisteriahitch, submit: &Submit) -> anyhow::Result<bool> {
     let text = read_file(&submit.path)?;
     let client = Client::from_flags(flags)?;
@@ -76,7 +77,7 @@
     Ok(is_accepted)
 }
 
-/// Names a submission by the time and this process, which no two submissions share.
+/// Generates a unique submission id from the current time and the process id.
 fn generate_submission_id() -> anyhow::Result<SubmissionId> {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let at_ns = since_epoch.map_or(0, |span| span.as_nanos());
--- a/crates/wisteriahitch-cli/src/command/drain.rs
+++ b/crates/wisteriahitch-cli/src/command/drain.rs
@@ -1,4 +1,4 @@
-//! Drains a daemon.
+//! The `drain` command.
 
 use http::Method;
 
@@ -7,11 +7,11 @@
 use crate::output::print_answer;
 use crate::render;
 
-/// Runs `wisteriahitch drain`, which needs exactly one `--daemon`.
+/// Runs `wisteriahitch drain`; exactly one `--daemon` must be given.
 pub(crate) async fn run(flags: &Wisteriahitch) -> anyhow::Result<bool> {
     anyhow::ensure!(
         flags.daemon.len() == 1,
-        "name the daemon to drain with --daemon IP:PORT"
+        "give the one daemon to drain with --daemon IP:PORT"
     );
     let client = Client::from_flags(flags)?;
     let answer = client.call(Method::POST, "/v1/drain", "").await?;
--- a/crates/wisteriahitch-cli/src/command/dump.rs
+++ b/crates/wisteriahitch-cli/src/command/dump.rs
@@ -1,4 +1,4 @@
-//! Prints a daemon's whole state.
+//! The `dump` command: prints the complete state of a daemon.
 
 use http::Method;
 
--- a/crates/wisteriahitch-cli/src/command/explain.rs
+++ b/crates/wisteriahitch-cli/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! Tells which rule decides for a request, and which endpoint, and why.
+//! The `explain` command: which rule and which endpoint a request is routed to, and why.
 
 use std::collections::BTreeMap;
 
--- a/crates/wisteriahitch-cli/src/command/locate.rs
+++ b/crates/wisteriahitch-cli/src/command/locate.rs
@@ -1,4 +1,4 @@
-//! Tells where the cache blocks of a prompt are.
+//! The `locate` command: lists where the cache blocks of a prompt are.
 
 use anyhow::Context;
 use http::Method;
--- a/crates/wisteriahitch-cli/src/command/mod.rs
+++ b/crates/wisteriahitch-cli/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! One module per command.
 
 pub(crate) mod config;
 pub(crate) mod drain;
--- a/crates/wisteriahitch-cli/src/command/status.rs
+++ b/crates/wisteriahitch-cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! Prints the state of the site as the daemons report it.
+//! The `status` command: prints the state of the site as a daemon reports it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,14 @@
 use crate::output::print_answer;
 use crate::render;
 
+/// Time between two calls with `--watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Phase of a rollout that failed and went back.
+/// Phase of a rollout that was rolled back after failures.
 const STOPPED_PHASE: &str = "stopped";
 
-/// Runs `wisteriahitch status`, once or until no rollout is under way or one has failed.
+/// Runs `wisteriahitch status`: once, or with `--watch` until no rollout is under way or one has
+/// failed.
 pub(crate) async fn run(flags: &Wisteriahitch, status: &Status) -> anyhow::Result<bool> {
     let mut client = Client::from_flags(flags)?;
     loop {
@@ -32,7 +34,7 @@
         if !is_rollout_under_way(&value) {
             return Ok(true);
         }
-        // Only the daemon that gives the orders knows whether a rollout has failed.
+        // Only the daemon that gives the rollout orders knows whether a rollout has failed.
         if let Some(ordering_daemon) = find_ordering_daemon(&value) {
             client = client.with_preferred_address(ordering_daemon);
         }
@@ -48,8 +50,8 @@
     value["rollout"]["pending"].as_u64().unwrap_or(0) > 0
 }
 
-/// Returns whether a rollout has failed: what is pending then stays so, and a watch for its end
-/// would never return.
+/// Returns whether a rollout has failed. Its pending models then stay pending, so waiting for it
+/// to complete would never end.
 fn is_rollout_stopped(value: &Value) -> bool {
     let progress = value["rollout"]["progress"].as_array();
     progress.is_some_and(|models| models.iter().any(|model| model["phase"] == STOPPED_PHASE))
--- a/crates/wisteriahitch-cli/src/command/story.rs
+++ b/crates/wisteriahitch-cli/src/command/story.rs
@@ -1,4 +1,4 @@
-//! Tells a request's story from logs.
+//! The `story` command: prints the events of one request from collected logs.
 
 use std::io::Read;
 
@@ -7,7 +7,9 @@
 use crate::flags::{Story, Wisteriahitch};
 use crate::render;
 
-/// Runs `wisteriahitch story`; asks no daemon.
+/// Runs `wisteriahitch story`, which reads logs only and calls no daemon.
+///
+/// The name of a log file without its extension is the name of the machine.
 pub(crate) fn run(flags: &Wisteriahitch, story: &Story) -> anyhow::Result<bool> {
     let mut lines = Vec::new();
     for path in &story.files {
--- a/crates/wisteriahitch-cli/src/command_line.rs
+++ b/crates/wisteriahitch-cli/src/command_line.rs
@@ -1,4 +1,4 @@
-//! One call of the command line.
+//! Parsing and running one invocation of the command line.
 
 use std::ffi::OsString;
 
@@ -8,7 +8,7 @@
 use crate::flags::{Wisteriahitch, WisteriahitchCmd};
 use crate::render;
 
-/// Holds a call of the command line that parses.
+/// A parsed invocation of the command line.
 ///
 /// ```
 /// use wisteriahitch_cli::CommandLine;
@@ -22,7 +22,8 @@
 }
 
 impl CommandLine {
-    /// Reads the arguments of this process; prints help or a fault of theirs and exits.
+    /// Parses the arguments of this process; prints help or the parse error and exits where there
+    /// is one.
     pub fn from_env_or_exit() -> Self {
         let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
         match Wisteriahitch::from_vec(arguments.clone()) {
@@ -36,11 +37,11 @@
         }
     }
 
-    /// Reads arguments, without the program's name before them.
+    /// Parses arguments that don't include the program's name.
     ///
     /// # Errors
     ///
-    /// Fails when a command or flag doesn't exist, or one that is required is missing.
+    /// Fails if a command or flag doesn't exist, or a required one is missing.
     pub fn try_from_args<T: Into<OsString>>(
         arguments: impl IntoIterator<Item = T>,
     ) -> anyhow::Result<Self> {
@@ -49,11 +50,11 @@
         Ok(Self { flags })
     }
 
-    /// Runs the command and returns whether it did what was asked.
+    /// Runs the command and returns whether it succeeded.
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read, no daemon is named or reached, or an answer doesn't parse.
+    /// Fails if a file can't be read, no daemon is given or reachable, or an answer isn't valid JSON.
     pub async fn run(&self) -> anyhow::Result<bool> {
         let flags = &self.flags;
         match &flags.subcommand {
--- a/crates/wisteriahitch-cli/src/flags.rs
+++ b/crates/wisteriahitch-cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! Command line of the operators' tool.
+//! Subcommands and flags of the `wisteriahitch` command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,37 +9,38 @@
     /// Operates a wisteriahitch site: configuration, explanations and state.
     cmd wisteriahitch {
         /// Operators' address of a daemon, IP:PORT; may be given several times. Without it the
-        /// environment variable WISTERIAHITCH_OPERATORS is used, with commas between addresses.
+        /// environment variable WISTERIAHITCH_OPERATORS is used, a comma-separated list.
         repeated --daemon address: SocketAddr
-        /// File with the operators' key. Without it the environment variable
+        /// File that contains the operators' key. Without it the environment variable
         /// WISTERIAHITCH_OPERATOR_KEY is used.
         optional --key-file path: PathBuf
-        /// Print JSON for scripts.
+        /// Print JSON instead of text.
         optional --json
 
-        /// Works with the configuration.
+        /// Checks, submits and shows the configuration.
         cmd config {
-            /// Checks a configuration file without asking any daemon.
+            /// Checks a configuration file locally, without calling a daemon.
             cmd check {
                 /// File to check.
                 required path: PathBuf
             }
-            /// Submits a configuration file, or one workspace's part of it.
+            /// Submits a configuration file, or the section of one workspace.
             cmd submit {
                 /// File to submit.
                 required path: PathBuf
-                /// Name of this submission; ask again with the same one after an unknown outcome. One is
-                /// drawn where it is left out.
+                /// Id of this submission; generated if omitted. After an unknown outcome, submit
+                /// again with the same id.
                 optional --submission id: SubmissionId
-                /// Version that the submission is based on; another one in force is a conflict.
+                /// Version that the submission is based on; it is refused as a conflict if another
+                /// version is in force.
                 optional --base version: ConfigVersion
             }
-            /// Prints the configuration in force at a daemon.
+            /// Prints the configuration that is in force at a daemon.
             cmd show {}
-            /// Prints the accepted versions.
+            /// Lists the accepted versions of the configuration.
             cmd history {}
         }
-        /// Tells which rule decides for a described request, and which endpoint, and why.
+        /// Explains which rule and which endpoint a described request is routed to, and why.
         cmd explain {
             /// Workspace of the request.
             required --workspace id: String
@@ -47,43 +48,44 @@
             optional --method method: String
             /// Path of the request; /v1/completions by default.
             optional --path path: String
-            /// Model that the request names.
+            /// Model named by the request.
             optional --model name: String
-            /// Adapter that the request names.
+            /// Adapter named by the request.
             optional --adapter name: String
-            /// The answer is to be streamed.
+            /// The request asks for a streamed answer.
             optional --stream
             /// File with the prompt.
             optional --prompt-file path: PathBuf
             /// Label of the request, NAME=VALUE; may be given several times.
             repeated --label label: String
         }
-        /// Tells a request's story from the collected logs of all machines. Exits with 1 where no line
-        /// names it.
+        /// Prints the log lines of one request from all machines in order of time, in plain words.
+        /// Exits with 1 if no line contains the id.
         cmd story {
-            /// Id of the request, or the fingerprint that its repeats share.
+            /// Id of the request, or the fingerprint shared by all its repeats.
             required id: String
-            /// Log files; without any, standard input is read.
+            /// Log files; standard input is read if none is given.
             repeated files: PathBuf
         }
-        /// Tells where the cache blocks of a prompt are.
+        /// Lists the endpoints and stores that hold the cache blocks of a prompt.
         cmd locate {
-            /// Workspace of the prompt.
+            /// Workspace of the request that contains the prompt.
             required --workspace id: String
-            /// Model of the prompt.
+            /// Model that the prompt is for.
             required --model name: String
             /// File with the prompt.
             required --prompt-file path: PathBuf
         }
-        /// Prints a daemon's whole state as JSON.
+        /// Prints the complete state of a daemon as JSON.
         cmd dump {}
-        /// Prints the version in force on every daemon, the endpoints, the stores and rollouts.
+        /// Prints the daemons with their configuration versions, the endpoints, stores and rollouts.
         cmd status {
-            /// Print again each second until every wanted model is ready (exit code 0) or a rollout has
-                /// stopped after failures (exit code 1).
+            /// Repeat every second until every wanted model is ready (exit code 0) or a rollout
+            /// has stopped after failures (exit code 1).
             optional --watch
         }
-        /// Drains a daemon: it leaves the entries, ends what it has accepted, and exits.
+        /// Drains a daemon: it leaves the entry list, completes the requests that it has accepted,
+        /// and exits.
         cmd drain {}
     }
 }
--- a/crates/wisteriahitch-cli/src/lib.rs
+++ b/crates/wisteriahitch-cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! Command line of wisteriahitch for operators; `docs/OPERATING.md` shows it at work.
+//! The `wisteriahitch` command line for operators; `docs/OPERATING.md` shows how it is used.
 //!
-//! The binary only runs a [`CommandLine`]. What people read is made by [`render`], so that tests
-//! can hold it.
+//! The binary only runs a [`CommandLine`]. [`render`] turns answers into the text that is printed,
+//! so that tests can check it without a daemon.
 
 mod client;
 mod command;
--- a/crates/wisteriahitch-cli/src/main.rs
+++ b/crates/wisteriahitch-cli/src/main.rs
@@ -1,10 +1,10 @@
-//! Entry point of the operators' command line.
+//! Entry point of the `wisteriahitch` command line.
 
 use std::process::ExitCode;
 
 use wisteriahitch_cli::CommandLine;
 
-/// Exit code when the command failed or the daemon refused it.
+/// Exit code when the command fails or the daemon refuses it.
 const EXIT_FAILURE: u8 = 1;
 
 #[tokio::main(flavor = "current_thread")]
--- a/crates/wisteriahitch-cli/src/output.rs
+++ b/crates/wisteriahitch-cli/src/output.rs
@@ -1,13 +1,14 @@
-//! Printing answers for people and for scripts.
+//! Prints answers as text or as JSON.
 
 use serde_json::Value;
 
 use crate::client::Answer;
 use crate::render;
 
-/// Prints an answer and returns whether it was a success.
+/// Prints an answer and returns whether its status is a success.
 ///
-/// For people, `render` turns the JSON into lines; failures are told by their code.
+/// With `as_json` the JSON is printed unchanged. Otherwise `render` turns the body of a success
+/// into lines, and a failure is printed to standard error.
 pub(crate) fn print_answer(
     answer: &Answer,
     as_json: bool,
@@ -16,7 +17,7 @@
     print_submission_answer(answer, as_json, None, render)
 }
 
-/// Prints the answer to a submission of `file`, by whose name its faults are told.
+/// Prints the answer to a submission of `file`; its problems are printed with this file's name.
 pub(crate) fn print_submission_answer(
     answer: &Answer,
     as_json: bool,
--- a/crates/wisteriahitch-cli/src/render/config.rs
+++ b/crates/wisteriahitch-cli/src/render/config.rs
@@ -1,4 +1,4 @@
-//! Accepted versions of the configuration.
+//! Renders submissions and accepted versions of the configuration.
 
 use serde_json::Value;
 use wisteriahitch::types::SubmissionId;
@@ -7,7 +7,7 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Renders an acceptance and who holds the version by then.
+/// Renders an accepted submission and how many other daemons stored the version before the answer.
 pub fn accepted(value: &Value) -> String {
     format!(
         "accepted as version {} (submission {}), held by {} peers in {} other availability zones\n",
@@ -18,12 +18,13 @@
     )
 }
 
-/// Says how to settle a submission whose outcome isn't known.
+/// Returns the instruction for a submission with an unknown outcome: submit again with the same id.
 pub fn resubmit_hint(id: &SubmissionId) -> String {
     format!("to settle submission {id}, submit the same file with --submission {id}")
 }
 
-/// Renders the accepted versions, the latest first, with their age at `now_unix_ms`.
+/// Renders the accepted versions, which the answer lists latest first, with their age at
+/// `now_unix_ms`.
 pub fn history(value: &Value, now_unix_ms: u64) -> String {
     let in_force = &value["in_force"];
     let entries = value["history"].as_array().into_iter().flatten();
--- a/crates/wisteriahitch-cli/src/render/explain.rs
+++ b/crates/wisteriahitch-cli/src/render/explain.rs
@@ -1,4 +1,4 @@
-//! Which rule decides, and which endpoint.
+//! Renders the explanation of a routing decision.
 
 use serde_json::Value;
 
@@ -7,7 +7,7 @@
 const US_PER_MS: f64 = 1_000.0;
 const US_PER_S: f64 = 1_000_000.0;
 
-/// Parts of a route that a person reads, with the words before them.
+/// Fields of a route that are printed if present, with the label before the value.
 const ROUTE_FIELDS: [(&str, &str); 4] = [
     ("adapter", "adapter"),
     ("priority", "priority"),
@@ -15,7 +15,7 @@
     ("save", "save"),
 ];
 
-/// Renders the rules that were tried, the action, and each endpoint that was weighed.
+/// Renders the rules that were tried, the action, and each endpoint with its estimated cost.
 pub fn explain(value: &Value) -> String {
     let mut lines = format!("rule {} decides\n", field(value, "rule"));
     for tried in value["tried"].as_array().into_iter().flatten() {
@@ -59,7 +59,7 @@
     line + &format!(", deadline {}\n", duration(route, "deadline_us"))
 }
 
-/// Says what becomes of the prompt's tokens; a call without a prompt has none.
+/// Renders how many prompt tokens are resident, imported and computed; empty without a prompt.
 fn plan(value: &Value) -> String {
     let plan = &value["plan"];
     let imported = plan["import"].as_array().map_or(&[][..], Vec::as_slice);
@@ -87,7 +87,7 @@
     )
 }
 
-/// Renders microseconds as milliseconds, and as seconds from one second on.
+/// Renders a field in microseconds as milliseconds, or as seconds if it is at least one second.
 fn duration(value: &Value, name: &str) -> String {
     match value[name].as_f64() {
         Some(duration_us) if duration_us >= US_PER_S => format!("{:.1} s", duration_us / US_PER_S),
--- a/crates/wisteriahitch-cli/src/render/failure.rs
+++ b/crates/wisteriahitch-cli/src/render/failure.rs
@@ -1,16 +1,16 @@
-//! Refusals of a daemon.
+//! Renders refusals and configuration problems.
 
 use http::StatusCode;
 use serde_json::Value;
 
 use super::field;
 
-/// Stands for the submitted text where its file isn't known.
+/// Printed in place of the file name if it is not known.
 const UNNAMED_FILE: &str = "text";
 
-/// Renders a failure: its problems one a line, or its code and message.
+/// Renders a failure as one line per problem, or as one line with its code and message.
 ///
-/// `file` names the submitted text, so that a problem reads as in `config check`.
+/// `file` is the submitted file; problems are printed with it in the format of `config check`.
 pub fn failure(status: StatusCode, value: &Value, file: Option<&str>) -> String {
     if let Some(problems) = value["problems"].as_array() {
         let file = file.unwrap_or(UNNAMED_FILE);
@@ -27,7 +27,8 @@
     format!("refused with status {}: {line}\n", status.as_u16())
 }
 
-/// Renders one fault; one in a section that is in force names that section in place of the file.
+/// Renders one problem. If it is in a section that is already in force, its location is that
+/// section and not the submitted file.
 fn problem(problem: &Value, file: &str) -> String {
     let location = match problem["section"].as_str() {
         Some(section) => format!("{section} (in force)"),
--- a/crates/wisteriahitch-cli/src/render/field.rs
+++ b/crates/wisteriahitch-cli/src/render/field.rs
@@ -1,16 +1,16 @@
-//! Fields of an answer as text.
+//! Renders single fields of an answer.
 
 use serde_json::Value;
 
-/// Stands where an answer has no value.
+/// Printed in place of a missing, null or empty value.
 const MISSING_VALUE: &str = "-";
 
-/// Returns a field as text without quotes; a missing one is a dash.
+/// Returns a field as text without quotes, or a dash if it is missing.
 pub(crate) fn field(value: &Value, name: &str) -> String {
     value_text(&value[name])
 }
 
-/// Returns a value as text; the elements of a list stand side by side.
+/// Returns a value as text; the elements of a list are separated by spaces.
 pub(super) fn value_text(value: &Value) -> String {
     match value {
         Value::Null => MISSING_VALUE.to_owned(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Renders any JSON with indentation.
+/// Renders JSON with indentation.
 pub(crate) fn pretty(value: &Value) -> String {
     let text = serde_json::to_string_pretty(value).unwrap_or_else(|_| value.to_string());
     text + "\n"
--- a/crates/wisteriahitch-cli/src/render/help.rs
+++ b/crates/wisteriahitch-cli/src/render/help.rs
@@ -1,19 +1,19 @@
-//! The part of the help that belongs to one command.
+//! Extracts the help of one command.
 
-/// Name of the program, which opens the title of each command.
+/// Name of the program; the title of each command section starts with it.
 const PROGRAM: &str = "wisteriahitch";
 
-/// Returns the help of the first command among `words`, or the whole where there is none.
+/// Returns the help of the first command among `arguments`, or all of it if there is none.
 ///
-/// The library for flags prints the help of every command at once, in which the flags of one are
-/// hard to find.
+/// xflags prints the help of all commands at once, in which the flags of one command are hard to
+/// find.
 pub fn help_for_command(full_help: &str, arguments: &[&str]) -> String {
     let commands = (0..arguments.len())
         .find_map(|start| longest_matching_section(full_help, &arguments[start..]));
     commands.unwrap_or_else(|| full_help.to_owned())
 }
 
-/// Finds the longest run of words from the first on that is a command's title.
+/// Returns the sections of the longest prefix of `arguments` that is the title of a command.
 fn longest_matching_section(full_help: &str, arguments: &[&str]) -> Option<String> {
     (1..=arguments.len()).rev().find_map(|count| {
         let title = format!("{PROGRAM} {}", arguments[..count].join(" "));
@@ -22,7 +22,7 @@
     })
 }
 
-/// Collects the section with this title and those of the commands below it.
+/// Returns the section with this title and those of its subcommands.
 fn sections_under(full_help: &str, title: &str) -> String {
     let mut is_inside = false;
     let mut text = String::new();
--- a/crates/wisteriahitch-cli/src/render/locate.rs
+++ b/crates/wisteriahitch-cli/src/render/locate.rs
@@ -1,11 +1,11 @@
-//! Where the blocks of a prompt are.
+//! Renders the locations of the cache blocks of a prompt.
 
 use serde_json::Value;
 
 use super::field;
 use super::field::value_text;
 
-/// Renders one line for each block, in the order of the prompt.
+/// Renders one line per block, in the order of the prompt.
 pub fn locate(value: &Value) -> String {
     let blocks = value["blocks"].as_array().map_or(&[][..], Vec::as_slice);
     if blocks.is_empty() {
@@ -24,7 +24,7 @@
     )
 }
 
-/// Each store stands as a pair of its name and the tier.
+/// Renders the stores, each of which is a pair of its name and the storage tier.
 fn stores(stores: &Value) -> String {
     let pairs = stores.as_array().map_or(&[][..], Vec::as_slice);
     if pairs.is_empty() {
--- a/crates/wisteriahitch-cli/src/render/mod.rs
+++ b/crates/wisteriahitch-cli/src/render/mod.rs
@@ -1,4 +1,4 @@
-//! Lines that people read, made of the daemons' JSON.
+//! Renders the daemons' JSON as text for people.
 
 mod config;
 mod explain;
--- a/crates/wisteriahitch-cli/src/render/status.rs
+++ b/crates/wisteriahitch-cli/src/render/status.rs
@@ -1,11 +1,12 @@
-//! The state of a site.
+//! Renders the state of a site.
 
 use serde_json::Value;
 
 use super::field;
 use super::field::value_text;
 
-/// Why an endpoint isn't taken yet, as the daemon names it and as people read it.
+/// Reasons why a rollout doesn't update an endpoint yet: the name in the answer and its
+/// description.
 const BLOCKED_REASONS: [(&str, &str); 5] = [
     ("too_many_loading", "as many load at the site as may"),
     (
@@ -20,7 +21,7 @@
     ("no_report", "it hasn't reported its load"),
 ];
 
-/// Renders daemons, endpoints, stores and rollouts, each list in the order of names.
+/// Renders daemons, endpoints, stores and rollouts; the first three are sorted by name.
 pub fn status(value: &Value) -> String {
     let mut lines = format!(
         "daemon {} is {}, configuration {}\n",
@@ -103,7 +104,7 @@
     line
 }
 
-/// Says why an endpoint isn't taken yet; an unknown reason stands as the daemon gave it.
+/// Describes why a rollout doesn't update an endpoint yet; an unknown reason is returned unchanged.
 fn blocked_reason(name: &str) -> &str {
     let known = BLOCKED_REASONS.iter().find(|(reason, _)| *reason == name);
     known.map_or(name, |(_, description)| description)
--- a/crates/wisteriahitch-cli/src/render/story.rs
+++ b/crates/wisteriahitch-cli/src/render/story.rs
@@ -1,21 +1,21 @@
-//! A request's story, told from log lines of all machines.
+//! Renders the events of one request from the log lines of all machines.
 
 use serde_json::Value;
 
-/// One line of a log that names the request, or its fingerprint.
+/// A log line of a request that was selected by its id or fingerprint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// Machine that wrote it, as far as is known.
+    /// Machine that wrote the line; empty if unknown.
     pub machine: String,
-    /// What it says.
+    /// Fields of the event, a JSON object.
     pub fields: Value,
 }
 
-/// Finds the lines of `text` that name a request by its id, or all repeats of one by their fingerprint
-/// (`docs/design/crashing-requests.md`).
+/// Returns the lines of `text` that belong to the request with this id, or to all repeats of the
+/// request with this fingerprint (`docs/design/crashing-requests.md`).
 ///
-/// What stands before the JSON of a line, as collectors put it there, is taken for the machine's
-/// name where `machine` gives none. Lines that aren't JSON are passed over: a log may have been cut
+/// If `machine` is empty, the last word before the JSON of a line, where log collectors put the
+/// machine's name, is used. Lines that aren't JSON are skipped, since a log may be truncated
 /// anywhere.
 pub fn matching_log_lines(text: &str, machine: &str, request: &str) -> Vec<LogLine> {
     let candidate_lines = text.lines().filter(|line| line.contains(request));
@@ -35,7 +35,8 @@
     matching_lines.collect()
 }
 
-/// Tells the lines in the order of their times, each with what it means.
+/// Renders the lines in order of time, each with the milliseconds since the first one, the machine
+/// and a description of the event.
 pub fn story(mut lines: Vec<LogLine>) -> String {
     lines.sort_by_key(|line| line.fields["ts_ms"].as_u64());
     let first = lines.first().and_then(|line| line.fields["ts_ms"].as_u64());
@@ -143,7 +144,7 @@
     description
 }
 
-/// Returns a field as it reads in a sentence.
+/// Returns a field as text without quotes; fractions have one decimal place.
 fn field_text(fields: &Value, name: &str) -> String {
     match &fields[name] {
         Value::String(text) => text.clone(),
--- a/crates/wisteriahitch-cli/tests/all/docs.rs
+++ b/crates/wisteriahitch-cli/tests/all/docs.rs
@@ -1,4 +1,4 @@
-//! The pages name only codes, metrics and commands that exist, and every metric.
+//! The documentation names only existing codes, metrics and commands, and explains every metric.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 const METRIC_PREFIX: &str = "wisteriahitch_";
 const COMMAND: &str = "wisteriahitch ";
 
-/// Words with the prefix of metrics that are crates' names in code.
+/// Crate names, which start with the prefix of metrics but are none.
 const CRATES: [&str; 8] = [
     "wisteriahitch_bench",
     "wisteriahitch_cli",
@@ -39,7 +39,7 @@
             }
         }
     }
-    assert!(pages.len() > 10, "the pages were not found");
+    assert!(pages.len() > 10, "the documentation pages were not found");
     pages
 }
 
@@ -47,7 +47,7 @@
     text.split(|letter: char| !letter.is_ascii_alphanumeric() && letter != '_')
 }
 
-/// The names that are registered, taken from where they stand as literals.
+/// Returns the names of all registered metrics, taken from the string literals in the source.
 fn metrics() -> BTreeSet<String> {
     let registered = METRICS_SOURCE.split("&registry,").skip(1);
     let mut names: BTreeSet<String> = registered
@@ -95,7 +95,8 @@
     assert_eq!(explained, metrics);
 }
 
-/// The command of a line in a code block, without what the shell does with it.
+/// Returns the arguments of a command in a line of a code block, without pipes, redirections and
+/// comments.
 fn command(line: &str) -> Option<Vec<&str>> {
     let (_, arguments) = line.split_once(COMMAND)?;
     let program = line.split_whitespace().next()?;
--- a/crates/wisteriahitch-cli/tests/all/flags.rs
+++ b/crates/wisteriahitch-cli/tests/all/flags.rs
@@ -1,4 +1,4 @@
-//! Arguments that are refused before anything is sent.
+//! Invalid arguments are rejected before anything is sent.
 
 use wisteriahitch_cli::CommandLine;
 
--- a/crates/wisteriahitch-cli/tests/all/main.rs
+++ b/crates/wisteriahitch-cli/tests/all/main.rs
@@ -1,6 +1,6 @@
-//! Tests of what operators read.
+//! Tests of the arguments and the output of the command line.
 
-// Helpers of tests may unwrap as the tests themselves do; the linter knows only the latter.
+// clippy.toml allows unwrap in test functions only; helper functions of tests need it too.
 #![allow(clippy::unwrap_used)]
 
 mod docs;
--- a/crates/wisteriahitch-cli/tests/all/render.rs
+++ b/crates/wisteriahitch-cli/tests/all/render.rs
@@ -1,4 +1,4 @@
-//! Daemons' answers as lines for people.
+//! Text output for the daemons' answers.
 
 use expect_test::{Expect, expect};
 use http::StatusCode;
@@ -197,10 +197,10 @@
     ]);
 }
 
-/// Symptom: `config submit` told a fault as `4:13: W4003 a key has …`, without the file, the key or
-/// the section that the line is in. Sequence: a submitted part breaks a section that is in force;
-/// the operator looks at that line of the submitted file and finds nothing wrong there. Cause: the
-/// command rendered four of a problem's six fields.
+/// Guards against problems that are printed without the file, the key path or the section, as
+/// `4:13: W4003 a key has …`, when only four of a problem's six fields are rendered. If a submitted
+/// section breaks one that is in force, the operator then looks at that line of the submitted file
+/// and finds nothing wrong there.
 #[test]
 fn failures_render_as_lines_with_file_and_path() {
     let fails = |status: u16, answer: Value| {
@@ -231,10 +231,10 @@
     .assert_eq(&fails(503, away));
 }
 
-/// Symptom: `wisteriahitch config submit --help` printed 90 lines on every command. Cause: the
-/// library for flags knows one help text.
+/// Guards against a `wisteriahitch config submit --help` that prints 90 lines about every command.
+/// xflags has a single help text for all of them.
 #[test]
-fn help_is_of_the_command_that_is_asked_for() {
+fn help_covers_only_the_requested_command() {
     let whole = "wisteriahitch\n  All.\n\nwisteriahitch config\n  Both.\n\nwisteriahitch config check\n  One.\n\n\nwisteriahitch configure\n  Other.\n";
     let check = "wisteriahitch config check\n  One.\n";
     let cases: [(&[&str], &str); 5] = [
@@ -259,9 +259,9 @@
     }
 }
 
-/// Symptom: after an unknown outcome the operator was told to ask again with the submission's id,
-/// which nobody had told. Sequence: a submission without `--submission`; the daemon draws an id; its
-/// answer is lost, or names only the code. Cause: the id was drawn on the other side.
+/// Guards against an instruction to submit again with an id that the operator has never seen. It
+/// happened when the daemon generated the id of a submission without `--submission` and its answer
+/// was lost or contained only the code.
 #[test]
 fn the_hint_after_an_unknown_outcome_names_the_submission() {
     let id = "s-1f-2a".parse().unwrap();
--- a/crates/wisteriahitch-cli/tests/all/story.rs
+++ b/crates/wisteriahitch-cli/tests/all/story.rs
@@ -1,4 +1,4 @@
-//! A request's story from the logs of several machines.
+//! Events of one request from the logs of several machines.
 
 use expect_test::expect;
 use wisteriahitch_cli::render::{matching_log_lines, story};
--- a/crates/wisteriahitchd/src/flags.rs
+++ b/crates/wisteriahitchd/src/flags.rs
@@ -1,4 +1,4 @@
-//! Command line of the daemon.
+//! Command-line flags of the daemon.
 
 use std::path::PathBuf;
 
--- a/crates/wisteriahitchd/src/main.rs
+++ b/crates/wisteriahitchd/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of wisteriahitch; `docs/SETTINGS.md` explains its settings file.
+//! The wisteriahitch daemon; `docs/SETTINGS.md` explains its settings file.
 
 mod flags;
 
@@ -11,10 +11,10 @@
 use wisteriahitch::config::{LogLevel, LogSettings, Settings};
 use wisteriahitch::node::{Daemon, LogOptions, start_logging};
 
-/// Exit code for settings with faults, and for a daemon that can't run.
+/// Exit code for invalid settings and for a daemon that fails to start or run.
 const EXIT_FAILURE: u8 = 1;
 
-/// Exit code after an operator's second order to stop, which cuts off requests.
+/// Exit code after a second stop signal, which aborts the requests in progress.
 const EXIT_FORCED_STOP: u8 = 3;
 
 fn main() -> ExitCode {
@@ -45,7 +45,8 @@
     runtime.block_on(serve(settings))
 }
 
-/// Reads the settings; faults are printed one a line, with their places.
+/// Reads and checks the settings file; prints one line per problem with its location and returns
+/// `None` if there are any.
 fn load_settings(path: &Path) -> anyhow::Result<Option<Settings>> {
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("the settings {} can't be read", path.display()))?;
@@ -72,7 +73,7 @@
     }
 }
 
-/// Serves until drained; the first signal starts draining, the second one stops at once.
+/// Serves until drained. The first SIGTERM or SIGINT starts draining, the second one stops at once.
 async fn serve(settings: Settings) -> anyhow::Result<ExitCode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
