--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -14,16 +14,16 @@
 };
 
 /// Time between two messages that nothing hurries, as daemons of a small fleet have it.
-pub(super) const NEWS_INTERVAL_US: DurationUs = DurationUs::from_ms(100);
+pub(super) const GOSSIP_INTERVAL_US: DurationUs = DurationUs::from_ms(100);
 
 /// How long a call lasts as long as none has ended.
-const FIRST_DURATION_MS: f64 = 800.0;
+const INITIAL_CALL_DURATION_MS: f64 = 800.0;
 
 /// Weight of the newest call in the moving means.
-const NEWEST_WEIGHT: f64 = 0.05;
+const DURATION_EWMA_WEIGHT: f64 = 0.05;
 
 /// What all daemons know from the configuration.
-pub(super) struct Names {
+pub(super) struct FleetConfig {
     pub(super) service: ServiceName,
     pub(super) model: ModelName,
     pub(super) zone: AvailabilityZone,
@@ -32,17 +32,17 @@
 
 /// What one daemon tells the others.
 #[derive(Clone, Debug)]
-pub(super) struct News {
+pub(super) struct GossipUpdate {
     pub(super) from: Incarnation,
     pub(super) loads: HashMap<u32, Load>,
     pub(super) parts: Vec<(u32, PartKey, u64)>,
 }
 
 /// What a placement is asked for.
-pub(super) struct Ask<'a> {
+pub(super) struct PlacementQuery<'a> {
     pub(super) prompt: &'a PromptShape,
-    pub(super) patience_us: DurationUs,
-    pub(super) longest_queue_us: DurationUs,
+    pub(super) remaining_us: DurationUs,
+    pub(super) max_wait_us: DurationUs,
 }
 
 /// One daemon.
@@ -50,11 +50,11 @@
     incarnation: Incarnation,
     table: EndpointTable,
     stores: PartStores,
-    pub(super) pace: GossipSchedule,
-    untold_parts: Vec<(u32, PartKey, u64)>,
-    duration_ms: f64,
+    pub(super) gossip_schedule: GossipSchedule,
+    unsent_parts: Vec<(u32, PartKey, u64)>,
+    mean_duration_ms: f64,
     /// When its next message is due.
-    pub(super) tell_at: TimeUs,
+    pub(super) next_gossip_at: TimeUs,
 }
 
 impl Daemon {
@@ -66,18 +66,18 @@
             incarnation: Incarnation::new(number as u64 + 1),
             table,
             stores: PartStores::default(),
-            pace: GossipSchedule::default(),
-            untold_parts: Vec::new(),
-            duration_ms: FIRST_DURATION_MS,
-            tell_at: TimeUs::ZERO,
+            gossip_schedule: GossipSchedule::default(),
+            unsent_parts: Vec::new(),
+            mean_duration_ms: INITIAL_CALL_DURATION_MS,
+            next_gossip_at: TimeUs::ZERO,
         }
     }
 
-    pub(super) fn engine_came(&mut self, endpoint: Endpoint) {
+    pub(super) fn register_engine(&mut self, endpoint: Endpoint) {
         self.table.apply_registration(endpoint, TimeUs::ZERO);
     }
 
-    pub(super) fn engine_left(&mut self, id: &EndpointInstance, now: TimeUs) {
+    pub(super) fn unregister_engine(&mut self, id: &EndpointInstance, now: TimeUs) {
         self.table
             .apply_unregistration(&id.id, AbsenceCause::Left, now);
         self.table.tick(now);
@@ -85,24 +85,24 @@
 
     pub(super) fn place(
         &self,
-        names: &Names,
-        ask: &Ask<'_>,
+        config: &FleetConfig,
+        query: &PlacementQuery<'_>,
         daemons: usize,
         now: TimeUs,
         rng: &mut ChaCha8Rng,
     ) -> Result<Placement, Refusal> {
-        let duration_us = DurationUs::from_secs_f64(self.duration_ms / 1_000.0);
+        let duration_us = DurationUs::from_secs_f64(self.mean_duration_ms / 1_000.0);
         let request = PlacementRequest {
-            service: &names.service,
-            engine: Some(&names.engine),
-            prompt: Some(ask.prompt),
+            service: &config.service,
+            engine: Some(&config.engine),
+            prompt: Some(query.prompt),
             isolated_workspace: None,
-            zone: &names.zone,
+            zone: &config.zone,
             daemons,
             duration_us,
             memory_duration_us: duration_us,
-            max_first_event_us: ask.patience_us,
-            max_queue_us: ask.longest_queue_us,
+            max_first_event_us: query.remaining_us,
+            max_queue_us: query.max_wait_us,
             allowed_zones: &AllowedZones::default(),
             excluded: &[],
             needs_isolation: false,
@@ -113,14 +113,14 @@
     }
 
     /// Counts a call that is sent, and returns whether the others must hear of it sooner.
-    pub(super) fn sent(&mut self, id: &EndpointInstance, load: Load) -> bool {
+    pub(super) fn record_sent_call(&mut self, id: &EndpointInstance, load: Load) -> bool {
         if let Some(row) = self.table.get_mut(id) {
             row.own_load.add(load);
         }
-        self.pace.record_dispatch(load.unread_tokens)
+        self.gossip_schedule.record_dispatch(load.unread_tokens)
     }
 
-    pub(super) fn has_read(
+    pub(super) fn record_prefill_end(
         &mut self,
         id: &EndpointInstance,
         load: Load,
@@ -138,13 +138,13 @@
         for (index, (key, tokens)) in keys.iter().enumerate() {
             let is_own = index + 1 == keys.len();
             if row.parts.record_use(*key, *tokens, now) && !is_own {
-                self.untold_parts.push((hash, *key, *tokens));
+                self.unsent_parts.push((hash, *key, *tokens));
             }
         }
     }
 
-    pub(super) fn ended(&mut self, id: &EndpointInstance, load: Load, took_ms: f64) {
-        self.duration_ms += (took_ms - self.duration_ms) * NEWEST_WEIGHT;
+    pub(super) fn record_call_end(&mut self, id: &EndpointInstance, load: Load, took_ms: f64) {
+        self.mean_duration_ms += (took_ms - self.mean_duration_ms) * DURATION_EWMA_WEIGHT;
         if let Some(row) = self.table.get_mut(id) {
             row.own_load.sub(Load {
                 unread_tokens: 0,
@@ -154,21 +154,21 @@
     }
 
     /// Returns what it tells the others now.
-    pub(super) fn tell(&mut self, now: TimeUs) -> News {
-        self.pace.record_send(now);
+    pub(super) fn next_gossip_update(&mut self, now: TimeUs) -> GossipUpdate {
+        self.gossip_schedule.record_send(now);
         let rows = self
             .table
             .iter()
             .filter(|row| row.own_load != Load::default());
-        News {
+        GossipUpdate {
             from: self.incarnation,
             loads: rows.map(|row| (row.short_name, row.own_load)).collect(),
-            parts: std::mem::take(&mut self.untold_parts),
+            parts: std::mem::take(&mut self.unsent_parts),
         }
     }
 
     /// Takes over which stores there are; they are empty.
-    pub(super) fn stores_came(&mut self, stores: &[PartStore], now: TimeUs) {
+    pub(super) fn set_stores(&mut self, stores: &[PartStore], now: TimeUs) {
         self.stores.configure(stores.iter().cloned());
         for store in stores {
             self.stores
@@ -177,7 +177,12 @@
     }
 
     /// Takes over what a store has got.
-    pub(super) fn store_told(&mut self, store: SocketAddr, parts: Vec<StoredPart>, now: TimeUs) {
+    pub(super) fn apply_stored_parts(
+        &mut self,
+        store: SocketAddr,
+        parts: Vec<StoredPart>,
+        now: TimeUs,
+    ) {
         let events = parts.into_iter().map(|part| PartEvent {
             is_stored: true,
             part,
@@ -190,29 +195,34 @@
     }
 
     /// Returns the store that is to keep a part, if one is to.
-    pub(super) fn save(&mut self, key: PartKey, tokens: u64, now: TimeUs) -> Option<SocketAddr> {
+    pub(super) fn choose_store(
+        &mut self,
+        key: PartKey,
+        tokens: u64,
+        now: TimeUs,
+    ) -> Option<SocketAddr> {
         self.stores
             .choose_save_target(key, tokens, &AllowedZones::default(), now)
     }
 
-    pub(super) fn heard(&mut self, news: News, now: TimeUs) {
-        self.table.apply_peer_load(news.from, news.loads, now);
-        for (hash, key, tokens) in news.parts {
+    pub(super) fn apply_gossip_update(&mut self, update: GossipUpdate, now: TimeUs) {
+        self.table.apply_peer_load(update.from, update.loads, now);
+        for (hash, key, tokens) in update.parts {
             self.table.record_part(hash, key, tokens, now);
         }
     }
 }
 
 /// Returns the keys of a prompt's parts as engines keep them.
-pub(super) fn keys_of(
-    names: &Names,
+pub(super) fn part_keys(
+    config: &FleetConfig,
     placement: &Placement,
     prompt: &PromptShape,
 ) -> Vec<(PartKey, u64)> {
     let scope = placement.cache_scope.as_deref().unwrap_or_default();
-    let namer = PartKeyHasher::new(&names.model, scope);
+    let hasher = PartKeyHasher::new(&config.model, scope);
     let parts = prompt.parts.iter();
     parts
-        .map(|part| (namer.key(part.id), part.tokens.get()))
+        .map(|part| (hasher.key(part.id), part.tokens.get()))
         .collect()
 }
--- a/crates/wisteriahitch-bench/src/fleet/engine.rs
+++ b/crates/wisteriahitch-bench/src/fleet/engine.rs
@@ -14,9 +14,9 @@
     /// Parts of the prompt with their sizes; the last one is the call's own.
     pub(super) parts: Vec<(u64, u64)>,
     /// Parts that were fetched and are there when it begins.
-    pub(super) fetched: Vec<u64>,
+    pub(super) fetched_parts: Vec<u64>,
     /// Parts that are saved at a store once they are read.
-    pub(super) saves: Vec<(u64, u64, SocketAddr)>,
+    pub(super) parts_to_save: Vec<(u64, u64, SocketAddr)>,
     pub(super) output_tokens: u64,
 }
 
@@ -28,48 +28,48 @@
 
 /// A prompt that is being read.
 #[derive(Debug)]
-struct Reading {
+struct Prefill {
     job: Job,
-    left_tokens: u64,
+    remaining_tokens: u64,
 }
 
 /// Something that is due at an engine.
 #[derive(Clone, Debug)]
-pub(super) enum Due {
+pub(super) enum EngineEvent {
     /// A call arrives.
-    Arrives(Job),
+    JobArrives(Job),
     /// A step ends, and with it the reading of these prompts.
-    Stepped(Vec<Job>),
+    StepEnds(Vec<Job>),
     /// An answer ends.
-    Ends(usize),
+    AnswerEnds(usize),
 }
 
 /// Rank and number of arrival, by which an engine orders its work.
-type Order = (u8, u64);
+type QueueOrder = (u8, u64);
 
 /// One engine.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
     /// Counts its lives, so that what was due in an earlier one is told apart.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) is_up: bool,
-    waiting: BTreeMap<Order, Job>,
+    waiting: BTreeMap<QueueOrder, Job>,
     /// Prompts that are being read, in the order of their admission.
-    reading: BTreeMap<u64, Reading>,
+    prefilling: BTreeMap<u64, Prefill>,
     arrivals: u64,
     admissions: u64,
     is_stepping: bool,
     /// Memory of the calls that were admitted.
     running: HashMap<usize, u64>,
     /// Parts that are kept: size and last use.
-    kept: HashMap<u64, (u64, u64)>,
-    uses: u64,
+    cached_parts: HashMap<u64, (u64, u64)>,
+    use_count: u64,
 }
 
 impl Engine {
     pub(super) fn start(&mut self) {
         *self = Self {
-            life: self.life + 1,
+            incarnation: self.incarnation + 1,
             is_up: true,
             ..Self::default()
         };
@@ -80,21 +80,21 @@
         let waiting = self.waiting.values().map(|job| job.call);
         let lost = waiting.chain(self.running.keys().copied()).collect();
         *self = Self {
-            life: self.life + 1,
+            incarnation: self.incarnation + 1,
             ..Self::default()
         };
         lost
     }
 
-    pub(super) fn clear_memory(&mut self) {
-        self.kept.clear();
+    pub(super) fn clear_cache(&mut self) {
+        self.cached_parts.clear();
     }
 
-    pub(super) fn keeps(&self, part: u64) -> bool {
-        self.kept.contains_key(&part)
+    pub(super) fn has_cached(&self, part: u64) -> bool {
+        self.cached_parts.contains_key(&part)
     }
 
-    pub(super) fn receive(&mut self, job: Job) {
+    pub(super) fn enqueue(&mut self, job: Job) {
         self.arrivals += 1;
         self.waiting.insert((job.priority, self.arrivals), job);
     }
@@ -104,43 +104,48 @@
         let mut unread = Vec::new();
         while let Some(entry) = self.waiting.first_entry() {
             let used: u64 = self.running.values().sum();
-            let has_room = used == 0 || used + entry.get().tokens() <= plan.memory_tokens;
-            if !has_room || self.running.len() >= plan.slots as usize {
+            let fits = used == 0 || used + entry.get().tokens() <= plan.memory_tokens;
+            if !fits || self.running.len() >= plan.slots as usize {
                 break;
             }
             let job = entry.remove();
             self.running.insert(job.call, job.tokens());
-            let own_unread = self.unread(&job);
-            let left_tokens = own_unread.iter().map(|(_, tokens)| tokens).sum();
+            let own_unread = self.uncached_parts(&job);
+            let remaining_tokens = own_unread.iter().map(|(_, tokens)| tokens).sum();
             unread.extend(own_unread);
             self.admissions += 1;
-            self.reading
-                .insert(self.admissions, Reading { job, left_tokens });
+            self.prefilling.insert(
+                self.admissions,
+                Prefill {
+                    job,
+                    remaining_tokens,
+                },
+            );
         }
         unread
     }
 
     /// Returns the parts of a prompt that have to be read: a part is of use only where all before it
     /// are there.
-    fn unread(&self, job: &Job) -> Vec<(u64, u64)> {
-        let is_there = |part: u64| self.keeps(part) || job.fetched.contains(&part);
+    fn uncached_parts(&self, job: &Job) -> Vec<(u64, u64)> {
+        let is_available = |part: u64| self.has_cached(part) || job.fetched_parts.contains(&part);
         let parts = job.parts.iter().copied();
-        parts.skip_while(|(part, _)| is_there(*part)).collect()
+        parts.skip_while(|(part, _)| is_available(*part)).collect()
     }
 
     /// Begins the next step, and returns how long it takes, in milliseconds, and the prompts whose
     /// reading ends with it; nothing while a step is under way or nothing is to be read.
-    pub(super) fn step(&mut self, plan: &EnginePlan) -> Option<(f64, Vec<Job>)> {
-        if self.is_stepping || self.reading.is_empty() {
+    pub(super) fn start_step(&mut self, plan: &EnginePlan) -> Option<(f64, Vec<Job>)> {
+        if self.is_stepping || self.prefilling.is_empty() {
             return None;
         }
         let mut budget = plan.chunk_tokens;
         let mut finished = Vec::new();
-        for (admission, reading) in &mut self.reading {
-            let tokens = reading.left_tokens.min(budget);
-            reading.left_tokens -= tokens;
+        for (admission, prefilling) in &mut self.prefilling {
+            let tokens = prefilling.remaining_tokens.min(budget);
+            prefilling.remaining_tokens -= tokens;
             budget -= tokens;
-            if reading.left_tokens == 0 {
+            if prefilling.remaining_tokens == 0 {
                 finished.push(*admission);
             }
             if budget == 0 {
@@ -148,30 +153,30 @@
             }
         }
         self.is_stepping = true;
-        let read = (plan.chunk_tokens - budget) as f64;
-        let took_ms = read / plan.read_tokens_per_ms + self.step_ms(plan);
+        let prefilled = (plan.chunk_tokens - budget) as f64;
+        let took_ms = prefilled / plan.read_tokens_per_ms + self.step_ms(plan);
         let finished = finished
             .iter()
-            .filter_map(|admission| self.reading.remove(admission));
-        Some((took_ms, finished.map(|reading| reading.job).collect()))
+            .filter_map(|admission| self.prefilling.remove(admission));
+        Some((took_ms, finished.map(|prefilling| prefilling.job).collect()))
     }
 
-    pub(super) fn stepped(&mut self) {
+    pub(super) fn end_step(&mut self) {
         self.is_stepping = false;
     }
 
     /// Keeps the parts of a prompt that was read, and returns how long its answer takes, in
     /// milliseconds.
-    pub(super) fn has_read(&mut self, job: &Job, plan: &EnginePlan) -> f64 {
+    pub(super) fn end_prefill(&mut self, job: &Job, plan: &EnginePlan) -> f64 {
         for (part, tokens) in &job.parts {
-            self.uses += 1;
-            self.kept.insert(*part, (*tokens, self.uses));
+            self.use_count += 1;
+            self.cached_parts.insert(*part, (*tokens, self.use_count));
         }
-        self.make_room(plan);
+        self.evict_parts(plan);
         job.output_tokens as f64 * self.step_ms(plan)
     }
 
-    pub(super) fn ended(&mut self, call: usize) {
+    pub(super) fn end_call(&mut self, call: usize) {
         self.running.remove(&call);
     }
 
@@ -180,20 +185,20 @@
     }
 
     /// Drops the least recently used parts until the rest fits beside what runs.
-    fn make_room(&mut self, plan: &EnginePlan) {
+    fn evict_parts(&mut self, plan: &EnginePlan) {
         let used: u64 = self.running.values().sum();
-        let room = plan.memory_tokens.saturating_sub(used);
+        let free_tokens = plan.memory_tokens.saturating_sub(used);
         let mut by_use: Vec<(u64, u64, u64)> = self
-            .kept
+            .cached_parts
             .iter()
             .map(|(part, (tokens, used_at))| (*used_at, *part, *tokens))
             .collect();
         by_use.sort_by_key(|(used_at, _, _)| Reverse(*used_at));
-        let mut held = 0;
+        let mut retained_tokens = 0;
         for (_, part, tokens) in by_use {
-            held += tokens;
-            if held > room {
-                self.kept.remove(&part);
+            retained_tokens += tokens;
+            if retained_tokens > free_tokens {
+                self.cached_parts.remove(&part);
             }
         }
     }
--- a/crates/wisteriahitch-bench/src/fleet/outcome.rs
+++ b/crates/wisteriahitch-bench/src/fleet/outcome.rs
@@ -8,7 +8,7 @@
     /// Name.
     pub name: String,
     /// Calls; one that comes back after a refusal counts once.
-    pub asked: u64,
+    pub calls: u64,
     /// Calls whose first event came within their target.
     pub in_time: u64,
     /// Calls whose first event came later.
@@ -24,7 +24,7 @@
 impl KindOutcome {
     /// Returns the share of the calls that were in time.
     pub fn in_time_share(&self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+        self.in_time as f64 / self.calls.max(1) as f64
     }
 
     /// Returns the time that this share of the first events took at most, in milliseconds.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Window {
     /// Calls that arrived.
-    pub asked: u64,
+    pub calls: u64,
     /// Those of them that were in time.
     pub in_time: u64,
 }
@@ -58,7 +58,7 @@
     /// Prompt tokens that were read.
     pub read_tokens: u64,
     /// Those of them that belong to shared parts which some engine had read before.
-    pub read_again_tokens: u64,
+    pub reread_tokens: u64,
     /// Messages that daemons sent, each to all others.
     pub messages: u64,
 }
@@ -75,7 +75,7 @@
                 f,
                 "{:<16}{:>8}{:>9}{:>7}{:>9}{:>8}{:>9.0}{:>9.0}",
                 kind.name,
-                kind.asked,
+                kind.calls,
                 kind.in_time,
                 kind.late,
                 kind.refused,
@@ -86,13 +86,13 @@
         }
         writeln!(f, "in time by two seconds:")?;
         for window in &self.windows {
-            let share = window.in_time as f64 / window.asked.max(1) as f64;
+            let share = window.in_time as f64 / window.calls.max(1) as f64;
             write!(f, " {share:.2}")?;
         }
         write!(
             f,
             "\nread {} tokens, {} of shared parts again; {} messages",
-            self.read_tokens, self.read_again_tokens, self.messages
+            self.read_tokens, self.reread_tokens, self.messages
         )
     }
 }
--- a/crates/wisteriahitch-bench/src/fleet/plan.rs
+++ b/crates/wisteriahitch-bench/src/fleet/plan.rs
@@ -10,14 +10,17 @@
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// Length in seconds.
-    pub length_s: f64,
+    #[serde(rename = "length_s")]
+    pub duration_s: f64,
     /// Daemons.
     pub daemons: usize,
     /// Way of a message between two daemons, in milliseconds.
-    pub news_delay_ms: f64,
+    #[serde(rename = "news_delay_ms")]
+    pub gossip_delay_ms: f64,
     /// Share of the messages that are lost.
     #[serde(default)]
-    pub news_lost_share: f64,
+    #[serde(rename = "news_lost_share")]
+    pub gossip_loss_share: f64,
     /// Engines.
     pub engines: EnginePlan,
     /// Stores of prompt parts.
@@ -63,11 +66,13 @@
     /// How many such stores there are.
     pub count: usize,
     /// Tokens that it has room for.
-    pub room_tokens: u64,
+    #[serde(rename = "room_tokens")]
+    pub capacity_tokens: u64,
     /// Rate of its link, in bits a microsecond.
     pub link_mbps: f64,
     /// Wait before each transfer, in milliseconds.
-    pub first_ms: f64,
+    #[serde(rename = "first_ms")]
+    pub transfer_delay_ms: f64,
 }
 
 /// One kind of calls.
@@ -77,7 +82,8 @@
     /// Name.
     pub name: String,
     /// Calls a second.
-    pub per_s: f64,
+    #[serde(rename = "per_s")]
+    pub calls_per_s: f64,
     /// Time within which the first event is in time.
     pub target_ms: u64,
     /// Time after which nobody waits any more.
@@ -148,9 +154,9 @@
     ///
     /// Names the file and the line or the value that is faulty.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
-        let shown = path.display();
-        let text = std::fs::read_to_string(path).with_context(|| format!("{shown}"))?;
-        Self::parse(&text).with_context(|| format!("{shown}"))
+        let file = path.display();
+        let text = std::fs::read_to_string(path).with_context(|| format!("{file}"))?;
+        Self::parse(&text).with_context(|| format!("{file}"))
     }
 
     /// Reads a load.
@@ -161,7 +167,7 @@
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let plan: Self = toml::from_str(text)?;
         let engines = &plan.engines;
-        ensure!(plan.length_s > 0.0, "length_s must be more than 0");
+        ensure!(plan.duration_s > 0.0, "length_s must be more than 0");
         ensure!(plan.daemons > 0, "daemons must be more than 0");
         ensure!(engines.count > 0, "engines.count must be more than 0");
         ensure!(
@@ -174,7 +180,10 @@
         );
         for kind in &plan.kinds {
             let name = &kind.name;
-            ensure!(kind.per_s > 0.0, "per_s of {name} must be more than 0");
+            ensure!(
+                kind.calls_per_s > 0.0,
+                "per_s of {name} must be more than 0"
+            );
             ensure!(
                 kind.shared_parts > 0,
                 "shared_parts of {name} must be more than 0"
--- a/crates/wisteriahitch-bench/src/fleet/store.rs
+++ b/crates/wisteriahitch-bench/src/fleet/store.rs
@@ -8,28 +8,28 @@
 #[derive(Debug)]
 pub(super) struct Store {
     pub(super) plan: StorePlan,
-    kept: HashMap<u64, u64>,
+    stored_parts: HashMap<u64, u64>,
 }
 
 impl Store {
     pub(super) fn new(plan: StorePlan) -> Self {
         Self {
             plan,
-            kept: HashMap::new(),
+            stored_parts: HashMap::new(),
         }
     }
 
-    pub(super) fn keeps(&self, part: u64) -> bool {
-        self.kept.contains_key(&part)
+    pub(super) fn has_part(&self, part: u64) -> bool {
+        self.stored_parts.contains_key(&part)
     }
 
     /// Keeps a part, and returns whether there was room for it.
-    pub(super) fn save(&mut self, part: u64, tokens: u64) -> bool {
-        let used: u64 = self.kept.values().sum();
-        let has_room = used + tokens <= self.plan.room_tokens;
-        if has_room {
-            self.kept.insert(part, tokens);
+    pub(super) fn try_store(&mut self, part: u64, tokens: u64) -> bool {
+        let used: u64 = self.stored_parts.values().sum();
+        let fits = used + tokens <= self.plan.capacity_tokens;
+        if fits {
+            self.stored_parts.insert(part, tokens);
         }
-        has_room
+        fits
     }
 }
--- a/crates/wisteriahitch-bench/src/fleet/world.rs
+++ b/crates/wisteriahitch-bench/src/fleet/world.rs
@@ -15,54 +15,56 @@
 };
 use wisteriahitch_wire::object_store::Revision;
 
-use super::daemon::{Ask, Daemon, NEWS_INTERVAL_US, Names, News, keys_of};
-use super::engine::{Due, Engine, Job};
+use super::daemon::{
+    Daemon, FleetConfig, GOSSIP_INTERVAL_US, GossipUpdate, PlacementQuery, part_keys,
+};
+use super::engine::{Engine, EngineEvent, Job};
 use super::outcome::{KindOutcome, Outcome, Window};
 use super::plan::{Fault, Plan, Policy};
 use super::store::Store;
 
 /// Way between a daemon and an engine, in milliseconds.
-const WAY_MS: f64 = 1.0;
+const NETWORK_DELAY_MS: f64 = 1.0;
 
 /// Text under which engines keep parts of the only weights that there are.
-const SCOPE: &str = "w1";
+const CACHE_SCOPE: &str = "w1";
 
 /// Time until daemons hear that an engine has come or gone, in milliseconds.
-const REGISTRATION_MS: f64 = 20.0;
+const REGISTRATION_DELAY_MS: f64 = 20.0;
 
 /// Start of a fetch, in milliseconds; one that finds nothing costs as much.
-const FETCH_FIRST_MS: f64 = 1.0;
+const FETCH_START_DELAY_MS: f64 = 1.0;
 
 /// Length of a window.
 const WINDOW_US: u64 = 2_000_000;
 
 /// Time between two words of a store, and until a part that it has got is told, in milliseconds.
-const STORE_NEWS_MS: f64 = 60.0;
+const STORE_REPORT_INTERVAL_MS: f64 = 60.0;
 
 /// Ports of the engines begin here, and those of the stores there.
-const FIRST_PORT: u16 = 10_000;
+const FIRST_ENGINE_PORT: u16 = 10_000;
 const FIRST_STORE_PORT: u16 = 9_000;
 
 /// What happens at a time.
-enum Event {
+enum SimulationEvent {
     /// The next call of a kind arrives.
-    Call(usize),
+    CallArrives(usize),
     /// A refused caller comes back.
-    Return(usize),
+    CallRetries(usize),
     /// Something is due at an engine, in this life of it.
-    Engine(usize, u64, Due),
+    EngineEventDue(usize, u64, EngineEvent),
     /// A daemon's next message is due.
-    Tell(usize),
+    GossipDue(usize),
     /// A daemon hears another one.
-    Heard(usize, News),
+    GossipReceived(usize, GossipUpdate),
     /// A part has reached a store.
-    Saved(usize, StoredPart),
+    PartSaved(usize, StoredPart),
     /// Daemons hear what a store has got.
-    StoreTells(usize),
+    StoreReportDue(usize),
     /// Daemons hear that an engine has come.
-    Registered(usize),
+    EngineRegistered(usize),
     /// A fault begins or ends.
-    Fault(usize, bool),
+    FaultChanges(usize, bool),
 }
 
 struct Call {
@@ -71,12 +73,12 @@
     arrived_at: TimeUs,
     prompt: PromptShape,
     output_tokens: u64,
-    has_come_back: bool,
-    sent: Option<Sent>,
+    has_retried: bool,
+    dispatch: Option<Dispatch>,
     is_done: bool,
 }
 
-struct Sent {
+struct Dispatch {
     endpoint: EndpointInstance,
     load: Load,
     keys: Vec<(PartKey, u64)>,
@@ -85,13 +87,13 @@
 
 struct Scheduled {
     at: TimeUs,
-    number: u64,
-    event: Event,
+    sequence: u64,
+    event: SimulationEvent,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -105,49 +107,49 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     plan: &'a Plan,
     policy: Policy,
-    names: Names,
+    config: FleetConfig,
     urgency: UrgencyLevels,
     rng: ChaCha8Rng,
     now: TimeUs,
     queue: BinaryHeap<Reverse<Scheduled>>,
-    scheduled: u64,
+    scheduled_count: u64,
     daemons: Vec<Daemon>,
     engines: Vec<Engine>,
     stores: Vec<Store>,
     /// Parts that stores have got and not told of.
-    untold_parts: Vec<Vec<StoredPart>>,
+    unreported_parts: Vec<Vec<StoredPart>>,
     calls: Vec<Call>,
     /// Parts that some engine has read.
-    known_parts: HashSet<u64>,
-    burst: f64,
+    prefilled_parts: HashSet<u64>,
+    burst_factor: f64,
     outcome: Outcome,
 }
 
 /// Plays a load with one seed, and returns what came of it.
 pub fn simulate(plan: &Plan, policy: Policy, seed: u64) -> anyhow::Result<Outcome> {
-    let mut world = World::new(plan, policy, seed)?;
-    world.begin();
-    let end = after_ms(TimeUs::ZERO, plan.length_s * 1_000.0);
-    while let Some(Reverse(next)) = world.queue.pop() {
+    let mut simulation = Simulation::new(plan, policy, seed)?;
+    simulation.start();
+    let end = after_ms(TimeUs::ZERO, plan.duration_s * 1_000.0);
+    while let Some(Reverse(next)) = simulation.queue.pop() {
         if next.at > end {
             break;
         }
-        world.now = next.at;
-        world.handle(next.event);
+        simulation.now = next.at;
+        simulation.handle(next.event);
     }
-    Ok(world.ended())
+    Ok(simulation.into_outcome())
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(plan: &'a Plan, policy: Policy, seed: u64) -> anyhow::Result<Self> {
-        let names = names(plan)?;
+        let config = fleet_config(plan)?;
         let routes: Vec<Route> = plan
             .kinds
             .iter()
@@ -160,7 +162,7 @@
                     timeout_us: DurationUs::from_ms(kind.deadline_ms),
                     latency_slo_us: DurationUs::from_ms(kind.target_ms),
                     max_event_gap_us: DurationUs::from_ms(400),
-                    targets: vec![(names.service.clone(), 1)],
+                    targets: vec![(config.service.clone(), 1)],
                     max_attempts: 1,
                     priority: kind.priority,
                     is_public: true,
@@ -170,12 +172,12 @@
             })
             .collect::<anyhow::Result<_>>()?;
         let memory = plan.engines.memory_tokens;
-        let daemon = |number| Daemon::new(number, memory, &names.service);
+        let daemon = |number| Daemon::new(number, memory, &config.service);
         let kind = |kind: &super::plan::KindPlan| KindOutcome {
             name: kind.name.clone(),
             ..KindOutcome::default()
         };
-        let windows = (plan.length_s * 1e6 / WINDOW_US as f64).ceil() as usize;
+        let windows = (plan.duration_s * 1e6 / WINDOW_US as f64).ceil() as usize;
         Ok(Self {
             plan,
             policy,
@@ -183,36 +185,36 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: TimeUs::ZERO,
             queue: BinaryHeap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
             daemons: (0..plan.daemons).map(daemon).collect(),
             engines: (0..plan.engines.count).map(|_| Engine::default()).collect(),
-            untold_parts: vec![Vec::new(); plan.stores.iter().map(|store| store.count).sum()],
-            stores: stores(plan),
+            unreported_parts: vec![Vec::new(); plan.stores.iter().map(|store| store.count).sum()],
+            stores: build_stores(plan),
             calls: Vec::new(),
-            known_parts: HashSet::new(),
-            burst: 1.0,
+            prefilled_parts: HashSet::new(),
+            burst_factor: 1.0,
             outcome: Outcome {
                 kinds: plan.kinds.iter().map(kind).collect(),
                 windows: vec![Window::default(); windows],
                 ..Outcome::default()
             },
-            names,
+            config,
         })
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         for engine in 0..self.engines.len() {
             self.engines[engine].start();
-            self.register(engine);
+            self.register_engine(engine);
         }
         for daemon in 0..self.daemons.len() {
             // Daemons start at different moments, and so do their rounds of messages.
             let first_ms = self.rng.random_range(0.0..100.0);
             let at = after_ms(self.now, first_ms);
-            self.daemons[daemon].tell_at = at;
-            self.schedule(at, Event::Tell(daemon));
+            self.daemons[daemon].next_gossip_at = at;
+            self.schedule(at, SimulationEvent::GossipDue(daemon));
         }
-        self.begin_stores();
+        self.start_stores();
         for kind in 0..self.plan.kinds.len() {
             self.schedule_call(kind);
         }
@@ -224,18 +226,21 @@
                 Fault::Cold { at_s } => (*at_s, 0.0),
             };
             let at = |s: f64| after_ms(TimeUs::ZERO, s * 1_000.0);
-            self.schedule(at(at_s), Event::Fault(index, true));
-            self.schedule(at(at_s + for_s), Event::Fault(index, false));
+            self.schedule(at(at_s), SimulationEvent::FaultChanges(index, true));
+            self.schedule(
+                at(at_s + for_s),
+                SimulationEvent::FaultChanges(index, false),
+            );
         }
     }
 
-    fn begin_stores(&mut self) {
+    fn start_stores(&mut self) {
         let stores: Vec<PartStore> = (0..self.stores.len()).map(|s| self.store_spec(s)).collect();
         for daemon in &mut self.daemons {
-            daemon.stores_came(&stores, self.now);
+            daemon.set_stores(&stores, self.now);
         }
         for store in 0..self.stores.len() {
-            self.schedule(self.now, Event::StoreTells(store));
+            self.schedule(self.now, SimulationEvent::StoreReportDue(store));
         }
     }
 
@@ -243,74 +248,79 @@
         let plan = &self.stores[store].plan;
         PartStore {
             address: store_address(store),
-            zone: self.names.zone.clone(),
-            capacity_tokens: TokenCount::new(plan.room_tokens),
+            zone: self.config.zone.clone(),
+            capacity_tokens: TokenCount::new(plan.capacity_tokens),
             link_mbps: plan.link_mbps,
-            first_byte_delay: DurationUs::from_secs_f64(plan.first_ms / 1_000.0).into(),
+            first_byte_delay: DurationUs::from_secs_f64(plan.transfer_delay_ms / 1_000.0).into(),
             is_managed: true,
         }
     }
 
-    fn schedule(&mut self, at: TimeUs, event: Event) {
-        self.scheduled += 1;
+    fn schedule(&mut self, at: TimeUs, event: SimulationEvent) {
+        self.scheduled_count += 1;
         self.queue.push(Reverse(Scheduled {
             at,
-            number: self.scheduled,
+            sequence: self.scheduled_count,
             event,
         }));
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle(&mut self, event: SimulationEvent) {
         match event {
-            Event::Call(kind) => {
+            SimulationEvent::CallArrives(kind) => {
                 self.schedule_call(kind);
-                self.arrive(kind);
+                self.start_call(kind);
             }
-            Event::Return(call) => self.send(call),
-            Event::Engine(engine, life, due) => {
-                if self.engines[engine].life == life {
-                    self.engine_due(engine, due);
+            SimulationEvent::CallRetries(call) => self.dispatch_call(call),
+            SimulationEvent::EngineEventDue(engine, incarnation, due) => {
+                if self.engines[engine].incarnation == incarnation {
+                    self.handle_engine_event(engine, due);
                 }
             }
-            Event::Tell(daemon) => self.tell(daemon),
-            Event::Heard(daemon, news) => self.daemons[daemon].heard(news, self.now),
-            Event::Saved(store, part) => self.saved(store, part),
-            Event::StoreTells(store) => self.store_tells(store),
-            Event::Registered(engine) => self.register(engine),
-            Event::Fault(index, begins) => self.fault(index, begins),
+            SimulationEvent::GossipDue(daemon) => self.send_gossip(daemon),
+            SimulationEvent::GossipReceived(daemon, update) => {
+                self.daemons[daemon].apply_gossip_update(update, self.now)
+            }
+            SimulationEvent::PartSaved(store, part) => self.store_part(store, part),
+            SimulationEvent::StoreReportDue(store) => self.report_stored_parts(store),
+            SimulationEvent::EngineRegistered(engine) => self.register_engine(engine),
+            SimulationEvent::FaultChanges(index, begins) => self.apply_fault(index, begins),
         }
     }
 
     fn schedule_call(&mut self, kind: usize) {
-        let per_ms = self.plan.kinds[kind].per_s * self.burst / 1_000.0;
-        let pause_ms = exponential(&mut self.rng, 1.0 / per_ms);
-        self.schedule(after_ms(self.now, pause_ms), Event::Call(kind));
+        let per_ms = self.plan.kinds[kind].calls_per_s * self.burst_factor / 1_000.0;
+        let interval_ms = sample_exponential(&mut self.rng, 1.0 / per_ms);
+        self.schedule(
+            after_ms(self.now, interval_ms),
+            SimulationEvent::CallArrives(kind),
+        );
     }
 
-    fn arrive(&mut self, kind: usize) {
+    fn start_call(&mut self, kind: usize) {
         let plan = &self.plan.kinds[kind];
         let part = self.rng.random_range(0..plan.shared_parts);
         let shared_id = (kind as u64) << 32 | part;
         // A part has the same size each time: its number decides it.
-        let shared = varied(
+        let shared = sample_size(
             plan.shared_tokens,
             &mut ChaCha8Rng::seed_from_u64(shared_id),
         );
-        let own = varied(plan.own_tokens, &mut self.rng);
-        let output_tokens = varied(plan.output_tokens, &mut self.rng);
+        let own = sample_size(plan.own_tokens, &mut self.rng);
+        let output_tokens = sample_size(plan.output_tokens, &mut self.rng);
         let own_id = 1 << 63 | self.calls.len() as u64;
         let part = |id, tokens| PromptPart {
             id,
             tokens: TokenCount::new(tokens),
         };
         let prompt = PromptShape {
-            model: self.names.model.clone(),
+            model: self.config.model.clone(),
             prompt_tokens: TokenCount::new(shared + own),
             output_tokens: TokenCount::new(output_tokens),
             parts: vec![part(shared_id, shared), part(own_id, own)],
         };
-        self.outcome.kinds[kind].asked += 1;
-        self.window(self.now).asked += 1;
+        self.outcome.kinds[kind].calls += 1;
+        self.window_at(self.now).calls += 1;
         let daemon = self.rng.random_range(0..self.daemons.len());
         self.calls.push(Call {
             kind,
@@ -318,44 +328,44 @@
             arrived_at: self.now,
             prompt,
             output_tokens,
-            has_come_back: false,
-            sent: None,
+            has_retried: false,
+            dispatch: None,
             is_done: false,
         });
-        self.send(self.calls.len() - 1);
+        self.dispatch_call(self.calls.len() - 1);
     }
 
-    fn send(&mut self, index: usize) {
+    fn dispatch_call(&mut self, index: usize) {
         let call = &self.calls[index];
         let plan = &self.plan.kinds[call.kind];
         let target_us = DurationUs::from_ms(plan.target_ms);
         let left_us = (call.arrived_at + DurationUs::from_ms(plan.deadline_ms)).since(self.now);
-        let longest_queue_us = match self.policy.has_refusals {
+        let max_wait_us = match self.policy.has_refusals {
             true => self
                 .urgency
-                .max_queue(&self.names.service, plan.priority, target_us),
+                .max_queue(&self.config.service, plan.priority, target_us),
             false => DurationUs::MAX,
         };
-        let ask = Ask {
+        let query = PlacementQuery {
             prompt: &call.prompt,
-            patience_us: left_us,
-            longest_queue_us,
+            remaining_us: left_us,
+            max_wait_us,
         };
         let daemon = &self.daemons[call.daemon];
         let count = self.plan.daemons;
-        match daemon.place(&self.names, &ask, count, self.now, &mut self.rng) {
-            Ok(placement) => self.sent(index, &placement),
-            Err(refusal) => self.refused(index, refusal.retry_after_us),
+        match daemon.place(&self.config, &query, count, self.now, &mut self.rng) {
+            Ok(placement) => self.handle_placement(index, &placement),
+            Err(refusal) => self.handle_refusal(index, refusal.retry_after_us),
         }
     }
 
-    fn refused(&mut self, index: usize, retry_after_us: Option<DurationUs>) {
+    fn handle_refusal(&mut self, index: usize, retry_after_us: Option<DurationUs>) {
         let call = &mut self.calls[index];
         match retry_after_us {
-            Some(retry_after_us) if !call.has_come_back => {
-                call.has_come_back = true;
+            Some(retry_after_us) if !call.has_retried => {
+                call.has_retried = true;
                 let at = self.now + retry_after_us;
-                self.schedule(at, Event::Return(index));
+                self.schedule(at, SimulationEvent::CallRetries(index));
             }
             _ => {
                 call.is_done = true;
@@ -364,10 +374,10 @@
         }
     }
 
-    fn sent(&mut self, index: usize, placement: &Placement) {
-        let engine = engine_at(placement.address);
-        let keys = keys_of(&self.names, placement, &self.calls[index].prompt);
-        let saves = self.saves(index, &keys);
+    fn handle_placement(&mut self, index: usize, placement: &Placement) {
+        let engine = engine_index(placement.address);
+        let keys = part_keys(&self.config, placement, &self.calls[index].prompt);
+        let parts_to_save = self.choose_stores(index, &keys);
         let call = &mut self.calls[index];
         let load = Load {
             running: 1,
@@ -384,178 +394,198 @@
             call: index,
             priority: self.plan.kinds[call.kind].priority,
             parts,
-            fetched: Vec::new(),
-            saves,
+            fetched_parts: Vec::new(),
+            parts_to_save,
             output_tokens: call.output_tokens,
         };
-        call.sent = Some(Sent {
+        call.dispatch = Some(Dispatch {
             endpoint: placement.endpoint.clone(),
             load,
             keys,
             sent_at: self.now,
         });
         let daemon = call.daemon;
-        let is_urgent = self.daemons[daemon].sent(&placement.endpoint, load);
+        let is_urgent = self.daemons[daemon].record_sent_call(&placement.endpoint, load);
         if is_urgent && self.policy.has_urgent_update {
-            self.hurry(daemon);
+            self.advance_gossip(daemon);
         }
-        let (job, fetch_ms) = self.fetched(engine, job, placement);
-        let life = self.engines[engine].life;
-        let at = after_ms(self.now, WAY_MS + fetch_ms);
-        self.schedule(at, Event::Engine(engine, life, Due::Arrives(job)));
+        let (job, fetch_ms) = self.fetch_parts(engine, job, placement);
+        let incarnation = self.engines[engine].incarnation;
+        let at = after_ms(self.now, NETWORK_DELAY_MS + fetch_ms);
+        self.schedule(
+            at,
+            SimulationEvent::EngineEventDue(engine, incarnation, EngineEvent::JobArrives(job)),
+        );
     }
 
     /// Names the store for each shared part that is to be saved.
-    fn saves(&mut self, index: usize, keys: &[(PartKey, u64)]) -> Vec<(u64, u64, SocketAddr)> {
+    fn choose_stores(
+        &mut self,
+        index: usize,
+        keys: &[(PartKey, u64)],
+    ) -> Vec<(u64, u64, SocketAddr)> {
         let call = &self.calls[index];
         let shared = call.prompt.parts.iter().zip(keys);
         let daemon = &mut self.daemons[call.daemon];
         let saves = shared.take(call.prompt.parts.len() - 1);
         saves
             .filter_map(|(part, (key, tokens))| {
-                let store = daemon.save(*key, *tokens, self.now)?;
+                let store = daemon.choose_store(*key, *tokens, self.now)?;
                 Some((part.id, *tokens, store))
             })
             .collect()
     }
 
-    fn saved(&mut self, store: usize, part: StoredPart) {
-        if self.stores[store].save(part.id, part.tokens.get()) {
-            self.untold_parts[store].push(part);
+    fn store_part(&mut self, store: usize, part: StoredPart) {
+        if self.stores[store].try_store(part.id, part.tokens.get()) {
+            self.unreported_parts[store].push(part);
         }
     }
 
-    fn store_tells(&mut self, store: usize) {
-        let parts = std::mem::take(&mut self.untold_parts[store]);
+    fn report_stored_parts(&mut self, store: usize) {
+        let parts = std::mem::take(&mut self.unreported_parts[store]);
         for daemon in &mut self.daemons {
-            daemon.store_told(store_address(store), parts.clone(), self.now);
+            daemon.apply_stored_parts(store_address(store), parts.clone(), self.now);
         }
-        let at = after_ms(self.now, STORE_NEWS_MS);
-        self.schedule(at, Event::StoreTells(store));
+        let at = after_ms(self.now, STORE_REPORT_INTERVAL_MS);
+        self.schedule(at, SimulationEvent::StoreReportDue(store));
     }
 
     /// Returns whether an address keeps a part, and its link's rate and first wait.
-    fn source(&self, address: SocketAddr, part: u64) -> (bool, f64, f64) {
-        match address.port().checked_sub(FIRST_PORT) {
+    fn find_source(&self, address: SocketAddr, part: u64) -> (bool, f64, f64) {
+        match address.port().checked_sub(FIRST_ENGINE_PORT) {
             Some(engine) => (
-                self.engines[usize::from(engine)].keeps(part),
+                self.engines[usize::from(engine)].has_cached(part),
                 self.plan.engines.link_mbps,
-                FETCH_FIRST_MS,
+                FETCH_START_DELAY_MS,
             ),
             None => {
                 let store = &self.stores[usize::from(address.port() - FIRST_STORE_PORT)];
                 let link_mbps = store.plan.link_mbps.min(self.plan.engines.link_mbps);
-                (store.keeps(part), link_mbps, store.plan.first_ms)
+                (
+                    store.has_part(part),
+                    link_mbps,
+                    store.plan.transfer_delay_ms,
+                )
             }
         }
     }
 
     /// Fetches the parts that the engine doesn't keep and another one does.
-    fn fetched(&self, engine: usize, mut job: Job, placement: &Placement) -> (Job, f64) {
+    fn fetch_parts(&self, engine: usize, mut job: Job, placement: &Placement) -> (Job, f64) {
         let engines = &self.plan.engines;
         let mut took_ms = 0.0;
         for ((part, tokens), from) in job.parts.iter().zip(&placement.fetch_from) {
             let Some(from) = from else { break };
-            if self.engines[engine].keeps(*part) {
+            if self.engines[engine].has_cached(*part) {
                 continue;
             }
-            let (is_there, link_mbps, first_ms) = self.source(*from, *part);
+            let (is_available, link_mbps, first_ms) = self.find_source(*from, *part);
             took_ms += first_ms;
-            if !is_there {
+            if !is_available {
                 break;
             }
             took_ms += transfer_ms(*tokens, engines.token_bytes, link_mbps);
-            job.fetched.push(*part);
+            job.fetched_parts.push(*part);
         }
         (job, took_ms)
     }
 
-    fn hurry(&mut self, daemon: usize) {
+    fn advance_gossip(&mut self, daemon: usize) {
         let at = self.daemons[daemon]
-            .pace
-            .due_at(NEWS_INTERVAL_US)
+            .gossip_schedule
+            .due_at(GOSSIP_INTERVAL_US)
             .max(self.now);
-        if at < self.daemons[daemon].tell_at {
-            self.daemons[daemon].tell_at = at;
-            self.schedule(at, Event::Tell(daemon));
+        if at < self.daemons[daemon].next_gossip_at {
+            self.daemons[daemon].next_gossip_at = at;
+            self.schedule(at, SimulationEvent::GossipDue(daemon));
         }
     }
 
-    fn tell(&mut self, daemon: usize) {
-        if self.daemons[daemon].tell_at != self.now {
+    fn send_gossip(&mut self, daemon: usize) {
+        if self.daemons[daemon].next_gossip_at != self.now {
             return;
         }
-        let news = self.daemons[daemon].tell(self.now);
+        let update = self.daemons[daemon].next_gossip_update(self.now);
         self.outcome.messages += 1;
-        let arrives_at = after_ms(self.now, self.plan.news_delay_ms);
+        let arrives_at = after_ms(self.now, self.plan.gossip_delay_ms);
         for other in (0..self.daemons.len()).filter(|other| *other != daemon) {
-            if !self.rng.random_bool(self.plan.news_lost_share) {
-                self.schedule(arrives_at, Event::Heard(other, news.clone()));
+            if !self.rng.random_bool(self.plan.gossip_loss_share) {
+                self.schedule(
+                    arrives_at,
+                    SimulationEvent::GossipReceived(other, update.clone()),
+                );
             }
         }
-        let at = self.now + NEWS_INTERVAL_US;
-        self.daemons[daemon].tell_at = at;
-        self.schedule(at, Event::Tell(daemon));
+        let at = self.now + GOSSIP_INTERVAL_US;
+        self.daemons[daemon].next_gossip_at = at;
+        self.schedule(at, SimulationEvent::GossipDue(daemon));
     }
 
-    fn engine_due(&mut self, engine: usize, due: Due) {
+    fn handle_engine_event(&mut self, engine: usize, due: EngineEvent) {
         match due {
-            Due::Arrives(job) => self.engines[engine].receive(job),
-            Due::Stepped(jobs) => {
-                self.engines[engine].stepped();
+            EngineEvent::JobArrives(job) => self.engines[engine].enqueue(job),
+            EngineEvent::StepEnds(jobs) => {
+                self.engines[engine].end_step();
                 for job in jobs {
-                    self.has_read(engine, &job);
+                    self.end_prefill(engine, &job);
                 }
             }
-            Due::Ends(call) => self.call_ended(engine, call),
+            EngineEvent::AnswerEnds(call) => self.end_call(engine, call),
         }
         for (part, tokens) in self.engines[engine].admit(&self.plan.engines) {
             self.outcome.read_tokens += tokens;
-            if !self.known_parts.insert(part) {
-                self.outcome.read_again_tokens += tokens;
+            if !self.prefilled_parts.insert(part) {
+                self.outcome.reread_tokens += tokens;
             }
         }
-        if let Some((took_ms, jobs)) = self.engines[engine].step(&self.plan.engines) {
-            let life = self.engines[engine].life;
+        if let Some((took_ms, jobs)) = self.engines[engine].start_step(&self.plan.engines) {
+            let incarnation = self.engines[engine].incarnation;
             let at = after_ms(self.now, took_ms);
-            self.schedule(at, Event::Engine(engine, life, Due::Stepped(jobs)));
+            self.schedule(
+                at,
+                SimulationEvent::EngineEventDue(engine, incarnation, EngineEvent::StepEnds(jobs)),
+            );
         }
     }
 
-    fn has_read(&mut self, engine: usize, job: &Job) {
-        let rest_ms = self.engines[engine].has_read(job, &self.plan.engines);
-        let life = self.engines[engine].life;
+    fn end_prefill(&mut self, engine: usize, job: &Job) {
+        let rest_ms = self.engines[engine].end_prefill(job, &self.plan.engines);
+        let incarnation = self.engines[engine].incarnation;
         let at = after_ms(self.now, rest_ms);
-        self.schedule(at, Event::Engine(engine, life, Due::Ends(job.call)));
+        self.schedule(
+            at,
+            SimulationEvent::EngineEventDue(engine, incarnation, EngineEvent::AnswerEnds(job.call)),
+        );
         self.save_parts(job);
         let call = &self.calls[job.call];
-        if let Some(sent) = &call.sent {
+        if let Some(dispatch) = &call.dispatch {
             let daemon = &mut self.daemons[call.daemon];
-            daemon.has_read(&sent.endpoint, sent.load, &sent.keys, self.now);
+            daemon.record_prefill_end(&dispatch.endpoint, dispatch.load, &dispatch.keys, self.now);
         }
-        self.first_event(job.call);
+        self.record_first_event(job.call);
     }
 
     fn save_parts(&mut self, job: &Job) {
-        for (part, tokens, address) in &job.saves {
+        for (part, tokens, address) in &job.parts_to_save {
             let store = usize::from(address.port() - FIRST_STORE_PORT);
             let link_mbps = self.stores[store].plan.link_mbps;
             let took_ms = transfer_ms(*tokens, self.plan.engines.token_bytes, link_mbps);
-            let kept = StoredPart {
-                scope: SCOPE.to_owned(),
+            let stored = StoredPart {
+                scope: CACHE_SCOPE.to_owned(),
                 id: *part,
-                model: self.names.model.clone(),
+                model: self.config.model.clone(),
                 tokens: TokenCount::new(*tokens),
             };
             let at = after_ms(self.now, took_ms);
-            self.schedule(at, Event::Saved(store, kept));
+            self.schedule(at, SimulationEvent::PartSaved(store, stored));
         }
     }
 
-    fn first_event(&mut self, index: usize) {
+    fn record_first_event(&mut self, index: usize) {
         let (kind, arrived_at) = (self.calls[index].kind, self.calls[index].arrived_at);
         self.calls[index].is_done = true;
-        let rest_ms = WAY_MS + self.plan.engines.first_event_ms;
+        let rest_ms = NETWORK_DELAY_MS + self.plan.engines.first_event_ms;
         let taken_us = after_ms(self.now, rest_ms).since(arrived_at);
         let is_in_time = taken_us.as_ms() <= self.plan.kinds[kind].target_ms;
         let outcome = &mut self.outcome.kinds[kind];
@@ -565,69 +595,69 @@
         match is_in_time {
             true => {
                 outcome.in_time += 1;
-                self.window(arrived_at).in_time += 1;
+                self.window_at(arrived_at).in_time += 1;
             }
             false => outcome.late += 1,
         }
     }
 
-    fn call_ended(&mut self, engine: usize, index: usize) {
-        self.engines[engine].ended(index);
+    fn end_call(&mut self, engine: usize, index: usize) {
+        self.engines[engine].end_call(index);
         let call = &self.calls[index];
-        if let Some(sent) = &call.sent {
-            let took_ms = self.now.since(sent.sent_at).as_secs_f64() * 1_000.0;
-            self.daemons[call.daemon].ended(&sent.endpoint, sent.load, took_ms);
+        if let Some(dispatch) = &call.dispatch {
+            let took_ms = self.now.since(dispatch.sent_at).as_secs_f64() * 1_000.0;
+            self.daemons[call.daemon].record_call_end(&dispatch.endpoint, dispatch.load, took_ms);
         }
     }
 
-    fn register(&mut self, engine: usize) {
+    fn register_engine(&mut self, engine: usize) {
         if !self.engines[engine].is_up {
             return;
         }
         let endpoint = Endpoint {
             instance: self.instance(engine),
             revision: Revision::default(),
-            service: self.names.service.clone(),
-            address: address_of(engine),
-            zone: self.names.zone.clone(),
+            service: self.config.service.clone(),
+            address: engine_address(engine),
+            zone: self.config.zone.clone(),
             slots: self.plan.engines.slots,
             is_draining: false,
             remaining_cold_us: DurationUs::ZERO,
-            weights: BTreeMap::from([(self.names.model.clone(), WeightNumber::new(1))]),
+            weights: BTreeMap::from([(self.config.model.clone(), WeightNumber::new(1))]),
         };
         for daemon in &mut self.daemons {
-            daemon.engine_came(endpoint.clone());
+            daemon.register_engine(endpoint.clone());
         }
     }
 
     fn instance(&self, engine: usize) -> EndpointInstance {
-        let life = self.engines[engine].life;
-        let name = format!("e-{engine}-{life}");
+        let incarnation = self.engines[engine].incarnation;
+        let name = format!("e-{engine}-{incarnation}");
         name.parse()
             .unwrap_or_else(|_| unreachable!("{name} is a name"))
     }
 
-    fn fault(&mut self, index: usize, begins: bool) {
+    fn apply_fault(&mut self, index: usize, begins: bool) {
         match &self.plan.faults[index] {
-            Fault::Burst { factor, .. } => self.burst = if begins { *factor } else { 1.0 },
+            Fault::Burst { factor, .. } => self.burst_factor = if begins { *factor } else { 1.0 },
             Fault::Lost { share, .. } => {
                 let count = (self.engines.len() as f64 * share) as usize;
                 for engine in 0..count {
                     match begins {
-                        true => self.lose(engine),
-                        false => self.bring_back(engine),
+                        true => self.stop_engine(engine),
+                        false => self.restart_engine(engine),
                     }
                 }
             }
             Fault::Cold { .. } => {
                 if begins {
-                    self.engines.iter_mut().for_each(Engine::clear_memory);
+                    self.engines.iter_mut().for_each(Engine::clear_cache);
                 }
             }
         }
     }
 
-    fn lose(&mut self, engine: usize) {
+    fn stop_engine(&mut self, engine: usize) {
         let id = self.instance(engine);
         for call in self.engines[engine].stop() {
             let call = &mut self.calls[call];
@@ -636,23 +666,23 @@
             }
         }
         for daemon in &mut self.daemons {
-            daemon.engine_left(&id, self.now);
+            daemon.unregister_engine(&id, self.now);
         }
     }
 
-    fn bring_back(&mut self, engine: usize) {
+    fn restart_engine(&mut self, engine: usize) {
         self.engines[engine].start();
-        let at = after_ms(self.now, REGISTRATION_MS);
-        self.schedule(at, Event::Registered(engine));
+        let at = after_ms(self.now, REGISTRATION_DELAY_MS);
+        self.schedule(at, SimulationEvent::EngineRegistered(engine));
     }
 
-    fn window(&mut self, at: TimeUs) -> &mut Window {
+    fn window_at(&mut self, at: TimeUs) -> &mut Window {
         let last = self.outcome.windows.len() - 1;
         let index = usize::try_from(at.get() / WINDOW_US).unwrap_or(last);
         &mut self.outcome.windows[index.min(last)]
     }
 
-    fn ended(mut self) -> Outcome {
+    fn into_outcome(mut self) -> Outcome {
         for call in self.calls.iter().filter(|call| !call.is_done) {
             self.outcome.kinds[call.kind].failed += 1;
         }
@@ -660,10 +690,10 @@
     }
 }
 
-fn names(plan: &Plan) -> anyhow::Result<Names> {
+fn fleet_config(plan: &Plan) -> anyhow::Result<FleetConfig> {
     let engines = &plan.engines;
     let model: wisteriahitch_types::ModelName = "model".parse()?;
-    Ok(Names {
+    Ok(FleetConfig {
         service: "engines".parse()?,
         zone: "zone".parse()?,
         engine: EngineSpec {
@@ -677,14 +707,14 @@
     })
 }
 
-fn stores(plan: &Plan) -> Vec<Store> {
+fn build_stores(plan: &Plan) -> Vec<Store> {
     let all = plan.stores.iter();
     all.flat_map(|store| (0..store.count).map(|_| Store::new(store.clone())))
         .collect()
 }
 
-fn address_of(engine: usize) -> SocketAddr {
-    let port = FIRST_PORT + u16::try_from(engine).unwrap_or(u16::MAX - FIRST_PORT);
+fn engine_address(engine: usize) -> SocketAddr {
+    let port = FIRST_ENGINE_PORT + u16::try_from(engine).unwrap_or(u16::MAX - FIRST_ENGINE_PORT);
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
@@ -693,8 +723,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn engine_at(address: SocketAddr) -> usize {
-    usize::from(address.port() - FIRST_PORT)
+fn engine_index(address: SocketAddr) -> usize {
+    usize::from(address.port() - FIRST_ENGINE_PORT)
 }
 
 /// Returns a time so many milliseconds later.
@@ -710,13 +740,13 @@
 }
 
 /// Draws a pause whose mean is this.
-fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
+fn sample_exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     let unit: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     -unit.ln() * mean
 }
 
 /// Draws a size between half and one and a half times the mean.
-fn varied(mean: u64, rng: &mut ChaCha8Rng) -> u64 {
+fn sample_size(mean: u64, rng: &mut ChaCha8Rng) -> u64 {
     let factor: f64 = rng.random_range(0.5..1.5);
     ((mean as f64 * factor) as u64).max(1)
 }
--- a/crates/wisteriahitch-bench/tests/all/fleet.rs
+++ b/crates/wisteriahitch-bench/tests/all/fleet.rs
@@ -12,7 +12,7 @@
     root.join("examples/loads").join(name)
 }
 
-fn play(name: &str, policy: Policy) -> Vec<Outcome> {
+fn simulate_load(name: &str, policy: Policy) -> Vec<Outcome> {
     let plan = Plan::load(&load_file(name)).unwrap();
     let outcomes = SEEDS.iter().map(|seed| simulate(&plan, policy, *seed));
     outcomes.map(Result::unwrap).collect()
@@ -28,34 +28,38 @@
 /// daemon sends a long prompt to an idle engine; until its next message the others send their short
 /// calls there, which wait behind it. Cause: messages left at a fixed interval.
 #[test]
-fn short_calls_don_t_wait_behind_long_prompts_that_nobody_told_of() {
+fn urgent_updates_keep_short_calls_from_queueing_behind_long_prompts() {
     struct Case {
         load: &'static str,
         /// Most late short calls, as a share of those without it.
-        most_of_before: f64,
+        max_late_ratio: f64,
     }
     let cases = [
         Case {
             load: "calm.toml",
-            most_of_before: 0.4,
+            max_late_ratio: 0.4,
         },
         Case {
             load: "burst.toml",
-            most_of_before: 0.5,
+            max_late_ratio: 0.5,
         },
         Case {
             load: "lost.toml",
-            most_of_before: 0.5,
+            max_late_ratio: 0.5,
         },
     ];
     for case in cases {
-        let late = |policy| count(&play(case.load, policy), "question", |row| row.late);
+        let late = |policy| {
+            count(&simulate_load(case.load, policy), "question", |row| {
+                row.late
+            })
+        };
         let before = late(Policy {
             has_urgent_update: false,
             ..Policy::default()
         });
         let now = late(Policy::default());
-        let most = before as f64 * case.most_of_before;
+        let most = before as f64 * case.max_late_ratio;
         assert!(now as f64 <= most, "{}: {before} -> {now}", case.load);
     }
 }
@@ -64,20 +68,20 @@
 /// Sequence: all calls are let in and wait behind each other; those that are answered at last are
 /// late, and meanwhile caches are displaced. Cause: nothing was refused.
 #[test]
-fn under_far_too_many_calls_most_that_are_let_in_are_in_time() {
+fn refusals_under_overload_keep_admitted_calls_in_time() {
     let without = Policy {
         has_refusals: false,
         ..Policy::default()
     };
     let (before, now) = (
-        play("overload.toml", without),
-        play("overload.toml", Policy::default()),
+        simulate_load("overload.toml", without),
+        simulate_load("overload.toml", Policy::default()),
     );
-    for (kind, least_factor) in [("question", 2.0), ("summary", 1.5)] {
+    for (kind, min_factor) in [("question", 2.0), ("summary", 1.5)] {
         let in_time = |outcomes: &[Outcome]| count(outcomes, kind, |row| row.in_time);
         let (before, now) = (in_time(&before), in_time(&now));
-        let least = before as f64 * least_factor;
-        assert!(now as f64 > least, "{kind}: {before} -> {now}");
+        let min_in_time = before as f64 * min_factor;
+        assert!(now as f64 > min_in_time, "{kind}: {before} -> {now}");
     }
 }
 
@@ -86,31 +90,28 @@
 /// that nobody is known to keep, and draws an engine; news of who reads them is a quarter of a second old.
 /// Cause: daemons that don't know of each other drew different engines for the same part.
 #[test]
-fn parts_that_nobody_is_known_to_keep_are_read_by_few_engines() {
+fn uncached_shared_parts_are_prefilled_by_few_engines() {
     /// Without a common choice the two seeds read 482,855 tokens again, with it 234,578.
-    const MOST_READ_AGAIN: u64 = 330_000;
+    const MAX_REREAD_TOKENS: u64 = 330_000;
 
-    let outcomes = play("cold-large.toml", Policy::default());
-    let read_again: u64 = outcomes
-        .iter()
-        .map(|outcome| outcome.read_again_tokens)
-        .sum();
-    assert!(read_again <= MOST_READ_AGAIN, "{read_again} tokens");
+    let outcomes = simulate_load("cold-large.toml", Policy::default());
+    let reread: u64 = outcomes.iter().map(|outcome| outcome.reread_tokens).sum();
+    assert!(reread <= MAX_REREAD_TOKENS, "{reread} tokens");
 }
 
 #[test]
-fn a_run_repeats_exactly_and_every_call_ends_somehow() {
+fn equal_seeds_give_equal_outcomes_and_every_call_is_counted() {
     let plan = Plan::load(&load_file("lost.toml")).unwrap();
     let [first, again] = [(); 2].map(|()| simulate(&plan, Policy::default(), 7).unwrap());
     assert_eq!(first, again);
     for kind in &first.kinds {
         let ended = kind.in_time + kind.late + kind.refused + kind.failed;
-        assert_eq!(ended, kind.asked, "{}", kind.name);
+        assert_eq!(ended, kind.calls, "{}", kind.name);
     }
 }
 
 #[test]
-fn a_faulty_load_file_is_refused_with_its_place() {
+fn invalid_load_file_is_rejected_with_its_location() {
     struct Case {
         from: &'static str,
         to: &'static str,
