--- a/crates/wisteriahitch-bench/src/fleet/daemon.rs
+++ b/crates/wisteriahitch-bench/src/fleet/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon of the model: the product's decisions with what it knows.
+//! A simulated daemon, which places calls with the product's own code.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,16 +13,16 @@
     AvailabilityZone, DurationUs, EndpointInstance, Incarnation, ModelName, ServiceName, TimeUs,
 };
 
-/// Time between two messages that nothing hurries, as daemons of a small fleet have it.
+/// Time between two gossip messages without an urgent update, as in a small fleet.
 pub(super) const GOSSIP_INTERVAL_US: DurationUs = DurationUs::from_ms(100);
 
-/// How long a call lasts as long as none has ended.
+/// Assumed mean duration of a call, in milliseconds, before the first call has ended.
 const INITIAL_CALL_DURATION_MS: f64 = 800.0;
 
-/// Weight of the newest call in the moving means.
+/// Weight of the latest call in the exponentially weighted mean of call durations.
 const DURATION_EWMA_WEIGHT: f64 = 0.05;
 
-/// What all daemons know from the configuration.
+/// Configuration that all daemons share.
 pub(super) struct FleetConfig {
     pub(super) service: ServiceName,
     pub(super) model: ModelName,
@@ -30,30 +30,36 @@
     pub(super) engine: EngineSpec,
 }
 
-/// What one daemon tells the others.
+/// Gossip message from one daemon to all others.
 #[derive(Clone, Debug)]
 pub(super) struct GossipUpdate {
     pub(super) from: Incarnation,
+    /// Load that the sender has placed, by the short name of the endpoint.
     pub(super) loads: HashMap<u32, Load>,
+    /// Newly cached parts: short name of the endpoint, key of the part, tokens.
     pub(super) parts: Vec<(u32, PartKey, u64)>,
 }
 
-/// What a placement is asked for.
+/// Call for which an endpoint is chosen.
 pub(super) struct PlacementQuery<'a> {
     pub(super) prompt: &'a PromptShape,
+    /// Time left until the deadline of the call.
     pub(super) remaining_us: DurationUs,
+    /// Longest estimated queueing time with which the call is accepted.
     pub(super) max_wait_us: DurationUs,
 }
 
-/// One daemon.
+/// A daemon with its own view of endpoints and stores.
 pub(super) struct Daemon {
     incarnation: Incarnation,
     table: EndpointTable,
     stores: PartStores,
     pub(super) gossip_schedule: GossipSchedule,
+    /// Newly cached parts for the next gossip message: short name of the endpoint, key, tokens.
     unsent_parts: Vec<(u32, PartKey, u64)>,
+    /// Exponentially weighted mean of call durations.
     mean_duration_ms: f64,
-    /// When its next message is due.
+    /// Time at which the next gossip message is due.
     pub(super) next_gossip_at: TimeUs,
 }
 
@@ -112,7 +118,8 @@
         place(&self.table, &self.stores, &request, now, rng)
     }
 
-    /// Counts a call that is sent, and returns whether the others must hear of it sooner.
+    /// Adds a dispatched call to this daemon's load and returns whether an urgent gossip message is
+    /// needed.
     pub(super) fn record_sent_call(&mut self, id: &EndpointInstance, load: Load) -> bool {
         if let Some(row) = self.table.get_mut(id) {
             row.own_load.add(load);
@@ -153,7 +160,7 @@
         }
     }
 
-    /// Returns what it tells the others now.
+    /// Returns the gossip message to send now, with the load and the newly cached parts.
     pub(super) fn next_gossip_update(&mut self, now: TimeUs) -> GossipUpdate {
         self.gossip_schedule.record_send(now);
         let rows = self
@@ -167,7 +174,7 @@
         }
     }
 
-    /// Takes over which stores there are; they are empty.
+    /// Configures the stores, which are empty at first.
     pub(super) fn set_stores(&mut self, stores: &[PartStore], now: TimeUs) {
         self.stores.configure(stores.iter().cloned());
         for store in stores {
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Takes over what a store has got.
+    /// Applies a report of a store about newly stored parts.
     pub(super) fn apply_stored_parts(
         &mut self,
         store: SocketAddr,
@@ -194,7 +201,7 @@
         self.stores.apply_changes(store, changes, now);
     }
 
-    /// Returns the store that is to keep a part, if one is to.
+    /// Returns the store in which to save a part, or `None` if it is not to be saved.
     pub(super) fn choose_store(
         &mut self,
         key: PartKey,
@@ -213,7 +220,7 @@
     }
 }
 
-/// Returns the keys of a prompt's parts as engines keep them.
+/// Returns the cache keys and sizes in tokens of a prompt's parts.
 pub(super) fn part_keys(
     config: &FleetConfig,
     placement: &Placement,
--- a/crates/wisteriahitch-bench/src/fleet/engine.rs
+++ b/crates/wisteriahitch-bench/src/fleet/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as the model imitates it.
+//! A simulated engine.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -6,16 +6,16 @@
 
 use super::plan::EnginePlan;
 
-/// A call at an engine.
+/// A call as an engine receives it.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) call: usize,
     pub(super) priority: u8,
-    /// Parts of the prompt with their sizes; the last one is the call's own.
+    /// Parts of the prompt with their sizes in tokens; the last one is not shared with other calls.
     pub(super) parts: Vec<(u64, u64)>,
-    /// Parts that were fetched and are there when it begins.
+    /// Parts that were fetched from another engine or a store before the call is enqueued.
     pub(super) fetched_parts: Vec<u64>,
-    /// Parts that are saved at a store once they are read.
+    /// Parts to save after the prefill: part, tokens and address of the store.
     pub(super) parts_to_save: Vec<(u64, u64, SocketAddr)>,
     pub(super) output_tokens: u64,
 }
@@ -26,42 +26,42 @@
     }
 }
 
-/// A prompt that is being read.
+/// A prompt whose prefill is in progress.
 #[derive(Debug)]
 struct Prefill {
     job: Job,
     remaining_tokens: u64,
 }
 
-/// Something that is due at an engine.
+/// An event at an engine.
 #[derive(Clone, Debug)]
 pub(super) enum EngineEvent {
     /// A call arrives.
     JobArrives(Job),
-    /// A step ends, and with it the reading of these prompts.
+    /// A step ends and completes the prefill of these calls.
     StepEnds(Vec<Job>),
-    /// An answer ends.
+    /// The answer of this call ends.
     AnswerEnds(usize),
 }
 
-/// Rank and number of arrival, by which an engine orders its work.
+/// Priority and arrival number, in whose order waiting calls are admitted.
 type QueueOrder = (u8, u64);
 
-/// One engine.
+/// An engine with its queue, running calls and cache.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
-    /// Counts its lives, so that what was due in an earlier one is told apart.
+    /// Incremented at each start and stop, so that events of an earlier incarnation are ignored.
     pub(super) incarnation: u64,
     pub(super) is_up: bool,
     waiting: BTreeMap<QueueOrder, Job>,
-    /// Prompts that are being read, in the order of their admission.
+    /// Prefills in progress, by admission number.
     prefilling: BTreeMap<u64, Prefill>,
     arrivals: u64,
     admissions: u64,
     is_stepping: bool,
-    /// Memory of the calls that were admitted.
+    /// Memory in tokens that each admitted call uses.
     running: HashMap<usize, u64>,
-    /// Parts that are kept: size and last use.
+    /// Cached parts: size in tokens and the use count at the last use.
     cached_parts: HashMap<u64, (u64, u64)>,
     use_count: u64,
 }
@@ -75,7 +75,7 @@
         };
     }
 
-    /// Stops, and returns the calls that are lost with it.
+    /// Stops the engine and returns the calls that fail with it.
     pub(super) fn stop(&mut self) -> Vec<usize> {
         let waiting = self.waiting.values().map(|job| job.call);
         let lost = waiting.chain(self.running.keys().copied()).collect();
@@ -99,7 +99,8 @@
         self.waiting.insert((job.priority, self.arrivals), job);
     }
 
-    /// Admits what fits, the most urgent first, and returns the parts that are read for it.
+    /// Admits waiting calls in order of priority while slots and memory suffice, and returns the
+    /// parts that must be prefilled for them.
     pub(super) fn admit(&mut self, plan: &EnginePlan) -> Vec<(u64, u64)> {
         let mut unread = Vec::new();
         while let Some(entry) = self.waiting.first_entry() {
@@ -125,16 +126,16 @@
         unread
     }
 
-    /// Returns the parts of a prompt that have to be read: a part is of use only where all before it
-    /// are there.
+    /// Returns the parts of a prompt that must be prefilled. A cached part is usable only if all
+    /// parts before it are available too.
     fn uncached_parts(&self, job: &Job) -> Vec<(u64, u64)> {
         let is_available = |part: u64| self.has_cached(part) || job.fetched_parts.contains(&part);
         let parts = job.parts.iter().copied();
         parts.skip_while(|(part, _)| is_available(*part)).collect()
     }
 
-    /// Begins the next step, and returns how long it takes, in milliseconds, and the prompts whose
-    /// reading ends with it; nothing while a step is under way or nothing is to be read.
+    /// Starts the next step and returns its duration in milliseconds and the calls whose prefill it
+    /// completes. Returns `None` if a step is in progress or there is nothing to prefill.
     pub(super) fn start_step(&mut self, plan: &EnginePlan) -> Option<(f64, Vec<Job>)> {
         if self.is_stepping || self.prefilling.is_empty() {
             return None;
@@ -165,7 +166,7 @@
         self.is_stepping = false;
     }
 
-    /// Keeps the parts of a prompt that was read, and returns how long its answer takes, in
+    /// Caches the parts of a prefilled prompt and returns how long its answer takes, in
     /// milliseconds.
     pub(super) fn end_prefill(&mut self, job: &Job, plan: &EnginePlan) -> f64 {
         for (part, tokens) in &job.parts {
@@ -184,7 +185,7 @@
         plan.step_ms + plan.step_ms_per_running * self.running.len() as f64
     }
 
-    /// Drops the least recently used parts until the rest fits beside what runs.
+    /// Evicts the least recently used parts until the rest fits beside the running calls.
     fn evict_parts(&mut self, plan: &EnginePlan) {
         let used: u64 = self.running.values().sum();
         let free_tokens = plan.memory_tokens.saturating_sub(used);
--- a/crates/wisteriahitch-bench/src/fleet/mod.rs
+++ b/crates/wisteriahitch-bench/src/fleet/mod.rs
@@ -1,10 +1,11 @@
-//! A model of a fleet: daemons' decisions as they are, before engines that are imitated.
+//! A discrete-event simulation of a fleet: real placement decisions with simulated engines.
 //!
-//! It has no sockets and no clock, and the same seed gives the same run. What a daemon decides and
-//! when it tells the others is the product's own code; what it knows is as old as its news. Engines
-//! read prompts one after the other, keep parts of them as long as their memory lasts, and make
-//! tokens in steps that grow with what runs. A load file (`examples/loads/`) says what is asked for
-//! and what fails; `docs/design/decisions.md` says how far the model is off.
+//! It uses no sockets and no real clock, and equal seeds give equal runs. The placement decisions
+//! and the gossip schedule are the product's own code, and each daemon knows only what its last
+//! received gossip messages contained. Engines prefill prompts in order of priority and arrival,
+//! cache prompt parts while their memory lasts, and generate tokens in steps whose duration grows
+//! with the number of running calls. A load file (`examples/loads/`) defines the calls and the
+//! faults; `docs/design/decisions.md` says how far the model deviates from measurements.
 
 mod daemon;
 mod engine;
--- a/crates/wisteriahitch-bench/src/fleet/outcome.rs
+++ b/crates/wisteriahitch-bench/src/fleet/outcome.rs
@@ -1,33 +1,33 @@
-//! What came of a simulated load.
+//! Results of a simulation.
 
 use std::fmt;
 
-/// What came of one kind of calls.
+/// Results for one kind of calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KindOutcome {
-    /// Name.
+    /// Name of the kind, from the load file.
     pub name: String,
-    /// Calls; one that comes back after a refusal counts once.
+    /// Number of calls; a call that is retried after a refusal counts once.
     pub calls: u64,
-    /// Calls whose first event came within their target.
+    /// Calls whose first event arrived within the target latency.
     pub in_time: u64,
-    /// Calls whose first event came later.
+    /// Calls whose first event arrived after the target latency.
     pub late: u64,
-    /// Calls that were refused in the end.
+    /// Calls that were refused and not retried any more.
     pub refused: u64,
-    /// Calls that an engine was lost with, or that were still waiting at the end.
+    /// Calls whose engine stopped, or that had no first event by the end of the simulation.
     pub failed: u64,
-    /// First events in milliseconds, in their order of coming.
+    /// Latencies of the first events in milliseconds, in the order in which prefills ended.
     pub first_event_ms: Vec<f64>,
 }
 
 impl KindOutcome {
-    /// Returns the share of the calls that were in time.
+    /// Returns the share of all calls that were in time, 0 to 1.
     pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.calls.max(1) as f64
     }
 
-    /// Returns the time that this share of the first events took at most, in milliseconds.
+    /// Returns the quantile `share` (0 to 1) of the first-event latencies, in milliseconds.
     pub fn first_event_quantile_ms(&self, share: f64) -> f64 {
         let mut sorted = self.first_event_ms.clone();
         sorted.sort_by(f64::total_cmp);
@@ -39,27 +39,27 @@
     }
 }
 
-/// Two seconds of a run.
+/// Results for the calls that arrived within one window of two seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Window {
-    /// Calls that arrived.
+    /// Calls that arrived in the window.
     pub calls: u64,
     /// Those of them that were in time.
     pub in_time: u64,
 }
 
-/// What came of a load.
+/// Results of one simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// By kind, in the plan's order.
+    /// Results by kind of call, in the order of the load file.
     pub kinds: Vec<KindOutcome>,
-    /// By two seconds.
+    /// Results by window of two seconds.
     pub windows: Vec<Window>,
-    /// Prompt tokens that were read.
+    /// Prompt tokens that were prefilled.
     pub read_tokens: u64,
-    /// Those of them that belong to shared parts which some engine had read before.
+    /// Prefilled tokens of shared parts that some engine had prefilled before.
     pub reread_tokens: u64,
-    /// Messages that daemons sent, each to all others.
+    /// Gossip messages; one that is sent to all other daemons counts once.
     pub messages: u64,
 }
 
--- a/crates/wisteriahitch-bench/src/fleet/plan.rs
+++ b/crates/wisteriahitch-bench/src/fleet/plan.rs
@@ -1,140 +1,140 @@
-//! What a load file says.
+//! Load files.
 
 use std::path::Path;
 
 use anyhow::{Context, ensure};
 use serde::Deserialize;
 
-/// A load, and the fleet that it meets.
+/// A simulated load and the fleet that serves it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Length in seconds.
+    /// Simulated duration in seconds.
     #[serde(rename = "length_s")]
     pub duration_s: f64,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Way of a message between two daemons, in milliseconds.
+    /// Delay of a gossip message between two daemons, in milliseconds.
     #[serde(rename = "news_delay_ms")]
     pub gossip_delay_ms: f64,
-    /// Share of the messages that are lost.
+    /// Share of the gossip messages that are lost, 0 to 1.
     #[serde(default)]
     #[serde(rename = "news_lost_share")]
     pub gossip_loss_share: f64,
-    /// Engines.
+    /// Engines, which are all alike.
     pub engines: EnginePlan,
     /// Stores of prompt parts.
     #[serde(default)]
     pub stores: Vec<StorePlan>,
     /// Kinds of calls.
     pub kinds: Vec<KindPlan>,
-    /// What fails, and when.
+    /// Faults and load changes.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// What all engines are.
+/// Number and properties of the engines.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginePlan {
-    /// How many there are.
+    /// Number of engines.
     pub count: usize,
-    /// Requests that run at once.
+    /// Maximum number of calls that an engine runs at once.
     pub slots: u32,
-    /// Tokens that the memory holds.
+    /// Memory of an engine in tokens, shared by running calls and the cache.
     pub memory_tokens: u64,
     /// Size of a token in memory, in bytes.
     pub token_bytes: u64,
-    /// Rate of the links between engines, in bits a microsecond.
+    /// Throughput of the links between engines, in megabits per second.
     pub link_mbps: f64,
-    /// Prompt tokens that are read in a millisecond.
+    /// Prompt tokens that an engine prefills per millisecond.
     pub read_tokens_per_ms: f64,
-    /// Prompt tokens that are read between two steps.
+    /// Maximum number of prompt tokens that are prefilled in one step.
     pub chunk_tokens: u64,
-    /// A step with nothing else running, in milliseconds.
+    /// Fixed part of the duration of a step, in milliseconds.
     pub step_ms: f64,
-    /// What each running request adds to a step, in milliseconds.
+    /// Duration that each running call adds to a step, in milliseconds.
     pub step_ms_per_running: f64,
-    /// What is added to each first event, in milliseconds.
+    /// Delay that is added to the latency of each first event, in milliseconds.
     pub first_event_ms: f64,
 }
 
-/// A store of prompt parts.
+/// Number and properties of stores of one kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StorePlan {
-    /// How many such stores there are.
+    /// Number of such stores.
     pub count: usize,
-    /// Tokens that it has room for.
+    /// Capacity of each store in tokens.
     #[serde(rename = "room_tokens")]
     pub capacity_tokens: u64,
-    /// Rate of its link, in bits a microsecond.
+    /// Throughput of the link of each store, in megabits per second.
     pub link_mbps: f64,
-    /// Wait before each transfer, in milliseconds.
+    /// Delay before the first byte of each transfer, in milliseconds.
     #[serde(rename = "first_ms")]
     pub transfer_delay_ms: f64,
 }
 
-/// One kind of calls.
+/// Load of one kind of calls.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindPlan {
-    /// Name.
+    /// Name of the kind; also the name of its route.
     pub name: String,
-    /// Calls a second.
+    /// Mean arrival rate in calls per second.
     #[serde(rename = "per_s")]
     pub calls_per_s: f64,
-    /// Time within which the first event is in time.
+    /// Target latency of the first event, in milliseconds.
     pub target_ms: u64,
-    /// Time after which nobody waits any more.
+    /// Deadline of a call, in milliseconds after its arrival.
     pub deadline_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Tokens of the part that calls share, at the mean.
+    /// Mean tokens of a shared prompt part.
     pub shared_tokens: u64,
-    /// Different parts of that kind.
+    /// Number of different shared parts.
     pub shared_parts: u64,
-    /// Tokens that are a call's own, at the mean.
+    /// Mean tokens of the part of a prompt that is not shared.
     pub own_tokens: u64,
-    /// Tokens of the answer, at the mean.
+    /// Mean tokens of an answer.
     pub output_tokens: u64,
 }
 
-/// Something that happens.
+/// A fault or a change of the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// So many times the calls.
+    /// The arrival rate of all kinds is multiplied.
     Burst {
-        /// From, in seconds.
+        /// Start in seconds from the start of the simulation.
         at_s: f64,
-        /// For how long, in seconds.
+        /// Duration in seconds.
         for_s: f64,
-        /// How many times.
+        /// Factor of the arrival rate.
         factor: f64,
     },
-    /// A share of the engines is gone, and comes back with an empty memory.
+    /// A share of the engines stops, and starts again with an empty cache.
     Lost {
-        /// From, in seconds.
+        /// Start in seconds from the start of the simulation.
         at_s: f64,
-        /// For how long, in seconds.
+        /// Duration in seconds.
         for_s: f64,
-        /// Which share.
+        /// Share of the engines, 0 to 1.
         share: f64,
     },
-    /// All engines' memories are emptied at once.
+    /// The caches of all engines are cleared.
     Cold {
-        /// When, in seconds.
+        /// Time in seconds from the start of the simulation.
         at_s: f64,
     },
 }
 
-/// Decisions that can be switched off, to see what they are worth.
+/// Mechanisms that can be switched off to measure their effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Policy {
-    /// Whether long reads are told at once.
+    /// Whether the dispatch of a long prompt triggers an urgent gossip message.
     pub has_urgent_update: bool,
-    /// Whether long queues are refused.
+    /// Whether calls are refused if the queue is too long for their target latency.
     pub has_refusals: bool,
 }
 
@@ -148,22 +148,24 @@
 }
 
 impl Plan {
-    /// Reads a load file.
+    /// Reads and checks a load file.
     ///
     /// # Errors
     ///
-    /// Names the file and the line or the value that is faulty.
+    /// Fails if the file can't be read or is invalid; the error names the file and the invalid line
+    /// or value.
     pub fn load(path: &Path) -> anyhow::Result<Self> {
         let file = path.display();
-        let text = std::fs::read_to_string(path).with_context(|| format!("{file}"))?;
-        Self::parse(&text).with_context(|| format!("{file}"))
+        let text = std::fs::read_to_string(path)
+            .with_context(|| format!("the load file {file} can't be read"))?;
+        Self::parse(&text).with_context(|| format!("the load file {file} is invalid"))
     }
 
-    /// Reads a load.
+    /// Parses and checks the text of a load file.
     ///
     /// # Errors
     ///
-    /// Names the line or the value that is faulty.
+    /// Fails if the text is invalid; the error names the invalid line or value.
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let plan: Self = toml::from_str(text)?;
         let engines = &plan.engines;
--- a/crates/wisteriahitch-bench/src/fleet/store.rs
+++ b/crates/wisteriahitch-bench/src/fleet/store.rs
@@ -1,10 +1,10 @@
-//! A store of prompt parts as the model imitates it.
+//! A simulated store of prompt parts.
 
 use std::collections::HashMap;
 
 use super::plan::StorePlan;
 
-/// One store. Like the platform's, it drops nothing on its own: what doesn't fit is lost.
+/// A store. Like the platform's stores it evicts nothing; a part that doesn't fit is not stored.
 #[derive(Debug)]
 pub(super) struct Store {
     pub(super) plan: StorePlan,
@@ -23,7 +23,7 @@
         self.stored_parts.contains_key(&part)
     }
 
-    /// Keeps a part, and returns whether there was room for it.
+    /// Stores a part if there is enough free capacity, and returns whether it was stored.
     pub(super) fn try_store(&mut self, part: u64, tokens: u64) -> bool {
         let used: u64 = self.stored_parts.values().sum();
         let fits = used + tokens <= self.plan.capacity_tokens;
--- a/crates/wisteriahitch-bench/src/fleet/world.rs
+++ b/crates/wisteriahitch-bench/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Plays a load.
+//! The event loop of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
@@ -23,47 +23,51 @@
 use super::plan::{Fault, Plan, Policy};
 use super::store::Store;
 
-/// Way between a daemon and an engine, in milliseconds.
+/// Network delay between a daemon and an engine, in milliseconds.
 const NETWORK_DELAY_MS: f64 = 1.0;
 
-/// Text under which engines keep parts of the only weights that there are.
+/// Cache scope of all parts; there is only one version of the weights.
 const CACHE_SCOPE: &str = "w1";
 
-/// Time until daemons hear that an engine has come or gone, in milliseconds.
+/// Time from the restart of an engine until daemons see its registration, in milliseconds.
 const REGISTRATION_DELAY_MS: f64 = 20.0;
 
-/// Start of a fetch, in milliseconds; one that finds nothing costs as much.
+/// Delay before the first byte of a fetch from an engine, in milliseconds. A fetch of a part that
+/// is not there takes as long.
 const FETCH_START_DELAY_MS: f64 = 1.0;
 
-/// Length of a window.
+/// Length of a window of the results.
 const WINDOW_US: u64 = 2_000_000;
 
-/// Time between two words of a store, and until a part that it has got is told, in milliseconds.
+/// Time between two reports of a store to all daemons, in milliseconds. A newly stored part is
+/// reported with the next one.
 const STORE_REPORT_INTERVAL_MS: f64 = 60.0;
 
-/// Ports of the engines begin here, and those of the stores there.
+/// Port of the first engine; the others follow.
 const FIRST_ENGINE_PORT: u16 = 10_000;
+
+/// Port of the first store; the others follow.
 const FIRST_STORE_PORT: u16 = 9_000;
 
-/// What happens at a time.
+/// A scheduled event.
 enum SimulationEvent {
     /// The next call of a kind arrives.
     CallArrives(usize),
-    /// A refused caller comes back.
+    /// The caller of a refused call tries again.
     CallRetries(usize),
-    /// Something is due at an engine, in this life of it.
+    /// An event at an engine, ignored unless the engine still has this incarnation.
     EngineEventDue(usize, u64, EngineEvent),
-    /// A daemon's next message is due.
+    /// A daemon's next gossip message is due.
     GossipDue(usize),
-    /// A daemon hears another one.
+    /// A daemon receives a gossip message.
     GossipReceived(usize, GossipUpdate),
     /// A part has reached a store.
     PartSaved(usize, StoredPart),
-    /// Daemons hear what a store has got.
+    /// A store reports its newly stored parts to all daemons.
     StoreReportDue(usize),
-    /// Daemons hear that an engine has come.
+    /// Daemons see the registration of an engine.
     EngineRegistered(usize),
-    /// A fault begins or ends.
+    /// A fault begins (`true`) or ends.
     FaultChanges(usize, bool),
 }
 
@@ -123,16 +127,16 @@
     daemons: Vec<Daemon>,
     engines: Vec<Engine>,
     stores: Vec<Store>,
-    /// Parts that stores have got and not told of.
+    /// Newly stored parts that each store has not reported yet.
     unreported_parts: Vec<Vec<StoredPart>>,
     calls: Vec<Call>,
-    /// Parts that some engine has read.
+    /// Parts that some engine has prefilled.
     prefilled_parts: HashSet<u64>,
     burst_factor: f64,
     outcome: Outcome,
 }
 
-/// Plays a load with one seed, and returns what came of it.
+/// Simulates a load with one seed and returns the results.
 pub fn simulate(plan: &Plan, policy: Policy, seed: u64) -> anyhow::Result<Outcome> {
     let mut simulation = Simulation::new(plan, policy, seed)?;
     simulation.start();
@@ -208,7 +212,7 @@
             self.register_engine(engine);
         }
         for daemon in 0..self.daemons.len() {
-            // Daemons start at different moments, and so do their rounds of messages.
+            // Daemons start at different times, so their gossip messages are not synchronized.
             let first_ms = self.rng.random_range(0.0..100.0);
             let at = after_ms(self.now, first_ms);
             self.daemons[daemon].next_gossip_at = at;
@@ -301,7 +305,7 @@
         let plan = &self.plan.kinds[kind];
         let part = self.rng.random_range(0..plan.shared_parts);
         let shared_id = (kind as u64) << 32 | part;
-        // A part has the same size each time: its number decides it.
+        // Seeded with the id of the part, so that a part always has the same size.
         let shared = sample_size(
             plan.shared_tokens,
             &mut ChaCha8Rng::seed_from_u64(shared_id),
@@ -418,7 +422,7 @@
         );
     }
 
-    /// Names the store for each shared part that is to be saved.
+    /// Chooses a store for each shared part that is to be saved: part, tokens and address.
     fn choose_stores(
         &mut self,
         index: usize,
@@ -451,7 +455,8 @@
         self.schedule(at, SimulationEvent::StoreReportDue(store));
     }
 
-    /// Returns whether an address keeps a part, and its link's rate and first wait.
+    /// Returns whether the engine or store at an address has a part, the throughput of its link in
+    /// megabits per second and the delay of a transfer in milliseconds.
     fn find_source(&self, address: SocketAddr, part: u64) -> (bool, f64, f64) {
         match address.port().checked_sub(FIRST_ENGINE_PORT) {
             Some(engine) => (
@@ -471,7 +476,9 @@
         }
     }
 
-    /// Fetches the parts that the engine doesn't keep and another one does.
+    /// Fetches the parts that the engine has not cached from the sources that the placement chose.
+    /// Returns the job and the duration in milliseconds. The first part without a source, or whose
+    /// source doesn't have it, ends the fetches.
     fn fetch_parts(&self, engine: usize, mut job: Job, placement: &Placement) -> (Job, f64) {
         let engines = &self.plan.engines;
         let mut took_ms = 0.0;
@@ -727,25 +734,25 @@
     usize::from(address.port() - FIRST_ENGINE_PORT)
 }
 
-/// Returns a time so many milliseconds later.
+/// Returns the time `ms` milliseconds after `now`.
 fn after_ms(now: TimeUs, ms: f64) -> TimeUs {
     now + DurationUs::from_secs_f64(ms / 1_000.0)
 }
 
-/// Returns how long so many tokens take over a link, in milliseconds; megabits a second are bits a
+/// Returns the duration of a transfer in milliseconds. One megabit per second is one bit per
 /// microsecond.
 fn transfer_ms(tokens: u64, token_bytes: u64, link_mbps: f64) -> f64 {
     let bits = tokens as f64 * token_bytes as f64 * 8.0;
     bits / link_mbps / 1_000.0
 }
 
-/// Draws a pause whose mean is this.
+/// Samples an exponential distribution with this mean.
 fn sample_exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     let unit: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     -unit.ln() * mean
 }
 
-/// Draws a size between half and one and a half times the mean.
+/// Samples a size uniformly between 0.5 and 1.5 times the mean, at least 1.
 fn sample_size(mean: u64, rng: &mut ChaCha8Rng) -> u64 {
     let factor: f64 = rng.random_range(0.5..1.5);
     ((mean as f64 * factor) as u64).max(1)
--- a/crates/wisteriahitch-bench/tests/all/fleet.rs
+++ b/crates/wisteriahitch-bench/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! Loads that are replayed on the model of a fleet.
+//! Load files that are replayed on the simulated fleet.
 
 use std::path::{Path, PathBuf};
 
@@ -18,20 +18,20 @@
     outcomes.map(Result::unwrap).collect()
 }
 
-/// Sums a count of one kind of calls over all seeds.
+/// Sums a counter of one kind of calls over all seeds.
 fn count(outcomes: &[Outcome], kind: &str, of: fn(&KindOutcome) -> u64) -> u64 {
     let kinds = outcomes.iter().flat_map(|outcome| &outcome.kinds);
     kinds.filter(|row| row.name == kind).map(of).sum()
 }
 
-/// Symptom: short urgent calls are late on an ordinary day, at engines that seemed idle. Sequence: a
-/// daemon sends a long prompt to an idle engine; until its next message the others send their short
-/// calls there, which wait behind it. Cause: messages left at a fixed interval.
+/// Guards against short urgent calls that are late under ordinary load at engines that seem idle. If
+/// gossip is sent only at a fixed interval and a daemon sends a long prompt to an idle engine, the
+/// other daemons send short calls there until its next message, and these wait behind the prompt.
 #[test]
 fn urgent_updates_keep_short_calls_from_queueing_behind_long_prompts() {
     struct Case {
         load: &'static str,
-        /// Most late short calls, as a share of those without it.
+        /// Maximum number of late short calls, relative to the number without urgent updates.
         max_late_ratio: f64,
     }
     let cases = [
@@ -64,9 +64,9 @@
     }
 }
 
-/// Symptom: nobody is in time while callers ask for ten times what is usual, and for seconds after.
-/// Sequence: all calls are let in and wait behind each other; those that are answered at last are
-/// late, and meanwhile caches are displaced. Cause: nothing was refused.
+/// Guards against an overload of ten times the usual calls in which no call is in time, also for
+/// seconds afterwards. If nothing is refused, all calls queue behind each other, are answered late
+/// and evict each other's cached parts.
 #[test]
 fn refusals_under_overload_keep_admitted_calls_in_time() {
     let without = Policy {
@@ -85,13 +85,14 @@
     }
 }
 
-/// Symptom: for seconds after all daemons have started, or all engines have new weights, engines read the
-/// same shared parts again, a third of all that they read. Sequence: each daemon gets prompts with parts
-/// that nobody is known to keep, and draws an engine; news of who reads them is a quarter of a second old.
-/// Cause: daemons that don't know of each other drew different engines for the same part.
+/// Guards against engines that prefill the same shared parts several times, a third of all prefilled
+/// tokens, for seconds after all daemons have started or all engines have new weights. No engine is
+/// known to cache these parts, and gossip about who prefills them is a quarter of a second old. If
+/// each daemon picks an engine at random, they pick different engines for the same part.
 #[test]
 fn uncached_shared_parts_are_prefilled_by_few_engines() {
-    /// Without a common choice the two seeds read 482,855 tokens again, with it 234,578.
+    /// The two seeds prefill 482,855 tokens again if daemons choose independently, and 234,578 if
+    /// they make a common choice.
     const MAX_REREAD_TOKENS: u64 = 330_000;
 
     let outcomes = simulate_load("cold-large.toml", Policy::default());
--- a/crates/wisteriahitch-bench/tests/all/main.rs
+++ b/crates/wisteriahitch-bench/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the tool.
+//! Tests of the load and experiment tool.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
