--- a/crates/wisteriahitch-bench/src/caller/client.rs
+++ b/crates/wisteriahitch-bench/src/caller/client.rs
@@ -18,7 +18,7 @@
 use super::{CallError, CompletionAnswer, PlainAnswer};
 
 const HEAD_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
-const ANSWER_LIMIT_BYTES: ByteCount = ByteCount::new(64 * 1_024 * 1_024);
+const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(64 * 1_024 * 1_024);
 
 /// A completion to ask for.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
         let answer = self
             .plain(entry, Method::GET, "/v1/entries", None, Bytes::new())
             .await?;
-        let value = parse(answer.body.as_bytes())?;
+        let value = parse_json(answer.body.as_bytes())?;
         let rows = value["entries"].as_array().into_iter().flatten();
         Ok(rows
             .filter_map(|row| row["address"].as_str()?.parse().ok())
@@ -80,7 +80,7 @@
         let answer = self
             .plain(entry, Method::POST, "/v1/tickets", None, body.into())
             .await?;
-        let value = parse(answer.body.as_bytes())?;
+        let value = parse_json(answer.body.as_bytes())?;
         let rows = value["tickets"].as_array().into_iter().flatten();
         Ok(rows
             .filter_map(|row| row.as_str().map(str::to_owned))
@@ -105,9 +105,9 @@
             .map_err(|error| CallError::Broken(error.to_string()))?;
         let response = self
             .http
-            .fetch(entry, request, HEAD_TIMEOUT_US, ANSWER_LIMIT_BYTES)
+            .fetch(entry, request, HEAD_TIMEOUT_US, MAX_ANSWER_BYTES)
             .await
-            .map_err(failed)?;
+            .map_err(classify_http_error)?;
         check_refusal(
             response.headers().get("x-wisteriahitch-code").is_some(),
             response.body(),
@@ -135,20 +135,20 @@
             .request(Method::POST, "/v1/completions")
             .body(Bytes::from(body.to_string()))
             .map_err(|error| CallError::Broken(error.to_string()))?;
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let response = self
             .http
             .send(entry, request, HEAD_TIMEOUT_US)
             .await
-            .map_err(failed)?;
+            .map_err(classify_http_error)?;
         if response.headers().contains_key("x-wisteriahitch-code") {
             let body = response.into_body().collect().await;
             let body = body
                 .map_err(|error| CallError::Broken(error.to_string()))?
                 .to_bytes();
-            return Err(read_refusal(&parse(&body)?));
+            return Err(parse_refusal(&parse_json(&body)?));
         }
-        read_stream(response, sent).await
+        read_stream(response, sent_at).await
     }
 
     fn request(&self, method: Method, path: &str) -> http::request::Builder {
@@ -159,11 +159,11 @@
     }
 }
 
-fn parse(body: &[u8]) -> Result<Value, CallError> {
+fn parse_json(body: &[u8]) -> Result<Value, CallError> {
     serde_json::from_slice(body).map_err(|error| CallError::Broken(error.to_string()))
 }
 
-fn failed(error: HttpError) -> CallError {
+fn classify_http_error(error: HttpError) -> CallError {
     match error.kind() {
         HttpErrorKind::NotSent => CallError::NotSent(error.to_string()),
         _ => CallError::Broken(error.to_string()),
@@ -174,10 +174,10 @@
     if !is_refusal {
         return Ok(());
     }
-    Err(read_refusal(&parse(body)?))
+    Err(parse_refusal(&parse_json(body)?))
 }
 
-fn read_refusal(value: &Value) -> CallError {
+fn parse_refusal(value: &Value) -> CallError {
     let error = &value["error"];
     let code = error["code"]
         .as_str()
@@ -200,20 +200,20 @@
 
 /// Gathers the events of one stream.
 struct StreamReader {
-    sent: Instant,
-    last: Option<Instant>,
+    sent_at: Instant,
+    last_token_at: Option<Instant>,
     answer: CompletionAnswer,
     is_done: bool,
 }
 
 async fn read_stream(
     response: Response<Incoming>,
-    sent: Instant,
+    sent_at: Instant,
 ) -> Result<CompletionAnswer, CallError> {
     let version = response.headers().get("x-weight-version");
     let version = version.and_then(|value| value.to_str().ok()?.parse::<WeightVersion>().ok());
     let version = version.ok_or_else(|| CallError::Broken("no weight version".to_owned()))?;
-    let mut reader = StreamReader::new(version, sent);
+    let mut reader = StreamReader::new(version, sent_at);
     let mut parser = SseParser::default();
     let mut body = response.into_body();
     while let Some(frame) = body.frame().await {
@@ -228,7 +228,7 @@
             .next_event()
             .map_err(|error| CallError::Broken(error.to_string()))?
         {
-            reader.take(&event)?;
+            reader.apply_event(&event)?;
         }
     }
     match reader.is_done {
@@ -238,7 +238,7 @@
 }
 
 impl StreamReader {
-    fn new(weight_version: WeightVersion, sent: Instant) -> Self {
+    fn new(weight_version: WeightVersion, sent_at: Instant) -> Self {
         let answer = CompletionAnswer {
             text: String::new(),
             weight_version,
@@ -250,31 +250,31 @@
             gaps: Vec::new(),
         };
         Self {
-            sent,
-            last: None,
+            sent_at,
+            last_token_at: None,
             answer,
             is_done: false,
         }
     }
 
-    fn take(&mut self, event: &str) -> Result<(), CallError> {
+    fn apply_event(&mut self, event: &str) -> Result<(), CallError> {
         if event == "[DONE]" {
             self.is_done = true;
             return Ok(());
         }
-        let value = parse(event.as_bytes())?;
+        let value = parse_json(event.as_bytes())?;
         if !value["error"].is_null() {
-            return Err(read_refusal(&value));
+            return Err(parse_refusal(&value));
         }
         let now = Instant::now();
-        match self.last {
+        match self.last_token_at {
             None => {
-                self.answer.first_token = now - self.sent;
+                self.answer.first_token = now - self.sent_at;
                 self.answer.first_token_at = Some(now);
             }
             Some(last) => self.answer.gaps.push(now - last),
         }
-        self.last = Some(now);
+        self.last_token_at = Some(now);
         self.answer.text += value["choices"][0]["text"].as_str().unwrap_or_default();
         if let Some(usage) = value["usage"].as_object() {
             let count = |name: &str| TokenCount::new(usage[name].as_u64().unwrap_or(0));
--- a/crates/wisteriahitch-bench/src/load/arrival.rs
+++ b/crates/wisteriahitch-bench/src/load/arrival.rs
@@ -14,20 +14,20 @@
     /// Workspace, by its number.
     pub workspace: usize,
     /// What is asked.
-    pub ask: Ask,
+    pub request: LoadRequest,
 }
 
 /// Says what is asked.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum LoadRequest {
     /// A completion.
-    Prompt(PromptAsk),
+    Prompt(PromptRequest),
     /// A plain call.
     Plain {
         /// How it may be repeated.
         kind: PlainKind,
         /// Whether it is sent a second time, through another entry VM.
-        is_doubled: bool,
+        is_duplicated: bool,
         /// Number of the path.
         path: usize,
     },
@@ -46,7 +46,7 @@
 
 /// Holds one visit of a conversation.
 #[derive(Clone, Copy, Debug)]
-pub struct PromptAsk {
+pub struct PromptRequest {
     /// Kind.
     pub class: ClassName,
     /// Conversation; its text follows from this number.
@@ -54,14 +54,14 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens of the whole pieces that an earlier visit in this run had too; 0 at the first.
-    pub kept_tokens: u64,
+    pub reusable_tokens: u64,
     /// Whether it is a return.
     pub is_return: bool,
     /// Tokens to generate.
     pub answer_tokens: TokenCount,
 }
 
-impl PromptAsk {
+impl PromptRequest {
     /// Returns the text; a later visit's text begins with that of the earlier ones.
     pub fn prompt(&self) -> String {
         let mut text = String::with_capacity(self.prompt_tokens as usize * 9);
--- a/crates/wisteriahitch-bench/src/load/mod.rs
+++ b/crates/wisteriahitch-bench/src/load/mod.rs
@@ -4,6 +4,6 @@
 mod capacity;
 mod schedule;
 
-pub use arrival::{Arrival, Ask, PlainKind, PromptAsk};
+pub use arrival::{Arrival, LoadRequest, PlainKind, PromptRequest};
 pub use capacity::Capacity;
 pub use schedule::{LoadOptions, Schedule, Surge};
--- a/crates/wisteriahitch-bench/src/report/records.rs
+++ b/crates/wisteriahitch-bench/src/report/records.rs
@@ -29,7 +29,7 @@
     let subject = match &record.subject {
         Subject::Prompt(ask) => format!(
             "{},{:?},{},{},{}",
-            ask.conversation, ask.class, ask.is_return, ask.prompt_tokens, ask.kept_tokens
+            ask.conversation, ask.class, ask.is_return, ask.prompt_tokens, ask.reusable_tokens
         ),
         Subject::Plain => ",Plain,,,".to_owned(),
     };
--- a/crates/wisteriahitch-bench/src/report/run_view.rs
+++ b/crates/wisteriahitch-bench/src/report/run_view.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch::types::{ByteCount, TokenCount};
 
-use crate::load::PromptAsk;
+use crate::load::PromptRequest;
 use crate::run::{Outcome, Record, RunResult, Subject};
 use crate::site::SiteSizes;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Answered<'a> {
     pub(super) record: &'a Record,
-    pub(super) ask: &'a PromptAsk,
+    pub(super) ask: &'a PromptRequest,
     pub(super) first_token_us: u64,
     pub(super) cached_tokens: u64,
 }
@@ -79,9 +79,9 @@
 }
 
 /// Returns the time of the best single option for a return, if it were alone at the site.
-pub(super) fn floor_us(ask: &PromptAsk, sizes: &SiteSizes) -> u64 {
-    let import_us = transfer_us(ask.kept_tokens, sizes);
-    let rest_us = prefill_us(ask.prompt_tokens - ask.kept_tokens, sizes);
+pub(super) fn floor_us(ask: &PromptRequest, sizes: &SiteSizes) -> u64 {
+    let import_us = transfer_us(ask.reusable_tokens, sizes);
+    let rest_us = prefill_us(ask.prompt_tokens - ask.reusable_tokens, sizes);
     prefill_us(ask.prompt_tokens, sizes).min(import_us + rest_us)
 }
 
--- a/crates/wisteriahitch-bench/src/report/view_times.rs
+++ b/crates/wisteriahitch-bench/src/report/view_times.rs
@@ -81,10 +81,10 @@
             mean_ms(&prefill),
             mean_ms(&transfer),
         );
-        let kept: u64 = rows.iter().map(|row| row.ask.kept_tokens).sum();
+        let kept: u64 = rows.iter().map(|row| row.ask.reusable_tokens).sum();
         let again = rows
             .iter()
-            .map(|row| row.ask.kept_tokens.saturating_sub(row.cached_tokens));
+            .map(|row| row.ask.reusable_tokens.saturating_sub(row.cached_tokens));
         PartSection {
             count: rows.len() as u64,
             first_token_ms,
--- a/crates/wisteriahitch-bench/src/report/view_work.rs
+++ b/crates/wisteriahitch-bench/src/report/view_work.rs
@@ -52,9 +52,9 @@
             .collect();
         let computed = |row: &Answered<'_>| row.ask.prompt_tokens.saturating_sub(row.cached_tokens);
         let prompt = |row: &Answered<'_>| row.ask.prompt_tokens;
-        let least = |row: &Answered<'_>| row.ask.prompt_tokens - row.ask.kept_tokens;
-        let again = |row: &Answered<'_>| row.ask.kept_tokens.saturating_sub(row.cached_tokens);
-        let kept = |row: &Answered<'_>| row.ask.kept_tokens;
+        let least = |row: &Answered<'_>| row.ask.prompt_tokens - row.ask.reusable_tokens;
+        let again = |row: &Answered<'_>| row.ask.reusable_tokens.saturating_sub(row.cached_tokens);
+        let kept = |row: &Answered<'_>| row.ask.reusable_tokens;
         let of_returns = |count: &dyn Fn(&Answered<'_>) -> u64| -> u64 {
             returns.iter().map(|row| count(row)).sum()
         };
--- a/crates/wisteriahitch-bench/src/run/record.rs
+++ b/crates/wisteriahitch-bench/src/run/record.rs
@@ -2,7 +2,7 @@
 
 use wisteriahitch::types::{Code, DurationUs, Meaning};
 
-use crate::load::PromptAsk;
+use crate::load::PromptRequest;
 
 /// Holds what became of one request.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Subject {
     /// A completion.
-    Prompt(PromptAsk),
+    Prompt(PromptRequest),
     /// A plain call.
     Plain,
 }
--- a/crates/wisteriahitch-bench/src/run/requester.rs
+++ b/crates/wisteriahitch-bench/src/run/requester.rs
@@ -11,7 +11,7 @@
 use super::plain_checker::PlainChecker;
 use super::{Outcome, Record, Subject};
 use crate::caller::{CallError, Caller, Completion, CompletionAnswer};
-use crate::load::{Arrival, Ask, PlainKind, PromptAsk};
+use crate::load::{Arrival, LoadRequest, PlainKind, PromptRequest};
 use crate::site::SiteSizes;
 
 /// Addresses that a caller tries when connections break.
@@ -35,24 +35,27 @@
 impl Requester {
     /// Sends one request now and follows it to its end.
     pub(crate) async fn send(&self, arrival: Arrival) -> Record {
-        match arrival.ask {
-            Ask::Prompt(ask) => self.complete(arrival.at_us, ask).await,
-            Ask::Plain {
+        match arrival.request {
+            LoadRequest::Prompt(request) => self.complete(arrival.at_us, request).await,
+            LoadRequest::Plain {
                 kind,
-                is_doubled,
+                is_duplicated,
                 path,
-            } => self.call_plain(arrival.at_us, kind, is_doubled, path).await,
+            } => {
+                self.call_plain(arrival.at_us, kind, is_duplicated, path)
+                    .await
+            }
         }
     }
 
-    async fn complete(&self, at_us: u64, ask: PromptAsk) -> Record {
+    async fn complete(&self, at_us: u64, request: PromptRequest) -> Record {
         let class = self.sizes.classes.iter();
-        let class = class.clone().find(|class| class.name == ask.class);
+        let class = class.clone().find(|class| class.name == request.class);
         let completion = Completion {
             model: self.model.clone(),
             adapter: class.and_then(|class| class.adapter.parse().ok()),
-            prompt: ask.prompt(),
-            max_tokens: ask.answer_tokens,
+            prompt: request.prompt(),
+            max_tokens: request.answer_tokens,
         };
         let mut broken_tries = 0;
         let mut outcome = Outcome::Lost("no entry VM is known".to_owned());
@@ -76,7 +79,7 @@
                 break;
             }
         }
-        self.record(at_us, Subject::Prompt(ask), outcome, broken_tries)
+        self.record(at_us, Subject::Prompt(request), outcome, broken_tries)
     }
 
     fn answered(&self, at_us: u64, completion: &Completion, answer: &CompletionAnswer) -> Outcome {
@@ -113,7 +116,7 @@
         &self,
         at_us: u64,
         kind: PlainKind,
-        is_doubled: bool,
+        is_duplicated: bool,
         path: usize,
     ) -> Record {
         let key = match kind {
@@ -126,7 +129,7 @@
             _ => self.sizes.order_paths[path],
         };
         let first = self.call_once(at_us, key.as_deref(), path);
-        let (outcome, broken_tries) = match is_doubled {
+        let (outcome, broken_tries) = match is_duplicated {
             false => first.await,
             true => {
                 let second = async {
--- a/crates/wisteriahitch-bench/src/run/runner.rs
+++ b/crates/wisteriahitch-bench/src/run/runner.rs
@@ -78,7 +78,7 @@
     let load_at_start = machine_load();
     let sizes = SiteSizes::of(site.site);
     let span = fault_span(&options);
-    let mut schedule = Schedule::draw(&load_options(&options, &site, span), &sizes);
+    let mut schedule = Schedule::generate(&load_options(&options, &site, span), &sizes);
     if options.is_idle {
         schedule.arrivals.clear();
     }
--- a/crates/wisteriahitch-bench/tests/all/schedule.rs
+++ b/crates/wisteriahitch-bench/tests/all/schedule.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use wisteriahitch_bench::load::{Ask, Capacity, LoadOptions, PromptAsk, Schedule, Surge};
+use wisteriahitch_bench::load::{
+    Capacity, LoadOptions, LoadRequest, PromptRequest, Schedule, Surge,
+};
 use wisteriahitch_bench::site::{SiteName, SiteSizes};
 
 const DURATION_S: u64 = 600;
@@ -20,17 +22,17 @@
     }
 }
 
-fn prompts(schedule: &Schedule) -> Vec<(u64, usize, PromptAsk)> {
+fn prompts(schedule: &Schedule) -> Vec<(u64, usize, PromptRequest)> {
     let arrivals = schedule.arrivals.iter();
-    let prompts = arrivals.filter_map(|arrival| match arrival.ask {
-        Ask::Prompt(ask) => Some((arrival.at_us, arrival.workspace, ask)),
-        Ask::Plain { .. } => None,
+    let prompts = arrivals.filter_map(|arrival| match arrival.request {
+        LoadRequest::Prompt(request) => Some((arrival.at_us, arrival.workspace, request)),
+        LoadRequest::Plain { .. } => None,
     });
     prompts.collect()
 }
 
 #[test]
-fn the_load_is_the_asked_part_of_the_capacity() {
+fn generated_load_matches_the_requested_share_of_the_capacity() {
     let cases = [
         (SiteName::Chainline, Capacity::Computed),
         (SiteName::Chainline, Capacity::Kept),
@@ -39,12 +41,12 @@
     ];
     for (site, capacity) in cases {
         let sizes = SiteSizes::of(site);
-        let schedule = Schedule::draw(&options(capacity), &sizes);
+        let schedule = Schedule::generate(&options(capacity), &sizes);
         let tokens = prompts(&schedule)
             .into_iter()
-            .map(|(_, _, ask)| match capacity {
-                Capacity::Computed => ask.prompt_tokens,
-                Capacity::Kept => ask.prompt_tokens - ask.kept_tokens,
+            .map(|(_, _, request)| match capacity {
+                Capacity::Computed => request.prompt_tokens,
+                Capacity::Kept => request.prompt_tokens - request.reusable_tokens,
             });
         let per_s = tokens.sum::<u64>() as f64 / DURATION_S as f64;
         let wanted = 0.7 * 9.0 * sizes.prefill_tokens_per_s.as_f64();
@@ -56,14 +58,14 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_loads_and_others_do_not() {
+fn load_depends_only_on_the_seed() {
     let sizes = SiteSizes::of(SiteName::Chainline);
     let times = |seed| {
         let options = LoadOptions {
             seed,
             ..options(Capacity::Computed)
         };
-        let schedule = Schedule::draw(&options, &sizes);
+        let schedule = Schedule::generate(&options, &sizes);
         let arrivals = schedule.arrivals.iter();
         arrivals.map(|arrival| arrival.at_us).collect::<Vec<_>>()
     };
@@ -73,21 +75,24 @@
 }
 
 #[test]
-fn a_return_begins_with_the_text_of_the_visit_before() {
+fn prompt_of_a_return_starts_with_the_previous_prompt() {
     let sizes = SiteSizes::of(SiteName::Chainline);
-    let schedule = Schedule::draw(&options(Capacity::Computed), &sizes);
-    let mut last: BTreeMap<u64, PromptAsk> = BTreeMap::new();
+    let schedule = Schedule::generate(&options(Capacity::Computed), &sizes);
+    let mut last: BTreeMap<u64, PromptRequest> = BTreeMap::new();
     let mut returns = 0;
-    for (_, _, ask) in prompts(&schedule).into_iter().take(2_000) {
-        match last.insert(ask.conversation, ask) {
-            None => assert!(!ask.is_return),
+    for (_, _, request) in prompts(&schedule).into_iter().take(2_000) {
+        match last.insert(request.conversation, request) {
+            None => assert!(!request.is_return),
             Some(before) => {
                 returns += 1;
-                assert!(ask.is_return);
-                assert_eq!(ask.kept_tokens, before.prompt_tokens / 2_000 * 2_000);
-                assert!(ask.prompt_tokens > before.prompt_tokens);
+                assert!(request.is_return);
+                assert_eq!(
+                    request.reusable_tokens,
+                    before.prompt_tokens / 2_000 * 2_000
+                );
+                assert!(request.prompt_tokens > before.prompt_tokens);
                 if returns <= 20 {
-                    assert!(ask.prompt().starts_with(&before.prompt()));
+                    assert!(request.prompt().starts_with(&before.prompt()));
                 }
             }
         }
@@ -96,7 +101,7 @@
 }
 
 #[test]
-fn a_surge_multiplies_one_workspace_for_its_time_alone() {
+fn surge_multiplies_only_its_workspace_and_only_while_it_lasts() {
     let sizes = SiteSizes::of(SiteName::Chainline);
     let (from_us, until_us) = (200_000_000, 400_000_000);
     let options = LoadOptions {
@@ -108,12 +113,12 @@
         }),
         ..options(Capacity::Computed)
     };
-    let schedule = Schedule::draw(&options, &sizes);
+    let schedule = Schedule::generate(&options, &sizes);
     let count = |workspace, from_us: u64, until_us: u64| {
         let first_visits = prompts(&schedule)
             .into_iter()
-            .filter(|(at_us, owner, ask)| {
-                !ask.is_return && *owner == workspace && (from_us..until_us).contains(at_us)
+            .filter(|(at_us, owner, request)| {
+                !request.is_return && *owner == workspace && (from_us..until_us).contains(at_us)
             });
         first_visits.count() as f64
     };
