--- a/crates/wisteriahitch-bench/src/caller/answer.rs
+++ b/crates/wisteriahitch-bench/src/caller/answer.rs
@@ -1,35 +1,35 @@
-//! Answers as a caller gets them.
+//! Answers that a caller receives.
 
 use std::time::{Duration, Instant};
 
 use wisteriahitch::types::{TokenCount, WeightVersion};
 
-/// Holds the whole answer to a completion.
+/// Complete answer to a completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionAnswer {
-    /// Text of all tokens.
+    /// Text of all generated tokens.
     pub text: String,
-    /// Weight version that answered.
+    /// Weight version that generated the answer.
     pub weight_version: WeightVersion,
-    /// Tokens of the prompt.
+    /// Total tokens of the prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens of the prompt that were not computed again.
+    /// Prompt tokens that were taken from a cache.
     pub cached_tokens: TokenCount,
-    /// Tokens that were generated.
+    /// Number of generated tokens.
     pub completion_tokens: TokenCount,
-    /// Time from sending to the first token.
+    /// Time from sending the request to the first token.
     pub first_token: Duration,
-    /// When the first token came.
+    /// Time at which the first token arrived; `None` if there was none.
     pub first_token_at: Option<Instant>,
-    /// Pauses between two tokens.
+    /// Times between consecutive tokens.
     pub gaps: Vec<Duration>,
 }
 
-/// Holds a plain service's answer.
+/// Complete answer of a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Whole body.
+    /// Body, with invalid UTF-8 replaced.
     pub body: String,
 }
--- a/crates/wisteriahitch-bench/src/caller/client.rs
+++ b/crates/wisteriahitch-bench/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! Calls to entry VMs.
+//! Client for the callers' addresses of entry VMs.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,12 +20,12 @@
 const HEAD_TIMEOUT_US: DurationUs = DurationUs::from_ms(60_000);
 const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(64 * 1_024 * 1_024);
 
-/// A completion to ask for.
+/// A completion request.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// Model to run.
+    /// Model that generates the answer.
     pub model: ModelName,
-    /// Adapter on top of the model.
+    /// Adapter to apply to the model.
     pub adapter: Option<AdapterName>,
     /// Prompt text.
     pub prompt: String,
@@ -34,7 +34,8 @@
 }
 
 impl Completion {
-    /// Returns whether an answer is this request's own and whole.
+    /// Returns whether an answer is exactly the one that the engine stand-in generates for this
+    /// request.
     pub fn is_answer(&self, answer: &CompletionAnswer) -> bool {
         let version = &answer.weight_version;
         let source = AnswerSource::new(&self.prompt, &self.model, self.adapter.as_ref(), version);
@@ -42,7 +43,7 @@
     }
 }
 
-/// Calls the system with one workspace's key.
+/// Client that uses the key of one workspace.
 #[derive(Clone, Debug)]
 pub struct Caller {
     http: HttpClient,
@@ -50,7 +51,7 @@
 }
 
 impl Caller {
-    /// Builds a caller that authenticates with `secret`.
+    /// Creates a client that authenticates with `secret`.
     pub fn new(secret: impl Into<String>) -> Self {
         let options = HttpClientOptions {
             max_idle_per_address: 256,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Asks an entry VM which addresses to use.
+    /// Fetches the list of addresses to use from an entry VM.
     pub async fn entries(&self, entry: SocketAddr) -> Result<Vec<SocketAddr>, CallError> {
         let answer = self
             .plain(entry, Method::GET, "/v1/entries", None, Bytes::new())
@@ -74,7 +75,7 @@
             .collect())
     }
 
-    /// Asks for tickets.
+    /// Requests `count` tickets.
     pub async fn tickets(&self, entry: SocketAddr, count: usize) -> Result<Vec<String>, CallError> {
         let body = json!({ "count": count }).to_string();
         let answer = self
@@ -87,7 +88,7 @@
             .collect())
     }
 
-    /// Calls a plain service, with a ticket or idempotency key where one is given.
+    /// Calls a plain service; `key` is a ticket or an idempotency key.
     pub async fn plain(
         &self,
         entry: SocketAddr,
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Asks for a completion as a stream and reads it to its end.
+    /// Requests a streamed completion and reads the stream to its end.
     pub async fn complete(
         &self,
         entry: SocketAddr,
@@ -198,7 +199,7 @@
     }
 }
 
-/// Gathers the events of one stream.
+/// Builds an answer from the events of one stream.
 struct StreamReader {
     sent_at: Instant,
     last_token_at: Option<Instant>,
@@ -212,7 +213,9 @@
 ) -> Result<CompletionAnswer, CallError> {
     let version = response.headers().get("x-weight-version");
     let version = version.and_then(|value| value.to_str().ok()?.parse::<WeightVersion>().ok());
-    let version = version.ok_or_else(|| CallError::Broken("no weight version".to_owned()))?;
+    let version = version.ok_or_else(|| {
+        CallError::Broken("the answer has no valid x-weight-version header".to_owned())
+    })?;
     let mut reader = StreamReader::new(version, sent_at);
     let mut parser = SseParser::default();
     let mut body = response.into_body();
--- a/crates/wisteriahitch-bench/src/caller/error.rs
+++ b/crates/wisteriahitch-bench/src/caller/error.rs
@@ -1,29 +1,29 @@
-//! Failed calls as a caller sees them.
+//! Errors of calls.
 
 use wisteriahitch::types::{Code, DurationUs, Meaning};
 
-/// Reports a call that brought no whole answer.
+/// A call that returned no complete answer.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum CallError {
-    /// The system refused the request or gave it up.
+    /// The system refused the request or stopped processing it.
     #[error("{code} ({meaning}), come back in {retry_after_us:?}")]
     Refused {
-        /// Numbered code.
+        /// Code of the refusal.
         code: Code,
-        /// What the refusal means.
+        /// Whether the request has not run or its outcome is unknown.
         meaning: Meaning,
-        /// When to come back, if that was said.
+        /// Time after which to retry, if the refusal contained one.
         retry_after_us: Option<DurationUs>,
-        /// Id that the system gave the request.
+        /// Id that the system assigned to the request.
         request_id: Option<String>,
     },
-    /// No connection could be opened, so that nothing was sent.
+    /// No connection could be opened, and nothing was sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The answer ended as if it were whole, but is not.
+    /// The stream ended without an error but before its last event.
     #[error("cut off: the stream ended early")]
     CutOff,
-    /// The connection broke, or the answer isn't one.
+    /// The connection broke, or the answer is malformed.
     #[error("broken: {0}")]
     Broken(String),
 }
--- a/crates/wisteriahitch-bench/src/caller/mod.rs
+++ b/crates/wisteriahitch-bench/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller of the system, as a customer's program would be written.
+//! A client of the system, written as a customer's program would be.
 
 mod answer;
 mod client;
--- a/crates/wisteriahitch-bench/src/flags.rs
+++ b/crates/wisteriahitch-bench/src/flags.rs
@@ -1,4 +1,4 @@
-//! Command line of the tool.
+//! Subcommands and flags of the load and experiment tool.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,9 +11,9 @@
 xflags::xflags! {
     /// Loads and checks daemons and stand-ins that a script has started.
     cmd wisteriahitch-bench {
-        /// Shows the two main cases against a running demo site.
+        /// Demonstrates two use cases against a running demo site.
         cmd demo {
-            /// Callers' address of a daemon; give three.
+            /// Callers' address of a daemon; must be given three times.
             repeated --entry address: SocketAddr
             /// Operators' address of a daemon.
             required --operators address: SocketAddr
@@ -21,68 +21,69 @@
             required --service address: SocketAddr
         }
 
-        /// Writes the files that scripts/bench starts a site from.
+        /// Writes the files from which scripts/bench starts a site.
         cmd layout {
             /// Site: chainline or lanyu.
             required --site name: SiteName
             /// Policy: cost, round-robin, least-loaded or affinity.
             required --policy name: PolicyName
-            /// Directory that the files are written to.
+            /// Directory to write the files to.
             required --directory path: PathBuf
-            /// Port of the platform; the others follow above it.
+            /// Port of the platform stand-in; the other processes use the ports after it.
             optional --first-port port: u16
-            /// Daemons, in place of as many as the site has.
+            /// Number of daemons; the site's own number by default.
             optional --daemons count: usize
-            /// Engines, in place of as many as the site has.
+            /// Number of engines; the site's own number by default.
             optional --engines count: usize
         }
 
-        /// Loads a site that scripts/bench has started, and reports.
+        /// Runs a load against a site that scripts/bench has started, and reports the results.
         cmd run {
             /// Directory of the site's layout.
             required --directory path: PathBuf
-            /// Site that is expected there.
+            /// Site that the layout must have.
             optional --site name: SiteName
-            /// Policy that is expected there.
+            /// Policy that the layout must have.
             optional --policy name: PolicyName
             /// Fault: none, store-death, store-full, slow-link, endpoint-freeze, daemon-kill,
             /// platform-outage, weight-rollout or tenfold.
             optional --faults name: FaultName
             /// Seed of the load.
             optional --seed seed: u64
-            /// Length in seconds, the part before measuring included.
+            /// Duration in seconds, including the warm-up.
             optional --duration-s s: u64
-            /// Part at the beginning that is not measured, in seconds.
+            /// Duration of the warm-up, which is not measured, in seconds.
             optional --warm-up-s s: u64
-            /// Part of the endpoints' capacity that is asked for.
+            /// Load as a share of the endpoints' capacity; 0.7 by default.
             optional --load share: f64
-            /// What that capacity counts: computed or kept.
+            /// Prompt tokens that count for the load: computed (all) or kept (those that no earlier visit
+            /// had).
             optional --capacity name: Capacity
-            /// Tokens of every answer, in place of what the site has.
+            /// Tokens of every answer; the site's own distribution by default.
             optional --answer-tokens count: u64
-            /// Sends nothing at all, to see what the daemons use by themselves.
+            /// Sends no requests, to measure what idle daemons use.
             optional --idle
-            /// File for one line of CSV for each request.
+            /// CSV file to write with one line per request.
             optional --records path: PathBuf
-            /// File for the report as JSON.
+            /// JSON file to write the report to.
             optional --report path: PathBuf
-            /// File for the drawing.
+            /// File to write the plot to.
             optional --plot path: PathBuf
         }
 
-        /// Plays a load against a model of the fleet, without sockets.
+        /// Simulates a load on a model of the fleet, without sockets.
         cmd simulate {
             /// Load file.
             required load: PathBuf
             /// First seed.
             optional --seed seed: u64
-            /// Seeds that are played, one after the other.
+            /// Number of consecutive seeds to simulate; 1 by default.
             optional --runs count: u64
-            /// Switches a decision off: urgent-news or refusals.
+            /// Mechanism to switch off: urgent-news or refusals.
             repeated --without name: String
         }
 
-        /// Prints each number of two reports, and the second over the first.
+        /// Prints the figures of two reports and the ratio of the second to the first.
         cmd compare {
             /// First report.
             required first: PathBuf
@@ -90,11 +91,11 @@
             required second: PathBuf
         }
 
-        /// Prints several policies' reports of one load side by side.
+        /// Compares the reports of several policies under the same load.
         cmd sweep {
-            /// Reports; the first is the one that the others are compared with.
+            /// Reports; the others are compared with the first one.
             repeated report: PathBuf
-            /// File for the drawing.
+            /// File to write the plot to.
             optional --plot path: PathBuf
         }
     }
--- a/crates/wisteriahitch-bench/src/lib.rs
+++ b/crates/wisteriahitch-bench/src/lib.rs
@@ -1,6 +1,6 @@
-//! Open-loop load and experiment tool, for development only.
+//! Open-loop load generator and experiment tool, for development only.
 //!
-//! It acts as a caller of daemons that a script has started, and checks every answer.
+//! It calls daemons that a script has started, as a caller does, and checks every answer.
 
 pub mod caller;
 pub mod demo;
--- a/crates/wisteriahitch-bench/src/load/capacity.rs
+++ b/crates/wisteriahitch-bench/src/load/capacity.rs
@@ -1,17 +1,17 @@
-//! What a site's endpoints can do.
+//! How a load is measured against the capacity of a site's endpoints.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Says which prompt tokens count when a load is given as a part of the endpoints' capacity.
+/// Which prompt tokens count when a load is given as a share of the endpoints' capacity.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Capacity {
-    /// Every token of every prompt, as if nothing were ever kept.
+    /// All tokens of all prompts, as if nothing were cached.
     Computed,
-    /// Only those that no earlier visit had, as if everything were always kept.
+    /// Only tokens that no earlier visit of the conversation had, as if everything were cached.
     Kept,
 }
 
--- a/crates/wisteriahitch-bench/src/load/mod.rs
+++ b/crates/wisteriahitch-bench/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load: who asks what and when, drawn from a seed before the first request is sent.
+//! The load: all requests and their times, generated from a seed before the first one is sent.
 
 mod arrival;
 mod capacity;
--- a/crates/wisteriahitch-bench/src/load/schedule.rs
+++ b/crates/wisteriahitch-bench/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! Draws all requests of a run.
+//! Generates all requests of a run.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -7,65 +7,68 @@
 use super::{Arrival, Capacity, LoadRequest, PlainKind, PromptRequest};
 use crate::site::{Class, SiteSizes, Span};
 
+/// Tokens of a piece of a prompt; only whole pieces are reusable.
 const PIECE_TOKENS: u64 = 2_000;
 const US_PER_S: f64 = 1_000_000.0;
 
-/// Conversations that are drawn to learn what one brings.
+/// Conversations that are sampled to estimate the mean tokens per conversation.
 const SAMPLED_CONVERSATIONS: usize = 20_000;
 
-/// Spread of the gaps: about two in three lie between 1/1.35 and 1.35 of the middle.
+/// Standard deviation of the logarithm of gaps; about two of three gaps are between 1/1.35 and
+/// 1.35 times the median.
 const GAP_SIGMA: f64 = 0.3;
 
-/// Part of the calls that may not be repeated whose caller sends them twice nevertheless.
+/// Share of the calls that must run at most once which the caller sends twice nevertheless.
 const DUPLICATED_SHARE: f64 = 0.2;
 
-/// Seed of the sample; the load's size must not depend on the run's seed.
+/// Seed of the estimate, which must not depend on the seed of the run, so that the size of the
+/// load doesn't either.
 const SAMPLE_SEED: u64 = 1;
 
-/// Says what load is drawn.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Length.
+    /// Duration of the run in microseconds.
     pub duration_us: u64,
-    /// Part of the endpoints' capacity that is asked for.
+    /// Load as a share of the endpoints' capacity.
     pub load_share: f64,
-    /// What that capacity counts.
+    /// Prompt tokens that count for the load.
     pub capacity: Capacity,
-    /// Endpoints that read prompts.
+    /// Number of engines that prefill prompts.
     pub engines: usize,
-    /// Workspaces' parts of the load.
+    /// Share of the load for each workspace, by index.
     pub workspaces: Vec<f64>,
-    /// Tokens of every answer, or nothing for what the site has.
+    /// Tokens of every answer; `None` for the site's own distribution.
     pub answer_tokens: Option<u64>,
-    /// A workspace that asks for more for a while.
+    /// Temporary increase of the load of one workspace.
     pub surge: Option<Surge>,
 }
 
-/// Says which workspace asks for how many times as much, and when.
+/// Temporary increase of the load of one workspace.
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
-    /// Workspace, by its number.
+    /// Index of the workspace.
     pub workspace: usize,
-    /// How many times as much.
+    /// Factor by which the workspace's load is multiplied.
     pub factor: f64,
-    /// From when on.
+    /// Start in microseconds from the start of the run.
     pub from_us: u64,
-    /// Until when.
+    /// End in microseconds from the start of the run, exclusive.
     pub until_us: u64,
 }
 
-/// Holds all requests of a run, in the order of their times.
+/// All requests of a run.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// Requests.
+    /// Requests in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Conversations that begin in a second.
+    /// Mean number of conversations that start per second, without the surge.
     pub conversations_per_s: f64,
 }
 
-/// Holds one visit before its time is known.
+/// A visit of a conversation, relative to the visit before it.
 struct Visit {
     delay_us: u64,
     prompt_tokens: u64,
@@ -73,10 +76,10 @@
 }
 
 impl Schedule {
-    /// Draws the requests.
+    /// Generates the requests.
     ///
-    /// Conversations also begin before the run, so that returns come from its first second on as
-    /// they do later; the visits before the run are left out.
+    /// Conversations also start before the run, so that returns are as frequent in its first second
+    /// as later; visits before the run are omitted.
     pub fn generate(options: &LoadOptions, sizes: &SiteSizes) -> Self {
         let capacity_tokens_per_s = options.engines as f64 * sizes.prefill_tokens_per_s.as_f64();
         let target_tokens_per_s = options.load_share * capacity_tokens_per_s;
@@ -94,7 +97,7 @@
     }
 }
 
-/// Returns the mean of the tokens that one conversation brings.
+/// Estimates the mean number of counted prompt tokens per conversation.
 fn mean_tokens_per_conversation(capacity: Capacity, sizes: &SiteSizes) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(SAMPLE_SEED);
     let mut tokens = 0;
@@ -139,7 +142,8 @@
         let class = sample_class(sizes, rng);
         let visits = sample_visits(class, sizes, rng);
         let workspace = sample_workspace(&options.workspaces, rng);
-        // The surge is drawn from the same stream all the time, and taken only while it lasts.
+        // Conversations of the surge are sampled from the same stream during the whole run, and
+        // dropped while it is not active.
         let is_surge = rng.random_bool(surge_per_s / (per_s + surge_per_s));
         let workspace = match (is_surge, options.surge) {
             (true, Some(surge)) if !surge.is_active_at(at_us) => continue,
@@ -260,13 +264,13 @@
     rng.random_range(span.least..=span.greatest)
 }
 
-/// Draws the pause between two events that come independently of each other.
+/// Samples the time between two events of a Poisson process.
 fn sample_pause_us(per_s: f64, rng: &mut ChaCha8Rng) -> f64 {
     let uniform: f64 = rng.random();
     -(1.0 - uniform).ln() / per_s * US_PER_S
 }
 
-/// Draws a gap whose logarithm is normal, by the method of Box and Muller.
+/// Samples a log-normal gap by the Box-Muller transform.
 fn sample_gap_us(sizes: &SiteSizes, rng: &mut impl Rng) -> u64 {
     let (one, other): (f64, f64) = (rng.random(), rng.random());
     let normal = (-2.0 * (1.0 - one).ln()).sqrt() * (std::f64::consts::TAU * other).cos();
--- a/crates/wisteriahitch-bench/src/main.rs
+++ b/crates/wisteriahitch-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of the tool.
+//! Entry point of the load and experiment tool.
 
 mod flags;
 
@@ -72,7 +72,7 @@
     };
     ensure!(
         options.warm_up_s < options.duration_s,
-        "nothing is measured: the run is no longer than its beginning"
+        "--warm-up-s must be less than --duration-s, else nothing is measured"
     );
     let result = run::run(options).await?;
     let report = Report::new(&result);
@@ -106,23 +106,28 @@
         match name.as_str() {
             "urgent-news" => policy.has_urgent_update = false,
             "refusals" => policy.has_refusals = false,
-            _ => bail!("--without {name}: there are urgent-news and refusals"),
+            _ => bail!("--without {name}: expected urgent-news or refusals"),
         }
     }
     Ok(policy)
 }
 
-/// Refuses a run against another site than is asked for, whose figures would carry a wrong name.
+/// Fails if the layout has another site or policy than the flags name, since the report would then
+/// carry a wrong name.
 fn check_expected(flags: &Run) -> anyhow::Result<()> {
     let found = SiteAddresses::read(&flags.directory)?;
     if let Some(site) = flags.site {
-        ensure!(site == found.site, "the site there is {}", found.site);
+        ensure!(
+            site == found.site,
+            "--site {site}: the layout has the site {}",
+            found.site
+        );
     }
     if let Some(policy) = flags.policy {
         let policy = policy.to_string();
         ensure!(
             policy == found.policy,
-            "the policy there is {}",
+            "--policy {policy}: the layout has the policy {}",
             found.policy
         );
     }
--- a/crates/wisteriahitch-bench/tests/all/layout.rs
+++ b/crates/wisteriahitch-bench/tests/all/layout.rs
@@ -1,4 +1,4 @@
-//! The files that a site is started from.
+//! Files from which a site is started.
 
 use wisteriahitch::config::{PolicyName, Settings};
 use wisteriahitch_bench::site::{LayoutOptions, SiteAddresses, SiteName, write_layout};
--- a/crates/wisteriahitch-bench/tests/all/schedule.rs
+++ b/crates/wisteriahitch-bench/tests/all/schedule.rs
@@ -1,4 +1,4 @@
-//! The load that a seed gives.
+//! Loads that are generated from a seed.
 
 use std::collections::BTreeMap;
 
@@ -51,8 +51,9 @@
         let per_s = tokens.sum::<u64>() as f64 / DURATION_S as f64;
         let wanted = 0.7 * 9.0 * sizes.prefill_tokens_per_s.as_f64();
         let ratio = per_s / wanted;
-        // Conversations that began before the run count their first visit in it as computed, which
-        // the kept capacity doesn't know of; ten minutes make that and the spread small.
+        // The first visit in the run of a conversation that started before it has no reusable
+        // tokens, which the target for the kept capacity ignores. In ten minutes this error and
+        // the random spread are small.
         assert!((0.9..1.1).contains(&ratio), "{site} {capacity}: {ratio}");
     }
 }
