--- a/crates/wisteriahitch-bench/src/run/control.rs
+++ b/crates/wisteriahitch-bench/src/run/control.rs
@@ -1,4 +1,4 @@
-//! Calls to the stand-ins' and the daemons' own pages.
+//! HTTP client for the control pages of the stand-ins and the operators' pages of the daemons.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 use wisteriahitch::wire::http_client::{HttpClient, HttpClientOptions};
 
 const OPERATOR_SECRET: &str = "demo-operator-key";
-const TIMEOUT_US: DurationUs = DurationUs::from_ms(10_000);
-const LIMIT_BYTES: ByteCount = ByteCount::new(64 * 1_024 * 1_024);
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(10_000);
+const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(64 * 1_024 * 1_024);
 
-/// Calls pages that speak JSON.
+/// Client for pages that answer with JSON.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlClient {
     http: HttpClient,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reads a page.
+    /// Fetches a page.
     pub(crate) async fn get(&self, address: SocketAddr, path: &str) -> anyhow::Result<Value> {
         self.call(address, "GET", path, Bytes::new()).await
     }
@@ -55,7 +55,7 @@
             .body(body)?;
         let response = self
             .http
-            .fetch(address, request, TIMEOUT_US, LIMIT_BYTES)
+            .fetch(address, request, CALL_TIMEOUT_US, MAX_ANSWER_BYTES)
             .await?;
         let status = response.status();
         ensure!(
--- a/crates/wisteriahitch-bench/src/run/entry_list.rs
+++ b/crates/wisteriahitch-bench/src/run/entry_list.rs
@@ -1,4 +1,4 @@
-//! The addresses that a workspace's callers use, asked of the system and kept a while.
+//! Entry addresses that the callers of a workspace fetch from the system and refresh regularly.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,36 +10,36 @@
 
 use crate::caller::Caller;
 
-/// Callers of one workspace, each of which keeps an answer of its own.
-const CALLERS: usize = 4;
+/// Simulated callers of one workspace, each with its own list of addresses.
+const CALLERS_PER_WORKSPACE: usize = 4;
 
-/// How long an answer is kept; the layout's configuration says the same.
-const KEPT: Duration = Duration::from_secs(2);
+/// Time after which a list is fetched again; equal to the value in the layout's configuration.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Keeps the lists of one workspace's callers.
+/// Entry addresses known to each caller of one workspace.
 #[derive(Debug)]
 pub(crate) struct EntryList {
-    /// Addresses from the settings of the callers, which are asked first.
+    /// Configured addresses: used until the first list is fetched, and as a fallback afterwards.
     seeds: Vec<SocketAddr>,
     lists: Mutex<Vec<Vec<SocketAddr>>>,
 }
 
 impl EntryList {
     pub(crate) fn new(seeds: Vec<SocketAddr>) -> Self {
-        let lists = Mutex::new(vec![seeds.clone(); CALLERS]);
+        let lists = Mutex::new(vec![seeds.clone(); CALLERS_PER_WORKSPACE]);
         Self { seeds, lists }
     }
 
-    /// Returns the addresses that one of the callers tries, in its order.
-    pub(crate) fn of_some_caller(&self) -> Vec<SocketAddr> {
-        let caller = rand::rng().random_range(0..CALLERS);
+    /// Returns the addresses of a caller that is picked at random, in the order to try them.
+    pub(crate) fn for_random_caller(&self) -> Vec<SocketAddr> {
+        let caller = rand::rng().random_range(0..CALLERS_PER_WORKSPACE);
         self.lists.lock()[caller].clone()
     }
 
-    /// Asks again whenever an answer has run out, until the task is ended.
-    pub(crate) async fn renew(self: Arc<Self>, caller: Caller) {
+    /// Fetches all lists again at each interval; runs until the task is aborted.
+    pub(crate) async fn refresh_forever(self: Arc<Self>, caller: Caller) {
         loop {
-            for number in 0..CALLERS {
+            for number in 0..CALLERS_PER_WORKSPACE {
                 let known = self.lists.lock()[number].clone();
                 let random = self.seeds.choose(&mut rand::rng()).copied();
                 for entry in known.first().copied().into_iter().chain(random) {
@@ -52,7 +52,7 @@
                     }
                 }
             }
-            tokio::time::sleep(KEPT).await;
+            tokio::time::sleep(REFRESH_INTERVAL).await;
         }
     }
 }
--- a/crates/wisteriahitch-bench/src/run/plain_checker.rs
+++ b/crates/wisteriahitch-bench/src/run/plain_checker.rs
@@ -1,4 +1,4 @@
-//! Checks that a call that may not be repeated ran at most once, and that what was said of it is true.
+//! Checks that calls with a key ran at most once and that their reported outcomes are true.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,34 +12,34 @@
 use crate::caller::PlainAnswer;
 use crate::site::Place;
 
-/// Holds what callers were told of each key.
+/// Collects the outcomes that callers received for each key.
 #[derive(Debug)]
 pub(crate) struct PlainChecker {
     prefix: String,
     next: AtomicU64,
-    told: Mutex<BTreeMap<String, Told>>,
+    outcomes: Mutex<BTreeMap<String, KeyOutcomes>>,
 }
 
-/// Holds what callers were told of one key.
+/// Outcomes that callers received for one key.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct KeyOutcomes {
     is_answered: bool,
     is_not_run: bool,
     is_unknown: bool,
 }
 
-/// Counts broken promises of calls that may not be repeated.
+/// Numbers of violated guarantees of calls that must run at most once.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PlainFaults {
     /// Calls that ran more than once.
     pub(crate) doubled: u64,
-    /// Calls that ran although the system said that they had not been run.
+    /// Calls that ran although a refusal said that they had not.
     pub(crate) falsely_refused: u64,
     /// Calls that were answered although they never ran.
     pub(crate) invented: u64,
-    /// Calls with a key.
+    /// Calls with a key that were checked.
     pub(crate) keyed: u64,
-    /// Services that could not be asked.
+    /// Services whose list of runs could not be read.
     pub(crate) unasked: u64,
 }
 
@@ -49,17 +49,17 @@
         Self {
             prefix: format!("bench-{seed}-{run}"),
             next: AtomicU64::new(0),
-            told: Mutex::default(),
+            outcomes: Mutex::default(),
         }
     }
 
-    /// Makes a caller's own key.
+    /// Returns a new unique key, as a caller generates it.
     pub(crate) fn new_key(&self) -> String {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number}", self.prefix)
     }
 
-    /// Returns whether an answer is the service's to this very call.
+    /// Returns whether an answer is the service's correct answer to this call.
     pub(crate) fn is_right(&self, answer: &PlainAnswer, path: &str, body: &[u8]) -> bool {
         let Ok(value) = serde_json::from_str::<Value>(&answer.body) else {
             return false;
@@ -69,21 +69,21 @@
             && value["body_hash"] == blake3::hash(body).to_hex().as_str()
     }
 
-    /// Notes what a caller was told.
-    pub(crate) fn note(&self, key: &str, outcome: &Outcome) {
-        let mut told = self.told.lock();
-        let told = told.entry(key.to_owned()).or_default();
+    /// Records the outcome that a caller received for a key.
+    pub(crate) fn record_outcome(&self, key: &str, outcome: &Outcome) {
+        let mut outcomes = self.outcomes.lock();
+        let outcomes = outcomes.entry(key.to_owned()).or_default();
         match outcome {
-            Outcome::Answered { .. } => told.is_answered = true,
+            Outcome::Answered { .. } => outcomes.is_answered = true,
             Outcome::Refused {
                 meaning: Meaning::NotRun,
                 ..
-            } => told.is_not_run = true,
-            _ => told.is_unknown = true,
+            } => outcomes.is_not_run = true,
+            _ => outcomes.is_unknown = true,
         }
     }
 
-    /// Compares what callers were told with what the services ran.
+    /// Compares the outcomes that callers received with the runs that the services counted.
     pub(crate) async fn check(&self, client: &ControlClient, services: &[Place]) -> PlainFaults {
         let mut runs: BTreeMap<String, u64> = BTreeMap::new();
         let mut faults = PlainFaults::default();
@@ -96,12 +96,12 @@
                 *runs.entry(key).or_default() += count.as_u64().unwrap_or(0);
             }
         }
-        for (key, told) in self.told.lock().iter() {
+        for (key, outcomes) in self.outcomes.lock().iter() {
             let count = runs.get(key).copied().unwrap_or(0);
             faults.keyed += 1;
             faults.doubled += u64::from(count > 1);
-            faults.falsely_refused += u64::from(told.is_not_run && count > 0);
-            faults.invented += u64::from(told.is_answered && count == 0);
+            faults.falsely_refused += u64::from(outcomes.is_not_run && count > 0);
+            faults.invented += u64::from(outcomes.is_answered && count == 0);
         }
         faults
     }
--- a/crates/wisteriahitch-bench/src/run/progress.rs
+++ b/crates/wisteriahitch-bench/src/run/progress.rs
@@ -1,13 +1,14 @@
-//! What a terminal shows during a run.
+//! Progress display on a terminal.
 
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time between two updates of the display.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Counts requests while they are sent and answered.
+/// Numbers of requests so far.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     pub(crate) sent: AtomicU64,
@@ -17,7 +18,7 @@
 }
 
 impl Progress {
-    /// Shows the counts until the task is ended; nothing where no terminal is.
+    /// Shows the counts until the task is aborted, or returns if standard error is no terminal.
     pub(crate) async fn show(self: Arc<Self>, start: Instant, duration_s: u64) {
         if !std::io::stderr().is_terminal() {
             return;
@@ -33,7 +34,7 @@
                 count(&self.failed),
             );
             let _ = std::io::stderr().flush();
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(REFRESH_INTERVAL).await;
         }
     }
 }
--- a/crates/wisteriahitch-bench/src/run/record.rs
+++ b/crates/wisteriahitch-bench/src/run/record.rs
@@ -1,64 +1,64 @@
-//! What became of one request.
+//! Requests and their outcomes.
 
 use wisteriahitch::types::{Code, DurationUs, Meaning};
 
 use crate::load::PromptRequest;
 
-/// Holds what became of one request.
+/// A request that was sent, and its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// When it was to be sent, from the start of the run.
+    /// Intended time of sending, in microseconds from the start of the run.
     pub at_us: u64,
-    /// Workspace, by its number.
+    /// Index of the workspace.
     pub workspace: usize,
-    /// What was asked.
+    /// Kind of request.
     pub subject: Subject,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// When it ended, from the start of the run.
+    /// Time of the end, in microseconds from the start of the run.
     pub ended_us: u64,
-    /// Connections that broke or were refused before that.
+    /// Attempts that failed because the connection broke or the daemon accepted no new requests.
     pub broken_tries: u64,
 }
 
-/// Says what was asked.
+/// Kind of a request that was sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Subject {
-    /// A completion.
+    /// A completion request.
     Prompt(PromptRequest),
-    /// A plain call.
+    /// A call to a plain service.
     Plain,
 }
 
-/// Says how a request ended.
+/// How a request ended.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// A complete answer arrived.
     Answered {
-        /// From the intended time of sending to the first token or, of a plain call, the end.
+        /// Time from the intended sending to the first token, or to the end of a plain call.
         first_token_us: u64,
-        /// Pauses between two tokens.
+        /// Times between consecutive tokens.
         gaps_us: Vec<u64>,
-        /// Prompt tokens that were not computed again.
+        /// Prompt tokens that were taken from a cache.
         cached_tokens: u64,
-        /// Whether the answer is this request's own.
+        /// Whether the answer is the expected one.
         is_right: bool,
     },
-    /// The system refused it, or gave it up with a code.
+    /// The system refused the request, or stopped processing it with a code.
     Refused {
-        /// Code.
+        /// Code of the refusal.
         code: Code,
-        /// Meaning.
+        /// Whether the request has not run or its outcome is unknown.
         meaning: Meaning,
-        /// When to come back.
+        /// Time after which to retry, if given.
         retry_after_us: Option<DurationUs>,
-        /// Id that the system gave it.
+        /// Id that the system assigned to the request.
         request_id: Option<String>,
-        /// From the intended time of sending to the refusal.
+        /// Time from the intended sending to the refusal.
         after_us: u64,
     },
-    /// The answer ended as if it were whole, but wasn't.
+    /// The stream ended without an error but before its last event.
     CutOff,
-    /// No try brought an answer or a code.
+    /// No attempt returned an answer or a code; holds the last error.
     Lost(String),
 }
--- a/crates/wisteriahitch-bench/src/run/requester.rs
+++ b/crates/wisteriahitch-bench/src/run/requester.rs
@@ -1,4 +1,4 @@
-//! Sends one request, as a caller would, and checks its answer.
+//! Sends requests as a caller does, and checks the answers.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,11 +14,11 @@
 use crate::load::{Arrival, LoadRequest, PlainKind, PromptRequest};
 use crate::site::SiteSizes;
 
-/// Addresses that a caller tries when connections break.
-const MAX_TRIES: usize = 4;
+/// Maximum number of attempts, each at the next entry address, if connections break.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Pause before the second copy of a doubled call.
-const DOUBLE_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
+/// Delay before the second copy of a duplicated call.
+const DUPLICATE_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
 /// Sends the requests of one workspace.
 pub(crate) struct Requester {
@@ -33,7 +33,7 @@
 }
 
 impl Requester {
-    /// Sends one request now and follows it to its end.
+    /// Sends a request now and waits for its outcome.
     pub(crate) async fn send(&self, arrival: Arrival) -> Record {
         match arrival.request {
             LoadRequest::Prompt(request) => self.complete(arrival.at_us, request).await,
@@ -61,19 +61,19 @@
         let mut outcome = Outcome::Lost("no entry VM is known".to_owned());
         for entry in self
             .entries
-            .of_some_caller()
+            .for_random_caller()
             .into_iter()
             .cycle()
-            .take(MAX_TRIES)
+            .take(MAX_ATTEMPTS)
         {
             let result = self.caller.complete(entry, &completion).await;
             outcome = match result {
-                Ok(answer) => self.answered(at_us, &completion, &answer),
-                Err(error) if is_of_connection(&error) => {
+                Ok(answer) => self.answered_outcome(at_us, &completion, &answer),
+                Err(error) if should_try_next_entry(&error) => {
                     broken_tries += 1;
                     Outcome::Lost(error.to_string())
                 }
-                Err(error) => self.failed(at_us, error),
+                Err(error) => self.failed_outcome(at_us, error),
             };
             if !matches!(outcome, Outcome::Lost(_)) {
                 break;
@@ -82,7 +82,12 @@
         self.record(at_us, Subject::Prompt(request), outcome, broken_tries)
     }
 
-    fn answered(&self, at_us: u64, completion: &Completion, answer: &CompletionAnswer) -> Outcome {
+    fn answered_outcome(
+        &self,
+        at_us: u64,
+        completion: &Completion,
+        answer: &CompletionAnswer,
+    ) -> Outcome {
         let first_token_at = answer.first_token_at.unwrap_or_else(Instant::now);
         let first_token_us = micros(first_token_at - self.start).saturating_sub(at_us);
         Outcome::Answered {
@@ -93,7 +98,7 @@
         }
     }
 
-    fn failed(&self, at_us: u64, error: CallError) -> Outcome {
+    fn failed_outcome(&self, at_us: u64, error: CallError) -> Outcome {
         match error {
             CallError::Refused {
                 code,
@@ -122,7 +127,10 @@
         let key = match kind {
             PlainKind::Lookup => None,
             PlainKind::OwnKey => Some(self.plain.new_key()),
-            PlainKind::Ticket => self.ticket().await.or_else(|| Some(self.plain.new_key())),
+            PlainKind::Ticket => self
+                .fetch_ticket()
+                .await
+                .or_else(|| Some(self.plain.new_key())),
         };
         let path = match kind {
             PlainKind::Lookup => self.sizes.lookup_path,
@@ -133,11 +141,11 @@
             false => first.await,
             true => {
                 let second = async {
-                    tokio::time::sleep(DOUBLE_PAUSE).await;
+                    tokio::time::sleep(DUPLICATE_DELAY).await;
                     self.call_once(at_us, key.as_deref(), path).await
                 };
                 let (one, (other, broken)) = tokio::join!(first, second);
-                // Either copy's answer is the caller's; a wrong one counts before a right one.
+                // The answer of either copy counts as the caller's; a wrong one takes precedence.
                 match (&one.0, &other) {
                     (
                         _,
@@ -162,10 +170,10 @@
         let mut outcome = Outcome::Lost("no entry VM is known".to_owned());
         for entry in self
             .entries
-            .of_some_caller()
+            .for_random_caller()
             .into_iter()
             .cycle()
-            .take(MAX_TRIES)
+            .take(MAX_ATTEMPTS)
         {
             let call = self
                 .caller
@@ -177,24 +185,24 @@
                     cached_tokens: 0,
                     is_right: self.plain.is_right(&answer, path, &body),
                 },
-                Err(error) if is_of_connection(&error) => {
+                Err(error) if should_try_next_entry(&error) => {
                     broken_tries += 1;
                     Outcome::Lost(error.to_string())
                 }
-                Err(error) => self.failed(at_us, error),
+                Err(error) => self.failed_outcome(at_us, error),
             };
             if !matches!(outcome, Outcome::Lost(_)) {
                 break;
             }
         }
         if let Some(key) = key {
-            self.plain.note(key, &outcome);
+            self.plain.record_outcome(key, &outcome);
         }
         (outcome, broken_tries)
     }
 
-    async fn ticket(&self) -> Option<String> {
-        let entry = *self.entries.of_some_caller().first()?;
+    async fn fetch_ticket(&self) -> Option<String> {
+        let entry = *self.entries.for_random_caller().first()?;
         let tickets = self.caller.tickets(entry, 1).await.ok()?;
         tickets.into_iter().next()
     }
@@ -215,8 +223,9 @@
     }
 }
 
-/// Returns whether another entry VM may do better: the daemon went away or takes nothing new.
-fn is_of_connection(error: &CallError) -> bool {
+/// Returns whether to try the next entry VM: the connection failed, or the daemon accepts no new
+/// requests.
+fn should_try_next_entry(error: &CallError) -> bool {
     match error {
         CallError::NotSent(_) | CallError::Broken(_) => true,
         CallError::Refused { code, .. } => matches!(code, Code::Draining | Code::NotReady),
--- a/crates/wisteriahitch-bench/src/run/runner.rs
+++ b/crates/wisteriahitch-bench/src/run/runner.rs
@@ -205,7 +205,7 @@
             let caller = Caller::new(format!("demo-key-{}", workspace.id));
             let entries = Arc::new(EntryList::new(seeds.clone()));
             if !self.options.is_idle {
-                background.spawn(Arc::clone(&entries).renew(caller.clone()));
+                background.spawn(Arc::clone(&entries).refresh_forever(caller.clone()));
             }
             Arc::new(Requester {
                 workspace: number,
