--- a/crates/wisteriahitch-bench/src/run/requester.rs
+++ b/crates/wisteriahitch-bench/src/run/requester.rs
@@ -1,4 +1,4 @@
-//! Sends one request, as a caller would, and checks its answer.
+//! Sends requests as a caller does, and checks the answers.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,14 +11,14 @@
 use super::plain_checker::PlainChecker;
 use super::{Outcome, Record, Subject};
 use crate::caller::{CallError, Caller, Completion, CompletionAnswer};
-use crate::load::{Arrival, Ask, PlainKind, PromptAsk};
+use crate::load::{Arrival, LoadRequest, PlainKind, PromptRequest};
 use crate::site::SiteSizes;
 
-/// Addresses that a caller tries when connections break.
-const MAX_TRIES: usize = 4;
+/// Maximum number of attempts, each at the next entry address, if connections break.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Pause before the second copy of a doubled call.
-const DOUBLE_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
+/// Delay before the second copy of a duplicated call.
+const DUPLICATE_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
 /// Sends the requests of one workspace.
 pub(crate) struct Requester {
@@ -33,53 +33,61 @@
 }
 
 impl Requester {
-    /// Sends one request now and follows it to its end.
+    /// Sends a request now and waits for its outcome.
     pub(crate) async fn send(&self, arrival: Arrival) -> Record {
-        match arrival.ask {
-            Ask::Prompt(ask) => self.complete(arrival.at_us, ask).await,
-            Ask::Plain {
+        match arrival.request {
+            LoadRequest::Prompt(request) => self.complete(arrival.at_us, request).await,
+            LoadRequest::Plain {
                 kind,
-                is_doubled,
+                is_duplicated,
                 path,
-            } => self.call_plain(arrival.at_us, kind, is_doubled, path).await,
+            } => {
+                self.call_plain(arrival.at_us, kind, is_duplicated, path)
+                    .await
+            }
         }
     }
 
-    async fn complete(&self, at_us: u64, ask: PromptAsk) -> Record {
+    async fn complete(&self, at_us: u64, request: PromptRequest) -> Record {
         let class = self.sizes.classes.iter();
-        let class = class.clone().find(|class| class.name == ask.class);
+        let class = class.clone().find(|class| class.name == request.class);
         let completion = Completion {
             model: self.model.clone(),
             adapter: class.and_then(|class| class.adapter.parse().ok()),
-            prompt: ask.prompt(),
-            max_tokens: ask.answer_tokens,
+            prompt: request.prompt(),
+            max_tokens: request.answer_tokens,
         };
         let mut broken_tries = 0;
         let mut outcome = Outcome::Lost("no entry VM is known".to_owned());
         for entry in self
             .entries
-            .of_some_caller()
+            .for_random_caller()
             .into_iter()
             .cycle()
-            .take(MAX_TRIES)
+            .take(MAX_ATTEMPTS)
         {
             let result = self.caller.complete(entry, &completion).await;
             outcome = match result {
-                Ok(answer) => self.answered(at_us, &completion, &answer),
-                Err(error) if is_of_connection(&error) => {
+                Ok(answer) => self.answered_outcome(at_us, &completion, &answer),
+                Err(error) if should_try_next_entry(&error) => {
                     broken_tries += 1;
                     Outcome::Lost(error.to_string())
                 }
-                Err(error) => self.failed(at_us, error),
+                Err(error) => self.failed_outcome(at_us, error),
             };
             if !matches!(outcome, Outcome::Lost(_)) {
                 break;
             }
         }
-        self.record(at_us, Subject::Prompt(ask), outcome, broken_tries)
+        self.record(at_us, Subject::Prompt(request), outcome, broken_tries)
     }
 
-    fn answered(&self, at_us: u64, completion: &Completion, answer: &CompletionAnswer) -> Outcome {
+    fn answered_outcome(
+        &self,
+        at_us: u64,
+        completion: &Completion,
+        answer: &CompletionAnswer,
+    ) -> Outcome {
         let first_token_at = answer.first_token_at.unwrap_or_else(Instant::now);
         let first_token_us = micros(first_token_at - self.start).saturating_sub(at_us);
         Outcome::Answered {
@@ -90,7 +98,7 @@
         }
     }
 
-    fn failed(&self, at_us: u64, error: CallError) -> Outcome {
+    fn failed_outcome(&self, at_us: u64, error: CallError) -> Outcome {
         match error {
             CallError::Refused {
                 code,
@@ -113,28 +121,31 @@
         &self,
         at_us: u64,
         kind: PlainKind,
-        is_doubled: bool,
+        is_duplicated: bool,
         path: usize,
     ) -> Record {
         let key = match kind {
             PlainKind::Lookup => None,
             PlainKind::OwnKey => Some(self.plain.new_key()),
-            PlainKind::Ticket => self.ticket().await.or_else(|| Some(self.plain.new_key())),
+            PlainKind::Ticket => self
+                .fetch_ticket()
+                .await
+                .or_else(|| Some(self.plain.new_key())),
         };
         let path = match kind {
             PlainKind::Lookup => self.sizes.lookup_path,
             _ => self.sizes.order_paths[path],
         };
         let first = self.call_once(at_us, key.as_deref(), path);
-        let (outcome, broken_tries) = match is_doubled {
+        let (outcome, broken_tries) = match is_duplicated {
             false => first.await,
             true => {
                 let second = async {
-                    tokio::time::sleep(DOUBLE_PAUSE).await;
+                    tokio::time::sleep(DUPLICATE_DELAY).await;
                     self.call_once(at_us, key.as_deref(), path).await
                 };
                 let (one, (other, broken)) = tokio::join!(first, second);
-                // Either copy's answer is the caller's; a wrong one counts before a right one.
+                // The answer of either copy counts as the caller's; a wrong one takes precedence.
                 match (&one.0, &other) {
                     (
                         _,
@@ -159,10 +170,10 @@
         let mut outcome = Outcome::Lost("no entry VM is known".to_owned());
         for entry in self
             .entries
-            .of_some_caller()
+            .for_random_caller()
             .into_iter()
             .cycle()
-            .take(MAX_TRIES)
+            .take(MAX_ATTEMPTS)
         {
             let call = self
                 .caller
@@ -174,24 +185,24 @@
                     cached_tokens: 0,
                     is_right: self.plain.is_right(&answer, path, &body),
                 },
-                Err(error) if is_of_connection(&error) => {
+                Err(error) if should_try_next_entry(&error) => {
                     broken_tries += 1;
                     Outcome::Lost(error.to_string())
                 }
-                Err(error) => self.failed(at_us, error),
+                Err(error) => self.failed_outcome(at_us, error),
             };
             if !matches!(outcome, Outcome::Lost(_)) {
                 break;
             }
         }
         if let Some(key) = key {
-            self.plain.note(key, &outcome);
+            self.plain.record_outcome(key, &outcome);
         }
         (outcome, broken_tries)
     }
 
-    async fn ticket(&self) -> Option<String> {
-        let entry = *self.entries.of_some_caller().first()?;
+    async fn fetch_ticket(&self) -> Option<String> {
+        let entry = *self.entries.for_random_caller().first()?;
         let tickets = self.caller.tickets(entry, 1).await.ok()?;
         tickets.into_iter().next()
     }
@@ -212,8 +223,9 @@
     }
 }
 
-/// Returns whether another entry VM may do better: the daemon went away or takes nothing new.
-fn is_of_connection(error: &CallError) -> bool {
+/// Returns whether to try the next entry VM: the connection failed, or the daemon accepts no new
+/// requests.
+fn should_try_next_entry(error: &CallError) -> bool {
     match error {
         CallError::NotSent(_) | CallError::Broken(_) => true,
         CallError::Refused { code, .. } => matches!(code, Code::Draining | Code::NotReady),
--- a/crates/wisteriahitch-bench/src/run/runner.rs
+++ b/crates/wisteriahitch-bench/src/run/runner.rs
@@ -78,7 +78,7 @@
     let load_at_start = machine_load();
     let sizes = SiteSizes::of(site.site);
     let span = fault_span(&options);
-    let mut schedule = Schedule::draw(&load_options(&options, &site, span), &sizes);
+    let mut schedule = Schedule::generate(&load_options(&options, &site, span), &sizes);
     if options.is_idle {
         schedule.arrivals.clear();
     }
@@ -205,7 +205,7 @@
             let caller = Caller::new(format!("demo-key-{}", workspace.id));
             let entries = Arc::new(EntryList::new(seeds.clone()));
             if !self.options.is_idle {
-                background.spawn(Arc::clone(&entries).renew(caller.clone()));
+                background.spawn(Arc::clone(&entries).refresh_forever(caller.clone()));
             }
             Arc::new(Requester {
                 workspace: number,
--- a/crates/wisteriahitch-cli/src/client.rs
+++ b/crates/wisteriahitch-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' addresses of daemons.
+//! HTTP client for the operators' addresses of daemons.
 
 use std::net::SocketAddr;
 
@@ -11,38 +11,39 @@
 
 use crate::flags::Wisteriahitch;
 
-const ADDRESSES_VARIABLE: &str = "WISTERIAHITCH_OPERATORS";
-const KEY_VARIABLE: &str = "WISTERIAHITCH_OPERATOR_KEY";
-const TIMEOUT_US: DurationUs = DurationUs::from_ms(30_000);
-const ANSWER_LIMIT_BYTES: ByteCount = ByteCount::new(256 * 1_024 * 1_024);
+/// Comma-separated operators' addresses, used if no `--daemon` is given.
+const ADDRESSES_ENV_VAR: &str = "WISTERIAHITCH_OPERATORS";
+/// Operators' key, used if no `--key-file` is given.
+const KEY_ENV_VAR: &str = "WISTERIAHITCH_OPERATOR_KEY";
+const CALL_TIMEOUT_US: DurationUs = DurationUs::from_ms(30_000);
+const MAX_ANSWER_BYTES: ByteCount = ByteCount::new(256 * 1_024 * 1_024);
 
-/// Asks daemons on an operator's behalf.
+/// Sends an operator's calls to the given daemons, in the order of their addresses.
 pub(crate) struct Client {
     http: HttpClient,
     addresses: Vec<SocketAddr>,
     key: String,
 }
 
-/// Holds a daemon's answer.
+/// A daemon's HTTP answer, whatever its status.
 pub(crate) struct Answer {
-    /// HTTP status.
     pub(crate) status: StatusCode,
-    /// Body as sent.
+    /// Unparsed body.
     pub(crate) body: Bytes,
 }
 
 impl Answer {
-    /// Returns the body as JSON.
+    /// Parses the body as JSON.
     pub(crate) fn json(&self) -> anyhow::Result<Value> {
         serde_json::from_slice(&self.body).context("the daemon's answer is not JSON")
     }
 }
 
 impl Client {
-    /// Builds a client from the flags and the environment.
+    /// Builds a client from the flags, or from the environment where they are not given.
     pub(crate) fn from_flags(flags: &Wisteriahitch) -> anyhow::Result<Self> {
-        let addresses = get_addresses(flags)?;
-        let key = get_key(flags)?;
+        let addresses = resolve_addresses(flags)?;
+        let key = read_operator_key(flags)?;
         let http = HttpClient::new(HttpClientOptions::default());
         Ok(Self {
             http,
@@ -51,17 +52,17 @@
         })
     }
 
-    /// Returns a client that asks the daemon at this operators' address first.
-    pub(crate) fn preferring(mut self, address: SocketAddr) -> Self {
+    /// Moves this operators' address to the front of the addresses to call, adding it if it is new.
+    pub(crate) fn with_preferred_address(mut self, address: SocketAddr) -> Self {
         self.addresses.retain(|other| *other != address);
         self.addresses.insert(0, address);
         self
     }
 
-    /// Sends a call to the first daemon that can be reached.
+    /// Calls the first daemon that can be reached.
     ///
-    /// Another daemon is asked only where no byte of the call has left, so that nothing is
-    /// submitted twice.
+    /// The next daemon is tried only if no byte of the call was sent to the previous one, so that
+    /// nothing is submitted twice.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -72,7 +73,7 @@
         let mut failures = Vec::new();
         for address in &self.addresses {
             match self
-                .call_one(*address, method.clone(), path, body.clone())
+                .call_address(*address, method.clone(), path, body.clone())
                 .await
             {
                 Ok(answer) => return Ok(answer),
@@ -83,7 +84,7 @@
         bail!("no daemon can be reached: {}", failures.join("; "))
     }
 
-    async fn call_one(
+    async fn call_address(
         &self,
         address: SocketAddr,
         method: Method,
@@ -98,7 +99,7 @@
             .map_err(|error| (HttpErrorKind::Malformed, error.to_string()))?;
         let response = self
             .http
-            .fetch(address, request, TIMEOUT_US, ANSWER_LIMIT_BYTES)
+            .fetch(address, request, CALL_TIMEOUT_US, MAX_ANSWER_BYTES)
             .await
             .map_err(|error| (error.kind(), format!("{address}: {error}")))?;
         Ok(Answer {
@@ -108,24 +109,24 @@
     }
 }
 
-fn get_addresses(flags: &Wisteriahitch) -> anyhow::Result<Vec<SocketAddr>> {
+fn resolve_addresses(flags: &Wisteriahitch) -> anyhow::Result<Vec<SocketAddr>> {
     if !flags.daemon.is_empty() {
         return Ok(flags.daemon.clone());
     }
-    let Ok(text) = std::env::var(ADDRESSES_VARIABLE) else {
-        bail!("no daemon is named; use --daemon IP:PORT or set {ADDRESSES_VARIABLE}");
+    let Ok(text) = std::env::var(ADDRESSES_ENV_VAR) else {
+        bail!("no daemon address is given; use --daemon IP:PORT or set {ADDRESSES_ENV_VAR}");
     };
     let parse = |part: &str| {
         part.trim()
             .parse()
-            .with_context(|| format!("{part:?} in {ADDRESSES_VARIABLE}"))
+            .with_context(|| format!("{part:?} in {ADDRESSES_ENV_VAR} is not an address IP:PORT"))
     };
     text.split(',').map(parse).collect()
 }
 
-fn get_key(flags: &Wisteriahitch) -> anyhow::Result<String> {
+fn read_operator_key(flags: &Wisteriahitch) -> anyhow::Result<String> {
     let Some(path) = &flags.key_file else {
-        return Ok(std::env::var(KEY_VARIABLE).unwrap_or_default());
+        return Ok(std::env::var(KEY_ENV_VAR).unwrap_or_default());
     };
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("the key file {} can't be read", path.display()))?;
--- a/crates/wisteriahitch-cli/src/render/locate.rs
+++ b/crates/wisteriahitch-cli/src/render/locate.rs
@@ -1,11 +1,11 @@
-//! Where the blocks of a prompt are.
+//! Renders the locations of the cache blocks of a prompt.
 
 use serde_json::Value;
 
 use super::field;
-use super::field::text;
+use super::field::value_text;
 
-/// Renders one line for each block, in the order of the prompt.
+/// Renders one line per block, in the order of the prompt.
 pub fn locate(value: &Value) -> String {
     let blocks = value["blocks"].as_array().map_or(&[][..], Vec::as_slice);
     if blocks.is_empty() {
@@ -24,13 +24,14 @@
     )
 }
 
-/// Each store stands as a pair of its name and the tier.
+/// Renders the stores, each of which is a pair of its name and the storage tier.
 fn stores(stores: &Value) -> String {
     let pairs = stores.as_array().map_or(&[][..], Vec::as_slice);
     if pairs.is_empty() {
-        return text(stores);
+        return value_text(stores);
     }
-    let pair = |pair: &Value| format!("{} ({})", text(&pair[0]), text(&pair[1]));
-    let pairs: Vec<String> = pairs.iter().map(pair).collect();
+    let store_and_tier =
+        |pair: &Value| format!("{} ({})", value_text(&pair[0]), value_text(&pair[1]));
+    let pairs: Vec<String> = pairs.iter().map(store_and_tier).collect();
     pairs.join(" ")
 }
--- a/crates/wisteriahitch-cli/src/render/status.rs
+++ b/crates/wisteriahitch-cli/src/render/status.rs
@@ -1,12 +1,13 @@
-//! The state of a site.
+//! Renders the state of a site.
 
 use serde_json::Value;
 
 use super::field;
-use super::field::text;
+use super::field::value_text;
 
-/// Why an endpoint isn't taken yet, as the daemon names it and as people read it.
-const REASONS: [(&str, &str); 5] = [
+/// Reasons why a rollout doesn't update an endpoint yet: the name in the answer and its
+/// description.
+const BLOCKED_REASONS: [(&str, &str); 5] = [
     ("too_many_loading", "as many load at the site as may"),
     (
         "first_not_confirmed",
@@ -20,7 +21,7 @@
     ("no_report", "it hasn't reported its load"),
 ];
 
-/// Renders daemons, endpoints, stores and rollouts, each list in the order of names.
+/// Renders daemons, endpoints, stores and rollouts; the first three are sorted by name.
 pub fn status(value: &Value) -> String {
     let mut lines = format!(
         "daemon {} is {}, configuration {}\n",
@@ -71,12 +72,12 @@
         field(rollout, "pending")
     );
     for model in rollout["progress"].as_array().into_iter().flatten() {
-        lines += &progress(model);
+        lines += &model_progress(model);
     }
     lines
 }
 
-fn progress(model: &Value) -> String {
+fn model_progress(model: &Value) -> String {
     let mut line = format!("  {} to {}", field(model, "model"), field(model, "to"));
     if !model["from"].is_null() {
         line += &format!(" from {}", field(model, "from"));
@@ -90,21 +91,21 @@
     );
     let loading = &model["loading"];
     if loading.as_array().is_some_and(|names| !names.is_empty()) {
-        line += &format!(", loading {}", text(loading));
+        line += &format!(", loading {}", value_text(loading));
     }
     line += "\n";
     for pair in model["blocked"].as_array().into_iter().flatten() {
         line += &format!(
             "    {} waits: {}\n",
-            text(&pair[0]),
-            reason(&text(&pair[1]))
+            value_text(&pair[0]),
+            blocked_reason(&value_text(&pair[1]))
         );
     }
     line
 }
 
-/// Says why an endpoint isn't taken yet; an unknown reason stands as the daemon gave it.
-fn reason(name: &str) -> &str {
-    let known = REASONS.iter().find(|(reason, _)| *reason == name);
-    known.map_or(name, |(_, words)| words)
+/// Describes why a rollout doesn't update an endpoint yet; an unknown reason is returned unchanged.
+fn blocked_reason(name: &str) -> &str {
+    let known = BLOCKED_REASONS.iter().find(|(reason, _)| *reason == name);
+    known.map_or(name, |(_, description)| description)
 }
--- a/crates/wisteriahitch-cli/tests/all/render.rs
+++ b/crates/wisteriahitch-cli/tests/all/render.rs
@@ -1,4 +1,4 @@
-//! Daemons' answers as lines for people.
+//! Text output for the daemons' answers.
 
 use expect_test::{Expect, expect};
 use http::StatusCode;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn status_reads_as_lines() {
+fn status_renders_as_lines() {
     let endpoint = |name: &str, versions: Value| json!({"endpoint": name, "service": "assistant", "state": "ready", "running": 3, "versions": versions});
     check(&[
         Case {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn an_explanation_reads_as_lines() {
+fn explanation_renders_as_lines() {
     check(&[
         Case {
             name: "a prompt with blocks in a tier",
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn places_of_blocks_read_as_lines() {
+fn block_locations_render_as_lines() {
     check(&[
         Case {
             name: "blocks in several places",
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn acceptances_read_as_lines() {
+fn accepted_versions_render_as_lines() {
     check(&[
         Case {
             name: "an acceptance",
@@ -197,12 +197,12 @@
     ]);
 }
 
-/// Symptom: `config submit` told a fault as `4:13: W4003 a key has …`, without the file, the key or
-/// the section that the line is in. Sequence: a submitted part breaks a section that is in force;
-/// the operator looks at that line of the submitted file and finds nothing wrong there. Cause: the
-/// command rendered four of a problem's six fields.
+/// Guards against problems that are printed without the file, the key path or the section, as
+/// `4:13: W4003 a key has …`, when only four of a problem's six fields are rendered. If a submitted
+/// section breaks one that is in force, the operator then looks at that line of the submitted file
+/// and finds nothing wrong there.
 #[test]
-fn failures_read_as_lines() {
+fn failures_render_as_lines_with_file_and_path() {
     let fails = |status: u16, answer: Value| {
         render::failure(
             StatusCode::from_u16(status).unwrap(),
@@ -231,10 +231,10 @@
     .assert_eq(&fails(503, away));
 }
 
-/// Symptom: `wisteriahitch config submit --help` printed 90 lines on every command. Cause: the
-/// library for flags knows one help text.
+/// Guards against a `wisteriahitch config submit --help` that prints 90 lines about every command.
+/// xflags has a single help text for all of them.
 #[test]
-fn help_is_of_the_command_that_is_asked_for() {
+fn help_covers_only_the_requested_command() {
     let whole = "wisteriahitch\n  All.\n\nwisteriahitch config\n  Both.\n\nwisteriahitch config check\n  One.\n\n\nwisteriahitch configure\n  Other.\n";
     let check = "wisteriahitch config check\n  One.\n";
     let cases: [(&[&str], &str); 5] = [
@@ -251,16 +251,20 @@
         ),
     ];
     for (words, expected) in cases {
-        assert_eq!(render::help_of(whole, words), expected, "{words:?}");
+        assert_eq!(
+            render::help_for_command(whole, words),
+            expected,
+            "{words:?}"
+        );
     }
 }
 
-/// Symptom: after an unknown outcome the operator was told to ask again with the submission's id,
-/// which nobody had told. Sequence: a submission without `--submission`; the daemon draws an id; its
-/// answer is lost, or names only the code. Cause: the id was drawn on the other side.
+/// Guards against an instruction to submit again with an id that the operator has never seen. It
+/// happened when the daemon generated the id of a submission without `--submission` and its answer
+/// was lost or contained only the code.
 #[test]
-fn an_unsettled_submission_is_named() {
+fn the_hint_after_an_unknown_outcome_names_the_submission() {
     let id = "s-1f-2a".parse().unwrap();
     expect!["to settle submission s-1f-2a, submit the same file with --submission s-1f-2a"]
-        .assert_eq(&render::ask_again(&id));
+        .assert_eq(&render::resubmit_hint(&id));
 }
--- a/crates/wisteriahitchd/src/main.rs
+++ b/crates/wisteriahitchd/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of wisteriahitch; `docs/SETTINGS.md` explains its settings file.
+//! The wisteriahitch daemon; `docs/SETTINGS.md` explains its settings file.
 
 mod flags;
 
@@ -11,11 +11,11 @@
 use wisteriahitch::config::{LogLevel, LogSettings, Settings};
 use wisteriahitch::node::{Daemon, LogOptions, start_logging};
 
-/// Exit code for settings with faults, and for a daemon that can't run.
-const FAILED: u8 = 1;
+/// Exit code for invalid settings and for a daemon that fails to start or run.
+const EXIT_FAILURE: u8 = 1;
 
-/// Exit code after an operator's second order to stop, which cuts off requests.
-const STOPPED_HARD: u8 = 3;
+/// Exit code after a second stop signal, which aborts the requests in progress.
+const EXIT_FORCED_STOP: u8 = 3;
 
 fn main() -> ExitCode {
     let flags = Wisteriahitchd::from_env_or_exit();
@@ -23,14 +23,14 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("error: {error:#}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
 fn run(flags: &Wisteriahitchd) -> anyhow::Result<ExitCode> {
-    let Some(settings) = read_settings(&flags.settings)? else {
-        return Ok(ExitCode::from(FAILED));
+    let Some(settings) = load_settings(&flags.settings)? else {
+        return Ok(ExitCode::from(EXIT_FAILURE));
     };
     if flags.check {
         println!("no problems");
@@ -45,8 +45,9 @@
     runtime.block_on(serve(settings))
 }
 
-/// Reads the settings; faults are printed one a line, with their places.
-fn read_settings(path: &Path) -> anyhow::Result<Option<Settings>> {
+/// Reads and checks the settings file; prints one line per problem with its location and returns
+/// `None` if there are any.
+fn load_settings(path: &Path) -> anyhow::Result<Option<Settings>> {
     let text = std::fs::read_to_string(path)
         .with_context(|| format!("the settings {} can't be read", path.display()))?;
     match Settings::check(&text) {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Serves until drained; the first signal starts draining, the second one stops at once.
+/// Serves until drained. The first SIGTERM or SIGINT starts draining, the second one stops at once.
 async fn serve(settings: Settings) -> anyhow::Result<ExitCode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -81,12 +82,12 @@
     let running = daemon.run();
     tokio::pin!(running);
     tokio::select! {
-        ended = running.as_mut() => return ended.map(|()| ExitCode::SUCCESS),
+        result = running.as_mut() => return result.map(|()| ExitCode::SUCCESS),
         () = next_signal(&mut terminate, &mut interrupt) => drain(),
     }
     tokio::select! {
-        ended = running => ended.map(|()| ExitCode::SUCCESS),
-        () = next_signal(&mut terminate, &mut interrupt) => Ok(ExitCode::from(STOPPED_HARD)),
+        result = running => result.map(|()| ExitCode::SUCCESS),
+        () = next_signal(&mut terminate, &mut interrupt) => Ok(ExitCode::from(EXIT_FORCED_STOP)),
     }
 }
 
