--- a/specs/cold_permits.pml
+++ b/specs/cold_permits.pml
@@ -13,7 +13,7 @@
  * changes no more often than news of it passes (DWELL).  Where one does, two daemons may hold
  * the permit at once, for which half of the bound is left unused (RateLimit).
  *
- * Stands for: PermitShares (view, majority, hold, gap) and HeldPermits (window).
+ * Stands for: PermitShares (view, majority, hold, gap) and ReservedPermits (window).
  *
  * Bounds: EVENTS changes.  The safety property is asserted at each use: no other daemon
  * has used the permit within the window.
