--- a/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_table.rs
@@ -17,7 +17,7 @@
 use super::endpoint_statements::EndpointStatements;
 use super::evacuated_zones::EvacuatedZones;
 use super::leaving_instances::LeavingInstances;
-use super::link_throughputs::LinkThroughputs;
+use super::link_slowdowns::LinkSlowdowns;
 use super::outlier::{OutlierDetector, OutlierOptions};
 use super::parts::PartCache;
 use crate::site::Endpoint;
@@ -101,7 +101,7 @@
     /// When the permit shares of the rows were last updated; `None` before the first update.
     pub(super) shares: Option<ShareTimes>,
     /// Throughput of the links over which endpoints and part stores send parts.
-    pub links: LinkThroughputs,
+    pub links: LinkSlowdowns,
     /// Options of outlier ejection.
     pub outlier_options: OutlierOptions,
     /// How long an endpoint that left without announcing it still gets requests if its service has
--- a/crates/wisteriahitch-relay/src/decide/link_throughputs.rs
+++ b/crates/wisteriahitch-relay/src/decide/link_slowdowns.rs
@@ -32,13 +32,13 @@
 
 /// Ratios of measured to nominal fetch times, by address of the link's end.
 #[derive(Debug)]
-pub struct LinkThroughputs {
+pub struct LinkSlowdowns {
     links: HashMap<SocketAddr, (f64, TimeUs)>,
     /// Estimated median ratio over all links.
     median_ratio: f64,
 }
 
-impl Default for LinkThroughputs {
+impl Default for LinkSlowdowns {
     fn default() -> Self {
         Self {
             links: HashMap::new(),
@@ -47,7 +47,7 @@
     }
 }
 
-impl LinkThroughputs {
+impl LinkSlowdowns {
     /// Records a fetch from `source` to `reader` that nominally takes `nominal_us` and took
     /// `took_us`.
     ///
--- a/crates/wisteriahitch-relay/src/decide/mod.rs
+++ b/crates/wisteriahitch-relay/src/decide/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) mod gossip_schedule;
 pub(crate) mod hubs;
 mod leaving_instances;
-pub(crate) mod link_throughputs;
+pub(crate) mod link_slowdowns;
 pub(crate) mod members;
 pub(crate) mod message_delay;
 pub(crate) mod named_limit;
--- a/crates/wisteriahitch-relay/src/decide/part_sources.rs
+++ b/crates/wisteriahitch-relay/src/decide/part_sources.rs
@@ -15,7 +15,7 @@
 
 use super::endpoint_row::{EndpointRow, EndpointState};
 use super::endpoint_table::EndpointTable;
-use super::link_throughputs::LinkThroughputs;
+use super::link_slowdowns::LinkSlowdowns;
 use super::part_stores::{OTHER_ZONE_FACTOR, StoreFetch, transfer_ms};
 use super::parts::{PartKey, cache_scope, part_keys};
 use super::placement_request::{EngineCall, READ_TOKENS_PER_MS};
@@ -85,7 +85,7 @@
     pub(super) keys: Vec<(PartKey, u64)>,
     /// Engines that probably have each part cached, in random order.
     holders: Vec<Vec<&'a EndpointRow>>,
-    links: &'a LinkThroughputs,
+    links: &'a LinkSlowdowns,
 }
 
 impl<'a> PartSources<'a> {
--- a/crates/wisteriahitch-relay/src/lib.rs
+++ b/crates/wisteriahitch-relay/src/lib.rs
@@ -32,7 +32,7 @@
 };
 pub use decide::gossip_schedule::GossipSchedule;
 pub use decide::hubs::{HubCandidate, HubPlan};
-pub use decide::link_throughputs::LinkThroughputs;
+pub use decide::link_slowdowns::LinkSlowdowns;
 pub use decide::members::{EntryPoint, PeerRow, PeerTable, ReceiveOutcome};
 pub use decide::message_delay::MessageDelay;
 pub use decide::named_limit::{LimitNotice, LimitOutcome, NamedLimit};
--- a/crates/wisteriahitch-relay/tests/all/link_throughputs.rs
+++ b/crates/wisteriahitch-relay/tests/all/link_slowdowns.rs
@@ -1,6 +1,6 @@
 //! Measured slowdown of links.
 
-use wisteriahitch_relay::LinkThroughputs;
+use wisteriahitch_relay::LinkSlowdowns;
 use wisteriahitch_types::{DurationUs, TimeUs};
 
 use crate::fixture::{address, at_ms, ms};
@@ -10,7 +10,7 @@
 
 /// Records fetches from four sources that take `all` times the nominal time, and from the slow
 /// source another `factor` times as long.
-fn record_fetches(links: &mut LinkThroughputs, factor: u64, all: u64, now: TimeUs) {
+fn record_fetches(links: &mut LinkSlowdowns, factor: u64, all: u64, now: TimeUs) {
     for round in 0..40 {
         for source in 1..=4 {
             let factor = if source == SLOW { factor } else { 1 };
@@ -20,7 +20,7 @@
     }
 }
 
-fn slowdown(links: &LinkThroughputs, source: u16, now: TimeUs) -> f64 {
+fn slowdown(links: &LinkSlowdowns, source: u16, now: TimeUs) -> f64 {
     links.slowdown(address(source), address(99), now)
 }
 
@@ -57,7 +57,7 @@
         },
     ];
     for case in cases {
-        let mut links = LinkThroughputs::default();
+        let mut links = LinkSlowdowns::default();
         record_fetches(&mut links, case.factor, case.all, at_ms(1_000));
         let slow = slowdown(&links, SLOW, at_ms(1_000));
         let other = slowdown(&links, 2, at_ms(1_000));
@@ -68,7 +68,7 @@
 
 #[test]
 fn slowdown_of_an_unused_link_decays() {
-    let mut links = LinkThroughputs::default();
+    let mut links = LinkSlowdowns::default();
     record_fetches(&mut links, 8, 1, at_ms(1_000));
     let then = slowdown(&links, SLOW, at_ms(1_000));
     let later = slowdown(&links, SLOW, at_ms(13_000));
@@ -77,7 +77,7 @@
 
 #[test]
 fn short_fetches_are_ignored() {
-    let mut links = LinkThroughputs::default();
+    let mut links = LinkSlowdowns::default();
     for _ in 0..10 {
         let took = ms(500);
         links.record_fetch(
--- a/crates/wisteriahitch-relay/tests/all/main.rs
+++ b/crates/wisteriahitch-relay/tests/all/main.rs
@@ -14,7 +14,7 @@
 mod gossip_message;
 mod gossip_schedule;
 mod leaving_instances;
-mod link_throughputs;
+mod link_slowdowns;
 mod members;
 mod metrics;
 mod named_limit;
