--- a/crates/wisteriahitch-relay/src/decide/stream_events.rs
+++ b/crates/wisteriahitch-relay/src/decide/stream_events.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum FramingError {
     /// An event exceeds the maximum size.
-    #[error("event is larger than 256 KiB")]
+    #[error("event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
     /// The id of an event is not greater than the previous one.
     #[error("event ids do not increase")]
