--- a/crates/wisteriahitch-node/src/peering/handler.rs
+++ b/crates/wisteriahitch-node/src/peering/handler.rs
@@ -13,7 +13,7 @@
 };
 use wisteriahitch_types::{EndpointId, Incarnation};
 
-use super::news::{from_wire, to_wire, wire_state};
+use super::membership_updates::{from_wire, to_wire, wire_state};
 use super::probe::PROBE_TIMEOUT;
 use crate::shared::Shared;
 
@@ -37,11 +37,11 @@
 
     async fn probe(&self, sender: Sender, request: ProbeRequest) -> ProbeReply {
         let now = self.shared.clock.now();
-        let news = from_wire(&request.news);
+        let updates = from_wire(&request.news);
         let sync_after = request.sync.then(|| Incarnation::new(request.sync_after));
         let (reply, commands) = {
             let mut members = self.shared.fleet.members.lock();
-            members.answer_probe(sender.incarnation, &news, sync_after, now)
+            members.answer_probe(sender.incarnation, &updates, sync_after, now)
         };
         self.shared.execute_membership_commands(commands);
         ProbeReply {
--- a/crates/wisteriahitch-node/src/peering/mod.rs
+++ b/crates/wisteriahitch-node/src/peering/mod.rs
@@ -3,7 +3,7 @@
 mod forward;
 mod handler;
 mod leaving;
-mod news;
+mod membership_updates;
 mod probe;
 
 pub(crate) use handler::PeerRequestHandler;
--- a/crates/wisteriahitch-node/src/peering/probe.rs
+++ b/crates/wisteriahitch-node/src/peering/probe.rs
@@ -1,4 +1,4 @@
-//! Probes a few peers in each round; membership news travels on the probes.
+//! Probes a few peers in each round; membership updates travel on the probes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use wisteriahitch_peer::{Envelope, IndirectProbeRequest, PeerIdentity, ProbeRequest};
 use wisteriahitch_types::Incarnation;
 
-use super::news::{from_wire, to_wire};
+use super::membership_updates::{from_wire, to_wire};
 use crate::shared::Shared;
 
 /// Interval between two ticks of the membership table.
--- a/crates/wisteriahitch-node/src/state/drain.rs
+++ b/crates/wisteriahitch-node/src/state/drain.rs
@@ -10,8 +10,8 @@
 
 use crate::shared::Shared;
 
-/// Time for the news that this daemon drains to reach all daemons. Until then others may still list
-/// it as an entry address.
+/// Time for the membership update that this daemon drains to reach all daemons. Until then others
+/// may still list it as an entry address.
 const DRAIN_GOSSIP_TIME_US: DurationUs = DurationUs::from_ms(2_000);
 
 /// Number of probe rounds for which a drained daemon stays up to announce that it has left.
