--- a/crates/wisteriahitch-bench/src/load/arrival.rs
+++ b/crates/wisteriahitch-bench/src/load/arrival.rs
@@ -53,7 +53,8 @@
     pub conversation: u64,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the whole pieces that the previous visit in this run had too; 0 for the first visit.
+    /// Tokens of the whole pieces that the previous visit in this run had too; 0 for the first
+    /// visit.
     pub reusable_tokens: u64,
     /// Whether an earlier visit in this run has whole pieces to reuse.
     pub is_return: bool,
--- a/crates/wisteriahitch-bench/tests/all/fleet.rs
+++ b/crates/wisteriahitch-bench/tests/all/fleet.rs
@@ -24,9 +24,10 @@
     kinds.filter(|row| row.name == kind).map(of).sum()
 }
 
-/// Guards against short urgent calls that are late under ordinary load at engines that seem idle. If
-/// gossip is sent only at a fixed interval and a daemon sends a long prompt to an idle engine, the
-/// other daemons send short calls there until its next message, and these wait behind the prompt.
+/// Guards against short urgent calls that are late under ordinary load at engines that seem idle.
+/// If gossip is sent only at a fixed interval and a daemon sends a long prompt to an idle engine,
+/// the other daemons send short calls there until its next message, and these wait behind the
+/// prompt.
 #[test]
 fn urgent_updates_keep_short_calls_from_queueing_behind_long_prompts() {
     struct Case {
@@ -85,10 +86,11 @@
     }
 }
 
-/// Guards against engines that prefill the same shared parts several times, a third of all prefilled
-/// tokens, for seconds after all daemons have started or all engines have new weights. No engine is
-/// known to cache these parts, and gossip about who prefills them is a quarter of a second old. If
-/// each daemon picks an engine at random, they pick different engines for the same part.
+/// Guards against engines that prefill the same shared parts several times, a third of all
+/// prefilled tokens, for seconds after all daemons have started or all engines have new weights. No
+/// engine is known to cache these parts, and gossip about who prefills them is a quarter of a
+/// second old. If each daemon picks an engine at random, they pick different engines for the same
+/// part.
 #[test]
 fn uncached_shared_parts_are_prefilled_by_few_engines() {
     /// The two seeds prefill 482,855 tokens again if daemons choose independently, and 234,578 if
--- a/crates/wisteriahitch-cli/src/command_line.rs
+++ b/crates/wisteriahitch-cli/src/command_line.rs
@@ -54,7 +54,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file can't be read, no daemon is given or reachable, or an answer isn't valid JSON.
+    /// Fails if a file can't be read, no daemon is given or reachable, or an answer isn't valid
+    /// JSON.
     pub async fn run(&self) -> anyhow::Result<bool> {
         let flags = &self.flags;
         match &flags.subcommand {
--- a/crates/wisteriahitch-config/tests/all/mistakes.rs
+++ b/crates/wisteriahitch-config/tests/all/mistakes.rs
@@ -213,8 +213,8 @@
     }
 }
 
-/// The check of a hostile text that repeats one name thousands of times takes minutes if the line of
-/// each repetition is counted from the start of the text.
+/// The check of a hostile text that repeats one name thousands of times takes minutes if the line
+/// of each repetition is counted from the start of the text.
 #[test]
 fn a_text_with_thousands_of_mistakes_gives_a_bounded_report() {
     let text = "[[rules]]\nname = \"r\"\nthen.refuse.reason = \"no\"\n".repeat(20_000);
--- a/crates/wisteriahitch-core/src/once/table.rs
+++ b/crates/wisteriahitch-core/src/once/table.rs
@@ -25,8 +25,8 @@
 /// ```
 /// use std::sync::Arc;
 /// use wisteriahitch_core::once::{
-///     Decision, Fingerprint, StoredAnswer, IdempotencyTable, TableLimits, TicketIssuer, TicketSecret,
-///     WaiterId,
+///     Decision, Fingerprint, StoredAnswer, IdempotencyTable, TableLimits, TicketIssuer,
+///     TicketSecret, WaiterId,
 /// };
 /// use wisteriahitch_types::{Code, DurationUs, Incarnation, TimeUs, WorkspaceId};
 ///
--- a/crates/wisteriahitch-core/src/route/engine_priority.rs
+++ b/crates/wisteriahitch-core/src/route/engine_priority.rs
@@ -15,7 +15,10 @@
 /// use wisteriahitch_types::TokenCount;
 ///
 /// let piece = TokenCount::new(2_000);
-/// assert!(engine_priority(5, TokenCount::new(300), piece) > engine_priority(5, TokenCount::new(9_000), piece));
+/// assert!(
+///     engine_priority(5, TokenCount::new(300), piece)
+///         > engine_priority(5, TokenCount::new(9_000), piece)
+/// );
 /// ```
 pub fn engine_priority(rule_priority: u8, computed: TokenCount, piece: TokenCount) -> u8 {
     let is_short = computed <= piece;
--- a/crates/wisteriahitch-peer/src/client.rs
+++ b/crates/wisteriahitch-peer/src/client.rs
@@ -112,8 +112,8 @@
         /// Forwards a request with a ticket or idempotency key to the incarnation that decides on
         /// it.
         forward(ForwardRequest) -> ForwardReply;
-        /// Sends directory hints: which endpoints and stores cached or evicted a block, and which of
-        /// them are leaving.
+        /// Sends directory hints: which endpoints and stores cached or evicted a block, and which
+        /// of them are leaving.
         publish_blocks(PublishBlocksRequest) -> PublishBlocksReply;
         /// Requests a status summary.
         status(StatusRequest) -> StatusReply;
--- a/crates/wisteriahitch-peer/src/limit.rs
+++ b/crates/wisteriahitch-peer/src/limit.rs
@@ -3,7 +3,8 @@
 /// Maximum size in bytes of a message that is sent or accepted.
 ///
 /// A configuration section is at most one object of the platform (1 MB), and the body of a
-/// forwarded request is limited by [`MAX_FORWARD_BODY_BYTES`]. Both fit together with their framing.
+/// forwarded request is limited by [`MAX_FORWARD_BODY_BYTES`]. Both fit together with their
+/// framing.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Maximum size in bytes of the body of a forwarded request and of its answer.
--- a/crates/wisteriahitch-peer/src/server.rs
+++ b/crates/wisteriahitch-peer/src/server.rs
@@ -41,8 +41,8 @@
         request: IndirectProbeRequest,
     ) -> IndirectProbeReply;
 
-    /// Stores a version of the configuration. The reply may set `held` only once all sections of the
-    /// version are stored.
+    /// Stores a version of the configuration. The reply may set `held` only once all sections of
+    /// the version are stored.
     async fn push_configuration(
         &self,
         sender: Sender,
--- a/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
+++ b/crates/wisteriahitch-relay/src/decide/endpoint_row.rs
@@ -50,7 +50,8 @@
     pub outlier: OutlierDetector,
     /// Prompt parts that the endpoint is believed to have cached.
     pub parts: PartCache,
-    /// Until when `parts` follows the engine's own memory events, received by this daemon or a peer.
+    /// Until when `parts` follows the engine's own memory events, received by this daemon or a
+    /// peer.
     pub parts_tracked_until_us: TimeUs,
     /// Until when this daemon's own failure to connect counts as evidence.
     pub unreachable_until_us: TimeUs,
--- a/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
+++ b/crates/wisteriahitch-relay/src/shell/engine_memory_watch.rs
@@ -76,8 +76,8 @@
 /// wait, a fleet of 76 daemons that all lost power scored 0.730 instead of 0.617 over the day (one
 /// run each).
 async fn wait_for_peers(shared: &Shared) {
-    // The result is ignored: without the store the other daemons can't be known, and no other daemon
-    // polls the engines that are there.
+    // The result is ignored: without the store the other daemons can't be known, and no other
+    // daemon polls the engines that are there.
     shared.peers.wait_for_peer_list().await;
     shared.peers.wait_for_gossip().await;
 }
--- a/crates/wisteriahitch-relay/src/shell/peers.rs
+++ b/crates/wisteriahitch-relay/src/shell/peers.rs
@@ -157,8 +157,8 @@
     let mut shared_message: Option<Vec<u8>> = None;
     for ip in targets {
         let to = SocketAddr::from((ip, shared.settings.listen.peer_port));
-        // A hub encodes one message per spoke, the daemons that it serves. All other targets get the
-        // same message.
+        // A hub encodes one message per spoke, the daemons that it serves. All other targets get
+        // the same message.
         let is_spoke = !plan.is_small && plan.is_hub(me.ip) && !plan.is_hub(ip);
         let message = match is_spoke {
             true => encode_message(shared, &plan, &round, Some(ip), now),
--- a/crates/wisteriahitch-relay/src/shell/routed.rs
+++ b/crates/wisteriahitch-relay/src/shell/routed.rs
@@ -112,8 +112,8 @@
     }
 
     /// Returns the retry delay for a call that has no attempt left: about the time until
-    /// an endpoint accepts calls again, or [`REFUSED_RETRY_US`] if one accepts them now or none ever
-    /// will.
+    /// an endpoint accepts calls again, or [`REFUSED_RETRY_US`] if one accepts them now or none
+    /// ever will.
     fn retry_delay(&self, shared: &Shared) -> DurationUs {
         let now = shared.now();
         let accepts_at_us = {
--- a/crates/wisteriahitch-relay/src/site/region.rs
+++ b/crates/wisteriahitch-relay/src/site/region.rs
@@ -26,7 +26,10 @@
 /// use std::collections::BTreeMap;
 /// use wisteriahitch_relay::{AllowedZones, RegionMap};
 ///
-/// let zones = BTreeMap::from([("a".parse()?, "north".parse()?), ("b".parse()?, "south".parse()?)]);
+/// let zones = BTreeMap::from([
+///     ("a".parse()?, "north".parse()?),
+///     ("b".parse()?, "south".parse()?),
+/// ]);
 /// let allowed = AllowedZones::of(&["south".parse()?], &[], &RegionMap::new(zones));
 /// assert!(allowed.contains(&"b".parse()?));
 /// assert!(!allowed.contains(&"a".parse()?));
--- a/crates/wisteriahitch-relay/tests/all/settings.rs
+++ b/crates/wisteriahitch-relay/tests/all/settings.rs
@@ -78,9 +78,9 @@
     assert!(error.contains("peer_port"), "{error}");
 }
 
-/// Guards against a daemon that runs with a bound that its deployment doesn't have. The settings file
-/// of the platform lacks the bound, or gives it in seconds instead of milliseconds, and the value had
-/// a default.
+/// Guards against a daemon that runs with a bound that its deployment doesn't have. The settings
+/// file of the platform lacks the bound, or gives it in seconds instead of milliseconds, and the
+/// value had a default.
 #[test]
 fn an_absent_or_implausible_bound_is_rejected() {
     struct Case {
@@ -114,7 +114,8 @@
     }
 }
 
-/// Guards against a limit that ignores its bound, also where a tight bound leaves little time to use.
+/// Guards against a limit that ignores its bound, also where a tight bound leaves little time to
+/// use.
 #[test]
 fn limits_are_derived_from_the_bounds() {
     struct Case {
